--- a/internal/decide/council/council.go
+++ b/internal/decide/membership/membership.go
@@ -1,11 +1,11 @@
-// Package council decides who of a fleet's fronts votes: which fronts there are,
+// Package membership decides who of a fleet's fronts votes: which fronts there are,
 // under which incarnation, which of them take part in the agreement as voters,
 // and when a voter that is lost is replaced. The others follow the log.
 //
 // Its state is replicated: every front that has applied the same entries holds
 // the same one. The voters themselves are the agreement library's to know, and
 // are handed in. Time is fleet time, which only entries move on.
-package council
+package membership
 
 import (
 	"cmp"
--- a/internal/decide/council/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -1,4 +1,4 @@
-package council
+package membership
 
 import (
 	"fmt"
--- a/internal/decide/replica/model_test.go
+++ b/internal/decide/replica/model_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/work"
 )
 
@@ -55,7 +55,7 @@
 	entries []entry
 	entryID map[entry]int
 	broken  string
-	seats   council.Seats
+	seats   membership.Seats
 }
 
 func newModel(t *testing.T, without Rule) *model {
@@ -117,8 +117,8 @@
 	return Command{Join: &Join{Front: modelFront(e.front, e.start)}}
 }
 
-func modelFront(i, start uint8) council.Front {
-	return council.Front{Name: frontName(i), Zone: fmt.Sprintf("z%d", i), Machine: frontName(i), Address: "x", ID: uint64(i) + 1, Start: uint64(start) + 1}
+func modelFront(i, start uint8) membership.Front {
+	return membership.Front{Name: frontName(i), Zone: fmt.Sprintf("z%d", i), Machine: frontName(i), Address: "x", ID: uint64(i) + 1, Start: uint64(start) + 1}
 }
 
 // apply gives the replica state behind an entry, and holds every leave that comes of
@@ -164,7 +164,7 @@
 	if len(gone) > s.Work.Rules.Out {
 		m.broken = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Work.Last, len(gone), s.Work.Rules.Out)
 	}
-	if stay < council.Majority(len(s.Seats.Voters)) {
+	if stay < membership.Majority(len(s.Seats.Voters)) {
 		m.broken = fmt.Sprintf("leave %d leaves %d of %d voters", s.Work.Last, stay, len(s.Seats.Voters))
 	}
 }
@@ -306,7 +306,7 @@
 	for i := range uint8(modelFronts) {
 		r.Apply(Command{Join: &Join{Front: modelFront(i, 0)}})
 	}
-	r.Sat(council.Seats{Voters: []uint64{1, 2, 3}})
+	r.Sat(membership.Seats{Voters: []uint64{1, 2, 3}})
 	for i := range uint8(modelFronts) {
 		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: frontName(i), ID: uint64(i) + 1}}}})
 	}
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -17,8 +17,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cherryramp/internal/decide/council"
 	"cherryramp/internal/decide/lease"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/tree"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/decide/work"
@@ -47,7 +47,7 @@
 	mostAdvance = Micros(10e6)  // fleet time that one command moves on
 	seenFor     = Micros(600e6) // fleet time for which a word is remembered
 	mostWord    = 512           // bytes of a word
-	mostBatch   = council.MostFronts
+	mostBatch   = membership.MostFronts
 )
 
 // ErrVersion tells of state or commands that this build can't read.
@@ -101,7 +101,7 @@
 
 // Join takes a front in, or what has changed of it.
 type Join struct {
-	Front council.Front `cbor:"1,keyasint"`
+	Front membership.Front `cbor:"1,keyasint"`
 }
 
 // Leave takes a front out for good.
@@ -180,14 +180,14 @@
 
 // State is all that a replica holds.
 type State struct {
-	Version int           `cbor:"1,keyasint"`
-	Name    string        `cbor:"2,keyasint"`
-	Fleet   uint64        `cbor:"3,keyasint"` // 0: not founded
-	Now     Micros        `cbor:"4,keyasint"` // fleet time
-	Council council.State `cbor:"5,keyasint"`
-	Work    work.State    `cbor:"6,keyasint"`
-	Seen    []seen        `cbor:"7,keyasint,omitempty"` // by age
-	Seats   council.Seats `cbor:"8,keyasint"`           // as the agreement has them
+	Version int              `cbor:"1,keyasint"`
+	Name    string           `cbor:"2,keyasint"`
+	Fleet   uint64           `cbor:"3,keyasint"` // 0: not founded
+	Now     Micros           `cbor:"4,keyasint"` // fleet time
+	Council membership.State `cbor:"5,keyasint"`
+	Work    work.State       `cbor:"6,keyasint"`
+	Seen    []seen           `cbor:"7,keyasint,omitempty"` // by age
+	Seats   membership.Seats `cbor:"8,keyasint"`           // as the agreement has them
 
 	Versions versions.State `cbor:"9,keyasint,omitzero"`
 	Tree     tree.State     `cbor:"10,keyasint,omitzero"`
@@ -231,7 +231,7 @@
 // Fleet is the fronts as works see them.
 func (r *Replica) Fleet() work.Fleet {
 	s := &r.s
-	avoid := func(f *council.Front) bool {
+	avoid := func(f *membership.Front) bool {
 		x := s.Work.On(f.Name)
 		return x != nil && x.Kind == work.AFront && x.Phase != work.Asked
 	}
@@ -258,7 +258,7 @@
 }
 
 // Avoid tells whether a front is about to go out for work.
-func (r *Replica) Avoid(f *council.Front) bool {
+func (r *Replica) Avoid(f *membership.Front) bool {
 	return r.s.Work.Soon(f.Name, r.Fleet(), r.s.Now)
 }
 
@@ -331,7 +331,7 @@
 }
 
 // Sat tells of the seats after a change of them was applied.
-func (r *Replica) Sat(seats council.Seats) (told []string) {
+func (r *Replica) Sat(seats membership.Seats) (told []string) {
 	slices.Sort(seats.Voters)
 	slices.Sort(seats.Learners)
 	r.s.Seats = seats
@@ -555,7 +555,7 @@
 	w, now := &r.s.Work, r.s.Now
 	f := r.s.Council.Find(x.Front)
 	if f == nil || f.ID != x.ID || f.Start != x.Start {
-		return council.ErrNobody
+		return membership.ErrNobody
 	}
 	switch x.What {
 	case Accepted:
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/replica/replica_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/work"
 	"cherryramp/internal/seededtest"
 )
@@ -20,7 +20,7 @@
 	c := Command{ID: ID{Front: id, Start: 1, N: uint64(rapid.IntRange(1, 400).Draw(t, "n"))}}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		c.Join = &Join{council.Front{Name: name, Zone: "z" + name[:rapid.IntRange(0, 1).Draw(t, "zone")], Machine: name, Address: "x", ID: id, Start: 1}}
+		c.Join = &Join{membership.Front{Name: name, Zone: "z" + name[:rapid.IntRange(0, 1).Draw(t, "zone")], Machine: name, Address: "x", ID: id, Start: 1}}
 	case 1:
 		c.Facts = &Facts{Span: rapid.Int64Range(-5, 20_000_000).Draw(t, "span"), Contact: []Contact{{Name: name, ID: id, Lost: rapid.Bool().Draw(t, "lost"),
 			Away: rapid.Bool().Draw(t, "away"), Hurt: rapid.Bool().Draw(t, "hurt")}}}
@@ -116,7 +116,7 @@
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: rules}})
 	for i := range 300 {
 		name := fmt.Sprintf("n%03d", i)
-		r.Apply(Command{Join: &Join{council.Front{Name: name, Zone: fmt.Sprintf("z%d", i%5), Machine: name, Address: "x", ID: uint64(i + 1), Start: 1}}})
+		r.Apply(Command{Join: &Join{membership.Front{Name: name, Zone: fmt.Sprintf("z%d", i%5), Machine: name, Address: "x", ID: uint64(i + 1), Start: 1}}})
 		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: name, ID: uint64(i + 1)}}}})
 	}
 	for i := range 1000 {
--- a/internal/fleet/agree/feed.go
+++ b/internal/fleet/agree/feed.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 )
 
@@ -83,10 +83,10 @@
 
 // feed answers one that asks to be fed.
 func (n *Node) feed(from string, a Ask) {
-	if len(n.addresses) >= council.MostFronts {
+	if len(n.addresses) >= membership.MostFronts {
 		clear(n.addresses)
 	}
-	if len(a.Address) <= council.MostName {
+	if len(a.Address) <= membership.MostName {
 		n.addresses[from] = a.Address
 	}
 	i := slices.IndexFunc(n.children, func(c *child) bool { return c.name == from })
@@ -224,7 +224,7 @@
 func (n *Node) timeMatters() bool {
 	s := n.rep.State()
 	return len(s.Work.Items) > 0 || s.Versions.Waiting(s.Now) ||
-		slices.ContainsFunc(s.Council.Fronts, func(f council.Front) bool { return f.Lost && s.Seats.Has(f.ID) })
+		slices.ContainsFunc(s.Council.Fronts, func(f membership.Front) bool { return f.Lost && s.Seats.Has(f.ID) })
 }
 
 // handOver gives the lead to another voter before this front goes out.
@@ -263,9 +263,9 @@
 	}
 	s := n.rep.State()
 	progress := n.raw.Status().Progress
-	m := s.Council.Next(s.Seats, council.Config{Grace: n.cfg.Grace}, council.View{Now: s.Now, Leader: n.id,
+	m := s.Council.Next(s.Seats, membership.Config{Grace: n.cfg.Grace}, membership.View{Now: s.Now, Leader: n.id,
 		Caught: func(id uint64) bool { return progress[id].Match+16 >= n.last() }, Avoid: n.rep.Avoid,
-		Near: func(f *council.Front) bool {
+		Near: func(f *membership.Front) bool {
 			h := n.heard[f.Name]
 			return h.id == f.ID && h.applied+nearEntries >= n.applied
 		}})
@@ -275,16 +275,16 @@
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: t.Enum(), NodeId: new(id)})
 	}
 	switch m.Kind {
-	case council.Stay:
+	case membership.Stay:
 		return
-	case council.Learn:
+	case membership.Learn:
 		change(raftpb.ConfChangeAddLearnerNode, m.Add)
-	case council.Promote:
+	case membership.Promote:
 		change(raftpb.ConfChangeAddNode, m.Add)
 		if m.Drop != 0 {
 			change(raftpb.ConfChangeRemoveNode, m.Drop)
 		}
-	case council.Drop:
+	case membership.Drop:
 		change(raftpb.ConfChangeRemoveNode, m.Drop)
 	}
 	n.confAt = n.now
--- a/internal/fleet/agree/found.go
+++ b/internal/fleet/agree/found.go
@@ -5,7 +5,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 )
 
@@ -70,7 +70,7 @@
 // found begins the fleet with this front alone; the others join it.
 func (n *Node) found() {
 	conf := &raftpb.ConfState{Voters: []uint64{n.id}}
-	n.rep.Sat(council.Seats{Voters: []uint64{n.id}})
+	n.rep.Sat(membership.Seats{Voters: []uint64{n.id}})
 	s := &raftpb.Snapshot{Data: n.rep.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
 	// The agreement takes it in as a snapshot of a leader of the first term.
 	err := n.raw.Step(&raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: new(n.id), From: new(n.id), Term: new(uint64(1)), Snapshot: s})
@@ -86,8 +86,8 @@
 	}
 }
 
-func (n *Node) self() council.Front {
-	return council.Front{Name: n.cfg.Name, Zone: n.cfg.Zone, Machine: n.cfg.Machine, Address: n.cfg.Address, ID: n.id,
+func (n *Node) self() membership.Front {
+	return membership.Front{Name: n.cfg.Name, Zone: n.cfg.Zone, Machine: n.cfg.Machine, Address: n.cfg.Address, ID: n.id,
 		Build: n.cfg.Build, Start: n.cfg.Start, Lease: n.rep.State().Work.Rules.Alone, Keep: n.keepSpan()}
 }
 
--- a/internal/fleet/agree/lease.go
+++ b/internal/fleet/agree/lease.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/binary"
 
-	"cherryramp/internal/decide/council"
 	"cherryramp/internal/decide/lease"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 )
 
@@ -97,7 +97,7 @@
 		l.grantor.Reset()
 	}
 	if a := n.wants(); a.Stamp != 0 {
-		l.grantor.Asked(lease.Asker{Name: n.cfg.Name, ID: n.id, From: n.cfg.Start, Ask: a}, council.MostFronts)
+		l.grantor.Asked(lease.Asker{Name: n.cfg.Name, ID: n.id, From: n.cfg.Start, Ask: a}, membership.MostFronts)
 	}
 	if _, done := n.rep.Seen(n.factsID); !done && n.factsLost {
 		return
@@ -148,7 +148,7 @@
 		return
 	}
 	if n.leads {
-		n.leases.grantor.Asked(lease.Asker{Name: from, ID: a.ID, From: a.Start, Ask: a.Lease}, council.MostFronts)
+		n.leases.grantor.Asked(lease.Asker{Name: from, ID: a.ID, From: a.Start, Ask: a.Lease}, membership.MostFronts)
 		return
 	}
 	f := n.rep.State().Council.Find(from)
--- a/internal/fleet/agree/messages.go
+++ b/internal/fleet/agree/messages.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"cherryramp/internal/decide/council"
 	"cherryramp/internal/decide/lease"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 	"cherryramp/internal/decide/versions"
 )
@@ -257,7 +257,7 @@
 	}
 	note(b)
 	if n.leads {
-		n.leases.grantor.Asked(lease.Asker{Name: from, ID: b.ID, From: b.Start, Ask: b.Lease}, council.MostFronts)
+		n.leases.grantor.Asked(lease.Asker{Name: from, ID: b.ID, From: b.Start, Ask: b.Lease}, membership.MostFronts)
 	}
 	for _, x := range b.Below {
 		if x.Name != n.cfg.Name {
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/decide/work"
@@ -648,8 +648,8 @@
 	return nil
 }
 
-func seats(c *raftpb.ConfState) council.Seats {
-	return council.Seats{Voters: slices.Clone(c.GetVoters()), Learners: slices.Clone(c.GetLearners()),
+func seats(c *raftpb.ConfState) membership.Seats {
+	return membership.Seats{Voters: slices.Clone(c.GetVoters()), Learners: slices.Clone(c.GetLearners()),
 		Joint: len(c.GetVotersOutgoing()) > 0}
 }
 
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 	"cherryramp/internal/decide/work"
 )
@@ -385,7 +385,7 @@
 	return list
 }
 
-func state(m council.Front) string {
+func state(m membership.Front) string {
 	switch {
 	case m.Lost:
 		return "lost"
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/decide/council"
+	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/replica"
 	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet"
@@ -287,7 +287,7 @@
 		empty := len(r.Snapshot())
 		for i := range 300 {
 			n := fmt.Sprintf("front-%03d", i)
-			r.Apply(replica.Command{Join: &replica.Join{Front: council.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
+			r.Apply(replica.Command{Join: &replica.Join{Front: membership.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
 				ID: ^uint64(i), Start: ^uint64(i) / 3, Build: "0123456789ab"}}})
 		}
 		fronts := len(r.Snapshot())
