--- a/internal/decide/replica/replica.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -1,4 +1,4 @@
-// Package replica is what every front of a fleet holds alike: the fronts, and the
+// Package statemachine is what every front of a fleet holds alike: the fronts, and the
 // works on machines. A committed command goes in, state and a word on what became
 // of it come out; the same commands in the same order make the same state
 // everywhere, down to the bytes of its snapshot.
@@ -6,7 +6,7 @@
 // A command carries an id and is applied once, however often it is sent. The
 // state is versioned: a front that can't read a snapshot or a command says so and
 // does not act on what it did not understand.
-package replica
+package statemachine
 
 import (
 	"bytes"
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -1,4 +1,4 @@
-package replica
+package statemachine
 
 import (
 	"bytes"
--- a/internal/decide/replica/version_older.go
+++ b/internal/decide/statemachine/version_older.go
@@ -1,6 +1,6 @@
 //go:build cherryramp_older
 
-package replica
+package statemachine
 
 // Version is the one before the newest: a build with the tag cherryramp_older is the
 // older one in tests of fleets of two builds.
--- a/internal/fleet/agree/duty.go
+++ b/internal/fleet/agree/duty.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -53,7 +53,7 @@
 func (n *Node) Rejoin() {
 	if n.duty.permit != 0 && n.duty.out {
 		n.duty.out = false
-		n.report(replica.Back, n.cfg.Name, n.duty.permit)
+		n.report(statemachine.Back, n.cfg.Name, n.duty.permit)
 	}
 }
 
@@ -72,25 +72,25 @@
 		case work.Permitted:
 			// A leader hands over before its turn, where there is anybody to hand over to.
 			if !n.leads || n.successor() == 0 {
-				n.report(replica.Accepted, x.Machine, x.Permit)
+				n.report(statemachine.Accepted, x.Machine, x.Permit)
 			}
 		case work.Emptying:
 			n.duty.out = x.Holder == n.id
 			if n.duty.out && n.away && n.empty {
-				n.report(replica.Emptied, x.Machine, x.Permit)
+				n.report(statemachine.Emptied, x.Machine, x.Permit)
 			}
 		case work.Out:
 			n.duty.out = true
 		case work.Returning:
 			if !n.away && (!x.Home || x.Holder != n.id) {
-				n.report(replica.Back, x.Machine, x.Permit)
+				n.report(statemachine.Back, x.Machine, x.Permit)
 			}
 		}
 	}
 	for _, x := range s.Work.Items { // its beats have said so all the while; a leader of an older build does not hear that
 		if since, left := n.boxes[x.Machine]; left && x.Kind == work.ABox && x.Phase == work.Permitted && n.now-since > n.span(leftTicks) {
 			if _, heard := slices.BinarySearch(x.Left, n.cfg.Name); !heard {
-				n.report(replica.Left, x.Machine, x.Permit)
+				n.report(statemachine.Left, x.Machine, x.Permit)
 			}
 		}
 	}
@@ -116,11 +116,11 @@
 // gatherLeft has the leader report what beats have told of boxes that were left: one
 // entry for all fronts whose word is new.
 func (n *Node) gatherLeft() {
-	if _, done := n.rep.Seen(n.leftID); !done && n.leftID != (replica.ID{}) && n.now-n.leftAt < n.span(againTicks) {
+	if _, done := n.rep.Seen(n.leftID); !done && n.leftID != (statemachine.ID{}) && n.now-n.leftAt < n.span(againTicks) {
 		return
 	}
 	s := n.rep.State()
-	var reports []replica.Report
+	var reports []statemachine.Report
 	for _, x := range s.Work.Items {
 		if x.Kind != work.ABox || x.Phase != work.Permitted {
 			continue
@@ -134,7 +134,7 @@
 			if _, known := slices.BinarySearch(x.Left, f.Name); known || h.id != f.ID || h.start != f.Start || !slices.Contains(left, x.Permit) {
 				continue
 			}
-			if reports = append(reports, replica.Report{What: replica.Left, Machine: x.Machine, Permit: x.Permit, Front: f.Name, ID: f.ID,
+			if reports = append(reports, statemachine.Report{What: statemachine.Left, Machine: x.Machine, Permit: x.Permit, Front: f.Name, ID: f.ID,
 				Start: f.Start}); len(reports) == mostReports {
 				break
 			}
@@ -144,8 +144,8 @@
 		return
 	}
 	n.number++
-	c := replica.Command{ID: replica.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Report: reports[:min(len(reports), mostReports)]}
-	if b, err := replica.Encode(c); err == nil && n.raw.Propose(b) == nil {
+	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Report: reports[:min(len(reports), mostReports)]}
+	if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
 		n.leftID, n.leftAt = c.ID, n.now
 	}
 }
@@ -166,9 +166,9 @@
 		clear(n.duty.sent)
 	}
 	n.duty.sent[key] = sent{permit, n.now}
-	n.Submit(replica.Command{Report: []replica.Report{{What: what, Machine: machine, Permit: permit, Front: n.cfg.Name, ID: n.id,
-		Start: n.cfg.Start}}}, n.span(3*againTicks), func(w replica.Word, err error) {
-		if w.Err != "" && what == replica.Accepted {
+	n.Submit(statemachine.Command{Report: []statemachine.Report{{What: what, Machine: machine, Permit: permit, Front: n.cfg.Name, ID: n.id,
+		Start: n.cfg.Start}}}, n.span(3*againTicks), func(w statemachine.Word, err error) {
+		if w.Err != "" && what == statemachine.Accepted {
 			n.tell("the acceptance of permit %d came to nothing: %s", permit, w.Err)
 		}
 	})
--- a/internal/fleet/agree/feed.go
+++ b/internal/fleet/agree/feed.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 )
 
 // attach has a front that takes no part in the agreement, or hears of no leader, ask
@@ -185,7 +185,7 @@
 		return
 	}
 	n.heard[n.cfg.Name] = heard{id: n.id, start: n.cfg.Start, at: n.now, away: n.away, hurt: n.hurt, applied: n.applied, stand: n.stand}
-	var contacts []replica.Contact
+	var contacts []statemachine.Contact
 	for _, f := range s.Council.Fronts {
 		h, ok := n.heard[f.Name]
 		if !f.Lost && (!ok || h.id != f.ID) { // it has only just come
@@ -198,17 +198,17 @@
 			away, hurt = h.away, h.hurt
 		}
 		if lost != f.Lost || away != f.Away || hurt != f.Hurt {
-			contacts = append(contacts, replica.Contact{Name: f.Name, ID: f.ID, Lost: lost, Away: away, Hurt: hurt})
+			contacts = append(contacts, statemachine.Contact{Name: f.Name, ID: f.ID, Lost: lost, Away: away, Hurt: hurt})
 		}
 	}
 	if len(contacts) > 0 || n.timeMatters() && n.now-n.facts >= n.span(beatTicks) {
-		if _, done := n.rep.Seen(n.factsID); done || n.factsID == (replica.ID{}) || n.now-n.facts > n.span(againTicks) {
+		if _, done := n.rep.Seen(n.factsID); done || n.factsID == (statemachine.ID{}) || n.now-n.facts > n.span(againTicks) {
 			n.number++
-			n.factsID = replica.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
-			c := replica.Command{ID: n.factsID, Facts: &replica.Facts{Span: n.now - n.facts, Contact: contacts}}
-			if b, err := replica.Encode(c); err == nil && n.raw.Propose(b) == nil {
+			n.factsID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
+			c := statemachine.Command{ID: n.factsID, Facts: &statemachine.Facts{Span: n.now - n.facts, Contact: contacts}}
+			if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
 				n.facts = n.now
-				n.factsLost = slices.ContainsFunc(contacts, func(x replica.Contact) bool { return x.Lost })
+				n.factsLost = slices.ContainsFunc(contacts, func(x statemachine.Contact) bool { return x.Lost })
 			}
 		}
 	}
--- a/internal/fleet/agree/found.go
+++ b/internal/fleet/agree/found.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 )
 
 // probed is what a first member said last.
@@ -81,8 +81,8 @@
 	n.tell("this front founds the fleet %s", n.cfg.Fleet)
 	front := n.self()
 	n.founding = func() {
-		n.Submit(replica.Command{Found: &replica.Found{Name: n.cfg.Fleet, Fleet: n.cfg.Draw(), Rules: n.cfg.Rules}}, n.span(600), func(replica.Word, error) {})
-		n.Submit(replica.Command{Join: &replica.Join{Front: front}}, n.span(600), func(replica.Word, error) {})
+		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.Draw(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Word, error) {})
+		n.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, n.span(600), func(statemachine.Word, error) {})
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // keepSpan is the span that this front joins with as a keeper, once all fronts read it.
 func (n *Node) keepSpan() Micros {
-	if n.rep.State().Version < replica.Keepers {
+	if n.rep.State().Version < statemachine.Keepers {
 		return 0
 	}
 	return n.cfg.Keep
@@ -119,7 +119,7 @@
 		return
 	}
 	n.joining = true
-	n.Submit(replica.Command{Join: &replica.Join{Front: n.self()}}, n.span(100), func(w replica.Word, err error) {
+	n.Submit(statemachine.Command{Join: &statemachine.Join{Front: n.self()}}, n.span(100), func(w statemachine.Word, err error) {
 		n.joining = false
 		if w.Err != "" {
 			n.tell("the fleet does not take this front in: %s", w.Err)
--- a/internal/fleet/agree/lease.go
+++ b/internal/fleet/agree/lease.go
@@ -5,7 +5,7 @@
 
 	"cherryramp/internal/decide/lease"
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 )
 
 // leases is what a front knows of its own lease, and what a leader grants to others.
@@ -45,11 +45,11 @@
 	if !n.leases.looked {
 		span = n.Lives()
 	}
-	return span == 0 || n.leases.own.Holds(now) || n.rep.Leaves(replica.NoLook)
+	return span == 0 || n.leases.own.Holds(now) || n.rep.Leaves(statemachine.NoLook)
 }
 
 // Rep tells whether the replica leaves a rule out.
-func (n *Node) Rep(rule replica.Rule) bool { return n.rep.Leaves(rule) }
+func (n *Node) Rep(rule statemachine.Rule) bool { return n.rep.Leaves(rule) }
 
 // LeaseEnd is the moment up to which it may; 0: for ever, or not at all.
 func (n *Node) LeaseEnd() Micros { return n.leases.own.End() }
--- a/internal/fleet/agree/messages.go
+++ b/internal/fleet/agree/messages.go
@@ -11,7 +11,7 @@
 
 	"cherryramp/internal/decide/lease"
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 )
 
@@ -139,7 +139,7 @@
 		}
 		n.raft(from, kind, m)
 	case KindPropose:
-		c, err := replica.Decode(payload)
+		c, err := statemachine.Decode(payload)
 		if err != nil {
 			return fmt.Errorf("fleet: from %s: %w", from, err)
 		}
@@ -211,7 +211,7 @@
 
 // beat tells that this front is there: a voter to the leader, others to who feeds them.
 func (n *Node) beat() {
-	b := Beat{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, Away: n.away, Hurt: n.hurt, Applied: n.applied, Left: n.leftPermits(), Reads: replica.Version, Stand: n.stand}
+	b := Beat{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, Away: n.away, Hurt: n.hurt, Applied: n.applied, Left: n.leftPermits(), Reads: statemachine.Version, Stand: n.stand}
 	to := n.feeder
 	if lead, _ := n.Leader(); n.led() || to == "" {
 		to, b.Lease = n.nameOf(lead), n.wants()
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -19,7 +19,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/decide/work"
 )
@@ -93,11 +93,11 @@
 
 // pending is a command that waits for its word.
 type pending struct {
-	id   replica.ID
+	id   statemachine.ID
 	data []byte
 	at   Micros // when it was last sent
 	end  Micros
-	done func(replica.Word, error)
+	done func(statemachine.Word, error)
 }
 
 // child is a front that is fed.
@@ -127,7 +127,7 @@
 	now     Micros
 	raw     *raft.RawNode
 	store   *raft.MemoryStorage
-	rep     *replica.Replica
+	rep     *statemachine.Replica
 	conf    *raftpb.ConfState
 	applied uint64
 	stale   error // why entries are no longer applied
@@ -162,9 +162,9 @@
 	// Of the leader.
 	leads     bool
 	facts     Micros // when time was last told
-	factsID   replica.ID
-	factsLost bool       // they told of a front that it is lost
-	leftID    replica.ID // of the last report for others that they have left boxes
+	factsID   statemachine.ID
+	factsLost bool            // they told of a front that it is lost
+	leftID    statemachine.ID // of the last report for others that they have left boxes
 	leftAt    Micros
 	raisedAt  Micros
 	conf2     uint64 // index of the last change of seats that was proposed
@@ -198,7 +198,7 @@
 		return nil, fmt.Errorf("%w: a snapshot without its end", ErrRecord)
 	}
 	n := &Node{cfg: cfg, id: r.Identity.ID, now: now, ticked: now, fed: now, ledAt: now, facts: now, store: raft.NewMemoryStorage(),
-		rep: replica.New(), names: map[uint64]string{}, heard: map[string]heard{}, probed: map[string]probed{}, addresses: map[string]string{},
+		rep: statemachine.New(), names: map[uint64]string{}, heard: map[string]heard{}, probed: map[string]probed{}, addresses: map[string]string{},
 		boxes: map[string]Micros{}}
 	if s := r.snapshot; s != nil {
 		if err := errors.Join(n.store.ApplySnapshot(s), n.restore(s)); err != nil {
@@ -255,7 +255,7 @@
 func (n *Node) ID() uint64 { return n.id }
 
 // Replica is what this front has applied.
-func (n *Node) Replica() *replica.Replica { return n.rep }
+func (n *Node) Replica() *statemachine.Replica { return n.rep }
 
 // Applied is the index of the last entry applied.
 func (n *Node) Applied() uint64 { return n.applied }
@@ -300,11 +300,11 @@
 // the fleet's, at the leader; none: there is no newer one, or all do.
 func (n *Node) Older() (names []string) {
 	s := n.rep.State()
-	if s.Version >= replica.Version {
+	if s.Version >= statemachine.Version {
 		return nil
 	}
 	for _, f := range s.Council.Fronts {
-		if h := n.heard[f.Name]; f.Name != n.cfg.Name && (h.id != f.ID || h.start != f.Start || h.reads < replica.Version) {
+		if h := n.heard[f.Name]; f.Name != n.cfg.Name && (h.id != f.ID || h.start != f.Start || h.reads < statemachine.Version) {
 			names = append(names, f.Name)
 		}
 	}
@@ -313,13 +313,13 @@
 
 // raise has the state's version raised once all fronts are known to read it.
 func (n *Node) raise() {
-	if s := n.rep.State(); s.Version >= replica.Version || n.now-n.raisedAt < n.span(againTicks) || len(n.Older()) > 0 {
+	if s := n.rep.State(); s.Version >= statemachine.Version || n.now-n.raisedAt < n.span(againTicks) || len(n.Older()) > 0 {
 		return
 	}
 	n.raisedAt = n.now
 	n.number++
-	c := replica.Command{ID: replica.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Raise: replica.Version}
-	if b, err := replica.Encode(c); err == nil {
+	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Raise: statemachine.Version}
+	if b, err := statemachine.Encode(c); err == nil {
 		_ = n.raw.Propose(b) // or the next time
 	}
 }
@@ -413,20 +413,20 @@
 
 // Submit has a command applied, once; done is told its word, or that none came
 // within a span.
-func (n *Node) Submit(c replica.Command, within Micros, done func(replica.Word, error)) {
+func (n *Node) Submit(c statemachine.Command, within Micros, done func(statemachine.Word, error)) {
 	if len(n.waiting) >= mostPending {
-		done(replica.Word{}, ErrBusy)
+		done(statemachine.Word{}, ErrBusy)
 		return
 	}
 	if err := n.rep.Takes(&c); err != nil {
-		done(replica.Word{Err: err.Error()}, nil)
+		done(statemachine.Word{Err: err.Error()}, nil)
 		return
 	}
 	n.number++
-	c.ID = replica.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
-	data, err := replica.Encode(c)
+	c.ID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
+	data, err := statemachine.Encode(c)
 	if err != nil {
-		done(replica.Word{}, err)
+		done(statemachine.Word{}, err)
 		return
 	}
 	p := &pending{id: c.ID, data: data, end: n.now + within, done: done}
@@ -462,7 +462,7 @@
 	for _, p := range waiting {
 		switch {
 		case n.now >= p.end:
-			p.done(replica.Word{}, ErrUnknown)
+			p.done(statemachine.Word{}, ErrUnknown)
 		case n.now-p.at >= n.span(againTicks):
 			n.waiting = append(n.waiting, p)
 			n.propose(p)
@@ -473,7 +473,7 @@
 }
 
 // word tells a waiting command what became of it.
-func (n *Node) word(id replica.ID, w replica.Word) {
+func (n *Node) word(id statemachine.ID, w statemachine.Word) {
 	i := slices.IndexFunc(n.waiting, func(p *pending) bool { return p.id == id })
 	if i < 0 {
 		return
@@ -620,7 +620,7 @@
 		}
 	default:
 		if len(e.GetData()) > 0 && n.stale == nil {
-			c, err := replica.Decode(e.GetData())
+			c, err := statemachine.Decode(e.GetData())
 			if err != nil {
 				n.stale = fmt.Errorf("entry %d: %w", index, err)
 				n.tell("%v: this build takes no further part", n.stale)
--- a/internal/fleet/agree/stands.go
+++ b/internal/fleet/agree/stands.go
@@ -1,7 +1,7 @@
 package agree
 
 import (
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 )
 
@@ -27,7 +27,7 @@
 // word is new: heads of audits alone every few seconds.
 func (n *Node) gatherStands() {
 	s := n.rep.State()
-	if s.Version < replica.Stands {
+	if s.Version < statemachine.Stands {
 		return
 	}
 	if n.stood == nil || len(n.stood) > 2*len(s.Council.Fronts)+16 {
@@ -65,8 +65,8 @@
 		part := list[:min(len(list), mostStands)]
 		list = list[len(part):]
 		n.number++
-		c := replica.Command{ID: replica.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Stands: part}
-		if b, err := replica.Encode(c); err == nil {
+		c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Stands: part}
+		if b, err := statemachine.Encode(c); err == nil {
 			_ = n.raw.Propose(b) // again after a while, where it is dropped
 		}
 	}
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -164,7 +164,7 @@
 			fail(errName)
 			return
 		}
-		f.submit(replica.Command{Leave: &replica.Leave{Name: rest}}, give, fail)
+		f.submit(statemachine.Command{Leave: &statemachine.Leave{Name: rest}}, give, fail)
 	case "RULES":
 		f.rules(rest, give, fail)
 	case "VERSIONS":
@@ -191,8 +191,8 @@
 }
 
 // submit has a command agreed on, and answers with its word.
-func (f *Fleet) submit(c replica.Command, give func(any), fail func(error)) {
-	f.node.Submit(c, mostWithin, func(w replica.Word, err error) {
+func (f *Fleet) submit(c statemachine.Command, give func(any), fail func(error)) {
+	f.node.Submit(c, mostWithin, func(w statemachine.Word, err error) {
 		switch {
 		case err != nil:
 			fail(err)
@@ -225,7 +225,7 @@
 		fail(err)
 		return
 	}
-	f.submit(replica.Command{Rules: &r}, func(any) { give(x) }, fail)
+	f.submit(statemachine.Command{Rules: &r}, func(any) { give(x) }, fail)
 }
 
 func (f *Fleet) work(call string, give func(any), fail func(error)) {
@@ -240,7 +240,7 @@
 			fail(errNumber)
 			return
 		}
-		f.submit(replica.Command{Order: &replica.Order{What: what, Work: id, Why: strings.TrimSpace(why)}}, give, fail)
+		f.submit(statemachine.Command{Order: &statemachine.Order{What: what, Work: id, Why: strings.TrimSpace(why)}}, give, fail)
 	}
 	switch word {
 	case "ASK":
@@ -266,7 +266,7 @@
 				x.Pace = pace
 			}
 		}
-		f.submit(replica.Command{Ask: &replica.Ask{Work: x, By: a.By}}, give, fail)
+		f.submit(statemachine.Command{Ask: &statemachine.Ask{Work: x, By: a.By}}, give, fail)
 	case "LIST":
 		list := f.plan()
 		for _, x := range slices.Backward(s.Work.Ended) {
@@ -285,7 +285,7 @@
 		}
 		give(map[string]string{"why": s.Work.Why(rest, fleet, s.Now)})
 	case "HOLD", "RESUME":
-		f.submit(replica.Command{Order: &replica.Order{What: strings.ToLower(word), Why: rest}}, give, fail)
+		f.submit(statemachine.Command{Order: &statemachine.Order{What: strings.ToLower(word), Why: rest}}, give, fail)
 	case "CANCEL", "LOST", "DONE":
 		order(strings.ToLower(word))
 	default:
--- a/internal/fleet/versioncalls.go
+++ b/internal/fleet/versioncalls.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"cherryramp/internal/decide/audit"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 )
 
@@ -80,7 +80,7 @@
 
 func (f *Fleet) versionsCall(call string, give func(any), fail func(error)) {
 	r := f.node.Replica()
-	s, fleet := r.State(), replica.Machines(r.Fleet())
+	s, fleet := r.State(), statemachine.Machines(r.Fleet())
 	word, rest, _ := strings.Cut(call, " ")
 	rest = strings.TrimSpace(rest)
 	switch word {
@@ -137,7 +137,7 @@
 		if rest == "" {
 			rest = "stopped by a person"
 		}
-		f.submit(replica.Command{Stop: rest}, give, fail)
+		f.submit(statemachine.Command{Stop: rest}, give, fail)
 	default:
 		fail(errCall)
 	}
@@ -219,13 +219,13 @@
 				return
 			}
 			f.loop.Post(func() { // not from within the word on a piece
-				f.submit(replica.Command{Propose: &v}, func(x any) {
+				f.submit(statemachine.Command{Propose: &v}, func(x any) {
 					give(map[string]uint64{"version": x.(map[string]uint64)["work"]})
 				}, fail)
 			})
 		}
 		for _, piece := range pieces {
-			f.submit(replica.Command{Piece: piece}, func(any) { one(nil) }, one)
+			f.submit(statemachine.Command{Piece: piece}, func(any) { one(nil) }, one)
 		}
 	})
 }
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet"
 )
@@ -48,10 +48,10 @@
 	if busy {
 		for i := range 10 {
 			w.After(Micros(i)*6*Second, func() {
-				w.Ask(w.Fronts[1], work.Item{Machine: fmt.Sprintf("box%d", i), Kind: work.ABox, Zone: fmt.Sprint(i), Span: Second}, func(replica.Word, error) {})
+				w.Ask(w.Fronts[1], work.Item{Machine: fmt.Sprintf("box%d", i), Kind: work.ABox, Zone: fmt.Sprint(i), Span: Second}, func(statemachine.Word, error) {})
 			})
 			w.After(Micros(i)*6*Second+4*Second, func() {
-				w.Order(w.Fronts[1], replica.Order{What: replica.Finish, Work: uint64(i + 1)}, func(replica.Word, error) {})
+				w.Order(w.Fronts[1], statemachine.Order{What: statemachine.Finish, Work: uint64(i + 1)}, func(statemachine.Word, error) {})
 			})
 		}
 	}
@@ -282,17 +282,17 @@
 // Bytes of the state a front and a work.
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
-		r := replica.New()
-		r.Apply(replica.Command{Found: &replica.Found{Name: "f", Fleet: 1, Rules: work.Defaults()}})
+		r := statemachine.New()
+		r.Apply(statemachine.Command{Found: &statemachine.Found{Name: "f", Fleet: 1, Rules: work.Defaults()}})
 		empty := len(r.Snapshot())
 		for i := range 300 {
 			n := fmt.Sprintf("front-%03d", i)
-			r.Apply(replica.Command{Join: &replica.Join{Front: membership.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
+			r.Apply(statemachine.Command{Join: &statemachine.Join{Front: membership.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
 				ID: ^uint64(i), Start: ^uint64(i) / 3, Build: "0123456789ab"}}})
 		}
 		fronts := len(r.Snapshot())
 		for i := range 100 {
-			r.Apply(replica.Command{Ask: &replica.Ask{Work: work.Item{Machine: fmt.Sprintf("front-%03d", i), Span: 600 * Second, Why: "a new build"}}})
+			r.Apply(statemachine.Command{Ask: &statemachine.Ask{Work: work.Item{Machine: fmt.Sprintf("front-%03d", i), Span: 600 * Second, Why: "a new build"}}})
 		}
 		b.ReportMetric(float64(fronts-empty)/300, "B/front")
 		b.ReportMetric(float64(len(r.Snapshot())-fronts)/100, "B/work")
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/decide/work"
 )
@@ -147,11 +147,11 @@
 		c.day.Asked++
 		for i := range 1 + c.r.IntN(2) {
 			x.Why = fmt.Sprintf("asking %d.%d", c.day.Asked, i)
-			w.Ask(c.front(), x, func(replica.Word, error) {})
+			w.Ask(c.front(), x, func(statemachine.Word, error) {})
 		}
 		if c.r.IntN(5) == 0 {
-			what := []string{replica.Cancel, replica.Finish, replica.Lost, replica.Hold, replica.Resume}[c.r.IntN(5)]
-			w.Order(c.front(), replica.Order{What: what, Work: uint64(1 + c.r.IntN(c.day.Asked))}, func(replica.Word, error) {})
+			what := []string{statemachine.Cancel, statemachine.Finish, statemachine.Lost, statemachine.Hold, statemachine.Resume}[c.r.IntN(5)]
+			w.Order(c.front(), statemachine.Order{What: what, Work: uint64(1 + c.r.IntN(c.day.Asked))}, func(statemachine.Word, error) {})
 		}
 		c.tend()
 		c.asking(until)
@@ -187,9 +187,9 @@
 		}
 		if at.node != nil && !at.paused {
 			v.Base = at.node.Replica().State().Versions.Good
-			w.order(at, replica.Command{Piece: []byte(text)}, func(word replica.Word, err error) {
+			w.order(at, statemachine.Command{Piece: []byte(text)}, func(word statemachine.Word, err error) {
 				if err == nil && word.Err == "" {
-					w.After(Milli, func() { w.order(at, replica.Command{Propose: &v}, func(replica.Word, error) {}) })
+					w.After(Milli, func() { w.order(at, statemachine.Command{Propose: &v}, func(statemachine.Word, error) {}) })
 				}
 			})
 		}
@@ -217,7 +217,7 @@
 			}
 			continue
 		}
-		c.w.Order(l, replica.Order{What: replica.Finish, Work: x.ID}, func(replica.Word, error) {})
+		c.w.Order(l, statemachine.Order{What: statemachine.Finish, Work: x.ID}, func(statemachine.Word, error) {})
 	}
 }
 
@@ -355,12 +355,12 @@
 			f.Pause(false)
 			f.Start()
 		}
-		w.Order(w.Fronts[0], replica.Order{What: replica.Resume}, func(replica.Word, error) {})
+		w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
 	})
 	w.After(20*Second, func() {
 		w.Part()
 		if l := w.Leader(); l != nil {
-			w.Order(l, replica.Order{What: replica.Resume}, func(replica.Word, error) {})
+			w.Order(l, statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
 		}
 	})
 }
@@ -401,7 +401,7 @@
 }
 
 // Days plays so many random days, of fleets of different sizes, until one breaks a promise.
-func Days(from uint64, days int, without replica.Rule, progress func(done int)) (res Result) {
+func Days(from uint64, days int, without statemachine.Rule, progress func(done int)) (res Result) {
 	for i := range days {
 		seed := from + uint64(i)
 		d, w := Chaos(Random(seed, without), 60*Second, nil)
@@ -418,7 +418,7 @@
 }
 
 // Random is a random day's fleet.
-func Random(seed uint64, without replica.Rule) Spec {
+func Random(seed uint64, without statemachine.Rule) Spec {
 	r := rand.New(rand.NewPCG(seed, 0x51fe))
 	return Spec{Fronts: []int{3, 3, 4, 5, 5, 7, 9, 12}[r.IntN(8)], Zones: 1 + r.IntN(4), Seed: seed, FanOut: 2 + r.IntN(6), Without: without}
 }
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet/agree"
 )
@@ -27,15 +27,15 @@
 
 // whole is a day on which what one rule forbids would happen.
 type whole struct {
-	rule replica.Rule
-	play func(t *testing.T, without replica.Rule) *World
+	rule statemachine.Rule
+	play func(t *testing.T, without statemachine.Rule) *World
 }
 
 // Each rule that is left out is found, on a day that needs just that rule; with it
 // the day is whole. `ramplab fleet work --virtual --without` finds them on random days.
 func TestRulesLeftOutAreFound(t *testing.T) {
-	for _, x := range []whole{{replica.NoFence, late}, {replica.NoLostOut, lost}, {replica.NoMajority, majority}, {replica.NoOnce, twice},
-		{replica.NoDrift, alone}, {replica.NoLook, alone}} {
+	for _, x := range []whole{{statemachine.NoFence, late}, {statemachine.NoLostOut, lost}, {statemachine.NoMajority, majority}, {statemachine.NoOnce, twice},
+		{statemachine.NoDrift, alone}, {statemachine.NoLook, alone}} {
 		t.Run(string(x.rule), func(t *testing.T) {
 			if w := x.play(t, ""); w.Checks.Failed() {
 				w.Dump(t.Output(), 60)
@@ -52,7 +52,7 @@
 }
 
 func asks(t *testing.T, w *World, at, f *Front, why string) {
-	w.Ask(at, work.Item{Machine: f.Name, Span: Second, Why: why}, func(word replica.Word, err error) {
+	w.Ask(at, work.Item{Machine: f.Name, Span: Second, Why: why}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -71,7 +71,7 @@
 }
 
 // lost: a front dies, and another one may not go out beside it.
-func lost(t *testing.T, without replica.Rule) *World {
+func lost(t *testing.T, without statemachine.Rule) *World {
 	r := ShortRules()
 	r.Hurt = 100
 	return besideDead(t, Spec{Fronts: 5, Zones: 5, Seed: 5, Rules: r, Without: without})
@@ -92,7 +92,7 @@
 // alone: a front with the slowest clock that may be is cut off while a box is asked
 // for, and all others have the fastest. It acts up to the end of its lease, and the
 // box is not said to be left before that; then it is, though it was never heard.
-func alone(t *testing.T, without replica.Rule) *World {
+func alone(t *testing.T, without statemachine.Rule) *World {
 	r := ShortRules()
 	r.Out, r.Zone, r.Percent, r.Alone = 3, 3, 100, 60*Second
 	w := up(t, Spec{Fronts: 5, Zones: 5, Seed: 9, Rules: r, Without: without})
@@ -111,7 +111,7 @@
 		w.Cut(f.Name, cut.Name, true)
 	}
 	w.Run(w.Now() + 5*Second)
-	w.Ask(w.Leader(), work.Item{Machine: "box", Kind: work.ABox, Zone: "z", Span: 300 * Second, Urgent: true}, func(word replica.Word, err error) {
+	w.Ask(w.Leader(), work.Item{Machine: "box", Kind: work.ABox, Zone: "z", Span: 300 * Second, Urgent: true}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -132,14 +132,14 @@
 }
 
 // majority: with one of three voters dead, another one may not go.
-func majority(t *testing.T, without replica.Rule) *World {
+func majority(t *testing.T, without statemachine.Rule) *World {
 	r := ShortRules()
 	r.Out, r.Zone, r.Percent, r.Hurt = 3, 3, 100, 100
 	return besideDead(t, Spec{Fronts: 3, Zones: 3, Seed: 6, Rules: r, Without: without})
 }
 
 // twice: what was asked for comes again, long after the work was done.
-func twice(t *testing.T, without replica.Rule) *World {
+func twice(t *testing.T, without statemachine.Rule) *World {
 	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Without: without})
 	o := others(w)
 	var seen []agree.Send
@@ -154,7 +154,7 @@
 	}
 	w.tap = nil
 	w.RunUntil(10*Second, func() bool {
-		w.Order(w.Leader(), replica.Order{What: replica.Finish, Work: 1}, func(replica.Word, error) {})
+		w.Order(w.Leader(), statemachine.Order{What: statemachine.Finish, Work: 1}, func(statemachine.Word, error) {})
 		return o[1].node.Replica().State().Work.On(o[1].Name) == nil
 	})
 	for _, s := range seen {
@@ -168,7 +168,7 @@
 
 // late plays an acceptance that comes after the leave was taken back and given to
 // another: a front that is stopped, or not heard, with leave in hand.
-func late(t *testing.T, without replica.Rule) *World {
+func late(t *testing.T, without statemachine.Rule) *World {
 	w := up(t, Spec{Fronts: 5, Zones: 3, Seed: 3, Without: without})
 	leader := w.Leader()
 	var a, b *Front
--- a/lab/fleet/check.go
+++ b/lab/fleet/check.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 	"slices"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -99,7 +99,7 @@
 }
 
 // works holds the works that a front knows against what was seen of them before.
-func (c *Checker) works(s *replica.State) {
+func (c *Checker) works(s *statemachine.State) {
 	for _, x := range s.Work.Items {
 		c.permit(x)
 		c.once(x)
@@ -236,7 +236,7 @@
 // leave holds a leave, at the moment at which it is first seen, against who is dead
 // or out in truth: what is lost counts as out, and a voter goes only where a
 // majority stays.
-func (c *Checker) leave(x work.Item, s *replica.State) {
+func (c *Checker) leave(x work.Item, s *statemachine.State) {
 	l := c.w.Leader()
 	if l == nil || c.w.now-c.ledSince < surely || x.Kind != work.AFront {
 		return
--- a/lab/fleet/mixed_test.go
+++ b/lab/fleet/mixed_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/fleet"
 )
 
@@ -70,7 +70,7 @@
 			t.Errorf("version %d, %v", s.Version, err)
 		}
 	}
-	await(t, "the version is raised", func() bool { s, err := f.List[0].Status(); return err == nil && s.Version == replica.Version })
+	await(t, "the version is raised", func() bool { s, err := f.List[0].Status(); return err == nil && s.Version == statemachine.Version })
 	await(t, "what needs it is taken", func() bool { return f.List[0].Call(`FLEET RULES {"alone_s":5}`, nil) == nil })
 	await(t, "all live by it", func() bool {
 		for _, p := range f.List {
--- a/lab/fleet/script.go
+++ b/lab/fleet/script.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -321,7 +321,7 @@
 }
 
 // Virtual plays the script in virtual time.
-func (s *Script) Virtual(without replica.Rule, verbose func(string)) (Day, *World) {
+func (s *Script) Virtual(without statemachine.Rule, verbose func(string)) (Day, *World) {
 	r := ShortRules()
 	r.Alone, r.Hurt = s.Alone, 60
 	w := NewWorld(Spec{Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, Rules: r, Without: without})
@@ -367,7 +367,7 @@
 		if at == nil {
 			at = w.Fronts[0]
 		}
-		w.Ask(at, item, func(replica.Word, error) {})
+		w.Ask(at, item, func(statemachine.Word, error) {})
 	case "part":
 		w.Part(x.Names, x.Others)
 		after(func() { w.Part() })
@@ -378,8 +378,10 @@
 		w.double = x.Share
 		after(func() { w.double = 0 })
 	case "hold":
-		w.Order(w.Fronts[0], replica.Order{What: replica.Hold}, func(replica.Word, error) {})
-		after(func() { w.Order(w.Fronts[0], replica.Order{What: replica.Resume}, func(replica.Word, error) {}) })
+		w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Hold}, func(statemachine.Word, error) {})
+		after(func() {
+			w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
+		})
 	case "restart all", "lose zone":
 		for _, f := range w.Fronts {
 			if x.What == "restart all" || f.Zone == x.Names[0] {
@@ -442,7 +444,7 @@
 
 // Shortest drops steps of a script that breaks a promise in virtual time, as long as
 // it still does.
-func (s *Script) Shortest(without replica.Rule) (*Script, Day, *World) {
+func (s *Script) Shortest(without statemachine.Rule) (*Script, Day, *World) {
 	best := *s
 	d, w := best.Virtual(without, nil)
 	for size := max(1, len(best.Steps)/2); size >= 1 && len(d.Broken) > 0; {
--- a/lab/fleet/script_test.go
+++ b/lab/fleet/script_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, d, _ := s.Shortest(replica.NoLostOut)
+	short, d, _ := s.Shortest(statemachine.NoLostOut)
 	if len(d.Broken) == 0 || len(short.Steps) > 3 {
 		t.Errorf("%v\n%s", d.Broken, short)
 	}
@@ -123,7 +123,7 @@
 		target := w.Fronts[asked%(fronts-flap)]
 		if l := w.Leader(); l != nil {
 			c.day.Asked++
-			w.order(l, replica.Command{Ask: &replica.Ask{Work: work.Item{Machine: target.Name, Span: Second}}}, func(replica.Word, error) {})
+			w.order(l, statemachine.Command{Ask: &statemachine.Ask{Work: work.Item{Machine: target.Name, Span: Second}}}, func(statemachine.Word, error) {})
 		}
 		c.tend()
 	}
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/fleet"
 )
@@ -36,7 +36,7 @@
 		n := min(len(data), versions.MostPiece)
 		v.Pieces = append(v.Pieces, versions.Hash(data[:n]))
 		left++
-		w.order(w.Leader(), replica.Command{Piece: data[:n]}, func(word replica.Word, err error) {
+		w.order(w.Leader(), statemachine.Command{Piece: data[:n]}, func(word statemachine.Word, err error) {
 			if err != nil || word.Err != "" {
 				b.Errorf("%v %v", word, err)
 			}
@@ -46,7 +46,7 @@
 	}
 	w.RunUntil(20*Second, func() bool { return left == 0 })
 	n := uint64(0)
-	w.order(w.Leader(), replica.Command{Propose: &v}, func(word replica.Word, err error) {
+	w.order(w.Leader(), statemachine.Command{Propose: &v}, func(word statemachine.Word, err error) {
 		if n = word.Work; err != nil || word.Err != "" {
 			b.Errorf("%v %v", word, err)
 		}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -16,7 +16,7 @@
 	"slices"
 	"sync"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet/agree"
@@ -62,7 +62,7 @@
 	First   int // named first members; 0: three, or as many as there are
 	Seed    uint64
 	Rules   work.Rules // zero: the defaults, with short spans
-	Without replica.Rule
+	Without statemachine.Rule
 	FanOut  int
 }
 
@@ -325,7 +325,7 @@
 // acts tells whether the front may act now, as its program sees it before each act.
 func (f *Front) acts() bool {
 	now := f.clock()
-	if f.node.Rep(replica.NoLook) {
+	if f.node.Rep(statemachine.NoLook) {
 		return true
 	}
 	return f.opened && f.node.Holds(now) && f.taker.May(now) && f.node.Stale() == nil
@@ -566,20 +566,20 @@
 }
 
 // Ask has a front asked for a work, and tells its word.
-func (w *World) Ask(at *Front, x work.Item, done func(replica.Word, error)) {
-	w.order(at, replica.Command{Ask: &replica.Ask{Work: x}}, done)
+func (w *World) Ask(at *Front, x work.Item, done func(statemachine.Word, error)) {
+	w.order(at, statemachine.Command{Ask: &statemachine.Ask{Work: x}}, done)
 }
 
 // Order has a front told a person's word.
-func (w *World) Order(at *Front, o replica.Order, done func(replica.Word, error)) {
-	w.order(at, replica.Command{Order: &o}, done)
+func (w *World) Order(at *Front, o statemachine.Order, done func(statemachine.Word, error)) {
+	w.order(at, statemachine.Command{Order: &o}, done)
 }
 
 var errDown = errors.New("the front is down")
 
-func (w *World) order(at *Front, c replica.Command, done func(replica.Word, error)) {
+func (w *World) order(at *Front, c statemachine.Command, done func(statemachine.Word, error)) {
 	if at.node == nil || at.paused {
-		done(replica.Word{}, errDown)
+		done(statemachine.Word{}, errDown)
 		return
 	}
 	defer w.library()()
--- a/lab/fleet/virtual_test.go
+++ b/lab/fleet/virtual_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/work"
 )
 
@@ -50,7 +50,7 @@
 	if target == leader {
 		target = w.Fronts[1]
 	}
-	w.Ask(target, work.Item{Machine: target.Name, Span: 60 * Second}, func(word replica.Word, err error) {
+	w.Ask(target, work.Item{Machine: target.Name, Span: 60 * Second}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -69,7 +69,7 @@
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come empty")
 	}
-	w.Order(target, replica.Order{What: replica.Finish, Work: 1}, func(replica.Word, error) {})
+	w.Order(target, statemachine.Order{What: statemachine.Finish, Work: 1}, func(statemachine.Word, error) {})
 	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Work.On(target.Name) == nil }) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come back")
