--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/tree"
-	"cherryramp/internal/decide/work"
 )
 
 // Fleet has the front act together with the others of its installation.
@@ -66,10 +66,10 @@
 }
 
 // Work gives the rules with their defaults.
-func (r FleetRules) Work() work.Rules {
-	d := work.Defaults()
+func (r FleetRules) Work() maintenance.Rules {
+	d := maintenance.Defaults()
 	span := func(s float64, absent int64) int64 { return cmp.Or(int64(max(-1, min(s, 1e9))*1e6), absent) }
-	return work.Rules{Out: cmp.Or(r.Out, d.Out), Zone: cmp.Or(r.Zone, d.Zone), Percent: cmp.Or(r.Percent, d.Percent), Hurt: cmp.Or(r.Hurt, d.Hurt),
+	return maintenance.Rules{Out: cmp.Or(r.Out, d.Out), Zone: cmp.Or(r.Zone, d.Zone), Percent: cmp.Or(r.Percent, d.Percent), Hurt: cmp.Or(r.Hurt, d.Hurt),
 		Accept: span(r.AcceptS, d.Accept), Empty: span(r.EmptyS, d.Empty), Back: span(r.BackS, d.Back), Cold: span(r.ColdS, d.Cold),
 		AgeStep: span(r.AgeStepS, d.AgeStep), Patience: span(r.PatienceS, d.Patience), Alone: span(r.AloneS, d.Alone), Pace: r.Pace, Quota: r.Lag}
 }
--- a/internal/decide/work/work.go
+++ b/internal/decide/maintenance/maintenance.go
@@ -1,4 +1,4 @@
-// Package work decides when machines are taken out for work, and in which order:
+// Package maintenance decides when machines are taken out for work, and in which order:
 // what was asked for, by which rules of budget one may go, its permit, and how it
 // comes back.
 //
@@ -8,7 +8,7 @@
 // from which on the machine counts as out until it is heard to be back or a person
 // declares it lost, never by time alone. Time is fleet time, which only entries
 // move on.
-package work
+package maintenance
 
 import (
 	"cmp"
--- a/internal/decide/work/work_test.go
+++ b/internal/decide/maintenance/maintenance_test.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 import (
 	"strings"
--- a/internal/decide/statemachine/model_test.go
+++ b/internal/decide/statemachine/model_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/work"
 )
 
 // The model of permits: one log, fronts that apply it late, reports that are lost,
@@ -147,7 +147,7 @@
 	s := r.State()
 	gone, stay := map[string]bool{}, 0
 	for _, x := range s.Work.Items {
-		if x.Phase == work.Permitted || x.Phase.IsOut() {
+		if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
 			gone[x.Machine] = true
 		}
 	}
@@ -184,7 +184,7 @@
 		return false
 	}
 	x := m.view(s, i).State().Work.On(frontName(uint8(i)))
-	return x != nil && (x.Phase == work.Out || x.Phase == work.Emptying && x.Holder == uint64(i)+1)
+	return x != nil && (x.Phase == maintenance.Out || x.Phase == maintenance.Emptying && x.Holder == uint64(i)+1)
 }
 
 // trim drops what all have applied.
@@ -264,11 +264,11 @@
 		}
 		e := entry{front: i, permit: uint8(w.Permit), start: s.starts[i]}
 		switch {
-		case w.Phase == work.Permitted:
+		case w.Phase == maintenance.Permitted:
 			e.kind = eAccept
-		case w.Phase == work.Emptying && m.out(&s, int(i)):
+		case w.Phase == maintenance.Emptying && m.out(&s, int(i)):
 			e.kind = eEmpty
-		case w.Phase == work.Returning && !w.Home:
+		case w.Phase == maintenance.Returning && !w.Home:
 			e.kind = eBack
 		default:
 			continue
@@ -300,7 +300,7 @@
 func (m *model) play(out, mostLog, mostFlight, mostStates int, left [4]uint8) (states int) {
 	r := New()
 	r.Without(m.without)
-	rules := work.Defaults()
+	rules := maintenance.Defaults()
 	rules.Out, rules.Zone, rules.Percent, rules.Hurt, rules.Accept, rules.Cold = out, 1, 100, 100, 5_000_000, 0
 	r.Apply(Command{ID: ID{Front: 1, N: 1 << 40}, Found: &Found{Name: "m", Fleet: 1, Rules: rules}})
 	for i := range uint8(modelFronts) {
@@ -311,7 +311,7 @@
 		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: frontName(i), ID: uint64(i) + 1}}}})
 	}
 	for i := range uint8(2) {
-		r.Apply(Command{ID: ID{Front: 1, N: 1<<40 + 1 + uint64(i)}, Ask: &Ask{Work: work.Item{Machine: frontName(i), Span: 1_000_000}}})
+		r.Apply(Command{ID: ID{Front: 1, N: 1<<40 + 1 + uint64(i)}, Ask: &Ask{Work: maintenance.Item{Machine: frontName(i), Span: 1_000_000}}})
 		m.leave(r)
 	}
 	first := mState{base: m.intern(r), up: [modelFronts]bool{true, true, true}, left: left}
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -18,10 +18,10 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"cherryramp/internal/decide/lease"
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/tree"
 	"cherryramp/internal/decide/versions"
-	"cherryramp/internal/decide/work"
 )
 
 // Micros is a span, or a moment of fleet time, in microseconds.
@@ -62,17 +62,17 @@
 
 // Command is what an entry holds. Exactly one part is set.
 type Command struct {
-	Version int         `cbor:"1,keyasint"`
-	ID      ID          `cbor:"2,keyasint"`
-	Found   *Found      `cbor:"3,keyasint,omitempty"`
-	Join    *Join       `cbor:"4,keyasint,omitempty"`
-	Leave   *Leave      `cbor:"5,keyasint,omitempty"`
-	Facts   *Facts      `cbor:"6,keyasint,omitempty"`
-	Ask     *Ask        `cbor:"7,keyasint,omitempty"`
-	Order   *Order      `cbor:"8,keyasint,omitempty"`
-	Report  []Report    `cbor:"9,keyasint,omitempty"`
-	Rules   *work.Rules `cbor:"10,keyasint,omitempty"`
-	Raise   int         `cbor:"11,keyasint,omitempty"` // the version that all fronts read
+	Version int                `cbor:"1,keyasint"`
+	ID      ID                 `cbor:"2,keyasint"`
+	Found   *Found             `cbor:"3,keyasint,omitempty"`
+	Join    *Join              `cbor:"4,keyasint,omitempty"`
+	Leave   *Leave             `cbor:"5,keyasint,omitempty"`
+	Facts   *Facts             `cbor:"6,keyasint,omitempty"`
+	Ask     *Ask               `cbor:"7,keyasint,omitempty"`
+	Order   *Order             `cbor:"8,keyasint,omitempty"`
+	Report  []Report           `cbor:"9,keyasint,omitempty"`
+	Rules   *maintenance.Rules `cbor:"10,keyasint,omitempty"`
+	Raise   int                `cbor:"11,keyasint,omitempty"` // the version that all fronts read
 
 	Piece   []byte            `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
 	Propose *versions.Version `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
@@ -94,9 +94,9 @@
 
 // Found begins a fleet. It is the first command of its log.
 type Found struct {
-	Name  string     `cbor:"1,keyasint"`
-	Fleet uint64     `cbor:"2,keyasint"` // drawn at the founding
-	Rules work.Rules `cbor:"3,keyasint"`
+	Name  string            `cbor:"1,keyasint"`
+	Fleet uint64            `cbor:"2,keyasint"` // drawn at the founding
+	Rules maintenance.Rules `cbor:"3,keyasint"`
 }
 
 // Join takes a front in, or what has changed of it.
@@ -127,8 +127,8 @@
 
 // Ask asks for a work.
 type Ask struct {
-	Work work.Item `cbor:"1,keyasint"`
-	By   string    `cbor:"2,keyasint,omitempty"`
+	Work maintenance.Item `cbor:"1,keyasint"`
+	By   string           `cbor:"2,keyasint,omitempty"`
 }
 
 // What a person orders.
@@ -180,14 +180,14 @@
 
 // State is all that a replica holds.
 type State struct {
-	Version int              `cbor:"1,keyasint"`
-	Name    string           `cbor:"2,keyasint"`
-	Fleet   uint64           `cbor:"3,keyasint"` // 0: not founded
-	Now     Micros           `cbor:"4,keyasint"` // fleet time
-	Council membership.State `cbor:"5,keyasint"`
-	Work    work.State       `cbor:"6,keyasint"`
-	Seen    []seen           `cbor:"7,keyasint,omitempty"` // by age
-	Seats   membership.Seats `cbor:"8,keyasint"`           // as the agreement has them
+	Version int               `cbor:"1,keyasint"`
+	Name    string            `cbor:"2,keyasint"`
+	Fleet   uint64            `cbor:"3,keyasint"` // 0: not founded
+	Now     Micros            `cbor:"4,keyasint"` // fleet time
+	Council membership.State  `cbor:"5,keyasint"`
+	Work    maintenance.State `cbor:"6,keyasint"`
+	Seen    []seen            `cbor:"7,keyasint,omitempty"` // by age
+	Seats   membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
 
 	Versions versions.State `cbor:"9,keyasint,omitzero"`
 	Tree     tree.State     `cbor:"10,keyasint,omitzero"`
@@ -216,7 +216,7 @@
 
 // New makes a replica of a fleet that is not founded.
 func New() *Replica {
-	return &Replica{s: State{Version: first, Work: work.New()}, byID: map[ID]int{}}
+	return &Replica{s: State{Version: first, Work: maintenance.New()}, byID: map[ID]int{}}
 }
 
 // Without leaves a rule out.
@@ -229,15 +229,15 @@
 func (r *Replica) State() *State { return &r.s }
 
 // Fleet is the fronts as works see them.
-func (r *Replica) Fleet() work.Fleet {
+func (r *Replica) Fleet() maintenance.Fleet {
 	s := &r.s
 	avoid := func(f *membership.Front) bool {
 		x := s.Work.On(f.Name)
-		return x != nil && x.Kind == work.AFront && x.Phase != work.Asked
+		return x != nil && x.Kind == maintenance.AFront && x.Phase != maintenance.Asked
 	}
-	fleet := make(work.Fleet, 0, len(s.Council.Fronts))
+	fleet := make(maintenance.Fleet, 0, len(s.Council.Fronts))
 	for _, f := range s.Council.Fronts {
-		m := work.Machine{Name: f.Name, Zone: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Away: f.Away, Hurt: f.Hurt, Votes: s.Seats.Has(f.ID)}
+		m := maintenance.Machine{Name: f.Name, Zone: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Away: f.Away, Hurt: f.Hurt, Votes: s.Seats.Has(f.ID)}
 		if f.Lost && f.Lease > 0 {
 			m.Ended = f.Since + lease.Until(f.Lease+s.Work.Rules.Empty)
 			if r.without == NoDrift {
@@ -355,7 +355,7 @@
 }
 
 // Exchange is the fronts as keepers of sites are chosen of them.
-func (r *Replica) Exchange(fleet work.Fleet) []tree.Front {
+func (r *Replica) Exchange(fleet maintenance.Fleet) []tree.Front {
 	list := make([]tree.Front, 0, len(fleet))
 	for i, f := range r.s.Council.Fronts {
 		m := fleet[i]
@@ -366,7 +366,7 @@
 }
 
 // Machines is the fronts as versions see them.
-func Machines(fleet work.Fleet) []versions.Machine {
+func Machines(fleet maintenance.Fleet) []versions.Machine {
 	list := make([]versions.Machine, 0, len(fleet))
 	for _, m := range fleet {
 		list = append(list, versions.Machine{Name: m.Name, Zone: m.Zone, ID: m.ID, Start: m.Start, Lost: m.Lost, Away: m.Away, Ended: m.Ended, Lease: m.Lease})
@@ -561,7 +561,7 @@
 	case Accepted:
 		if r.without == NoFence {
 			if y := w.On(x.Machine); y != nil && !y.Phase.IsOut() {
-				y.Phase, y.Permit = work.Permitted, x.Permit
+				y.Phase, y.Permit = maintenance.Permitted, x.Permit
 				delete(w.Fences, x.Machine)
 			}
 		}
--- a/internal/decide/statemachine/statemachine_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
-	"cherryramp/internal/decide/work"
 	"cherryramp/internal/seededtest"
 )
 
@@ -25,7 +25,7 @@
 		c.Facts = &Facts{Span: rapid.Int64Range(-5, 20_000_000).Draw(t, "span"), Contact: []Contact{{Name: name, ID: id, Lost: rapid.Bool().Draw(t, "lost"),
 			Away: rapid.Bool().Draw(t, "away"), Hurt: rapid.Bool().Draw(t, "hurt")}}}
 	case 2:
-		c.Ask = &Ask{Work: work.Item{Machine: name, Span: rapid.Int64Range(0, 100_000_000).Draw(t, "span"), Latest: rapid.Int64Range(-1, 50_000_000).Draw(t, "latest"),
+		c.Ask = &Ask{Work: maintenance.Item{Machine: name, Span: rapid.Int64Range(0, 100_000_000).Draw(t, "span"), Latest: rapid.Int64Range(-1, 50_000_000).Draw(t, "latest"),
 			Importance: rapid.IntRange(-3, 3).Draw(t, "importance"), Urgent: rapid.Bool().Draw(t, "urgent"), Restart: rapid.Bool().Draw(t, "restart"),
 			ZoneWise: rapid.Bool().Draw(t, "zonewise"), Apart: rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b"}), 0, 1).Draw(t, "apart")}}
 	case 3:
@@ -45,7 +45,7 @@
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		rules := work.Defaults()
+		rules := maintenance.Defaults()
 		rules.Out, rules.Zone, rules.Percent = rapid.IntRange(1, 3).Draw(t, "out"), 3, 100
 		found := Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: rules}}
 		a.Apply(found)
@@ -80,7 +80,7 @@
 					t.Fatalf("two works on %s, or one that has ended", x.Machine)
 				}
 				machines[x.Machine] = true
-				if x.Phase == work.Permitted || x.Phase.IsOut() {
+				if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
 					out++
 				}
 			}
@@ -94,7 +94,7 @@
 // What can't be read is refused, never half taken.
 func TestBytesThatAreNone(t *testing.T) {
 	r := New()
-	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: work.Defaults()}})
+	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.Defaults()}})
 	whole := r.Snapshot()
 	for cut := range len(whole) {
 		if err := New().Restore(whole[:cut]); err == nil {
@@ -112,7 +112,7 @@
 // The plan of a thousand machines.
 func BenchmarkPlan(b *testing.B) {
 	r := New()
-	rules := work.Defaults()
+	rules := maintenance.Defaults()
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: rules}})
 	for i := range 300 {
 		name := fmt.Sprintf("n%03d", i)
@@ -120,9 +120,9 @@
 		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: name, ID: uint64(i + 1)}}}})
 	}
 	for i := range 1000 {
-		x := work.Item{Machine: fmt.Sprintf("box%04d", i), Kind: work.ABox, Zone: fmt.Sprintf("z%d", i%5), Span: 1_000_000}
+		x := maintenance.Item{Machine: fmt.Sprintf("box%04d", i), Kind: maintenance.ABox, Zone: fmt.Sprintf("z%d", i%5), Span: 1_000_000}
 		if i < 300 {
-			x.Machine, x.Kind = fmt.Sprintf("n%03d", i), work.AFront
+			x.Machine, x.Kind = fmt.Sprintf("n%03d", i), maintenance.AFront
 		}
 		r.Apply(Command{ID: ID{N: uint64(i + 2)}, Ask: &Ask{Work: x}})
 	}
--- a/internal/fleet/agree/duty.go
+++ b/internal/fleet/agree/duty.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // duty is what the fleet wants of this front for work on its own machine.
@@ -30,7 +30,7 @@
 // Boxes gives the boxes that this front is to leave, by name.
 func (n *Node) Boxes() (list []string) {
 	for _, x := range n.rep.State().Work.Items {
-		if x.Kind == work.ABox && x.Phase != work.Asked && !x.Phase.Ended() && x.Phase != work.Returning {
+		if x.Kind == maintenance.ABox && x.Phase != maintenance.Asked && !x.Phase.Ended() && x.Phase != maintenance.Returning {
 			list = append(list, x.Machine)
 		}
 	}
@@ -66,29 +66,29 @@
 	if !n.fresh && !n.leads { // what this front last knew may be long over
 		return
 	}
-	if x != nil && x.Kind == work.AFront && n.stale == nil {
+	if x != nil && x.Kind == maintenance.AFront && n.stale == nil {
 		n.duty.permit = x.Permit
 		switch x.Phase {
-		case work.Permitted:
+		case maintenance.Permitted:
 			// A leader hands over before its turn, where there is anybody to hand over to.
 			if !n.leads || n.successor() == 0 {
 				n.report(statemachine.Accepted, x.Machine, x.Permit)
 			}
-		case work.Emptying:
+		case maintenance.Emptying:
 			n.duty.out = x.Holder == n.id
 			if n.duty.out && n.away && n.empty {
 				n.report(statemachine.Emptied, x.Machine, x.Permit)
 			}
-		case work.Out:
+		case maintenance.Out:
 			n.duty.out = true
-		case work.Returning:
+		case maintenance.Returning:
 			if !n.away && (!x.Home || x.Holder != n.id) {
 				n.report(statemachine.Back, x.Machine, x.Permit)
 			}
 		}
 	}
 	for _, x := range s.Work.Items { // its beats have said so all the while; a leader of an older build does not hear that
-		if since, left := n.boxes[x.Machine]; left && x.Kind == work.ABox && x.Phase == work.Permitted && n.now-since > n.span(leftTicks) {
+		if since, left := n.boxes[x.Machine]; left && x.Kind == maintenance.ABox && x.Phase == maintenance.Permitted && n.now-since > n.span(leftTicks) {
 			if _, heard := slices.BinarySearch(x.Left, n.cfg.Name); !heard {
 				n.report(statemachine.Left, x.Machine, x.Permit)
 			}
@@ -106,7 +106,7 @@
 		return nil
 	}
 	for _, x := range n.rep.State().Work.Items {
-		if _, left := n.boxes[x.Machine]; left && x.Kind == work.ABox && x.Phase == work.Permitted && len(list) < mostLeft {
+		if _, left := n.boxes[x.Machine]; left && x.Kind == maintenance.ABox && x.Phase == maintenance.Permitted && len(list) < mostLeft {
 			list = append(list, x.Permit)
 		}
 	}
@@ -122,7 +122,7 @@
 	s := n.rep.State()
 	var reports []statemachine.Report
 	for _, x := range s.Work.Items {
-		if x.Kind != work.ABox || x.Phase != work.Permitted {
+		if x.Kind != maintenance.ABox || x.Phase != maintenance.Permitted {
 			continue
 		}
 		for _, f := range s.Council.Fronts {
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -18,10 +18,10 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
-	"cherryramp/internal/decide/work"
 )
 
 // Micros is a moment or a span of this front's own clock, in microseconds.
@@ -40,7 +40,7 @@
 	Build   string
 	Start   uint64 // of this process, drawn anew
 	First   []Address
-	Rules   work.Rules
+	Rules   maintenance.Rules
 	Draw    func() uint64 // a random number that is not 0
 
 	Tick     Micros // of the agreement; an election takes ten to twenty without a leader
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // Status is what a front knows of the fleet and of itself.
@@ -219,7 +219,7 @@
 		return
 	}
 	micros := func(s float64) int64 { return int64(max(-1, min(s, 1e9)) * 1e6) }
-	r = work.Rules{Out: x.Out, Zone: x.Zone, Percent: x.Percent, Hurt: x.Hurt, Accept: micros(x.AcceptS), Empty: micros(x.EmptyS), Back: micros(x.BackS),
+	r = maintenance.Rules{Out: x.Out, Zone: x.Zone, Percent: x.Percent, Hurt: x.Hurt, Accept: micros(x.AcceptS), Empty: micros(x.EmptyS), Back: micros(x.BackS),
 		Cold: micros(x.ColdS), AgeStep: micros(x.AgeStepS), Patience: micros(x.PatienceS), Alone: micros(x.AloneS), Pace: x.Pace, Quota: x.Lag}
 	if err := r.Check(); err != nil {
 		fail(err)
@@ -250,10 +250,10 @@
 			return
 		}
 		if !(a.SpanS >= 0 && a.SpanS < 1e7 && a.LatestS >= 0 && a.LatestS < 1e9) {
-			fail(work.ErrSpan)
+			fail(maintenance.ErrSpan)
 			return
 		}
-		x := work.Item{Machine: a.Machine, Zone: a.Zone, Why: a.Why, Span: int64(a.SpanS * 1e6), Latest: int64(a.LatestS * 1e6),
+		x := maintenance.Item{Machine: a.Machine, Zone: a.Zone, Why: a.Why, Span: int64(a.SpanS * 1e6), Latest: int64(a.LatestS * 1e6),
 			Importance: max(-1000, min(a.Importance, 1000)), Apart: a.Apart, ZoneWise: a.ZoneWise, Urgent: a.Urgent, Restart: a.Restart}
 		if a.Box {
 			zone, pace, known := f.host.Share(a.Machine)
@@ -261,7 +261,7 @@
 				fail(errBox)
 				return
 			}
-			x.Kind, x.Zone = work.ABox, cmp.Or(a.Zone, zone)
+			x.Kind, x.Zone = maintenance.ABox, cmp.Or(a.Zone, zone)
 			if s.Work.Rules.Pace > 0 {
 				x.Pace = pace
 			}
@@ -273,7 +273,7 @@
 			if len(list) >= 100 {
 				break
 			}
-			list = append(list, tellWork(work.Line{Item: x}, s.Now))
+			list = append(list, tellWork(maintenance.Line{Item: x}, s.Now))
 		}
 		give(list)
 	case "PLAN":
@@ -303,11 +303,11 @@
 	return list
 }
 
-func tellWork(l work.Line, now int64) Work {
+func tellWork(l maintenance.Line, now int64) Work {
 	w := Work{ID: l.ID, Machine: l.Machine, Kind: "front", Zone: l.Zone, Phase: l.Phase.String(), Place: l.Place, Permit: l.Permit, Why: l.Item.Why,
 		SpanS: seconds(l.Span), Importance: l.Importance, Urgent: l.Urgent, Restart: l.Restart, For: seconds(now - l.Since), Waits: l.Waits,
 		Note: l.Note, Overdue: l.Overdue, Apart: l.Apart}
-	if l.Kind == work.ABox {
+	if l.Kind == maintenance.ABox {
 		w.Kind = "box"
 	}
 	return w
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"slices"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
-	"cherryramp/internal/decide/work"
 )
 
 // Day is what became of a random day.
@@ -30,7 +30,7 @@
 // looked at. Span is the bad part's length.
 func Chaos(s Spec, span Micros, verbose func(string)) (Day, *World) {
 	r := rand.New(rand.NewPCG(s.Seed, 0xc4a05))
-	if s.Rules == (work.Rules{}) {
+	if s.Rules == (maintenance.Rules{}) {
 		s.Rules = ShortRules()
 		s.Rules.Out = 1 + r.IntN(max(1, s.Fronts/4))
 		s.Rules.Zone = 1 + r.IntN(s.Rules.Out)
@@ -89,7 +89,7 @@
 }
 
 // ambush has something go wrong at the very moment at which leave is given.
-func (c *chaos) ambush(x work.Item) {
+func (c *chaos) ambush(x maintenance.Item) {
 	w, f := c.w, c.w.byName[x.Machine]
 	if w.now >= c.end || f == nil || c.r.IntN(2) == 0 {
 		return
@@ -133,10 +133,10 @@
 		if w.now >= until {
 			return
 		}
-		x := work.Item{Machine: c.front().Name, Span: Micros(1+c.r.IntN(20)) * Second, Importance: c.r.IntN(3),
+		x := maintenance.Item{Machine: c.front().Name, Span: Micros(1+c.r.IntN(20)) * Second, Importance: c.r.IntN(3),
 			Urgent: c.r.IntN(8) == 0, Restart: c.r.IntN(2) == 0, ZoneWise: c.r.IntN(6) == 0}
 		if c.r.IntN(4) == 0 {
-			x = work.Item{Machine: fmt.Sprintf("box%d", c.r.IntN(4)), Kind: work.ABox, Zone: c.front().Zone, Span: Second}
+			x = maintenance.Item{Machine: fmt.Sprintf("box%d", c.r.IntN(4)), Kind: maintenance.ABox, Zone: c.front().Zone, Span: Second}
 		}
 		if c.r.IntN(5) == 0 {
 			x.Apart = []string{c.front().Name}
@@ -206,7 +206,7 @@
 	c.wet = c.w.now + Second
 	s := l.node.Replica().State()
 	for _, x := range s.Work.Items {
-		if x.Phase != work.Out || s.Now-x.Since < min(x.Span, 5*Second) {
+		if x.Phase != maintenance.Out || s.Now-x.Since < min(x.Span, 5*Second) {
 			continue
 		}
 		if f := c.w.byName[x.Machine]; x.Restart && f != nil {
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet/agree"
 )
 
@@ -52,7 +52,7 @@
 }
 
 func asks(t *testing.T, w *World, at, f *Front, why string) {
-	w.Ask(at, work.Item{Machine: f.Name, Span: Second, Why: why}, func(word statemachine.Word, err error) {
+	w.Ask(at, maintenance.Item{Machine: f.Name, Span: Second, Why: why}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -111,7 +111,7 @@
 		w.Cut(f.Name, cut.Name, true)
 	}
 	w.Run(w.Now() + 5*Second)
-	w.Ask(w.Leader(), work.Item{Machine: "box", Kind: work.ABox, Zone: "z", Span: 300 * Second, Urgent: true}, func(word statemachine.Word, err error) {
+	w.Ask(w.Leader(), maintenance.Item{Machine: "box", Kind: maintenance.ABox, Zone: "z", Span: 300 * Second, Urgent: true}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -122,7 +122,7 @@
 	}
 	left := func() bool {
 		x := w.Leader().node.Replica().State().Work.On("box")
-		return x != nil && x.Phase == work.Out
+		return x != nil && x.Phase == maintenance.Out
 	}
 	if !w.RunUntil(60*Second, left) && without == "" {
 		t.Error("the box is not left, though the lease is surely over")
@@ -177,7 +177,7 @@
 			a, b = b, f
 		}
 	}
-	w.Checks.onLeave = func(x work.Item) {
+	w.Checks.onLeave = func(x maintenance.Item) {
 		if x.Machine == a.Name && x.Permit == 1 {
 			w.lag[a.Name] = 7 * Second // its acceptance is on its way
 		}
--- a/lab/fleet/check.go
+++ b/lab/fleet/check.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"slices"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // Checker holds the promises against what a world's fronts show. It asks for no
@@ -25,11 +25,11 @@
 	ledSince Micros
 	boxes    map[string]uint64 // boxes that are out: the entry at which that was seen first
 	barred   uint64
-	life     map[string]uint64 // in which a front took a version up
-	lived    map[string]bool   // it went on with it
-	Bars     int               // that have passed
-	onLeave  func(work.Item)   // is told of each leave as soon as any front has applied it
-	Most     int               // out at once
+	life     map[string]uint64      // in which a front took a version up
+	lived    map[string]bool        // it went on with it
+	Bars     int                    // that have passed
+	onLeave  func(maintenance.Item) // is told of each leave as soon as any front has applied it
+	Most     int                    // out at once
 	Checked  int
 }
 
@@ -103,7 +103,7 @@
 	for _, x := range s.Work.Items {
 		c.permit(x)
 		c.once(x)
-		if x.Phase == work.Permitted && x.Permit > c.told {
+		if x.Phase == maintenance.Permitted && x.Permit > c.told {
 			c.told = x.Permit
 			c.leave(x, s)
 			if c.onLeave != nil {
@@ -117,7 +117,7 @@
 }
 
 // permit: no number for two machines.
-func (c *Checker) permit(x work.Item) {
+func (c *Checker) permit(x maintenance.Item) {
 	if x.Permit == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 }
 
 // once: what was asked for once is one work, however often the asking came.
-func (c *Checker) once(x work.Item) {
+func (c *Checker) once(x maintenance.Item) {
 	if x.Why == "" {
 		return
 	}
@@ -167,10 +167,10 @@
 func (c *Checker) box(f *Front, barred []string) {
 	at := f.node.Applied()
 	for _, x := range f.node.Replica().State().Work.Items {
-		if x.Kind != work.ABox {
+		if x.Kind != maintenance.ABox {
 			continue
 		}
-		if x.Phase == work.Out {
+		if x.Phase == maintenance.Out {
 			if c.boxes[x.Machine] == 0 {
 				c.boxes[x.Machine] = at
 			}
@@ -236,9 +236,9 @@
 // leave holds a leave, at the moment at which it is first seen, against who is dead
 // or out in truth: what is lost counts as out, and a voter goes only where a
 // majority stays.
-func (c *Checker) leave(x work.Item, s *statemachine.State) {
+func (c *Checker) leave(x maintenance.Item, s *statemachine.State) {
 	l := c.w.Leader()
-	if l == nil || c.w.now-c.ledSince < surely || x.Kind != work.AFront {
+	if l == nil || c.w.now-c.ledSince < surely || x.Kind != maintenance.AFront {
 		return
 	}
 	gone := map[string]bool{x.Machine: true}
@@ -257,7 +257,7 @@
 			stay++
 		}
 	}
-	if y := s.Work.Find(x.ID); y == nil || y.Phase != work.Permitted {
+	if y := s.Work.Find(x.ID); y == nil || y.Phase != maintenance.Permitted {
 		return // taken back already, by what came with it
 	}
 	if own != nil && s.Seats.Has(own.ID) && len(s.Seats.Voters) > 1 && stay < len(s.Seats.Voters)/2+1 {
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"cherryramp/internal/decide/work"
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/fleet"
 	"cherryramp/lab/line"
 )
@@ -237,7 +237,7 @@
 	switch x.What {
 	case "ask":
 		p.out.Asked++
-		a := fleet.Ask{Machine: x.Work.Machine, Box: x.Work.Kind == work.ABox, Zone: x.Work.Zone, SpanS: float64(x.Work.Span) / 1e6, Urgent: x.Work.Urgent,
+		a := fleet.Ask{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.ABox, Zone: x.Work.Zone, SpanS: float64(x.Work.Span) / 1e6, Urgent: x.Work.Urgent,
 			Restart: x.Work.Restart}
 		at := p.front()
 		go func() { _, _ = at.Ask(a) }()
--- a/lab/fleet/script.go
+++ b/lab/fleet/script.go
@@ -12,8 +12,8 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // Script is a fleet's day in the laboratory's language, for started fronts or in
@@ -60,7 +60,7 @@
 	Others  []string
 	Span    Micros
 	Share   float64
-	Work    *work.Item
+	Work    *maintenance.Item
 	where   lexer.Position
 }
 
@@ -77,7 +77,7 @@
 		}
 	}
 	switch {
-	case s.Work != nil && s.Work.Kind == work.ABox:
+	case s.Work != nil && s.Work.Kind == maintenance.ABox:
 		text += fmt.Sprintf(" box %q", s.Work.Machine)
 	case s.Work != nil:
 		text += fmt.Sprintf(" %q", s.Work.Machine)
@@ -265,9 +265,9 @@
 	}
 	switch {
 	case x.Ask != nil:
-		s.What, s.Work = "ask", &work.Item{Machine: x.Ask.Name, Span: max(Second, s.For), Urgent: x.Urgent, Restart: x.Until}
+		s.What, s.Work = "ask", &maintenance.Item{Machine: x.Ask.Name, Span: max(Second, s.For), Urgent: x.Urgent, Restart: x.Until}
 		if x.Ask.Box {
-			s.Work.Kind, s.Work.Zone = work.ABox, "z0"
+			s.Work.Kind, s.Work.Zone = maintenance.ABox, "z0"
 		}
 	case x.Part != nil:
 		s.What, s.Names, s.Others = "part", x.Part.One, x.Part.Other
@@ -304,7 +304,7 @@
 			return fmt.Errorf("there is no %q among %d fronts, n0 on, in %d zones, z0 on", n, s.Fronts, s.Zones)
 		}
 	}
-	if x.Work != nil && x.Work.Kind == work.AFront && !known(x.Work.Machine) {
+	if x.Work != nil && x.Work.Kind == maintenance.AFront && !known(x.Work.Machine) {
 		return fmt.Errorf("there is no front %q", x.Work.Machine)
 	}
 	switch {
--- a/lab/fleet/script_test.go
+++ b/lab/fleet/script_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // The days that are written down break no promise in virtual time.
@@ -123,7 +123,7 @@
 		target := w.Fronts[asked%(fronts-flap)]
 		if l := w.Leader(); l != nil {
 			c.day.Asked++
-			w.order(l, statemachine.Command{Ask: &statemachine.Ask{Work: work.Item{Machine: target.Name, Span: Second}}}, func(statemachine.Word, error) {})
+			w.order(l, statemachine.Command{Ask: &statemachine.Ask{Work: maintenance.Item{Machine: target.Name, Span: Second}}}, func(statemachine.Word, error) {})
 		}
 		c.tend()
 	}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -16,9 +16,9 @@
 	"slices"
 	"sync"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/decide/versions"
-	"cherryramp/internal/decide/work"
 	"cherryramp/internal/fleet/agree"
 )
 
@@ -61,7 +61,7 @@
 	Zones   int
 	First   int // named first members; 0: three, or as many as there are
 	Seed    uint64
-	Rules   work.Rules // zero: the defaults, with short spans
+	Rules   maintenance.Rules // zero: the defaults, with short spans
 	Without statemachine.Rule
 	FanOut  int
 }
@@ -157,7 +157,7 @@
 	binary.LittleEndian.PutUint64(seed[:], s.Seed)
 	w.chance = stream{mathrand.NewChaCha8(seed)}
 	w.Checks = newChecker(w)
-	if s.Rules == (work.Rules{}) {
+	if s.Rules == (maintenance.Rules{}) {
 		w.spec.Rules = ShortRules()
 	}
 	var first []agree.Address
@@ -182,8 +182,8 @@
 }
 
 // ShortRules are the defaults with spans that fit a short day.
-func ShortRules() work.Rules {
-	r := work.Defaults()
+func ShortRules() maintenance.Rules {
+	r := maintenance.Defaults()
 	r.Accept, r.Empty, r.Back, r.Cold = 5*Second, 10*Second, 10*Second, 2*Second
 	return r
 }
@@ -566,7 +566,7 @@
 }
 
 // Ask has a front asked for a work, and tells its word.
-func (w *World) Ask(at *Front, x work.Item, done func(statemachine.Word, error)) {
+func (w *World) Ask(at *Front, x maintenance.Item, done func(statemachine.Word, error)) {
 	w.order(at, statemachine.Command{Ask: &statemachine.Ask{Work: x}}, done)
 }
 
--- a/lab/fleet/virtual_test.go
+++ b/lab/fleet/virtual_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/work"
 )
 
 // up starts a world's fronts and waits until all are of the fleet and all seats taken.
@@ -50,7 +50,7 @@
 	if target == leader {
 		target = w.Fronts[1]
 	}
-	w.Ask(target, work.Item{Machine: target.Name, Span: 60 * Second}, func(word statemachine.Word, err error) {
+	w.Ask(target, maintenance.Item{Machine: target.Name, Span: 60 * Second}, func(word statemachine.Word, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -64,7 +64,7 @@
 	leader.Start()
 	if !w.RunUntil(30*Second, func() bool {
 		x := target.node.Replica().State().Work.On(target.Name)
-		return x != nil && x.Phase == work.Out
+		return x != nil && x.Phase == maintenance.Out
 	}) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come empty")
@@ -87,7 +87,7 @@
 	asks(t, w, w.Leader(), o[1], "")
 	w.Run(w.Now() + 10*Second)
 	s := w.Leader().node.Replica().State()
-	if x := s.Work.On(o[1].Name); x == nil || x.Phase != work.Asked {
+	if x := s.Work.On(o[1].Name); x == nil || x.Phase != maintenance.Asked {
 		t.Fatalf("it has leave: %+v", x)
 	}
 	if why := s.Work.Why(o[1].Name, w.Leader().node.Replica().Fleet(), s.Now); !strings.Contains(why, "1 in trouble") {
