--- a/internal/decide/hurt/hurt.go
+++ b/internal/decide/health/health.go
@@ -1,8 +1,8 @@
-// Package hurt tells whether a front is in trouble, as its fleet must know before it
+// Package health tells whether a front is in trouble, as its fleet must know before it
 // takes further machines out: boxes that refuse or are found down, or requests that
 // are turned away or fail, as in a storm. It is state only; the front shows it its
 // counts now and then.
-package hurt
+package health
 
 // Micros is a moment in microseconds.
 type Micros = int64
--- a/internal/decide/hurt/hurt_test.go
+++ b/internal/decide/health/health_test.go
@@ -1,4 +1,4 @@
-package hurt
+package health
 
 import "testing"
 
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -11,7 +11,7 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/figures"
-	"cherryramp/internal/decide/hurt"
+	"cherryramp/internal/decide/health"
 	"cherryramp/internal/loop"
 )
 
@@ -103,7 +103,7 @@
 	for _, f := range h.p.fronts {
 		busy += f.Busy() + f.Coming()
 	}
-	c := hurt.Counts{}
+	c := health.Counts{}
 	c.Known, c.Avoided = h.p.gate.Servers()
 	c.Good, c.Bad = h.p.figures.Totals()
 	was := h.p.hurt
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -22,7 +22,7 @@
 	"cherryramp/internal/decide/admission"
 	"cherryramp/internal/decide/figures"
 	"cherryramp/internal/decide/generations"
-	"cherryramp/internal/decide/hurt"
+	"cherryramp/internal/decide/health"
 	"cherryramp/internal/decide/readiness"
 	"cherryramp/internal/ephemeral"
 	"cherryramp/internal/front/platform"
@@ -131,7 +131,7 @@
 	drain          *drain
 	fleet          FleetPart     // nil: the front acts alone
 	bars           *gateway.Bars // nil without fleet
-	watched        hurt.Watch    // of what the fleet must know of this front
+	watched        health.Watch  // of what the fleet must know of this front
 	hurt           bool
 	drainedByFleet bool // it takes no clients, as the fleet wants
 	drainedByHand  bool // nor did it before, as a person wanted
