--- a/internal/decide/versions/versions.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package versions decides what each front of a fleet acts on: how a version that
+// Package rollout decides what each front of a fleet acts on: how a version that
 // was proposed reaches them, part by part, when it goes on, stops or goes back to the
 // last good one, who lags and why, who is shut out, and when nobody acts on an older
 // one any more.
@@ -6,7 +6,7 @@
 // Its state is replicated, and every replica draws the same conclusions where it
 // applies an entry (Step). Versions are numbered through the fleet's life; 0 is what
 // each front has in files of its own. Time is fleet time.
-package versions
+package rollout
 
 import (
 	"cmp"
--- a/internal/decide/versions/taker.go
+++ b/internal/decide/rollout/taker.go
@@ -1,4 +1,4 @@
-package versions
+package rollout
 
 import (
 	"math"
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -20,8 +20,8 @@
 	"cherryramp/internal/decide/lease"
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/tree"
-	"cherryramp/internal/decide/versions"
 )
 
 // Micros is a span, or a moment of fleet time, in microseconds.
@@ -74,10 +74,10 @@
 	Rules   *maintenance.Rules `cbor:"10,keyasint,omitempty"`
 	Raise   int                `cbor:"11,keyasint,omitempty"` // the version that all fronts read
 
-	Piece   []byte            `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
-	Propose *versions.Version `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
-	Stop    string            `cbor:"14,keyasint,omitempty"` // why the version on its way goes back
-	Stands  []versions.Stand  `cbor:"15,keyasint,omitempty"` // what fronts say of the versions that they act on
+	Piece   []byte           `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
+	Propose *rollout.Version `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
+	Stop    string           `cbor:"14,keyasint,omitempty"` // why the version on its way goes back
+	Stands  []rollout.Stand  `cbor:"15,keyasint,omitempty"` // what fronts say of the versions that they act on
 }
 
 // needs is the version that a command belongs to.
@@ -189,8 +189,8 @@
 	Seen    []seen            `cbor:"7,keyasint,omitempty"` // by age
 	Seats   membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
 
-	Versions versions.State `cbor:"9,keyasint,omitzero"`
-	Tree     tree.State     `cbor:"10,keyasint,omitzero"`
+	Versions rollout.State `cbor:"9,keyasint,omitzero"`
+	Tree     tree.State    `cbor:"10,keyasint,omitzero"`
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
@@ -366,18 +366,18 @@
 }
 
 // Machines is the fronts as versions see them.
-func Machines(fleet maintenance.Fleet) []versions.Machine {
-	list := make([]versions.Machine, 0, len(fleet))
+func Machines(fleet maintenance.Fleet) []rollout.Machine {
+	list := make([]rollout.Machine, 0, len(fleet))
 	for _, m := range fleet {
-		list = append(list, versions.Machine{Name: m.Name, Zone: m.Zone, ID: m.ID, Start: m.Start, Lost: m.Lost, Away: m.Away, Ended: m.Ended, Lease: m.Lease})
+		list = append(list, rollout.Machine{Name: m.Name, Zone: m.Zone, ID: m.ID, Start: m.Start, Lost: m.Lost, Away: m.Away, Ended: m.Ended, Lease: m.Lease})
 	}
 	return list
 }
 
 // VersionRules is what versions know of the fleet's rules.
-func (r *Replica) VersionRules() versions.Rules {
+func (r *Replica) VersionRules() rollout.Rules {
 	w := &r.s.Work.Rules
-	return versions.Rules{Alone: w.Alone, Quota: cmp.Or(w.Quota, defaultQuota), Cold: w.Cold, Empty: w.Empty}
+	return rollout.Rules{Alone: w.Alone, Quota: cmp.Or(w.Quota, defaultQuota), Cold: w.Cold, Empty: w.Empty}
 }
 
 const defaultQuota = 34 // percent
--- a/internal/fleet/agree/messages.go
+++ b/internal/fleet/agree/messages.go
@@ -11,8 +11,8 @@
 
 	"cherryramp/internal/decide/lease"
 	"cherryramp/internal/decide/membership"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 )
 
 // Kind is what a message between two fronts is.
@@ -48,7 +48,7 @@
 	Left  []uint64  `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
 	Reads int       `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
 
-	Stand *versions.Stand `cbor:"12,keyasint,omitempty"` // which version it acts on
+	Stand *rollout.Stand `cbor:"12,keyasint,omitempty"` // which version it acts on
 }
 
 // mostLeft bounds the boxes of one beat.
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -20,8 +20,8 @@
 
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 )
 
 // Micros is a moment or a span of this front's own clock, in microseconds.
@@ -117,7 +117,7 @@
 	applied   uint64
 	left      []uint64 // permits of boxes that it has left
 	reads     int      // the newest version of the state that its build reads; 0: the first
-	stand     *versions.Stand
+	stand     *rollout.Stand
 }
 
 // Node is one front's part.
@@ -182,7 +182,7 @@
 	empty  bool
 	hurt   bool
 	boxes  map[string]Micros // boxes in work that it has left, since when
-	stand  *versions.Stand   // which version it acts on; nil: it takes none up
+	stand  *rollout.Stand    // which version it acts on; nil: it takes none up
 	stood  map[string]stood  // of the leader: what it has proposed of fronts' stands
 	heads  Micros            // when heads of audits were last proposed
 	duty   duty
--- a/internal/fleet/agree/stands.go
+++ b/internal/fleet/agree/stands.go
@@ -1,13 +1,13 @@
 package agree
 
 import (
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 )
 
 // stood is what the leader has proposed of a front's stand and the log may not have yet.
 type stood struct {
-	x  versions.Stand
+	x  rollout.Stand
 	at Micros
 }
 
@@ -18,7 +18,7 @@
 )
 
 // SetStand tells which version this front acts on, in its own words.
-func (n *Node) SetStand(x versions.Stand) {
+func (n *Node) SetStand(x rollout.Stand) {
 	x.Name, x.ID, x.Start = n.cfg.Name, n.id, n.cfg.Start
 	n.stand = &x
 }
@@ -37,7 +37,7 @@
 	if heads {
 		n.heads = n.now
 	}
-	var list []versions.Stand
+	var list []rollout.Stand
 	for _, f := range s.Council.Fronts {
 		h := n.heard[f.Name]
 		if h.stand == nil || h.id != f.ID || h.start != f.Start || n.now-h.at > n.cfg.Lost {
@@ -45,7 +45,7 @@
 		}
 		x := *h.stand
 		x.Name, x.ID, x.Start = f.Name, f.ID, f.Start
-		known := versions.Stand{}
+		known := rollout.Stand{}
 		if y := s.Versions.Stand(f.Name); y != nil {
 			known = y.Said()
 		}
--- a/internal/fleet/book.go
+++ b/internal/fleet/book.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"cherryramp/internal/decide/audit"
-	"cherryramp/internal/decide/versions"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/fleet/agree"
 	"cherryramp/internal/journal"
 )
@@ -22,7 +22,7 @@
 	chain    audit.Chain
 	disk     *journal.Journal
 	path     string
-	notes    versions.Notes
+	notes    rollout.Notes
 	seq      uint64 // of the last record that is durable
 	head     string
 	closed   int64  // when records were last closed
@@ -58,7 +58,7 @@
 	b := &f.book
 	b.path = filepath.Join(f.cfg.Folder, "audit")
 	read := func() error {
-		b.chain, b.notes = audit.Chain{}, versions.Notes{}
+		b.chain, b.notes = audit.Chain{}, rollout.Notes{}
 		var torn int64
 		var err error
 		b.disk, torn, err = journal.Open(b.path, mostWrites, f.loop.Post, func(record []byte) error {
@@ -98,7 +98,7 @@
 		}
 	}
 	b.seq, b.head = b.chain.Seq(), headOf(b.chain.Head())
-	f.ver.taker = versions.NewTaker(b.notes)
+	f.ver.taker = rollout.NewTaker(b.notes)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 }
 
 // note keeps a note of the version that is taken up.
-func (f *Fleet) note(n versions.Notes, kept func(error)) {
+func (f *Fleet) note(n rollout.Notes, kept func(error)) {
 	b, err := cbor.Marshal(n)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err)) // plain values always encode
@@ -212,7 +212,7 @@
 	})
 }
 
-func encodeNotes(n versions.Notes) []byte {
+func encodeNotes(n rollout.Notes) []byte {
 	b, err := cbor.Marshal(n)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err))
--- a/internal/fleet/versioncalls.go
+++ b/internal/fleet/versioncalls.go
@@ -10,8 +10,8 @@
 	"strings"
 
 	"cherryramp/internal/decide/audit"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 )
 
 // Version is one as a person reads it.
@@ -75,7 +75,7 @@
 	errStage   = errors.New("STAGE takes a name for the upload and the next bytes in base64")
 	errVersion = errors.New("the version's number is wanted")
 	errUpload  = errors.New("no file of that name was staged here lately")
-	errBig     = fmt.Errorf("a version of 1 to %d bytes is wanted", versions.MostSize)
+	errBig     = fmt.Errorf("a version of 1 to %d bytes is wanted", rollout.MostSize)
 )
 
 func (f *Fleet) versionsCall(call string, give func(any), fail func(error)) {
@@ -163,7 +163,7 @@
 		x = &staged{}
 		f.staged[name] = x
 	}
-	if len(x.data)+len(b) > versions.MostSize {
+	if len(x.data)+len(b) > rollout.MostSize {
 		delete(f.staged, name)
 		fail(errBig)
 		return
@@ -188,7 +188,7 @@
 		fail(errBig)
 		return
 	case !(p.BarS >= 0 && p.BarS < 1e6 && p.WatchS >= 0 && p.WatchS < 1e6):
-		fail(versions.ErrSpans)
+		fail(rollout.ErrSpans)
 		return
 	}
 	base := f.node.Replica().State().Versions.Good
@@ -200,12 +200,12 @@
 			fail(fmt.Errorf("this front can't act on it: %w", err))
 			return
 		}
-		v := versions.Version{Digest: versions.Hash(x.data), Why: p.Why, By: p.By, Urgent: p.Urgent, Bar: int64(p.BarS * 1e6), Watch: int64(p.WatchS * 1e6),
+		v := rollout.Version{Digest: rollout.Hash(x.data), Why: p.Why, By: p.By, Urgent: p.Urgent, Bar: int64(p.BarS * 1e6), Watch: int64(p.WatchS * 1e6),
 			Steps: p.Steps, Base: base}
-		pieces := slices.Collect(slices.Chunk(x.data, versions.MostPiece))
+		pieces := slices.Collect(slices.Chunk(x.data, rollout.MostPiece))
 		left, failed := len(pieces), error(nil)
 		for _, piece := range pieces {
-			v.Pieces = append(v.Pieces, versions.Hash(piece))
+			v.Pieces = append(v.Pieces, rollout.Hash(piece))
 		}
 		one := func(err error) {
 			if failed == nil {
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -5,12 +5,12 @@
 	"fmt"
 
 	"cherryramp/internal/decide/audit"
-	"cherryramp/internal/decide/versions"
+	"cherryramp/internal/decide/rollout"
 )
 
 // acting is the version that this front acts on.
 type acting struct {
-	taker   *versions.Taker
+	taker   *rollout.Taker
 	applied uint64
 	target  uint64
 	next    uint64
@@ -44,7 +44,7 @@
 	}
 	f.measure(s)
 	switch do, n := v.taker.Next(v.next, v.target, f.now()); do {
-	case versions.Check:
+	case rollout.Check:
 		content := s.Content(n)
 		if content == nil {
 			v.taker.Checked(n, errGone)
@@ -56,7 +56,7 @@
 				f.log.Warn("fleet: a version is turned down", "version", n, "error", err)
 			}
 		})
-	case versions.Note, versions.Survive:
+	case rollout.Note, rollout.Survive:
 		notes := v.taker.Noting(do, n)
 		f.note(notes, func(err error) {
 			if err != nil {
@@ -64,7 +64,7 @@
 			}
 			v.taker.Noted(notes, err == nil, f.now())
 		})
-	case versions.Take:
+	case rollout.Take:
 		f.closeRecords()
 		var content []byte
 		if n > 0 {
@@ -85,7 +85,7 @@
 }
 
 // measure sees whether the front may act on the version that it acts on.
-func (f *Fleet) measure(s *versions.State) {
+func (f *Fleet) measure(s *rollout.State) {
 	v, now := &f.ver, f.now()
 	v.taker.Measure(s, f.cfg.Name, now)
 	told := !v.taker.May(now)
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 )
 
 // Day is what became of a random day.
@@ -177,7 +177,7 @@
 		case 2:
 			text = "turned down " + c.front().Name
 		}
-		v := versions.Version{Why: fmt.Sprintf("proposal %d", c.day.Proposed), Digest: versions.Hash([]byte(text)), Pieces: []string{versions.Hash([]byte(text))},
+		v := rollout.Version{Why: fmt.Sprintf("proposal %d", c.day.Proposed), Digest: rollout.Hash([]byte(text)), Pieces: []string{rollout.Hash([]byte(text))},
 			Watch: Micros(c.r.IntN(3)) * Second, Steps: [][]int{{0, 10, 100}, {100}, {0, 50}}[c.r.IntN(3)]}
 		if c.r.IntN(2) == 0 && w.spec.Rules.Alone > 0 {
 			v.Bar = Micros(1+c.r.IntN(5)) * Second
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/fleet"
 )
 
@@ -27,14 +27,14 @@
 }
 
 // proposes has the leader take in a version of so many bytes, and gives its number.
-func (w *World) proposes(b *testing.B, size int, v versions.Version) uint64 {
+func (w *World) proposes(b *testing.B, size int, v rollout.Version) uint64 {
 	b.Helper()
 	data := []byte(strings.Repeat(fmt.Sprintf("%016d", w.now), size/16+1))[:size]
-	v.Digest, v.Base = versions.Hash(data), w.Leader().node.Replica().State().Versions.Good
+	v.Digest, v.Base = rollout.Hash(data), w.Leader().node.Replica().State().Versions.Good
 	left := 0
 	for len(data) > 0 {
-		n := min(len(data), versions.MostPiece)
-		v.Pieces = append(v.Pieces, versions.Hash(data[:n]))
+		n := min(len(data), rollout.MostPiece)
+		v.Pieces = append(v.Pieces, rollout.Hash(data[:n]))
 		left++
 		w.order(w.Leader(), statemachine.Command{Piece: data[:n]}, func(word statemachine.Word, err error) {
 			if err != nil || word.Err != "" {
@@ -74,8 +74,8 @@
 					w := together(b, fronts, 5)
 					for _, x := range []struct {
 						name string
-						v    versions.Version
-					}{{"urgent", versions.Version{Urgent: true}}, {"by-steps", versions.Version{}}} {
+						v    rollout.Version
+					}{{"urgent", rollout.Version{Urgent: true}}, {"by-steps", rollout.Version{}}} {
 						began := w.now
 						n := w.proposes(b, size, x.v)
 						if !w.RunUntil(120*Second, func() bool { return w.allAct(n) }) {
@@ -100,7 +100,7 @@
 			w.Cut(f.Name, cut.Name, true)
 		}
 		began, stopped := w.now, Micros(0)
-		n := w.proposes(b, 4096, versions.Version{Urgent: true, Bar: 2 * Second})
+		n := w.proposes(b, 4096, rollout.Version{Urgent: true, Bar: 2 * Second})
 		if !w.RunUntil(120*Second, func() bool {
 			if stopped == 0 && !cut.acts() {
 				stopped = w.now
@@ -130,7 +130,7 @@
 					}
 				}
 				w.Part(rest, cut)
-				n := w.proposes(b, 64<<10, versions.Version{Urgent: true})
+				n := w.proposes(b, 64<<10, rollout.Version{Urgent: true})
 				w.Run(w.now + 20*Second)
 				before, leader := 0, w.Leader()
 				for _, f := range w.Fronts {
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -17,8 +17,8 @@
 	"sync"
 
 	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/decide/versions"
 	"cherryramp/internal/fleet/agree"
 )
 
@@ -113,10 +113,10 @@
 	outAs    uint64
 	emptyAt  Micros
 	hurt     bool // it says that it is in trouble
-	taker    *versions.Taker
-	notes    versions.Notes // on its disk
-	opened   bool           // all that the state wants was carried out since its lease held
-	seq      uint64         // of its audit
+	taker    *rollout.Taker
+	notes    rollout.Notes // on its disk
+	opened   bool          // all that the state wants was carried out since its lease held
+	seq      uint64        // of its audit
 	Restarts int
 	diedAt   Micros
 	lastID   uint64 // incarnation of its disk
@@ -264,7 +264,7 @@
 		return
 	}
 	n.Replica().Without(f.w.spec.Without)
-	f.taker, f.opened = versions.NewTaker(f.notes), false
+	f.taker, f.opened = rollout.NewTaker(f.notes), false
 	f.node, f.out, f.open, f.paused, f.held = n, false, f.w.r.IntN(5), false, nil
 	f.w.log("%s starts (incarnation %x)", f.Name, r.Identity.ID)
 	f.tick(f.life)
@@ -349,7 +349,7 @@
 		bad = string(s.Content(n))
 	}
 	switch do {
-	case versions.Check:
+	case rollout.Check:
 		later(func() {
 			var err error
 			if bad == "turned down "+f.Name {
@@ -357,7 +357,7 @@
 			}
 			f.taker.Checked(n, err)
 		})
-	case versions.Note, versions.Survive:
+	case rollout.Note, rollout.Survive:
 		notes := f.taker.Noting(do, n)
 		later(func() {
 			if !f.full {
@@ -365,7 +365,7 @@
 			}
 			f.taker.Noted(notes, !f.full, f.clock())
 		})
-	case versions.Take:
+	case rollout.Take:
 		f.w.log("%s acts on version %d (%q), noted %+v, said %+v, candidate %d", f.Name, n, bad, f.notes, f.taker.Report(), candidate)
 		f.taker.Took(n, nil, s.Watch(n), f.clock())
 		f.w.Checks.took(f, n)
@@ -497,7 +497,7 @@
 // Wipe crashes a front and empties its disk.
 func (f *Front) Wipe() {
 	f.Crash()
-	f.disk, f.lastID, f.notes = nil, 0, versions.Notes{}
+	f.disk, f.lastID, f.notes = nil, 0, rollout.Notes{}
 	f.w.log("%s's disk is wiped", f.Name)
 }
 
