--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -8,7 +8,7 @@
 	"reflect"
 	"strings"
 
-	"cherryramp/internal/decide/allowance"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/verdicts"
 )
 
@@ -169,9 +169,9 @@
 		if l.Of == "" {
 			key.addf("of", "missing: a name, or * for each")
 		}
-		kind, err := allowance.KindOf(l.Kind)
+		kind, err := quotalease.KindOf(l.Kind)
 		key.add("kind", err)
-		if kind == allowance.Rate && err == nil {
+		if kind == quotalease.Rate && err == nil {
 			l.Burst = cmp.Or(l.Burst, max(1, l.Amount))
 		}
 		if !l.Hard && l.Alone == 0 {
@@ -184,14 +184,14 @@
 	}
 }
 
-func (l *SharedLimit) allowance() allowance.Limit {
-	kind, _ := allowance.KindOf(l.Kind) // it was checked
-	return allowance.Limit{Name: l.Name, For: l.For, Of: l.Of, Kind: kind, Amount: l.Amount, Burst: l.Burst, Span: int64(l.SpanS * 1e6), Hard: l.Hard, Alone: l.Alone / 100}
+func (l *SharedLimit) allowance() quotalease.Limit {
+	kind, _ := quotalease.KindOf(l.Kind) // it was checked
+	return quotalease.Limit{Name: l.Name, For: l.For, Of: l.Of, Kind: kind, Amount: l.Amount, Burst: l.Burst, Span: int64(l.SpanS * 1e6), Hard: l.Hard, Alone: l.Alone / 100}
 }
 
 // Allowances gives the limits and what they share.
-func (x *Exchange) Allowances() (rules allowance.Rules, list []allowance.Limit) {
-	rules = allowance.Rules{Part: int64(x.PartS * 1e6), Keep: int64(x.KeepS * 1e6), Clock: x.Clock / 100, Longest: int64(x.OpenS * 1e6),
+func (x *Exchange) Allowances() (rules quotalease.Rules, list []quotalease.Limit) {
+	rules = quotalease.Rules{Part: int64(x.PartS * 1e6), Keep: int64(x.KeepS * 1e6), Clock: x.Clock / 100, Longest: int64(x.OpenS * 1e6),
 		Child: int64(x.PassMS) * 1000}
 	for i := range x.Limits {
 		list = append(list, x.Limits[i].allowance())
@@ -217,7 +217,7 @@
 	for i := range list {
 		l := &list[i]
 		b := l.Bound(rules)
-		what := map[allowance.Kind]string{allowance.Rate: "a second", allowance.Open: "at once", allowance.Uses: fmt.Sprintf("in %gs", float64(l.Span)/1e6)}[l.Kind]
+		what := map[quotalease.Kind]string{quotalease.Rate: "a second", quotalease.Open: "at once", quotalease.Uses: fmt.Sprintf("in %gs", float64(l.Span)/1e6)}[l.Kind]
 		kind := "soft"
 		if l.Hard {
 			kind = "hard"
--- a/internal/decide/allowance/ledger.go
+++ b/internal/decide/quotalease/ledger.go
@@ -1,4 +1,4 @@
-package allowance
+package quotalease
 
 // Wants is what this site asks the keeper above for, which is attached as up.
 func (d *Dealer) Wants(up Source, now Micros) (list []Want) {
--- a/internal/decide/allowance/limit.go
+++ b/internal/decide/quotalease/limit.go
@@ -1,4 +1,4 @@
-// Package allowance decides how much of a limit that holds for a whole fleet each front
+// Package quotalease decides how much of a limit that holds for a whole fleet each front
 // may spend by itself.
 //
 // It is escrow (O'Neil, 1986; the demarcation protocol, Barbará and Garcia-Molina, 1992):
@@ -9,7 +9,7 @@
 // loses, doubles or delays, and whoever dies.
 //
 // Dealer is a keeper's side, Purse a front's. Neither has a clock or does I/O.
-package allowance
+package quotalease
 
 import (
 	"errors"
--- a/internal/decide/allowance/allowance_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quotalease
 
 import (
 	"fmt"
@@ -341,7 +341,7 @@
 	t.Fatal("a part that is free before it is surely over was not found")
 }
 
-// The cost of a limit in a request's way: go test -bench Take ./internal/decide/allowance
+// The cost of a limit in a request's way: go test -bench Take ./internal/decide/quotalease
 func BenchmarkTake(b *testing.B) {
 	now := second
 	p := NewPurse(testRules, []Limit{{Name: "l", For: "tenant", Of: "padma", Kind: Rate, Amount: 1e8, Burst: 1e8, Hard: true}}, now)
--- a/internal/decide/allowance/steady_test.go
+++ b/internal/decide/quotalease/steady_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quotalease
 
 import (
 	"testing"
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -21,8 +21,8 @@
 	"github.com/thejerf/suture/v4"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/allowance"
 	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/tree"
 	"cherryramp/internal/link/peers"
 )
@@ -37,8 +37,8 @@
 
 // Limiter is what spends parts of limits, on the loop.
 type Limiter interface {
-	Give(g allowance.Grant, newest uint64)
-	Tell() []allowance.Say
+	Give(g quotalease.Grant, newest uint64)
+	Tell() []quotalease.Say
 	Fronts(n int)
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/goleak"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/allowance"
 	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/tree"
 	"cherryramp/internal/decide/verdicts"
 )
@@ -25,19 +25,19 @@
 type host struct {
 	t     *testing.T
 	todo  chan func()
-	purse *allowance.Purse
+	purse *quotalease.Purse
 	now   func() Micros
 	mu    sync.Mutex
 	obeys []string
 }
 
-func (h *host) Post(do func())                        { h.todo <- do }
-func (h *host) Give(g allowance.Grant, newest uint64) { h.purse.Give(g, newest, h.now()) }
-func (h *host) Tell() []allowance.Say                 { return h.purse.Tell(h.now()) }
-func (h *host) Fronts(n int)                          { h.purse.Fronts(n) }
-func (h *host) Judged([]verdicts.Held)                {}
-func (h *host) Sights(func(string, string, int64))    {}
-func (h *host) Room() map[string]float64              { return nil }
+func (h *host) Post(do func())                         { h.todo <- do }
+func (h *host) Give(g quotalease.Grant, newest uint64) { h.purse.Give(g, newest, h.now()) }
+func (h *host) Tell() []quotalease.Say                 { return h.purse.Tell(h.now()) }
+func (h *host) Fronts(n int)                           { h.purse.Fronts(n) }
+func (h *host) Judged([]verdicts.Held)                 {}
+func (h *host) Sights(func(string, string, int64))     {}
+func (h *host) Room() map[string]float64               { return nil }
 func (h *host) Obey(s purges.Scope, _ Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +67,7 @@
 			"exchange":{"limits":[{"name":"l","for":"tenant","of":"t","kind":"rate","amount":100,"burst":10,"hard":true}],"purges":{"return_s":1}}}`), ".")
 		require.NoError(t, err)
 		rules, list := o.Exchange.Allowances()
-		h.purse = allowance.NewPurse(rules, list, h.now())
+		h.purse = quotalease.NewPurse(rules, list, h.now())
 		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Obeyer: h, Witness: h, Surveyor: h, fault: fault,
 			Address: func(*tree.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -6,14 +6,14 @@
 	"slices"
 	"sync/atomic"
 
-	"cherryramp/internal/decide/allowance"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/tree"
 )
 
 // Messages to the task of limits, beside envelopes.
 type (
-	says      struct{ list []allowance.Say } // what the loop has to tell of its purse
-	newcomer  struct{}                       // a name came that was not known
+	says      struct{ list []quotalease.Say } // what the loop has to tell of its purse
+	newcomer  struct{}                        // a name came that was not known
 	limitsAsk struct{ answer func(LimitsTold) }
 )
 
@@ -26,11 +26,11 @@
 type limits struct {
 	teller
 	section any
-	rules   allowance.Rules
-	list    []allowance.Limit
-	demand  map[allowance.Key]float64
-	said    []allowance.Say
-	dealers map[string]*allowance.Dealer
+	rules   quotalease.Rules
+	list    []quotalease.Limit
+	demand  map[quotalease.Key]float64
+	said    []quotalease.Say
+	dealers map[string]*quotalease.Dealer
 	snaps   *atomic.Pointer[kept] // that outlives this life of the task
 	told    Micros
 	fronts  int
@@ -48,7 +48,7 @@
 	snaps := &atomic.Pointer[kept]{}
 	snaps.Store(&kept{})
 	return func(ctx context.Context) body {
-		return &limits{teller: teller{x, ctx}, demand: map[allowance.Key]float64{}, dealers: map[string]*allowance.Dealer{}, snaps: snaps}
+		return &limits{teller: teller{x, ctx}, demand: map[quotalease.Key]float64{}, dealers: map[string]*quotalease.Dealer{}, snaps: snaps}
 	}
 }
 
@@ -97,24 +97,26 @@
 	}
 	for _, k := range own {
 		if l.dealers[k.Site] == nil {
-			d := allowance.NewDealer(l.rules, l.list, k.Site, k.Number, k.Wait, now)
+			d := quotalease.NewDealer(l.rules, l.list, k.Site, k.Number, k.Wait, now)
 			if old, ok := (*l.snaps.Load())[k.Site]; ok && old.number == k.Number {
-				var ledger allowance.Ledger
+				var ledger quotalease.Ledger
 				if err := decoder.Unmarshal(old.b, &ledger); err == nil {
 					d.Restore(ledger)
 				} else {
 					l.x.log.Error("exchange: limits: a snapshot can't be read", "error", err)
-					d = allowance.NewDealer(l.rules, l.list, k.Site, k.Number, max(k.Wait, l.rules.Keep), now)
+					d = quotalease.NewDealer(l.rules, l.list, k.Site, k.Number, max(k.Wait, l.rules.Keep), now)
 				}
 				d.Renew(l.rules, l.list, now)
 			}
-			d.Without(allowance.Rule(without))
+			d.Without(quotalease.Rule(without))
 			l.dealers[k.Site] = d
 		}
 	}
 }
 
-func source(k tree.Keeper) allowance.Source { return allowance.Source{Site: k.Site, Keeper: k.Number} }
+func source(k tree.Keeper) quotalease.Source {
+	return quotalease.Source{Site: k.Site, Keeper: k.Number}
+}
 
 // deal has each site's parts dealt out, and asked for above.
 func (l *limits) deal(s *Standing, now Micros) {
@@ -136,14 +138,14 @@
 			}
 		}
 		if k.Site != tree.Root {
-			l.up(Limits, tree.Of(k), allowance.Ask{Stamp: now, Wants: d.Wants(source(above), now)})
+			l.up(Limits, tree.Of(k), quotalease.Ask{Stamp: now, Wants: d.Wants(source(above), now)})
 		}
 	}
 	l.told = now
 }
 
 // keep puts what a dealer knows where the task's next life finds it.
-func (l *limits) keep(k tree.Keeper, d *allowance.Dealer) {
+func (l *limits) keep(k tree.Keeper, d *quotalease.Dealer) {
 	if l.ctx.Err() != nil {
 		return
 	}
@@ -163,9 +165,9 @@
 	if !ok {
 		return
 	}
-	a := allowance.Ask{Stamp: now}
+	a := quotalease.Ask{Stamp: now}
 	for _, y := range l.said {
-		w := allowance.Want{Key: y.Key, Demand: l.demand[y.Key], Epoch: y.Epoch}
+		w := quotalease.Want{Key: y.Key, Demand: l.demand[y.Key], Epoch: y.Epoch}
 		for _, p := range y.Parts {
 			switch {
 			case p.From == source(k):
@@ -189,16 +191,16 @@
 	switch m := m.(type) {
 	case says:
 		per := 1e6 / float64(l.x.round().Microseconds())
-		kinds := map[string]allowance.Limit{}
+		kinds := map[string]quotalease.Limit{}
 		for _, x := range l.list {
 			kinds[x.Name] = x
 		}
 		for _, y := range m.list {
 			want := float64(y.Asked) * per
 			switch x := kinds[y.Key.Limit]; x.Kind {
-			case allowance.Open:
+			case quotalease.Open:
 				want = y.Open
-			case allowance.Uses:
+			case quotalease.Uses:
 				l.demand[y.Key] = y.Spent + math.Max(l.demand[y.Key]-y.Spent, float64(y.Asked)*20)*demandKeep
 				continue
 			}
@@ -212,7 +214,7 @@
 		l.said = m.list
 		l.ask(s, now)
 		if len(l.demand) > 2*len(m.list)+64 {
-			known := map[allowance.Key]float64{}
+			known := map[quotalease.Key]float64{}
 			for _, y := range m.list {
 				known[y.Key] = l.demand[y.Key]
 			}
@@ -229,7 +231,7 @@
 
 func (l *limits) came(s *Standing, e Envelope, now Micros) {
 	if e.Up {
-		var a allowance.Ask
+		var a quotalease.Ask
 		if decoder.Unmarshal(e.Body, &a) != nil || l.dealers[e.Site] == nil {
 			return
 		}
@@ -238,13 +240,13 @@
 			return
 		}
 		d.Asked(roleName(e.Role), a, now)
-		first := slices.ContainsFunc(a.Wants, func(w allowance.Want) bool { return w.Number == 0 && w.Demand > 0 })
+		first := slices.ContainsFunc(a.Wants, func(w quotalease.Want) bool { return w.Number == 0 && w.Demand > 0 })
 		if first && now-l.told > l.x.round().Microseconds()/4 { // it has nothing: it need not wait for the round
 			l.deal(s, now)
 		}
 		return
 	}
-	var g allowance.Grant
+	var g quotalease.Grant
 	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Keeper != e.Keeper {
 		return
 	}
@@ -267,13 +269,13 @@
 type LimitsTold struct {
 	Front string             `json:"front"`
 	To    string             `json:"attached_to"`
-	Own   []allowance.Say    `json:"own"`
+	Own   []quotalease.Say   `json:"own"`
 	Sites map[string][]Sheet `json:"sites,omitempty"`
 	Rules []string           `json:"bounds"`
 }
 
 // Sheet is one limit as a site's keeper deals it out.
-type Sheet = allowance.Line
+type Sheet = quotalease.Line
 
 func (l *limits) tell(s *Standing, now Micros) LimitsTold {
 	links := l.x.links.Load()
@@ -282,7 +284,7 @@
 		t.To = k.Name
 	}
 	for site, d := range l.dealers {
-		up := allowance.Source{}
+		up := quotalease.Source{}
 		if k := s.View.Keeper(site); k != nil {
 			up = source(links.up[tree.Of(*k)])
 		}
--- a/internal/exchange/tell.go
+++ b/internal/exchange/tell.go
@@ -1,13 +1,13 @@
 package exchange
 
 import (
-	"cherryramp/internal/decide/allowance"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/tree"
 )
 
 // Took notes for the laboratory that a limit let a request through, or did not, and by
 // which part. It is called on the loop.
-func (x *Exchange) Took(b *allowance.Bucket, ok bool) {
+func (x *Exchange) Took(b *quotalease.Bucket, ok bool) {
 	if !x.history.on() {
 		return
 	}
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/allowance"
 	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/tree"
 	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/exchange"
@@ -102,7 +102,7 @@
 }
 
 // Took is part of program.ExchangePart.
-func (f *Fleet) Took(b *allowance.Bucket, ok bool) {
+func (f *Fleet) Took(b *quotalease.Bucket, ok bool) {
 	if f.ex != nil {
 		f.ex.Took(b, ok)
 	}
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -17,10 +17,10 @@
 	"strconv"
 	"strings"
 
-	"cherryramp/internal/decide/allowance"
 	"cherryramp/internal/decide/content"
 	"cherryramp/internal/decide/grants"
 	"cherryramp/internal/decide/quota"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/revoked"
 	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/decide/turns"
@@ -86,9 +86,9 @@
 // Shared are limits that hold for the whole fleet.
 type Shared interface {
 	// Take asks for one request under all its claims; it takes from all or from none.
-	Take(claims []quota.Claim) (taken []*allowance.Bucket, away gateway.Micros, refused string)
+	Take(claims []quota.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
 	// Done gives back what was taken.
-	Done(taken []*allowance.Bucket)
+	Done(taken []*quotalease.Bucket)
 	// Forged notes a forged signature from a prefix; Suspect tells whether the fleet
 	// holds a prefix for one that forges.
 	Forged(p netip.Prefix)
@@ -151,7 +151,7 @@
 	call   *gateway.Call
 	class  *Class
 	claims []quota.Claim // taken
-	shared []*allowance.Bucket
+	shared []*quotalease.Bucket
 	use    [16]byte // taken, if counted
 	used   bool
 	origin string // of a page whose script may read the answer
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/allowance"
 	"cherryramp/internal/decide/purges"
 	"cherryramp/internal/decide/quota"
+	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/gateway"
 )
@@ -16,7 +16,7 @@
 // ExchangePart is what a front's part in the exchange does for its host, on the loop.
 type ExchangePart interface {
 	// Took tells of a request that a limit let through or refused, and by which part.
-	Took(b *allowance.Bucket, ok bool)
+	Took(b *quotalease.Bucket, ok bool)
 	// NewName tells that a name came that no part is held of.
 	NewName()
 	// Acted tells that this front acts on a verdict, or does so no more; boxes is how many
@@ -34,7 +34,7 @@
 // purges. It belongs to the loop.
 type shared struct {
 	p      *program
-	purse  *allowance.Purse
+	purse  *quotalease.Purse
 	index  *purges.Index
 	part   ExchangePart
 	limits bool
@@ -68,7 +68,7 @@
 	if x.Purges != nil {
 		most = x.Purges.Most
 	}
-	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]verdicts.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: allowance.NewPurse(rules, list, mono()), index: purges.NewIndex(most), limits: len(list) > 0}
+	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]verdicts.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: purges.NewIndex(most), limits: len(list) > 0}
 	s.sees(x)
 	return s
 }
@@ -86,7 +86,7 @@
 var kinds = map[quota.Kind]string{quota.Tenant: "tenant", quota.Key: "key", quota.Subject: "subject"}
 
 // Take is part of signed.Shared.
-func (s *shared) Take(claims []quota.Claim) (taken []*allowance.Bucket, away gateway.Micros, refused string) {
+func (s *shared) Take(claims []quota.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string) {
 	if !s.limits {
 		return nil, 0, ""
 	}
@@ -119,7 +119,7 @@
 }
 
 // Done is part of signed.Shared.
-func (s *shared) Done(taken []*allowance.Bucket) {
+func (s *shared) Done(taken []*quotalease.Bucket) {
 	for _, b := range taken {
 		b.Done()
 	}
@@ -137,10 +137,10 @@
 func (h fleetHost) Mono() int64 { return mono() }
 
 // Give is part of exchange.Limiter.
-func (h fleetHost) Give(g allowance.Grant, newest uint64) { h.p.shared.purse.Give(g, newest, mono()) }
+func (h fleetHost) Give(g quotalease.Grant, newest uint64) { h.p.shared.purse.Give(g, newest, mono()) }
 
 // Tell is part of exchange.Limiter.
-func (h fleetHost) Tell() []allowance.Say { return h.p.shared.purse.Tell(mono()) }
+func (h fleetHost) Tell() []quotalease.Say { return h.p.shared.purse.Tell(mono()) }
 
 // Fronts is part of exchange.Limiter.
 func (h fleetHost) Fronts(n int) { h.p.shared.purse.Fronts(n) }
