--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -14,7 +14,7 @@
 
 	"cherryramp/internal/decide/grants"
 	"cherryramp/internal/decide/keyring"
-	"cherryramp/internal/decide/quota"
+	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/revoked"
 )
 
@@ -149,7 +149,9 @@
 }
 
 // Quota is the limit as it is decided by.
-func (l Limit) Quota() quota.Limit { return quota.Limit{Rate: l.Rate, Burst: l.Burst, Open: l.Open} }
+func (l Limit) Quota() ratelimit.Limit {
+	return ratelimit.Limit{Rate: l.Rate, Burst: l.Burst, Open: l.Open}
+}
 
 // Tenant is whose links a profile takes.
 type Tenant struct {
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -1,4 +1,4 @@
-// Package quota decides how much a key, a tenant and a subject may ask for: a
+// Package ratelimit decides how much a key, a tenant and a subject may ask for: a
 // rate, a number of open requests, and how often one token may be used.
 //
 // Rates are GCRA (ITU-T I.371, the virtual scheduling form): a bucket is one
@@ -8,7 +8,7 @@
 // is refused. Nothing that still binds is ever forgotten.
 //
 // It asks no clock and does no I/O.
-package quota
+package ratelimit
 
 import (
 	"crypto/sha256"
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package quota
+package ratelimit
 
 import (
 	"crypto/sha256"
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -19,8 +19,8 @@
 
 	"cherryramp/internal/decide/content"
 	"cherryramp/internal/decide/grants"
-	"cherryramp/internal/decide/quota"
 	"cherryramp/internal/decide/quotalease"
+	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/revoked"
 	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/decide/turns"
@@ -61,7 +61,7 @@
 // Tenant is what a tenant's links may let in, and how much.
 type Tenant struct {
 	Paths             []string // prefixes; none: everything
-	All, Key, Subject quota.Limit
+	All, Key, Subject ratelimit.Limit
 }
 
 // CORS says which pages' scripts may read answers.
@@ -86,7 +86,7 @@
 // Shared are limits that hold for the whole fleet.
 type Shared interface {
 	// Take asks for one request under all its claims; it takes from all or from none.
-	Take(claims []quota.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
+	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
 	// Done gives back what was taken.
 	Done(taken []*quotalease.Bucket)
 	// Forged notes a forged signature from a prefix; Suspect tells whether the fleet
@@ -116,8 +116,8 @@
 	turns    *turns.Queue
 	proofs   map[*grants.Proof]*proof
 	suspects *suspects.Sketch
-	rates    *quota.Rates
-	uses     *quota.Uses
+	rates    *ratelimit.Rates
+	uses     *ratelimit.Uses
 	variants *encoding.Variants
 	shared   Shared // nil: no limit holds for the whole fleet
 	base     uint64 // of the ids that requests get
@@ -133,7 +133,7 @@
 	}
 	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: turns.New(cfg.Queue),
 		proofs: map[*grants.Proof]*proof{}, suspects: suspects.New(binary.BigEndian.Uint64(seed[8:])),
-		rates: quota.NewRates(cfg.Rates), uses: quota.NewUses(cfg.Uses), variants: encoding.New(cfg.Encoded),
+		rates: ratelimit.NewRates(cfg.Rates), uses: ratelimit.NewUses(cfg.Uses), variants: encoding.New(cfg.Encoded),
 		base: binary.BigEndian.Uint64(seed[:])}, nil
 }
 
@@ -150,7 +150,7 @@
 	grant  grants.Grant
 	call   *gateway.Call
 	class  *Class
-	claims []quota.Claim // taken
+	claims []ratelimit.Claim // taken
 	shared []*quotalease.Bucket
 	use    [16]byte // taken, if counted
 	used   bool
@@ -254,14 +254,14 @@
 // take takes one request of all that is limited, or tells why not.
 func (f *Front) take(v *visit, t *Tenant) (away gateway.Micros, status int, reason string) {
 	now, g := f.now(), &v.grant
-	claims := []quota.Claim{{Kind: quota.Tenant, Name: g.Profile.Tenant, Limit: t.All},
-		{Kind: quota.Key, Name: g.Profile.Ring.Name + "/" + g.Key.Name, Limit: t.Key}}
+	claims := []ratelimit.Claim{{Kind: ratelimit.Tenant, Name: g.Profile.Tenant, Limit: t.All},
+		{Kind: ratelimit.Key, Name: g.Profile.Ring.Name + "/" + g.Key.Name, Limit: t.Key}}
 	if g.Subject != "" {
-		claims = append(claims, quota.Claim{Kind: quota.Subject, Name: g.Profile.Tenant + "/" + g.Subject, Limit: t.Subject})
+		claims = append(claims, ratelimit.Claim{Kind: ratelimit.Subject, Name: g.Profile.Tenant + "/" + g.Subject, Limit: t.Subject})
 	}
 	if away, refusal := f.rates.Take(claims, now); refusal != "" {
 		status = 429
-		if refusal == quota.NoRoom {
+		if refusal == ratelimit.NoRoom {
 			status = 503
 		}
 		return away, status, string(refusal)
@@ -276,14 +276,14 @@
 	}
 	if u := f.policy.Uses[g.Profile.Name]; u.Most > 0 {
 		v.use = g.Digest()
-		away, refusal := f.uses.Take(quota.Token{Name: v.use, Until: now + g.Ends() - f.wall(), Most: u.Most,
+		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, Until: now + g.Ends() - f.wall(), Most: u.Most,
 			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), Retry: u.Retry}, now)
 		switch refusal {
 		case "":
 			v.used = true
-		case quota.UsedUp:
+		case ratelimit.UsedUp:
 			status = 403
-		case quota.UsesFull:
+		case ratelimit.UsesFull:
 			status = 503
 		default:
 			status = 429
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -7,8 +7,8 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/purges"
-	"cherryramp/internal/decide/quota"
 	"cherryramp/internal/decide/quotalease"
+	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/gateway"
 )
@@ -83,10 +83,10 @@
 }
 
 // kinds are what limits are for, by what claims are.
-var kinds = map[quota.Kind]string{quota.Tenant: "tenant", quota.Key: "key", quota.Subject: "subject"}
+var kinds = map[ratelimit.Kind]string{ratelimit.Tenant: "tenant", ratelimit.Key: "key", ratelimit.Subject: "subject"}
 
 // Take is part of signed.Shared.
-func (s *shared) Take(claims []quota.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string) {
+func (s *shared) Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string) {
 	if !s.limits {
 		return nil, 0, ""
 	}
