--- a/internal/decide/purges/purges_test.go
+++ b/internal/decide/purges/purges_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 const second Micros = 1_000_000
 
 // front is one process in a day of purges: its book, and what it gathers for its sites.
 type front struct {
-	tree.Front
+	topology.Front
 	book    *Book
 	gathers map[string]*Gather
 	disk    []Purge // kept
@@ -50,7 +50,7 @@
 	}
 	join := func() {
 		i := len(list)
-		f := &front{Front: tree.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, Keep: second}, book: NewBook(Config{Most: 1000, Keep: 1e12}),
+		f := &front{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, Keep: second}, book: NewBook(Config{Most: 1000, Keep: 1e12}),
 			gathers: map[string]*Gather{}, has: map[string]Marks{}}
 		// What serves already told it all before it serves itself.
 		if i > 0 {
@@ -63,8 +63,8 @@
 	for range 4 {
 		join()
 	}
-	view := func(f *front) *tree.View {
-		v := &tree.View{Index: index, Self: f.Front, In: true}
+	view := func(f *front) *topology.View {
+		v := &topology.View{Index: index, Self: f.Front, In: true}
 		for _, x := range list {
 			v.Fronts = append(v.Fronts, x.Front)
 		}
@@ -127,8 +127,8 @@
 			}
 			seq++
 			n, s := seq, Summary{Index: index, Done: f.book.Done(), Count: 1}
-			role, k := tree.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(keepers[f.Site])
-			exchange := func(role tree.Role, k *front, site string, s Summary) {
+			role, k := topology.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(keepers[f.Site])
+			exchange := func(role topology.Role, k *front, site string, s Summary) {
 				news, _ := f.book.Lacks(f.has[k.Name], now)
 				marks := f.book.Marks()
 				start := f.Start
@@ -160,7 +160,7 @@
 				}
 				sum := g.Sum(view(f), index, f.book.Marks(), 2*second, now)
 				if site != "" {
-					exchange(tree.Role{Site: site, Keeper: 1}, find(keepers[""]), "", sum)
+					exchange(topology.Role{Site: site, Keeper: 1}, find(keepers[""]), "", sum)
 					continue
 				}
 				for _, m := range f.closing.Step(sum.Done, now-1, now) {
@@ -209,14 +209,14 @@
 func TestLeftOutRuleHeedsNoOldWord(t *testing.T) {
 	origin := Origin{Site: "west", Keeper: 3}
 	here := Marks{{Origin: origin, N: 1}}
-	v := &tree.View{Index: 9, Fronts: []tree.Front{
+	v := &topology.View{Index: 9, Fronts: []topology.Front{
 		{Name: "a", Site: "west", Start: 1, Keep: 1}, {Name: "b", Site: "east/hub", Start: 1, Keep: 1, Lost: true}, {Name: "c", Site: "west", Start: 1, Keep: 1, Lost: true}}}
 	for rule, want := range map[Rule]uint64{"": 0, NoAck: 1} {
-		for _, late := range []tree.Role{{Site: "east", Keeper: 5}, {Site: "east/hub", Front: "b", Start: 1}, {Site: "west", Front: "c", Start: 1}} {
+		for _, late := range []topology.Role{{Site: "east", Keeper: 5}, {Site: "east/hub", Front: "b", Start: 1}, {Site: "west", Front: "c", Start: 1}} {
 			g := NewGather("")
 			g.Without(rule)
 			g.Heard(late, 1, Summary{Index: 9, Count: 1}, 0)
-			g.Heard(tree.Role{Site: "west", Front: "a", Start: 1}, 1, Summary{Index: 9, Done: here, Count: 1}, 100)
+			g.Heard(topology.Role{Site: "west", Front: "a", Start: 1}, 1, Summary{Index: 9, Done: here, Count: 1}, 100)
 			if got := g.Sum(v, 9, here, 50, 100).Done.Of(origin); got != want {
 				t.Errorf("without %q, %+v late: acknowledged up to %d, want %d", rule, late, got, want)
 			}
--- a/internal/decide/purges/summary.go
+++ b/internal/decide/purges/summary.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Late is a front that holds a purge up, and why.
@@ -29,7 +29,7 @@
 	s    Summary
 	seq  uint64
 	at   Micros
-	role tree.Role
+	role topology.Role
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
@@ -54,7 +54,7 @@
 
 // name tells roles apart by whom they speak for: what a newer one says takes the place
 // of what an older one did.
-func name(r tree.Role) string {
+func name(r topology.Role) string {
 	if r.Front != "" {
 		return "front " + r.Front
 	}
@@ -62,7 +62,7 @@
 }
 
 // Heard takes a role's acknowledgement in, by number; a late one changes nothing.
-func (g *Gather) Heard(r tree.Role, seq uint64, s Summary, now Micros) {
+func (g *Gather) Heard(r topology.Role, seq uint64, s Summary, now Micros) {
 	k := name(r)
 	old := g.said[k]
 	if old != nil && (r.Front == "" && r.Keeper < old.role.Keeper || r == old.role && seq <= old.seq) {
@@ -73,7 +73,7 @@
 
 // Sum adds up what is known for all of the site's fronts, as the log has them: known is
 // the index at which they were last changed there.
-func (g *Gather) Sum(v *tree.View, changed uint64, origins Marks, stale, now Micros) Summary {
+func (g *Gather) Sum(v *topology.View, changed uint64, origins Marks, stale, now Micros) Summary {
 	out := Summary{Index: v.Index, Done: slices.Clone(origins)}
 	for i := range out.Done {
 		out.Done[i].N = 1<<64 - 1
@@ -94,7 +94,7 @@
 	for _, k := range slices.Sorted(maps.Keys(g.said)) {
 		x := g.said[k]
 		site := x.role.Site
-		if x.role.Front != "" || site == g.site || !tree.Within(site, g.site) || x.s.Index < changed {
+		if x.role.Front != "" || site == g.site || !topology.Within(site, g.site) || x.s.Index < changed {
 			continue
 		}
 		if now-x.at > stale {
@@ -114,7 +114,7 @@
 	}
 	for i := range v.Fronts {
 		f := &v.Fronts[i]
-		if f.Keep == 0 || f.Over || !tree.Within(f.Site, g.site) {
+		if f.Keep == 0 || f.Over || !topology.Within(f.Site, g.site) {
 			continue
 		}
 		out.Count++
@@ -152,7 +152,7 @@
 
 func within(site string, sites map[string]bool) bool {
 	for s := range sites {
-		if tree.Within(site, s) {
+		if topology.Within(site, s) {
 			return true
 		}
 	}
@@ -160,7 +160,7 @@
 }
 
 // Drop forgets roles of fronts that are no longer in the fleet.
-func (g *Gather) Drop(v *tree.View) {
+func (g *Gather) Drop(v *topology.View) {
 	for k, x := range g.said {
 		if x.role.Front != "" && v.Find(x.role.Front) == nil {
 			delete(g.said, k)
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -21,7 +21,7 @@
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/membership"
 	"cherryramp/internal/decide/rollout"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Micros is a span, or a moment of fleet time, in microseconds.
@@ -189,8 +189,8 @@
 	Seen    []seen            `cbor:"7,keyasint,omitempty"` // by age
 	Seats   membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
 
-	Versions rollout.State `cbor:"9,keyasint,omitzero"`
-	Tree     tree.State    `cbor:"10,keyasint,omitzero"`
+	Versions rollout.State  `cbor:"9,keyasint,omitzero"`
+	Tree     topology.State `cbor:"10,keyasint,omitzero"`
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
@@ -355,11 +355,11 @@
 }
 
 // Exchange is the fronts as keepers of sites are chosen of them.
-func (r *Replica) Exchange(fleet maintenance.Fleet) []tree.Front {
-	list := make([]tree.Front, 0, len(fleet))
+func (r *Replica) Exchange(fleet maintenance.Fleet) []topology.Front {
+	list := make([]topology.Front, 0, len(fleet))
 	for i, f := range r.s.Council.Fronts {
 		m := fleet[i]
-		list = append(list, tree.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, Keep: f.Keep,
+		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, Keep: f.Keep,
 			Over: f.Lost && m.Ended > 0 && r.s.Now >= m.Ended})
 	}
 	return list
--- a/internal/decide/tree/attach.go
+++ b/internal/decide/topology/attach.go
@@ -1,4 +1,4 @@
-package tree
+package topology
 
 import "slices"
 
--- a/internal/decide/tree/tree.go
+++ b/internal/decide/topology/topology.go
@@ -1,4 +1,4 @@
-// Package tree decides how the fronts of a fleet stand to each other where they tell
+// Package topology decides how the fronts of a fleet stand to each other where they tell
 // each other things without agreeing first: sites are paths (west/hub-a/branch-3), a
 // keeper speaks for each, and whoever tells something attaches to the keeper of its
 // site or, where that one can't be reached, of a site above.
@@ -7,7 +7,7 @@
 // lost, so that no two keepers of a site ever have the same number. Who attaches where is
 // each front's own (Attachment). Attachments go to sites strictly above alone, so they
 // never make a loop, whatever each front knows.
-package tree
+package topology
 
 import (
 	"cmp"
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -23,7 +23,7 @@
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/purges"
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/link/peers"
 )
 
@@ -54,7 +54,7 @@
 	Name    string
 	Folder  string // of this front alone
 	Keys    *peers.Keys
-	Address func(v *tree.View, name string) string // where a front is reached from here
+	Address func(v *topology.View, name string) string // where a front is reached from here
 	Section *config.Exchange
 	Now     func() Micros // the clock by which leases are
 	Loop    Loop
@@ -72,7 +72,7 @@
 
 // Standing is what the log says of this front now, as the fleet's driver publishes it.
 type Standing struct {
-	View    *tree.View
+	View    *topology.View
 	Changed uint64 // index at which the fleet's fronts were last changed
 	Keep    Micros // up to which this front may act as a keeper
 	Asked   Micros // a moment before which a majority was asked whether it may
@@ -107,13 +107,13 @@
 
 // links is who is attached where now.
 type links struct {
-	up       map[tree.Role]tree.Keeper // of each role of this process
-	children map[tie]Micros            // roles attached to keepers that this process is, and when they were heard
+	up       map[topology.Role]topology.Keeper // of each role of this process
+	children map[tie]Micros                    // roles attached to keepers that this process is, and when they were heard
 }
 
 // tie is a role that is attached to a keeper, by its number.
 type tie struct {
-	role   tree.Role
+	role   topology.Role
 	keeper uint64
 }
 
@@ -196,9 +196,9 @@
 	return time.Duration(x.section.Load().RoundMS) * time.Millisecond
 }
 
-func (x *Exchange) spans() tree.Config {
+func (x *Exchange) spans() topology.Config {
 	s := x.section.Load()
-	return tree.Config{Over: Micros(s.PassMS) * 1000, Back: Micros(s.BackMS) * 1000}
+	return topology.Config{Over: Micros(s.PassMS) * 1000, Back: Micros(s.BackMS) * 1000}
 }
 
 // May tells whether this process may act as a keeper now.
@@ -223,14 +223,14 @@
 }
 
 // up sends what a role has to say to the keeper that it is attached to.
-func (t teller) up(subject Subject, r tree.Role, what any) {
+func (t teller) up(subject Subject, r topology.Role, what any) {
 	if k, ok := t.x.links.Load().up[r]; ok && t.ctx.Err() == nil {
 		t.x.hub.put(goes{Envelope{Subject: subject, Up: true, Role: r, Site: k.Site, Keeper: k.Number, Body: encode(what)}})
 	}
 }
 
 // down sends what a keeper of this process has to say to a role below it.
-func (t teller) down(subject Subject, r tree.Role, k tree.Keeper, what any) {
+func (t teller) down(subject Subject, r topology.Role, k topology.Keeper, what any) {
 	if t.ctx.Err() == nil {
 		t.x.hub.put(goes{Envelope{Subject: subject, Role: r, Site: k.Site, Keeper: k.Number, Body: encode(what)}})
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -15,7 +15,7 @@
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/purges"
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/decide/verdicts"
 )
 
@@ -69,12 +69,12 @@
 		rules, list := o.Exchange.Allowances()
 		h.purse = quotalease.NewPurse(rules, list, h.now())
 		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Obeyer: h, Witness: h, Surveyor: h, fault: fault,
-			Address: func(*tree.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			Address: func(*topology.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
-		me := tree.Front{Name: "a", Site: "west/hub", ID: 1, Start: 2, Keep: 2_000_000}
-		v := &tree.View{Index: 5, Fleet: 9, Fronts: []tree.Front{me}, Self: me, In: true}
+		me := topology.Front{Name: "a", Site: "west/hub", ID: 1, Start: 2, Keep: 2_000_000}
+		v := &topology.View{Index: 5, Fleet: 9, Fronts: []topology.Front{me}, Self: me, In: true}
 		for i, site := range []string{"", "west", "west/hub"} {
-			v.Keepers = append(v.Keepers, tree.Keeper{Site: site, Name: "a", ID: 1, Start: 2, Number: uint64(i + 1)})
+			v.Keepers = append(v.Keepers, topology.Keeper{Site: site, Name: "a", ID: 1, Start: 2, Number: uint64(i + 1)})
 		}
 		know := func() {
 			x.Know(&Standing{View: v, Changed: 1, Keep: h.now() + 2_000_000, Asked: h.now()})
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -9,7 +9,7 @@
 
 	"github.com/thejerf/suture/v4"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Messages to the hub.
@@ -71,7 +71,7 @@
 // and passes on what subjects say. It keeps nothing that it could not find out anew.
 type hub struct {
 	x        *Exchange
-	attached map[tree.Role]*tree.Attachment
+	attached map[topology.Role]*topology.Attachment
 	conns    map[string][]*conn
 	wanted   map[string]suture.ServiceToken
 	unused   map[string]int // rounds for which nobody wanted a connection
@@ -79,16 +79,16 @@
 }
 
 func newHub(x *Exchange) *hub {
-	return &hub{x: x, attached: map[tree.Role]*tree.Attachment{}, conns: map[string][]*conn{}, wanted: map[string]suture.ServiceToken{}, unused: map[string]int{},
+	return &hub{x: x, attached: map[topology.Role]*topology.Attachment{}, conns: map[string][]*conn{}, wanted: map[string]suture.ServiceToken{}, unused: map[string]int{},
 		children: map[tie]Micros{}}
 }
 
 // roles are those of this process: itself, and the sites that it keeps.
-func roles(v *tree.View) []tree.Role {
-	list := []tree.Role{v.Own()}
+func roles(v *topology.View) []topology.Role {
+	list := []topology.Role{v.Own()}
 	for _, k := range v.Keeps() {
-		if k.Site != tree.Root {
-			list = append(list, tree.Of(k))
+		if k.Site != topology.Root {
+			list = append(list, topology.Of(k))
 		}
 	}
 	return list
@@ -108,11 +108,11 @@
 	now, v := h.x.cfg.Now(), s.View
 	wanted := map[string]bool{}
 	own := roles(v)
-	up := map[tree.Role]tree.Keeper{}
+	up := map[topology.Role]topology.Keeper{}
 	for _, r := range own {
 		a := h.attached[r]
 		if a == nil {
-			a = &tree.Attachment{}
+			a = &topology.Attachment{}
 			h.attached[r] = a
 		}
 		was, _ := a.To()
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	maps.DeleteFunc(h.attached, func(r tree.Role, _ *tree.Attachment) bool { return !slices.Contains(own, r) })
+	maps.DeleteFunc(h.attached, func(r topology.Role, _ *topology.Attachment) bool { return !slices.Contains(own, r) })
 	maps.DeleteFunc(h.children, func(_ tie, at Micros) bool {
 		return now-at > childRounds*h.x.round().Microseconds()+h.x.spans().Over
 	})
@@ -228,7 +228,7 @@
 		return
 	}
 	switch {
-	case e.Up && (from != speaker || !k.Is(v.Self.Name, v.Self.ID, v.Self.Start) || !tree.Within(e.Role.Site, e.Site)):
+	case e.Up && (from != speaker || !k.Is(v.Self.Name, v.Self.ID, v.Self.Start) || !topology.Within(e.Role.Site, e.Site)):
 		return
 	case !e.Up && (from != k.Name || speaker != v.Self.Name):
 		return
@@ -262,13 +262,13 @@
 }
 
 // below are the roles that ask a keeper, in order.
-func (l *links) below(k tree.Keeper, now, within Micros) (list []tree.Role) {
+func (l *links) below(k topology.Keeper, now, within Micros) (list []topology.Role) {
 	for t, at := range l.children {
 		if t.keeper == k.Number && now-at <= within {
 			list = append(list, t.role)
 		}
 	}
-	slices.SortFunc(list, func(a, b tree.Role) int {
+	slices.SortFunc(list, func(a, b topology.Role) int {
 		if x, y := roleName(a), roleName(b); x < y {
 			return -1
 		} else if x > y {
@@ -280,7 +280,7 @@
 }
 
 // roleName names a role whole: another process or keeper is another role.
-func roleName(r tree.Role) string {
+func roleName(r topology.Role) string {
 	if r.Front != "" {
 		return fmt.Sprintf("%s %016x", r.Front, r.Start)
 	}
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Messages to the task of limits, beside envelopes.
@@ -91,7 +91,7 @@
 func (l *limits) keeps(s *Standing, now Micros) {
 	own := s.View.Keeps()
 	for site, d := range l.dealers {
-		if !slices.ContainsFunc(own, func(k tree.Keeper) bool { return k.Site == site && k.Number == d.Number() }) {
+		if !slices.ContainsFunc(own, func(k topology.Keeper) bool { return k.Site == site && k.Number == d.Number() }) {
 			delete(l.dealers, site)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func source(k tree.Keeper) quotalease.Source {
+func source(k topology.Keeper) quotalease.Source {
 	return quotalease.Source{Site: k.Site, Keeper: k.Number}
 }
 
@@ -126,8 +126,8 @@
 		if d == nil {
 			continue
 		}
-		above := links.up[tree.Of(k)]
-		if k.Site == tree.Root && !s.May(now) {
+		above := links.up[topology.Of(k)]
+		if k.Site == topology.Root && !s.May(now) {
 			continue
 		}
 		grants := d.Deal(source(above), now)
@@ -137,15 +137,15 @@
 				l.down(Limits, r, k, g)
 			}
 		}
-		if k.Site != tree.Root {
-			l.up(Limits, tree.Of(k), quotalease.Ask{Stamp: now, Wants: d.Wants(source(above), now)})
+		if k.Site != topology.Root {
+			l.up(Limits, topology.Of(k), quotalease.Ask{Stamp: now, Wants: d.Wants(source(above), now)})
 		}
 	}
 	l.told = now
 }
 
 // keep puts what a dealer knows where the task's next life finds it.
-func (l *limits) keep(k tree.Keeper, d *quotalease.Dealer) {
+func (l *limits) keep(k topology.Keeper, d *quotalease.Dealer) {
 	if l.ctx.Err() != nil {
 		return
 	}
@@ -286,7 +286,7 @@
 	for site, d := range l.dealers {
 		up := quotalease.Source{}
 		if k := s.View.Keeper(site); k != nil {
-			up = source(links.up[tree.Of(*k)])
+			up = source(links.up[topology.Of(*k)])
 		}
 		t.Sites["/"+site] = d.Lines(up, now)
 	}
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"cherryramp/internal/decide/paths"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Surveyor is what measures latencies, on the loop.
@@ -47,9 +47,9 @@
 	rules   paths.Rules
 	model   *paths.Model
 	room    map[string]float64
-	said    map[string]*tree.Said[pathsUp]
+	said    map[string]*topology.Said[pathsUp]
 	stamps  map[tie]Micros
-	maps    map[tree.Role]*paths.Map
+	maps    map[topology.Role]*paths.Map
 	planner *paths.Planner
 	root    uint64
 	rounds  int
@@ -63,7 +63,7 @@
 	return func(ctx context.Context) body {
 		p := x.section.Load().Paths
 		r := paths.Rules{Half: Micros(p.HalfS * 1e6), Stale: Micros(p.StaleS * 1e6), Explore: p.Explore / 100, Pace: p.Pace / 100, Weight: p.Weight}
-		return &pathTask{teller: teller{x, ctx}, rules: r, model: paths.NewModel(r), said: map[string]*tree.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[tree.Role]*paths.Map{}}
+		return &pathTask{teller: teller{x, ctx}, rules: r, model: paths.NewModel(r), said: map[string]*topology.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*paths.Map{}}
 	}
 }
 
@@ -86,7 +86,7 @@
 	t.up(Paths, s.View.Own(), pathsUp{now, t.model.Tell(now), t.room})
 	keeps := s.View.Keeps()
 	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k tree.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(keeps, func(k topology.Keeper) bool { return k.Site == site }) {
 			delete(t.said, site)
 		}
 	}
@@ -109,7 +109,7 @@
 		}
 		merged := paths.Merge(t.rules, fronts, sites)
 		var list []paths.Order
-		if k.Site == tree.Root {
+		if k.Site == topology.Root {
 			if t.planner == nil || t.root != k.Number {
 				t.planner, t.root = paths.NewPlanner(t.rules), k.Number
 			}
@@ -122,8 +122,8 @@
 				}, now)
 			}
 		} else {
-			t.up(Paths, tree.Of(k), pathsUp{now, merged, room})
-			if m := t.maps[tree.Of(k)]; m != nil {
+			t.up(Paths, topology.Of(k), pathsUp{now, merged, room})
+			if m := t.maps[topology.Of(k)]; m != nil {
 				list = m.All(now)
 			}
 		}
@@ -159,7 +159,7 @@
 				return
 			}
 			if t.said[m.Site] == nil {
-				t.said[m.Site] = &tree.Said[pathsUp]{}
+				t.said[m.Site] = &topology.Said[pathsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
 			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
--- a/internal/exchange/purgelook.go
+++ b/internal/exchange/purgelook.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"cherryramp/internal/decide/purges"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Purged is what a front tells of one purge.
@@ -43,7 +43,7 @@
 				p.Late, p.Lag = append(p.Late, sum.Late...), p.Lag+sum.Lag
 				p.Told += fmt.Sprintf("of site %q %d of %d fronts have not acknowledged; ", site, sum.Lag, sum.Count)
 			}
-			if k := s.View.Keeper(tree.Root); k != nil {
+			if k := s.View.Keeper(topology.Root); k != nil {
 				p.Told += "ask " + k.Name + ", which keeps the root"
 			}
 		}
@@ -54,7 +54,7 @@
 }
 
 func (t *purgeTask) keepsRoot(s *Standing) bool {
-	k := s.View.Keeper(tree.Root)
+	k := s.View.Keeper(topology.Root)
 	return k != nil && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start)
 }
 
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cherryramp/internal/decide/purges"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/journal"
 )
 
@@ -251,7 +251,7 @@
 }
 
 // keeperFor is who numbers a purge asked here: the keeper that this front is attached to.
-func (t *purgeTask) keeperFor(s *Standing) (k tree.Keeper, own, ok bool) {
+func (t *purgeTask) keeperFor(s *Standing) (k topology.Keeper, own, ok bool) {
 	k, ok = t.x.links.Load().up[s.View.Own()]
 	return k, ok && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start), ok
 }
@@ -274,7 +274,7 @@
 	}
 }
 
-func (t *purgeTask) ask(k tree.Keeper, a asking, now Micros) {
+func (t *purgeTask) ask(k topology.Keeper, a asking, now Micros) {
 	t.book.Ask(purges.Origin{Site: k.Site, Keeper: k.Number}, a.Scope, a.Asked, a.Why, now)
 	t.obey()
 }
@@ -292,7 +292,7 @@
 	own := s.View.Keeps()
 	marks := t.book.Marks()
 	for site := range t.gathers {
-		if !slices.ContainsFunc(own, func(k tree.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(own, func(k topology.Keeper) bool { return k.Site == site }) {
 			delete(t.gathers, site)
 		}
 	}
@@ -300,7 +300,7 @@
 		g := t.gather(k)
 		g.Drop(s.View)
 		sum := g.Sum(s.View, s.Changed, marks, stale, now)
-		if k.Site == tree.Root {
+		if k.Site == topology.Root {
 			t.sum = sum
 			if t.closing == nil || t.root != k.Number {
 				t.closing, t.root = &purges.Closing{}, k.Number
@@ -311,7 +311,7 @@
 				t.completed(before)
 			}
 		} else {
-			t.up(tree.Of(k), links.up[tree.Of(k)], sum, now)
+			t.up(topology.Of(k), links.up[topology.Of(k)], sum, now)
 		}
 		whole := t.book.Whole()
 		for _, r := range links.below(k, now, t.x.spans().Over) {
@@ -357,7 +357,7 @@
 	return m
 }
 
-func (t *purgeTask) gather(k tree.Keeper) *purges.Gather {
+func (t *purgeTask) gather(k topology.Keeper) *purges.Gather {
 	g := t.gathers[k.Site]
 	if g == nil {
 		g = purges.NewGather(k.Site)
@@ -367,7 +367,7 @@
 	return g
 }
 
-func (t *purgeTask) up(r tree.Role, k tree.Keeper, sum purges.Summary, now Micros) {
+func (t *purgeTask) up(r topology.Role, k topology.Keeper, sum purges.Summary, now Micros) {
 	u := purgeUp{Marks: t.book.Marks(), Summary: sum, Synced: t.x.open.Load()}
 	u.News, u.Gone = t.book.Lacks(t.above[k.Number], now)
 	if len(u.News) > 0 {
--- a/internal/exchange/tell.go
+++ b/internal/exchange/tell.go
@@ -2,7 +2,7 @@
 
 import (
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 )
 
 // Took notes for the laboratory that a limit let a request through, or did not, and by
@@ -57,15 +57,15 @@
 		t.Sites = append(t.Sites, SiteTold{"/" + k.Site, k.Name, k.Number})
 	}
 	links, now := x.links.Load(), x.cfg.Now()
-	for _, r := range append(roles(s.View), tree.Role{}) {
+	for _, r := range append(roles(s.View), topology.Role{}) {
 		told := RoleTold{Role: roleName(r)}
-		if r == (tree.Role{}) {
-			k := s.View.Keeper(tree.Root)
+		if r == (topology.Role{}) {
+			k := s.View.Keeper(topology.Root)
 			if k == nil || !k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start) {
 				continue
 			}
 			told.Role = "root"
-			r = tree.Of(*k)
+			r = topology.Of(*k)
 		} else if k, ok := links.up[r]; ok {
 			told.To, told.Site = k.Name, "/"+k.Site
 			for _, a := range s.View.Above(r) {
@@ -76,7 +76,7 @@
 			}
 		}
 		if r.Front == "" {
-			for _, c := range links.below(tree.Keeper{Number: r.Keeper}, now, x.spans().Over) {
+			for _, c := range links.below(topology.Keeper{Number: r.Keeper}, now, x.spans().Over) {
 				told.Below = append(told.Below, roleName(c))
 			}
 		}
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -4,7 +4,7 @@
 	"context"
 	"slices"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/decide/verdicts"
 )
 
@@ -45,9 +45,9 @@
 	teller
 	rules  verdicts.Rules
 	own    opinions
-	said   map[string]*tree.Said[verdictsUp] // by site
+	said   map[string]*topology.Said[verdictsUp] // by site
 	stamps map[tie]Micros
-	docket map[tree.Role]*verdicts.Docket
+	docket map[topology.Role]*verdicts.Docket
 	bench  *verdicts.Bench
 	root   uint64
 	rounds int
@@ -58,8 +58,8 @@
 
 func (x *Exchange) newVerdicts() func(context.Context) body {
 	return func(ctx context.Context) body {
-		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*tree.Said[verdictsUp]{}, stamps: map[tie]Micros{},
-			docket: map[tree.Role]*verdicts.Docket{}}
+		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*topology.Said[verdictsUp]{}, stamps: map[tie]Micros{},
+			docket: map[topology.Role]*verdicts.Docket{}}
 	}
 }
 
@@ -82,7 +82,7 @@
 	t.up(Verdicts, own, verdictsUp{now, t.own.list, t.own.boxes})
 	keeps := s.View.Keeps()
 	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k tree.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(keeps, func(k topology.Keeper) bool { return k.Site == site }) {
 			delete(t.said, site)
 		}
 	}
@@ -101,7 +101,7 @@
 		}
 		merged := verdicts.Merge(lists...)
 		var list []verdicts.Verdict
-		if k.Site == tree.Root {
+		if k.Site == topology.Root {
 			if t.bench == nil || t.root != k.Number {
 				t.bench, t.root = verdicts.NewBench(t.rules, k.Number), k.Number
 				t.bench.Without(verdicts.Rule(without))
@@ -111,8 +111,8 @@
 				list = nil
 			}
 		} else {
-			t.up(Verdicts, tree.Of(k), verdictsUp{now, merged, boxes})
-			if d := t.docket[tree.Of(k)]; d != nil {
+			t.up(Verdicts, topology.Of(k), verdictsUp{now, merged, boxes})
+			if d := t.docket[topology.Of(k)]; d != nil {
 				list = d.Hold(now)
 			}
 		}
@@ -154,7 +154,7 @@
 				}
 			}
 			if t.said[m.Site] == nil {
-				t.said[m.Site] = &tree.Said[verdictsUp]{}
+				t.said[m.Site] = &topology.Said[verdictsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
 			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/link/frame"
 )
 
@@ -41,7 +41,7 @@
 type Envelope struct {
 	Subject Subject         `cbor:"1,keyasint"`
 	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the keeper
-	Role    tree.Role       `cbor:"3,keyasint"`           // who says, or who is told
+	Role    topology.Role   `cbor:"3,keyasint"`           // who says, or who is told
 	Site    string          `cbor:"4,keyasint,omitempty"` // of the keeper
 	Keeper  uint64          `cbor:"5,keyasint"`           // its number
 	Seq     uint64          `cbor:"6,keyasint,omitempty"` // of its sender's messages, growing
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -10,7 +10,7 @@
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/purges"
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/exchange"
 )
@@ -28,7 +28,7 @@
 type changed struct {
 	sum   uint64
 	index uint64
-	view  *tree.View
+	view  *topology.View
 	tree  uint64 // entry
 }
 
@@ -45,7 +45,7 @@
 	}
 	var err error
 	f.ex, err = exchange.Start(exchange.Config{Name: f.cfg.Name, Folder: filepath.Clean(f.cfg.Folder), Keys: f.keys, Section: f.cfg.Shared, Now: host.Mono,
-		Loop: f.loop, Limiter: host, Obeyer: host, Witness: host, Surveyor: host, Address: func(v *tree.View, name string) string {
+		Loop: f.loop, Limiter: host, Obeyer: host, Witness: host, Surveyor: host, Address: func(v *topology.View, name string) string {
 			if a := reach[name]; a != "" {
 				return a
 			}
@@ -70,8 +70,8 @@
 	c := &f.changed
 	if at := f.node.Applied(); c.view == nil || at != c.tree {
 		c.tree = at
-		v := &tree.View{Index: at, Fleet: s.Fleet, Keepers: append([]tree.Keeper(nil), s.Tree.Keepers...),
-			Self: tree.Front{Name: f.cfg.Name, Site: f.cfg.Zone, ID: f.node.ID(), Start: f.cfg.Start}}
+		v := &topology.View{Index: at, Fleet: s.Fleet, Keepers: append([]topology.Keeper(nil), s.Tree.Keepers...),
+			Self: topology.Front{Name: f.cfg.Name, Site: f.cfg.Zone, ID: f.node.ID(), Start: f.cfg.Start}}
 		v.Fronts = r.Exchange(r.Fleet())
 		sum := fnv.New64a()
 		for i, x := range v.Fronts {
