--- a/cmd/cherryramp-fleet/exchange.go
+++ b/cmd/cherryramp-fleet/exchange.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/exchange"
 	"cherryramp/internal/fleet"
 )
@@ -71,7 +71,7 @@
 	root := &cobra.Command{Use: "purge", Args: cobra.NoArgs, RunE: help, Short: "Purges that go through the whole fleet, tracked until acknowledged"}
 	root.AddCommand(c.purgeAskCommand(),
 		&cobra.Command{Use: "list", Short: "Purges held, the newest first", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			var list []purges.Line
+			var list []invalidation.Line
 			return c.show("PURGE LIST", &list, func(w io.Writer) {
 				if len(list) == 0 {
 					_, _ = fmt.Fprintln(w, "no purge")
@@ -107,7 +107,7 @@
 			if a.Kind = args[0]; len(args) > 1 {
 				a.Name = args[1]
 			}
-			if _, err := purges.ParseScope(a.Kind, a.Name); err != nil {
+			if _, err := invalidation.ParseScope(a.Kind, a.Name); err != nil {
 				return badCall{err}
 			}
 			if a.Asked == "" {
--- a/internal/decide/purges/purges.go
+++ b/internal/decide/invalidation/invalidation.go
@@ -1,4 +1,4 @@
-// Package purges decides how purges go through a fleet: each has a number from the site
+// Package invalidation decides how purges go through a fleet: each has a number from the site
 // where it was asked, is told along the tree in both ways until everybody has it, and is
 // complete once every front of the fleet keeps and obeys it or surely serves no more.
 //
@@ -9,7 +9,7 @@
 // with the fleet while all is well.
 //
 // Moments are those of this process's own clock and never travel; ages do.
-package purges
+package invalidation
 
 import (
 	"cmp"
--- a/internal/decide/purges/purges_test.go
+++ b/internal/decide/invalidation/invalidation_test.go
@@ -1,4 +1,4 @@
-package purges
+package invalidation
 
 import (
 	"fmt"
@@ -276,7 +276,7 @@
 	})
 }
 
-// The cost of a look at 10,000 purges: go test -bench Since ./internal/decide/purges
+// The cost of a look at 10,000 purges: go test -bench Since ./internal/decide/invalidation
 func BenchmarkSince(b *testing.B) {
 	x, p := NewIndex(20_000), plain{}
 	for i := range 10_000 {
--- a/internal/decide/purges/summary.go
+++ b/internal/decide/invalidation/summary.go
@@ -1,4 +1,4 @@
-package purges
+package invalidation
 
 import (
 	"cmp"
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -21,7 +21,7 @@
 	"github.com/thejerf/suture/v4"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/link/peers"
@@ -46,7 +46,7 @@
 type Obeyer interface {
 	// Obey has no copy served any more that is older than the purge, which was asked for
 	// so long ago.
-	Obey(s purges.Scope, age Micros)
+	Obey(s invalidation.Scope, age Micros)
 }
 
 // Config is one front's place in the exchange.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/decide/verdicts"
@@ -38,7 +38,7 @@
 func (h *host) Judged([]verdicts.Held)                 {}
 func (h *host) Sights(func(string, string, int64))     {}
 func (h *host) Room() map[string]float64               { return nil }
-func (h *host) Obey(s purges.Scope, _ Micros) {
+func (h *host) Obey(s invalidation.Scope, _ Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.obeys = append(h.obeys, s.String())
@@ -159,7 +159,7 @@
 		require.True(t, x.Open())
 		ids := make(chan string, 2)
 		for range 2 {
-			x.AskPurge(purges.Scope{Kind: purges.Prefix, Name: "o1"}, "once", "", func(p purges.Purge, err error) { ids <- p.ID() })
+			x.AskPurge(invalidation.Scope{Kind: invalidation.Prefix, Name: "o1"}, "once", "", func(p invalidation.Purge, err error) { ids <- p.ID() })
 		}
 		require.Equal(t, <-ids, <-ids)
 		time.Sleep(3 * time.Second)
--- a/internal/exchange/purgedisk.go
+++ b/internal/exchange/purgedisk.go
@@ -4,15 +4,15 @@
 	"errors"
 	"fmt"
 
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/journal"
 )
 
 // disk is the purges' file, and what it held at the start.
 type disk struct {
 	j       *journal.Journal
-	purges  []purges.Purge
-	gone    purges.Marks
+	purges  []invalidation.Purge
+	gone    invalidation.Marks
 	rewrote int64
 }
 
@@ -35,7 +35,7 @@
 		}
 		switch rec[0] {
 		case recPurge:
-			var p purges.Purge
+			var p invalidation.Purge
 			if err := decoder.Unmarshal(rec[1:], &p); err != nil {
 				return err
 			}
--- a/internal/exchange/purgelook.go
+++ b/internal/exchange/purgelook.go
@@ -4,19 +4,19 @@
 	"errors"
 	"fmt"
 
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/topology"
 )
 
 // Purged is what a front tells of one purge.
 type Purged struct {
-	ID       string        `json:"id"`
-	Asked    string        `json:"asked"`
-	Scope    string        `json:"scope"`
-	Complete bool          `json:"complete"`
-	Late     []purges.Late `json:"late,omitempty"`
-	Lag      int           `json:"lag,omitempty"`
-	Told     string        `json:"told"`
+	ID       string              `json:"id"`
+	Asked    string              `json:"asked"`
+	Scope    string              `json:"scope"`
+	Complete bool                `json:"complete"`
+	Late     []invalidation.Late `json:"late,omitempty"`
+	Lag      int                 `json:"lag,omitempty"`
+	Told     string              `json:"told"`
 }
 
 // look answers what a person asks.
@@ -60,12 +60,12 @@
 
 // AskPurge asks for a purge; asked again under the same name it is the same one. The
 // answer comes on the loop, once it has its number.
-func (x *Exchange) AskPurge(s purges.Scope, asked, why string, answer func(purges.Purge, error)) {
-	ok := x.cfg.Section.Purges != nil && x.purges.offer(purgeAsk{asking{asked, s, why}, func(p purges.Purge, err error) {
+func (x *Exchange) AskPurge(s invalidation.Scope, asked, why string, answer func(invalidation.Purge, error)) {
+	ok := x.cfg.Section.Purges != nil && x.purges.offer(purgeAsk{asking{asked, s, why}, func(p invalidation.Purge, err error) {
 		x.cfg.Loop.Post(func() { answer(p, err) })
 	}})
 	if !ok {
-		answer(purges.Purge{}, errors.New("no purges are taken now"))
+		answer(invalidation.Purge{}, errors.New("no purges are taken now"))
 	}
 }
 
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -8,45 +8,45 @@
 	"sync/atomic"
 	"time"
 
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/journal"
 )
 
 // asking is a purge on its way to who numbers it.
 type asking struct {
-	Asked string       `cbor:"1,keyasint"`
-	Scope purges.Scope `cbor:"2,keyasint"`
-	Why   string       `cbor:"3,keyasint,omitempty"`
+	Asked string             `cbor:"1,keyasint"`
+	Scope invalidation.Scope `cbor:"2,keyasint"`
+	Why   string             `cbor:"3,keyasint,omitempty"`
 }
 
 // purgeUp is what a role tells the keeper above it.
 type purgeUp struct {
-	Marks   purges.Marks   `cbor:"1,keyasint,omitempty"` // what is there
-	News    []purges.Purge `cbor:"2,keyasint,omitempty"` // that the keeper lacks
-	Gone    purges.Marks   `cbor:"3,keyasint,omitempty"`
-	Summary purges.Summary `cbor:"4,keyasint"`
-	Asks    []asking       `cbor:"5,keyasint,omitempty"`
-	Synced  bool           `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
+	Marks   invalidation.Marks   `cbor:"1,keyasint,omitempty"` // what is there
+	News    []invalidation.Purge `cbor:"2,keyasint,omitempty"` // that the keeper lacks
+	Gone    invalidation.Marks   `cbor:"3,keyasint,omitempty"`
+	Summary invalidation.Summary `cbor:"4,keyasint"`
+	Asks    []asking             `cbor:"5,keyasint,omitempty"`
+	Synced  bool                 `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
 }
 
 // purgeDown is what a keeper tells a role below it.
 type purgeDown struct {
-	Marks  purges.Marks   `cbor:"1,keyasint,omitempty"`
-	News   []purges.Purge `cbor:"2,keyasint,omitempty"`
-	Gone   purges.Marks   `cbor:"3,keyasint,omitempty"`
-	Whole  purges.Marks   `cbor:"4,keyasint,omitempty"` // up to where complete
-	Synced bool           `cbor:"5,keyasint,omitempty"`
+	Marks  invalidation.Marks   `cbor:"1,keyasint,omitempty"`
+	News   []invalidation.Purge `cbor:"2,keyasint,omitempty"`
+	Gone   invalidation.Marks   `cbor:"3,keyasint,omitempty"`
+	Whole  invalidation.Marks   `cbor:"4,keyasint,omitempty"` // up to where complete
+	Synced bool                 `cbor:"5,keyasint,omitempty"`
 }
 
 // Messages to the task, beside envelopes.
 type (
 	poke     struct{}
 	posted   struct{ do func() } // the disk's word
-	obeyed   struct{ list []purges.Purge }
+	obeyed   struct{ list []invalidation.Purge }
 	purgeAsk struct {
 		a      asking
-		answer func(purges.Purge, error)
+		answer func(invalidation.Purge, error)
 	}
 	purgeLook struct {
 		what   string
@@ -67,14 +67,14 @@
 // purgeTask is the task of purges.
 type purgeTask struct {
 	teller
-	flight  *atomic.Pointer[[]purges.Purge] // on their way to the disk; that outlives this life of the task
+	flight  *atomic.Pointer[[]invalidation.Purge] // on their way to the disk; that outlives this life of the task
 	disk    *disk
-	book    *purges.Book
-	gathers map[string]*purges.Gather
-	has     map[tie]purges.Marks // what roles below, and keepers above, have
-	above   map[uint64]purges.Marks
+	book    *invalidation.Book
+	gathers map[string]*invalidation.Gather
+	has     map[tie]invalidation.Marks // what roles below, and keepers above, have
+	above   map[uint64]invalidation.Marks
 	synced  map[tie]bool
-	closing *purges.Closing
+	closing *invalidation.Closing
 	root    uint64 // the number under which this process closes
 	asks    []pendingAsk
 	waits   map[string]int // purges that are not yet both kept and obeyed: 2 and down
@@ -86,7 +86,7 @@
 	dirty   bool
 	toldAt  Micros
 	poked   bool
-	sum     purges.Summary // of the root, where this process keeps it
+	sum     invalidation.Summary // of the root, where this process keeps it
 }
 
 type pendingAsk struct {
@@ -97,17 +97,17 @@
 // newPurges makes the task's body; the book outlives a task that was left behind, as a
 // snapshot that is taken when it is begun anew.
 func (x *Exchange) newPurges(d *disk) func(context.Context) body {
-	first, flight := true, &atomic.Pointer[[]purges.Purge]{}
-	flight.Store(&[]purges.Purge{})
+	first, flight := true, &atomic.Pointer[[]invalidation.Purge]{}
+	flight.Store(&[]invalidation.Purge{})
 	return func(ctx context.Context) body {
 		s := x.section.Load().Purges
-		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: purges.NewBook(purges.Config{Most: s.Most, Keep: Micros(s.KeepS * 1e6)}), gathers: map[string]*purges.Gather{},
-			has: map[tie]purges.Marks{}, above: map[uint64]purges.Marks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
+		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewBook(invalidation.Config{Most: s.Most, Keep: Micros(s.KeepS * 1e6)}), gathers: map[string]*invalidation.Gather{},
+			has: map[tie]invalidation.Marks{}, above: map[uint64]invalidation.Marks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
 		if !first { // what the disk has says all that counted as kept
 			d.purges, d.gone = nil, nil
 			if err := journal.Scan(filepath.Join(x.cfg.Folder, "purges"), func(rec []byte) error {
 				if len(rec) > 1 && rec[0] == recPurge {
-					var p purges.Purge
+					var p invalidation.Purge
 					if err := decoder.Unmarshal(rec[1:], &p); err == nil {
 						d.purges = append(d.purges, p)
 					}
@@ -129,7 +129,7 @@
 			x.history.write("recovered", map[string]any{"purges": len(d.purges)})
 		}
 		first = false
-		for list := *flight.Load(); len(list) > 0; list = list[min(len(list), purges.MostBatch):] {
+		for list := *flight.Load(); len(list) > 0; list = list[min(len(list), invalidation.MostBatch):] {
 			t.book.Told(list, t.began)
 		}
 		t.obey()
@@ -147,7 +147,7 @@
 	now, x := t.x.cfg.Now(), t.x
 	if t.ctx.Err() == nil {
 		next := append(slices.Clone(*t.flight.Load()), list...)
-		next = slices.DeleteFunc(next, func(p purges.Purge) bool { return p.N <= t.book.Done().Of(p.Origin) })
+		next = slices.DeleteFunc(next, func(p invalidation.Purge) bool { return p.N <= t.book.Done().Of(p.Origin) })
 		t.flight.Store(&next)
 	}
 	for _, p := range list {
@@ -175,7 +175,7 @@
 }
 
 // half notes one of the two that a purge needs to be acknowledged: kept, and obeyed.
-func (t *purgeTask) half(p purges.Purge) {
+func (t *purgeTask) half(p invalidation.Purge) {
 	id := p.ID()
 	if n, ok := t.waits[id]; !ok {
 		return
@@ -209,7 +209,7 @@
 			return true
 		}
 		if now > a.until {
-			a.answer(purges.Purge{}, errors.New("no number yet: no keeper answers; ask again under the same name"))
+			a.answer(invalidation.Purge{}, errors.New("no number yet: no keeper answers; ask again under the same name"))
 		}
 		return now > a.until
 	})
@@ -222,7 +222,7 @@
 func (t *purgeTask) floor(at, now Micros) {
 	x := t.x
 	age := max(0, now-at)
-	x.cfg.Loop.Post(func() { x.cfg.Obeyer.Obey(purges.Scope{Kind: purges.All}, age) })
+	x.cfg.Loop.Post(func() { x.cfg.Obeyer.Obey(invalidation.Scope{Kind: invalidation.All}, age) })
 }
 
 // returns opens the front once it has what it missed: as much as a keeper has that is
@@ -275,13 +275,13 @@
 }
 
 func (t *purgeTask) ask(k topology.Keeper, a asking, now Micros) {
-	t.book.Ask(purges.Origin{Site: k.Site, Keeper: k.Number}, a.Scope, a.Asked, a.Why, now)
+	t.book.Ask(invalidation.Origin{Site: k.Site, Keeper: k.Number}, a.Scope, a.Asked, a.Why, now)
 	t.obey()
 }
 
 // own is this front's own acknowledgement.
-func (t *purgeTask) own(s *Standing) purges.Summary {
-	return purges.Summary{Index: s.View.Index, Done: t.book.Done(), Count: 1}
+func (t *purgeTask) own(s *Standing) invalidation.Summary {
+	return invalidation.Summary{Index: s.View.Index, Done: t.book.Done(), Count: 1}
 }
 
 // tell tells neighbours what they lack, and what is acknowledged.
@@ -303,7 +303,7 @@
 		if k.Site == topology.Root {
 			t.sum = sum
 			if t.closing == nil || t.root != k.Number {
-				t.closing, t.root = &purges.Closing{}, k.Number
+				t.closing, t.root = &invalidation.Closing{}, k.Number
 			}
 			if s.May(now) {
 				before := t.book.Whole()
@@ -342,32 +342,32 @@
 }
 
 // with is marks after news that follow them without a gap.
-func with(m purges.Marks, news []purges.Purge) purges.Marks {
+func with(m invalidation.Marks, news []invalidation.Purge) invalidation.Marks {
 	m = slices.Clone(m)
 	for _, p := range news {
-		i := slices.IndexFunc(m, func(x purges.Mark) bool { return x.Origin == p.Origin })
+		i := slices.IndexFunc(m, func(x invalidation.Mark) bool { return x.Origin == p.Origin })
 		switch {
 		case i >= 0 && m[i].N+1 == p.N:
 			m[i].N++
 		case i < 0 && p.N == 1:
-			m = append(m, purges.Mark{Origin: p.Origin, N: 1})
-			purges.Sort(m)
+			m = append(m, invalidation.Mark{Origin: p.Origin, N: 1})
+			invalidation.Sort(m)
 		}
 	}
 	return m
 }
 
-func (t *purgeTask) gather(k topology.Keeper) *purges.Gather {
+func (t *purgeTask) gather(k topology.Keeper) *invalidation.Gather {
 	g := t.gathers[k.Site]
 	if g == nil {
-		g = purges.NewGather(k.Site)
-		g.Without(purges.Rule(without))
+		g = invalidation.NewGather(k.Site)
+		g.Without(invalidation.Rule(without))
 		t.gathers[k.Site] = g
 	}
 	return g
 }
 
-func (t *purgeTask) up(r topology.Role, k topology.Keeper, sum purges.Summary, now Micros) {
+func (t *purgeTask) up(r topology.Role, k topology.Keeper, sum invalidation.Summary, now Micros) {
 	u := purgeUp{Marks: t.book.Marks(), Summary: sum, Synced: t.x.open.Load()}
 	u.News, u.Gone = t.book.Lacks(t.above[k.Number], now)
 	if len(u.News) > 0 {
@@ -382,13 +382,13 @@
 }
 
 // completed writes which purges have become complete.
-func (t *purgeTask) completed(before purges.Marks) {
+func (t *purgeTask) completed(before invalidation.Marks) {
 	if !t.x.history.on() {
 		return
 	}
 	for _, m := range t.book.Whole() {
 		for n := before.Of(m.Origin) + 1; n <= m.N; n++ {
-			p := purges.Purge{Origin: m.Origin, N: n}
+			p := invalidation.Purge{Origin: m.Origin, N: n}
 			t.x.history.write("complete", map[string]any{"purge": p.ID()})
 		}
 	}
@@ -412,7 +412,7 @@
 			return
 		}
 		if len(t.asks) >= mostAsks*16 {
-			m.answer(purges.Purge{}, errors.New("too many purges wait for their number"))
+			m.answer(invalidation.Purge{}, errors.New("too many purges wait for their number"))
 			return
 		}
 		t.x.history.write("ask", map[string]any{"asked": m.a.Asked, "scope": m.a.Scope.String()})
@@ -454,8 +454,8 @@
 		t.has[x], t.synced[x] = u.Marks, u.Synced
 		t.gather(*k).Heard(e.Role, e.Seq, u.Summary, now)
 		for _, a := range u.Asks[:min(len(u.Asks), mostAsks)] {
-			if sc, err := purges.ParseScope(a.Scope.Kind.String(), a.Scope.Name); err == nil {
-				t.book.Ask(purges.Origin{Site: k.Site, Keeper: k.Number}, sc, a.Asked, a.Why, now)
+			if sc, err := invalidation.ParseScope(a.Scope.Kind.String(), a.Scope.Name); err == nil {
+				t.book.Ask(invalidation.Origin{Site: k.Site, Keeper: k.Number}, sc, a.Asked, a.Why, now)
 			}
 		}
 		t.obey()
@@ -486,7 +486,7 @@
 
 // syncedBy opens the front once all is here that one has who serves already. Every
 // purge that is complete is among that.
-func (t *purgeTask) syncedBy(s *Standing, marks purges.Marks, serves bool, now Micros) {
+func (t *purgeTask) syncedBy(s *Standing, marks invalidation.Marks, serves bool, now Micros) {
 	if t.x.open.Load() || t.opened || !serves || !s.View.In {
 		return
 	}
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/decide/verdicts"
@@ -182,7 +182,7 @@
 				fail(err)
 				return
 			}
-			scope, err := purges.ParseScope(a.Kind, a.Name)
+			scope, err := invalidation.ParseScope(a.Kind, a.Name)
 			if err == nil && (a.Asked == "" || len(a.Asked) > 128) {
 				err = errNoName
 			}
@@ -190,7 +190,7 @@
 				fail(err)
 				return
 			}
-			f.ex.AskPurge(scope, a.Asked, a.Why, func(p purges.Purge, err error) { answer(map[string]string{"id": p.ID(), "asked": p.Asked}, err) })
+			f.ex.AskPurge(scope, a.Asked, a.Why, func(p invalidation.Purge, err error) { answer(map[string]string{"id": p.ID(), "asked": p.Asked}, err) })
 		case "LIST":
 			f.ex.LookPurges("", answer)
 		case "WHY":
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/purges"
+	"cherryramp/internal/decide/invalidation"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/verdicts"
@@ -35,7 +35,7 @@
 type shared struct {
 	p      *program
 	purse  *quotalease.Purse
-	index  *purges.Index
+	index  *invalidation.Index
 	part   ExchangePart
 	limits bool
 
@@ -68,7 +68,7 @@
 	if x.Purges != nil {
 		most = x.Purges.Most
 	}
-	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]verdicts.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: purges.NewIndex(most), limits: len(list) > 0}
+	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]verdicts.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
 	s.sees(x)
 	return s
 }
@@ -146,8 +146,8 @@
 func (h fleetHost) Fronts(n int) { h.p.shared.purse.Fronts(n) }
 
 // Obey is part of exchange.Obeyer.
-func (h fleetHost) Obey(s purges.Scope, age int64) { h.p.shared.obey(s, age) }
+func (h fleetHost) Obey(s invalidation.Scope, age int64) { h.p.shared.obey(s, age) }
 
-func (s *shared) obey(scope purges.Scope, age int64) {
+func (s *shared) obey(scope invalidation.Scope, age int64) {
 	s.index.Add(scope, s.p.loop.Now()-age)
 }
