--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -8,8 +8,8 @@
 	"reflect"
 	"strings"
 
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/decide/quotalease"
-	"cherryramp/internal/decide/verdicts"
 )
 
 // Exchange has the fronts of a fleet tell each other what need not be agreed: limits,
@@ -250,7 +250,7 @@
 }
 
 // Rules gives what verdicts go by.
-func (v *Verdicts) Rules() verdicts.Rules {
-	return verdicts.Rules{Witnesses: v.Witnesses, Span: int64(v.SpanS * 1e6), Half: int64(v.HalfS * 1e6), Failing: v.Failing, Slow: v.Slow, Least: v.Least,
+func (v *Verdicts) Rules() outlier.Rules {
+	return outlier.Rules{Witnesses: v.Witnesses, Span: int64(v.SpanS * 1e6), Half: int64(v.HalfS * 1e6), Failing: v.Failing, Slow: v.Slow, Least: v.Least,
 		Most: v.Most / 100, Refused: v.Refused, Forged: v.Forged, Away: int64(v.Away * 1e6), Spread: v.Spread}
 }
--- a/internal/decide/verdicts/bench.go
+++ b/internal/decide/outlier/bench.go
@@ -1,4 +1,4 @@
-package verdicts
+package outlier
 
 import (
 	"cmp"
--- a/internal/decide/verdicts/verdicts.go
+++ b/internal/decide/outlier/outlier.go
@@ -1,4 +1,4 @@
-// Package verdicts decides what holds for the whole fleet of boxes, hubs and clients'
+// Package outlier decides what holds for the whole fleet of boxes, hubs and clients'
 // prefixes: fronts have opinions, of what they saw themselves, with evidence that fades;
 // a verdict needs witnesses, in more than one site where more than one can tell, holds
 // for a span, and is taken back when witnesses change their minds (SWIM's suspicion with
@@ -6,7 +6,7 @@
 // hub's boxes away.
 //
 // Observer is a front's side, Merge a keeper's, Bench the root's.
-package verdicts
+package outlier
 
 import (
 	"cmp"
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -14,9 +14,9 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/invalidation"
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/topology"
-	"cherryramp/internal/decide/verdicts"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -35,7 +35,7 @@
 func (h *host) Give(g quotalease.Grant, newest uint64) { h.purse.Give(g, newest, h.now()) }
 func (h *host) Tell() []quotalease.Say                 { return h.purse.Tell(h.now()) }
 func (h *host) Fronts(n int)                           { h.purse.Fronts(n) }
-func (h *host) Judged([]verdicts.Held)                 {}
+func (h *host) Judged([]outlier.Held)                  {}
 func (h *host) Sights(func(string, string, int64))     {}
 func (h *host) Room() map[string]float64               { return nil }
 func (h *host) Obey(s invalidation.Scope, _ Micros) {
@@ -43,7 +43,7 @@
 	defer h.mu.Unlock()
 	h.obeys = append(h.obeys, s.String())
 }
-func (h *host) Opinions(string, string) ([]verdicts.Opinion, map[string]int) { return nil, nil }
+func (h *host) Opinions(string, string) ([]outlier.Opinion, map[string]int) { return nil, nil }
 
 // alone plays one front that keeps every site itself, in virtual time.
 func alone(t *testing.T, fault func(task string, m any), play func(x *Exchange, h *host)) {
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -4,35 +4,35 @@
 	"context"
 	"slices"
 
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/decide/topology"
-	"cherryramp/internal/decide/verdicts"
 )
 
 // Witness is what sees boxes, clients and its own hub, on the loop.
 type Witness interface {
 	// Opinions are this front's own, and how many boxes each hub has.
-	Opinions(front, site string) (list []verdicts.Opinion, boxes map[string]int)
+	Opinions(front, site string) (list []outlier.Opinion, boxes map[string]int)
 	// Judged takes the verdicts that hold now.
-	Judged(list []verdicts.Held)
+	Judged(list []outlier.Held)
 }
 
 // verdictsUp is what a role says, and verdictsDown what it is told.
 type (
 	verdictsUp struct {
-		Stamp Micros             `cbor:"1,keyasint"`
-		List  []verdicts.Opinion `cbor:"2,keyasint,omitempty"`
-		Boxes map[string]int     `cbor:"3,keyasint,omitempty"`
+		Stamp Micros            `cbor:"1,keyasint"`
+		List  []outlier.Opinion `cbor:"2,keyasint,omitempty"`
+		Boxes map[string]int    `cbor:"3,keyasint,omitempty"`
 	}
 	verdictsDown struct {
-		Stamp Micros             `cbor:"1,keyasint"`
-		List  []verdicts.Verdict `cbor:"2,keyasint,omitempty"`
+		Stamp Micros            `cbor:"1,keyasint"`
+		List  []outlier.Verdict `cbor:"2,keyasint,omitempty"`
 	}
 )
 
 // Messages to the task, beside envelopes.
 type (
 	opinions struct {
-		list  []verdicts.Opinion
+		list  []outlier.Opinion
 		boxes map[string]int
 	}
 	verdictsAsk struct{ answer func(any) }
@@ -43,12 +43,12 @@
 // verdictTask is the task of verdicts. It keeps nothing that neighbours don't say again.
 type verdictTask struct {
 	teller
-	rules  verdicts.Rules
+	rules  outlier.Rules
 	own    opinions
 	said   map[string]*topology.Said[verdictsUp] // by site
 	stamps map[tie]Micros
-	docket map[topology.Role]*verdicts.Docket
-	bench  *verdicts.Bench
+	docket map[topology.Role]*outlier.Docket
+	bench  *outlier.Bench
 	root   uint64
 	rounds int
 }
@@ -59,7 +59,7 @@
 func (x *Exchange) newVerdicts() func(context.Context) body {
 	return func(ctx context.Context) body {
 		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*topology.Said[verdictsUp]{}, stamps: map[tie]Micros{},
-			docket: map[topology.Role]*verdicts.Docket{}}
+			docket: map[topology.Role]*outlier.Docket{}}
 	}
 }
 
@@ -87,24 +87,24 @@
 		}
 	}
 	for _, k := range keeps {
-		var lists [][]verdicts.Opinion
+		var lists [][]outlier.Opinion
 		boxes := map[string]int{}
 		if said := t.said[k.Site]; said != nil {
 			for _, u := range said.All(now, t.x.spans().Over) {
 				lists = append(lists, u.List)
 				for hub, n := range u.Boxes {
-					if len(boxes) < verdicts.MostThings {
+					if len(boxes) < outlier.MostThings {
 						boxes[hub] = max(boxes[hub], min(n, 1<<16))
 					}
 				}
 			}
 		}
-		merged := verdicts.Merge(lists...)
-		var list []verdicts.Verdict
+		merged := outlier.Merge(lists...)
+		var list []outlier.Verdict
 		if k.Site == topology.Root {
 			if t.bench == nil || t.root != k.Number {
-				t.bench, t.root = verdicts.NewBench(t.rules, k.Number), k.Number
-				t.bench.Without(verdicts.Rule(without))
+				t.bench, t.root = outlier.NewBench(t.rules, k.Number), k.Number
+				t.bench.Without(outlier.Rule(without))
 			}
 			list = t.bench.Step(merged, boxes, now)
 			if !s.May(now) { // another one may judge by now
@@ -149,7 +149,7 @@
 			if m.Role.Front != "" { // it speaks for itself alone, whatever it says
 				for i := range u.List {
 					u.List[i].Count = 1
-					u.List[i].Named = []verdicts.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(u.List[i])}}
+					u.List[i].Named = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(u.List[i])}}
 					u.List[i].Rate = min(u.List[i].Rate, t.rules.Forged/float64(t.rules.Witnesses)*2)
 				}
 			}
@@ -165,13 +165,13 @@
 			return
 		}
 		if t.docket[m.Role] == nil {
-			t.docket[m.Role] = &verdicts.Docket{}
+			t.docket[m.Role] = &outlier.Docket{}
 		}
 		t.docket[m.Role].Told(d.List, d.Stamp, t.rules.Longest())
 		if m.Role == s.View.Own() {
-			var held []verdicts.Held
+			var held []outlier.Held
 			for _, v := range t.docket[m.Role].Hold(now) {
-				held = append(held, verdicts.Held{Verdict: v, Until: now + v.Left})
+				held = append(held, outlier.Held{Verdict: v, Until: now + v.Left})
 			}
 			x := t.x
 			x.cfg.Loop.Post(func() { x.cfg.Witness.Judged(held) })
@@ -184,7 +184,7 @@
 	}
 }
 
-func evidence(o verdicts.Opinion) float64 {
+func evidence(o outlier.Opinion) float64 {
 	if len(o.Named) == 0 {
 		return 0
 	}
@@ -193,16 +193,16 @@
 
 // VerdictTold is one verdict, or an opinion of this front's own, for a person.
 type VerdictTold struct {
-	Thing     string             `json:"thing"`
-	State     string             `json:"state"`
-	Number    uint64             `json:"number,omitempty"`
-	Witnesses []verdicts.Witness `json:"witnesses"`
-	Count     int                `json:"count"`
-	Sites     int                `json:"sites,omitempty"`
-	Possible  int                `json:"possible,omitempty"`
-	LeftS     float64            `json:"left_s,omitempty"`
-	SpanS     float64            `json:"span_s,omitempty"`
-	Factor    float64            `json:"factor,omitempty"`
+	Thing     string            `json:"thing"`
+	State     string            `json:"state"`
+	Number    uint64            `json:"number,omitempty"`
+	Witnesses []outlier.Witness `json:"witnesses"`
+	Count     int               `json:"count"`
+	Sites     int               `json:"sites,omitempty"`
+	Possible  int               `json:"possible,omitempty"`
+	LeftS     float64           `json:"left_s,omitempty"`
+	SpanS     float64           `json:"span_s,omitempty"`
+	Factor    float64           `json:"factor,omitempty"`
 }
 
 // VerdictsTold is what a front tells of verdicts.
@@ -233,7 +233,7 @@
 // Acted notes for the laboratory that this front acts on a verdict, or does so no more.
 // Boxes is how many its hub has, and ready how many of them are left. It is called on the
 // loop.
-func (x *Exchange) Acted(v verdicts.Held, on bool, boxes, ready int) {
+func (x *Exchange) Acted(v outlier.Held, on bool, boxes, ready int) {
 	if !x.history.on() {
 		return
 	}
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -9,9 +9,9 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/invalidation"
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/topology"
-	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/exchange"
 )
 
@@ -116,7 +116,7 @@
 }
 
 // Acted is part of program.ExchangePart.
-func (f *Fleet) Acted(v verdicts.Held, on bool, boxes, ready int) {
+func (f *Fleet) Acted(v outlier.Held, on bool, boxes, ready int) {
 	if f.ex != nil {
 		f.ex.Acted(v, on, boxes, ready)
 	}
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -7,9 +7,9 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/invalidation"
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/ratelimit"
-	"cherryramp/internal/decide/verdicts"
 	"cherryramp/internal/gateway"
 )
 
@@ -21,7 +21,7 @@
 	NewName()
 	// Acted tells that this front acts on a verdict, or does so no more; boxes is how many
 	// its hub has, ready how many of them are left.
-	Acted(v verdicts.Held, on bool, boxes, ready int)
+	Acted(v outlier.Held, on bool, boxes, ready int)
 }
 
 // began is when this process did, for clocks that only go forward.
@@ -39,10 +39,10 @@
 	part   ExchangePart
 	limits bool
 
-	seen   *verdicts.Observer // nil: off
-	rules  verdicts.Rules
-	holds  map[string]verdicts.Held // failing boxes, by name
-	others []verdicts.Held
+	seen   *outlier.Observer // nil: off
+	rules  outlier.Rules
+	holds  map[string]outlier.Held // failing boxes, by name
+	others []outlier.Held
 	acts   map[string]bool
 	watch  bool // verdicts are told and not acted on
 	draws  *rand.Rand
@@ -68,7 +68,7 @@
 	if x.Purges != nil {
 		most = x.Purges.Most
 	}
-	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]verdicts.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
+	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]outlier.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
 	s.sees(x)
 	return s
 }
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -7,7 +7,7 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/figures"
-	"cherryramp/internal/decide/verdicts"
+	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/gateway"
 	"cherryramp/rules"
 )
@@ -22,7 +22,7 @@
 func (s *shared) sees(x *config.Exchange) {
 	if v := x.Verdicts; v != nil {
 		s.rules, s.watch = v.Rules(), v.Judges
-		s.seen = verdicts.NewObserver(s.rules)
+		s.seen = outlier.NewObserver(s.rules)
 	}
 	if f := s.p.operator.Fleet; f != nil {
 		s.branch = f.Zone
@@ -85,7 +85,7 @@
 	}
 	now := mono()
 	for _, h := range s.others {
-		if h.State == verdicts.Overloaded && h.Thing == s.branch && now < h.Until {
+		if h.State == outlier.Overloaded && h.Thing == s.branch && now < h.Until {
 			return s.rules.StayAway(base, h.Factor, s.draws.Float64(), s.p.cfg.Settings.MaxAway)
 		}
 	}
@@ -103,7 +103,7 @@
 func (s *shared) Suspect(p netip.Prefix) bool {
 	now := mono()
 	for _, h := range s.others {
-		if h.State == verdicts.Forges && now < h.Until && h.Thing == p.String() && !s.watch {
+		if h.State == outlier.Forges && now < h.Until && h.Thing == p.String() && !s.watch {
 			return true
 		}
 	}
@@ -111,11 +111,11 @@
 }
 
 // judged takes the verdicts that hold now.
-func (s *shared) judged(list []verdicts.Held) {
+func (s *shared) judged(list []outlier.Held) {
 	clear(s.holds)
 	s.others = s.others[:0]
 	for _, h := range list {
-		if h.State == verdicts.Failing {
+		if h.State == outlier.Failing {
 			s.holds[h.Thing] = h
 		} else {
 			s.others = append(s.others, h)
@@ -138,7 +138,7 @@
 	hubs := map[string]int{}
 	for name, h := range s.holds {
 		state, fresh := s.seen.Of(name, now)
-		if s.watch || now+lookEvery >= h.Until || fresh && state != verdicts.Failing {
+		if s.watch || now+lookEvery >= h.Until || fresh && state != outlier.Failing {
 			continue
 		}
 		add = append(add, name)
@@ -190,7 +190,7 @@
 }
 
 // Opinions is part of exchange.Witness.
-func (h fleetHost) Opinions(front, site string) (list []verdicts.Opinion, boxes map[string]int) {
+func (h fleetHost) Opinions(front, site string) (list []outlier.Opinion, boxes map[string]int) {
 	s := h.p.shared
 	if s.seen == nil {
 		return nil, nil
@@ -199,7 +199,7 @@
 }
 
 // Judged is part of exchange.Witness.
-func (h fleetHost) Judged(list []verdicts.Held) { h.p.shared.judged(list) }
+func (h fleetHost) Judged(list []outlier.Held) { h.p.shared.judged(list) }
 
 // Sights gives what attempts took since it was last asked.
 func (h fleetHost) Sights(each func(region, edge string, took int64)) {
