--- a/internal/decide/paths/paths.go
+++ b/internal/decide/latency/latency.go
@@ -1,4 +1,4 @@
-// Package paths decides in which order a region's clients should go to the edges that can
+// Package latency decides in which order a region's clients should go to the edges that can
 // serve them, by what fronts measure in requests that they serve anyway.
 //
 // What is measured fades (forward decay, Cormode and others, 2009) and is kept as
@@ -7,7 +7,7 @@
 // Where a pair is not known, what is known of the region above counts in its place
 // (shrinkage by weight). An order is by latency and by room, and its shares move at a
 // bounded pace: latency alone herds everybody to one place (Donar, 2010).
-package paths
+package latency
 
 import (
 	"cmp"
--- a/internal/decide/paths/paths_test.go
+++ b/internal/decide/latency/latency_test.go
@@ -1,4 +1,4 @@
-package paths
+package latency
 
 import (
 	"math"
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -4,7 +4,7 @@
 	"context"
 	"slices"
 
-	"cherryramp/internal/decide/paths"
+	"cherryramp/internal/decide/latency"
 	"cherryramp/internal/decide/topology"
 )
 
@@ -20,19 +20,19 @@
 type (
 	pathsUp struct {
 		Stamp Micros             `cbor:"1,keyasint"`
-		List  []paths.Summary    `cbor:"2,keyasint,omitempty"`
+		List  []latency.Summary  `cbor:"2,keyasint,omitempty"`
 		Room  map[string]float64 `cbor:"3,keyasint,omitempty"`
 	}
 	pathsDown struct {
-		Stamp Micros        `cbor:"1,keyasint"`
-		List  []paths.Order `cbor:"2,keyasint,omitempty"`
+		Stamp Micros          `cbor:"1,keyasint"`
+		List  []latency.Order `cbor:"2,keyasint,omitempty"`
 	}
 )
 
 // Messages to the task, beside envelopes.
 type (
 	samples struct {
-		list []paths.Sample
+		list []latency.Sample
 		room map[string]float64
 	}
 	steerAsk struct {
@@ -44,13 +44,13 @@
 // pathTask is the task of paths.
 type pathTask struct {
 	teller
-	rules   paths.Rules
-	model   *paths.Model
+	rules   latency.Rules
+	model   *latency.Model
 	room    map[string]float64
 	said    map[string]*topology.Said[pathsUp]
 	stamps  map[tie]Micros
-	maps    map[topology.Role]*paths.Map
-	planner *paths.Planner
+	maps    map[topology.Role]*latency.Map
+	planner *latency.Planner
 	root    uint64
 	rounds  int
 	told    Micros
@@ -62,8 +62,8 @@
 func (x *Exchange) newPaths() func(context.Context) body {
 	return func(ctx context.Context) body {
 		p := x.section.Load().Paths
-		r := paths.Rules{Half: Micros(p.HalfS * 1e6), Stale: Micros(p.StaleS * 1e6), Explore: p.Explore / 100, Pace: p.Pace / 100, Weight: p.Weight}
-		return &pathTask{teller: teller{x, ctx}, rules: r, model: paths.NewModel(r), said: map[string]*topology.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*paths.Map{}}
+		r := latency.Rules{Half: Micros(p.HalfS * 1e6), Stale: Micros(p.StaleS * 1e6), Explore: p.Explore / 100, Pace: p.Pace / 100, Weight: p.Weight}
+		return &pathTask{teller: teller{x, ctx}, rules: r, model: latency.NewModel(r), said: map[string]*topology.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*latency.Map{}}
 	}
 }
 
@@ -73,9 +73,9 @@
 	}
 	x := t.x
 	x.cfg.Loop.Post(func() {
-		var list []paths.Sample
+		var list []latency.Sample
 		x.cfg.Surveyor.Sights(func(region, edge string, took int64) {
-			list = append(list, paths.Sample{Pair: paths.Pair{Region: region, Edge: edge}, Took: took})
+			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Took: took})
 		})
 		x.paths.offer(samples{list, x.cfg.Surveyor.Room()})
 	})
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, k := range keeps {
-		var fronts, sites [][]paths.Summary
+		var fronts, sites [][]latency.Summary
 		room := map[string]float64{}
 		if said := t.said[k.Site]; said != nil {
 			for r, u := range said.All(now, t.x.spans().Over) {
@@ -101,17 +101,17 @@
 					sites = append(sites, u.List)
 				}
 				for e, x := range u.Room {
-					if old, ok := room[e]; (!ok || x < old) && len(room) < paths.MostPairs {
+					if old, ok := room[e]; (!ok || x < old) && len(room) < latency.MostPairs {
 						room[e] = min(1, max(0, x))
 					}
 				}
 			}
 		}
-		merged := paths.Merge(t.rules, fronts, sites)
-		var list []paths.Order
+		merged := latency.Merge(t.rules, fronts, sites)
+		var list []latency.Order
 		if k.Site == topology.Root {
 			if t.planner == nil || t.root != k.Number {
-				t.planner, t.root = paths.NewPlanner(t.rules), k.Number
+				t.planner, t.root = latency.NewPlanner(t.rules), k.Number
 			}
 			if s.May(now) {
 				list = t.planner.Step(merged, func(e string) float64 {
@@ -170,7 +170,7 @@
 			return
 		}
 		if t.maps[m.Role] == nil {
-			t.maps[m.Role] = &paths.Map{}
+			t.maps[m.Role] = &latency.Map{}
 		}
 		t.maps[m.Role].Told(d.List, d.Stamp, t.rules.Stale)
 		for r := range t.maps {
@@ -189,11 +189,11 @@
 
 // Steered is what a front tells of a region.
 type Steered struct {
-	Region string        `json:"region"`
-	By     string        `json:"by"` // the fleet's order, own sight, static
-	Edges  []paths.Share `json:"edges"`
-	HoldsS float64       `json:"holds_s"` // from now on
-	StaleS float64       `json:"stale_by_s"`
+	Region string          `json:"region"`
+	By     string          `json:"by"` // the fleet's order, own sight, static
+	Edges  []latency.Share `json:"edges"`
+	HoldsS float64         `json:"holds_s"` // from now on
+	StaleS float64         `json:"stale_by_s"`
 }
 
 // steer falls back in steps: the fleet's order until its end, then this front's own
@@ -206,7 +206,7 @@
 			return out
 		}
 	}
-	own := paths.NewPlanner(t.rules).Step(t.model.Tell(now), func(e string) float64 {
+	own := latency.NewPlanner(t.rules).Step(t.model.Tell(now), func(e string) float64 {
 		if x, ok := t.room[e]; ok {
 			return x
 		}
