--- a/internal/decide/turns/turns.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,4 +1,4 @@
-// Package turns is the bounded queue before the pool that checks costly
+// Package fairqueue is the bounded queue before the pool that checks costly
 // signatures. It decides whose is checked next and, when it is full, who goes.
 //
 // Tenants take turns, and within a tenant the prefixes of addresses do, so that
@@ -7,7 +7,7 @@
 // get every eighth of its turns, so that nobody starves. When the queue is full,
 // the last in the longest lane of the tenant that holds most has to go, suspects
 // first; that may be the newcomer.
-package turns
+package fairqueue
 
 import "net/netip"
 
--- a/internal/decide/turns/turns_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -1,4 +1,4 @@
-package turns
+package fairqueue
 
 import (
 	"fmt"
--- a/internal/front/signed/proofs.go
+++ b/internal/front/signed/proofs.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"cherryramp/internal/decide/fairqueue"
 	"cherryramp/internal/decide/grants"
 	"cherryramp/internal/decide/suspects"
-	"cherryramp/internal/decide/turns"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/httpwire"
 )
@@ -22,7 +22,7 @@
 	*grants.Proof
 	set    *grants.Set
 	visits []*visit
-	job    *turns.Job
+	job    *fairqueue.Job
 	out    bool // at a worker
 }
 
@@ -39,7 +39,7 @@
 	if p == nil {
 		p = &proof{Proof: g, set: f.policy.Set}
 		prefix := suspects.Prefix(v.asked.Peer)
-		p.job = &turns.Job{Tenant: g.Tenant(), Prefix: prefix,
+		p.job = &fairqueue.Job{Tenant: g.Tenant(), Prefix: prefix,
 			Suspect: f.suspects.Count(prefix, f.now()) >= suspectFrom || f.shared != nil && f.shared.Suspect(prefix), Value: p}
 		f.proofs[g] = p
 		if out := f.turns.Push(p.job); out == p.job {
@@ -56,7 +56,7 @@
 }
 
 // drop ends a job that had to make room.
-func (f *Front) drop(j *turns.Job) {
+func (f *Front) drop(j *fairqueue.Job) {
 	switch x := j.Value.(type) {
 	case *proof:
 		f.forget(x)
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -18,12 +18,12 @@
 	"strings"
 
 	"cherryramp/internal/decide/content"
+	"cherryramp/internal/decide/fairqueue"
 	"cherryramp/internal/decide/grants"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/revoked"
 	"cherryramp/internal/decide/suspects"
-	"cherryramp/internal/decide/turns"
 	"cherryramp/internal/front/session"
 	"cherryramp/internal/front/signed/encoding"
 	"cherryramp/internal/gateway"
@@ -113,7 +113,7 @@
 	wall     func() gateway.Micros // for what links say of moments, such as their expiry
 	log      *slog.Logger
 	pool     *workers.Pool
-	turns    *turns.Queue
+	turns    *fairqueue.Queue
 	proofs   map[*grants.Proof]*proof
 	suspects *suspects.Sketch
 	rates    *ratelimit.Rates
@@ -131,7 +131,7 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("signed: %w", err)
 	}
-	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: turns.New(cfg.Queue),
+	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.Queue),
 		proofs: map[*grants.Proof]*proof{}, suspects: suspects.New(binary.BigEndian.Uint64(seed[8:])),
 		rates: ratelimit.NewRates(cfg.Rates), uses: ratelimit.NewUses(cfg.Uses), variants: encoding.New(cfg.Encoded),
 		base: binary.BigEndian.Uint64(seed[:])}, nil
