--- a/internal/decide/pace/pace.go
+++ b/internal/decide/slowclient/slowclient.go
@@ -1,4 +1,4 @@
-// Package pace decides which clients are too slow: whose request comes, or whose
+// Package slowclient decides which clients are too slow: whose request comes, or whose
 // answer goes, at less than a least pace. One that is behind for a moment lives on
 // credit. It tells a slow client from a slow network: where nearly all of a prefix
 // of addresses are slow at once, a lower pace holds for them, as long as what they
@@ -6,7 +6,7 @@
 //
 // Nothing is timed here. Whoever holds the transfers looks at each once a window,
 // and keeps them in order of rank, so that the slowest are found at once.
-package pace
+package slowclient
 
 import (
 	"cmp"
--- a/internal/decide/pace/pace_test.go
+++ b/internal/decide/slowclient/slowclient_test.go
@@ -1,4 +1,4 @@
-package pace
+package slowclient
 
 import (
 	"net/netip"
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -13,8 +13,8 @@
 
 	"cherryramp/internal/decide/admission"
 	"cherryramp/internal/decide/figures"
-	"cherryramp/internal/decide/pace"
 	"cherryramp/internal/decide/resources"
+	"cherryramp/internal/decide/slowclient"
 	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/httpwire"
@@ -74,7 +74,7 @@
 	Request     loop.Micros       // that a whole request may take to come; 0: 2.3 s
 	Shrink      bool              // idle times shrink as places fill, and clients are told
 	Park        bool              // connections long idle hold as little as can be
-	Pace        *pace.Pacer       // of requests that come and answers that go; nil: only whole times are bounded
+	Pace        *slowclient.Pacer // of requests that come and answers that go; nil: only whole times are bounded
 	Bytes       *resources.Budget // of all parts of the program; nil: none is kept
 	Descriptors int               // of the process; 0: only the connections are bounded
 	Spare       int               // of them that stay free
@@ -167,7 +167,7 @@
 	taken   loop.Micros       // when it was let in; 0: it waits
 	head    bool              // the open request wants no body
 	last    bool              // the connection ends with the answer
-	meter   *pace.Meter       // while a request comes or an answer goes
+	meter   *slowclient.Meter // while a request comes or an answer goes
 	began   loop.Micros       // when the request began to come; 0: none is coming
 	begun   bool              // a request has come in part
 	over    bool
@@ -584,7 +584,7 @@
 	}
 	if s.cfg.Pace != nil && !c.last && len(s.buf) >= pacedFrom {
 		if taken, left := c.tc.Taken(); left > 0 {
-			c.enter(sending + state(pace.Fast))
+			c.enter(sending + state(slowclient.Fast))
 			c.measure(taken, int64(left))
 			if b := s.cfg.Bytes; b != nil && !b.May(resources.Out, int64(left)) {
 				s.shed(int64(left), 0, 0, c)
--- a/internal/front/session/states.go
+++ b/internal/front/session/states.go
@@ -1,7 +1,7 @@
 package session
 
 import (
-	"cherryramp/internal/decide/pace"
+	"cherryramp/internal/decide/slowclient"
 	"cherryramp/internal/loop"
 )
 
@@ -18,7 +18,7 @@
 	busy                 // a request is open
 	ending               // its last answer is on its way
 	sending              // an answer goes out and no request is open; so many states as there are ranks of pace
-	states  = sending + state(pace.Ranks)
+	states  = sending + state(slowclient.Ranks)
 )
 
 // sends tells whether a state is one of those in which an answer goes out.
--- a/internal/program/balance.go
+++ b/internal/program/balance.go
@@ -4,8 +4,8 @@
 	"cmp"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/pace"
 	"cherryramp/internal/decide/resources"
+	"cherryramp/internal/decide/slowclient"
 	"cherryramp/internal/front/session"
 	"cherryramp/internal/loop"
 	"cherryramp/internal/upstream"
@@ -28,7 +28,7 @@
 // balance keeps the account of bytes and has those give back who must.
 type balance struct {
 	budget *resources.Budget
-	pace   *pace.Pacer
+	pace   *slowclient.Pacer
 	nodes  *upstream.Pools
 	tcp    *upstream.TCP
 	next   loop.Micros
@@ -50,7 +50,7 @@
 	for p := range b.Floor {
 		b.Floor[p] = part(floorPart)
 	}
-	return &balance{budget: resources.NewBudget(b), pace: pace.New(pace.Config{Least: float64(c.Least), Window: paceWindow,
+	return &balance{budget: resources.NewBudget(b), pace: slowclient.New(slowclient.Config{Least: float64(c.Least), Window: paceWindow,
 		Credit: int64(cmp.Or(c.CreditMS, paceCredit)) * 1000, Part: part(outCap * pacePart), Room: paceRoom})}
 }
 
