--- a/internal/decide/suspects/suspects.go
+++ b/internal/decide/abuse/abuse.go
@@ -1,4 +1,4 @@
-// Package suspects keeps how often addresses brought forged signatures lately,
+// Package abuse keeps how often addresses brought forged signatures lately,
 // in a fixed number of bytes however many addresses there are.
 //
 // It is a count-min sketch (Cormode and Muthukrishnan, 2005) with conservative
@@ -6,7 +6,7 @@
 // the period it was last touched in. An address may be held for more suspect
 // than it is, where it shares all its counters with others, and never for less.
 // That costs it a later turn and not its request.
-package suspects
+package abuse
 
 import (
 	"net/netip"
--- a/internal/decide/suspects/suspects_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -1,4 +1,4 @@
-package suspects
+package abuse
 
 import (
 	"encoding/binary"
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -17,7 +17,7 @@
 	"math"
 	"net/netip"
 
-	"cherryramp/internal/decide/suspects"
+	"cherryramp/internal/decide/abuse"
 )
 
 // Micros is a moment or a span in microseconds.
@@ -75,14 +75,14 @@
 	usual  float64
 	pace   float64 // answers a microsecond; 0: unknown
 	next   Micros  // the time that the next to be sent away comes back
-	came   *suspects.Sketch
+	came   *abuse.Sketch
 	all    uint32 // that the sketch counted in its period
 	period Micros
 }
 
 // New makes a limiter.
 func New(cfg Config) *Limiter {
-	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.Start, cfg.Least), cfg.Most)), came: suspects.New(cfg.Seed)}
+	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.Start, cfg.Least), cfg.Most)), came: abuse.New(cfg.Seed)}
 	l.Renew(cfg.Worth)
 	return l
 }
@@ -157,7 +157,7 @@
 	if !from.IsValid() {
 		return false
 	}
-	if p := now / suspects.Period; p != l.period {
+	if p := now / abuse.Period; p != l.period {
 		l.period, l.all = p, l.all/2
 	}
 	l.all++
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -11,11 +11,11 @@
 	"strconv"
 	"sync/atomic"
 
+	"cherryramp/internal/decide/abuse"
 	"cherryramp/internal/decide/admission"
 	"cherryramp/internal/decide/figures"
 	"cherryramp/internal/decide/resources"
 	"cherryramp/internal/decide/slowclient"
-	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/httpwire"
 	"cherryramp/internal/loop"
@@ -231,7 +231,7 @@
 			return
 		}
 		if s.account.PerPrefix() {
-			c.prefix = suspects.Prefix(c.address())
+			c.prefix = abuse.Prefix(c.address())
 		}
 		if !s.account.Enter(c.prefix) {
 			s.turnAway("client turned away: too many connections of its prefix", "prefix", c.prefix)
@@ -336,7 +336,7 @@
 }
 
 // origin is whom a connection's pace is held with.
-func (c *conn) origin() netip.Prefix { return suspects.Prefix(c.address()) }
+func (c *conn) origin() netip.Prefix { return abuse.Prefix(c.address()) }
 
 // lookReading ends a connection whose request comes too slowly, or not in its time.
 func (c *conn) lookReading() {
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
+	"cherryramp/internal/decide/abuse"
 	"cherryramp/internal/decide/content"
 	"cherryramp/internal/decide/fairqueue"
 	"cherryramp/internal/decide/grants"
-	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/front/session"
 	"cherryramp/internal/front/signed/encoding"
 	"cherryramp/internal/gateway"
@@ -59,7 +59,7 @@
 	}
 	var cookie *grants.Cookie
 	var err error
-	job := &fairqueue.Job{Tenant: v.grant.Profile.Tenant, Prefix: suspects.Prefix(v.asked.Peer)}
+	job := &fairqueue.Job{Tenant: v.grant.Profile.Tenant, Prefix: abuse.Prefix(v.asked.Peer)}
 	job.Value = &task{work: func() { cookie, err = v.grant.Renew(now) }, done: func(dropped bool) {
 		if dropped {
 			f.log.Warn("no next token: too many signatures to make", "profile", v.grant.Profile.Name)
--- a/internal/front/signed/proofs.go
+++ b/internal/front/signed/proofs.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"cherryramp/internal/decide/abuse"
 	"cherryramp/internal/decide/fairqueue"
 	"cherryramp/internal/decide/grants"
-	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/httpwire"
 )
@@ -38,7 +38,7 @@
 	p := f.proofs[g]
 	if p == nil {
 		p = &proof{Proof: g, set: f.policy.Set}
-		prefix := suspects.Prefix(v.asked.Peer)
+		prefix := abuse.Prefix(v.asked.Peer)
 		p.job = &fairqueue.Job{Tenant: g.Tenant(), Prefix: prefix,
 			Suspect: f.suspects.Count(prefix, f.now()) >= suspectFrom || f.shared != nil && f.shared.Suspect(prefix), Value: p}
 		f.proofs[g] = p
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -17,13 +17,13 @@
 	"strconv"
 	"strings"
 
+	"cherryramp/internal/decide/abuse"
 	"cherryramp/internal/decide/content"
 	"cherryramp/internal/decide/fairqueue"
 	"cherryramp/internal/decide/grants"
 	"cherryramp/internal/decide/quotalease"
 	"cherryramp/internal/decide/ratelimit"
 	"cherryramp/internal/decide/revoked"
-	"cherryramp/internal/decide/suspects"
 	"cherryramp/internal/front/session"
 	"cherryramp/internal/front/signed/encoding"
 	"cherryramp/internal/gateway"
@@ -115,7 +115,7 @@
 	pool     *workers.Pool
 	turns    *fairqueue.Queue
 	proofs   map[*grants.Proof]*proof
-	suspects *suspects.Sketch
+	suspects *abuse.Sketch
 	rates    *ratelimit.Rates
 	uses     *ratelimit.Uses
 	variants *encoding.Variants
@@ -132,7 +132,7 @@
 		return nil, fmt.Errorf("signed: %w", err)
 	}
 	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.Queue),
-		proofs: map[*grants.Proof]*proof{}, suspects: suspects.New(binary.BigEndian.Uint64(seed[8:])),
+		proofs: map[*grants.Proof]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
 		rates: ratelimit.NewRates(cfg.Rates), uses: ratelimit.NewUses(cfg.Uses), variants: encoding.New(cfg.Encoded),
 		base: binary.BigEndian.Uint64(seed[:])}, nil
 }
