--- a/internal/decide/streams/streams.go
+++ b/internal/decide/flowcontrol/flowcontrol.go
@@ -1,4 +1,4 @@
-// Package streams shares a connection among its streams: whose bytes go next, how
+// Package flowcontrol shares a connection among its streams: whose bytes go next, how
 // many each may send, and when the other side may send more.
 //
 // A stream sends what it has credit for, so that a reader that is slow stops its own
@@ -6,7 +6,7 @@
 // Shreedhar and Varghese, 1996), streams of a class one after another. What a peer
 // may claim and send is bounded; one that does otherwise is told apart by an error,
 // on which its connection ends.
-package streams
+package flowcontrol
 
 import (
 	"container/list"
--- a/internal/decide/streams/streams_test.go
+++ b/internal/decide/flowcontrol/flowcontrol_test.go
@@ -1,4 +1,4 @@
-package streams
+package flowcontrol
 
 import (
 	"errors"
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -14,7 +14,7 @@
 	"slices"
 	"sync"
 
-	"cherryramp/internal/decide/streams"
+	"cherryramp/internal/decide/flowcontrol"
 	"cherryramp/internal/decide/transit"
 	"cherryramp/internal/link/frame"
 	"cherryramp/internal/loop"
@@ -66,7 +66,7 @@
 	conn  net.Conn
 	cfg   Config
 	h     Handler
-	mux   *streams.Mux // nil until both have said hello
+	mux   *flowcontrol.Mux // nil until both have said hello
 	held  transit.Held
 	data  map[uint32][]byte // waits for its stream's turn
 	began Micros
@@ -365,7 +365,7 @@
 	agreed := frame.Hello{Versions: []uint16{version}, Site: x.Site, Epoch: x.Epoch, Window: min(own.Window, x.Window),
 		Total: min(own.Total, x.Total), Streams: min(own.Streams, x.Streams)}
 	if err == nil {
-		c.mux, err = streams.New(streams.Config{Weights: c.cfg.Weights, Window: int(agreed.Window), Total: int(agreed.Total),
+		c.mux, err = flowcontrol.New(flowcontrol.Config{Weights: c.cfg.Weights, Window: int(agreed.Window), Total: int(agreed.Total),
 			Most: int(agreed.Streams), Quantum: frame.MostData})
 	}
 	if err != nil {
