--- a/internal/decide/transit/transit.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -1,4 +1,4 @@
-// Package transit tells for how long a link held something, of two sites whose
+// Package clockoffset tells for how long a link held something, of two sites whose
 // clocks differ: not the way's whole time, which they can't know, but what it took
 // more than the quickest that ever came.
 //
@@ -7,7 +7,7 @@
 // that it was held. Clocks also drift, so the least is let grow by as much as two good
 // clocks drift apart. It never adapts to a link that has become slow: a delay that
 // lasts stays a delay, since the ledger's rules hang on it.
-package transit
+package clockoffset
 
 import "math"
 
--- a/internal/decide/transit/transit_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -1,4 +1,4 @@
-package transit
+package clockoffset
 
 import (
 	"testing"
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -14,8 +14,8 @@
 	"slices"
 	"sync"
 
+	"cherryramp/internal/decide/clockoffset"
 	"cherryramp/internal/decide/flowcontrol"
-	"cherryramp/internal/decide/transit"
 	"cherryramp/internal/link/frame"
 	"cherryramp/internal/loop"
 )
@@ -67,7 +67,7 @@
 	cfg   Config
 	h     Handler
 	mux   *flowcontrol.Mux // nil until both have said hello
-	held  transit.Held
+	held  clockoffset.Held
 	data  map[uint32][]byte // waits for its stream's turn
 	began Micros
 	came  Micros
