--- a/internal/decide/compact/compact.go
+++ b/internal/decide/compactmap/compactmap.go
@@ -1,11 +1,11 @@
-// Package compact holds a bounded table of small records under 128-bit names,
+// Package compactmap holds a bounded table of small records under 128-bit names,
 // in one slice and without pointers: the garbage collector never walks it, and
 // an entry of a full table costs its name, what it holds, and a quarter more.
 //
 // It is open addressing with linear probing; a removal shifts back what
 // follows, so that there are no tombstones and a full table finds as fast after
 // a year as on its first day. The names must be spread evenly, as digests are.
-package compact
+package compactmap
 
 import (
 	"encoding/binary"
--- a/internal/decide/compact/compact_test.go
+++ b/internal/decide/compactmap/compactmap_test.go
@@ -1,4 +1,4 @@
-package compact
+package compactmap
 
 import (
 	"crypto/sha256"
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -14,7 +14,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"cherryramp/internal/decide/compact"
+	"cherryramp/internal/decide/compactmap"
 )
 
 // Micros is a moment or a span in microseconds of the Unix clock.
@@ -68,12 +68,12 @@
 
 // Rates keeps rates and numbers of open requests.
 type Rates struct {
-	table *compact.Table[bucket]
-	names []compact.Name // used anew by each request
+	table *compactmap.Table[bucket]
+	names []compactmap.Name // used anew by each request
 }
 
 // NewRates makes room for so many names.
-func NewRates(most int) *Rates { return &Rates{table: compact.New[bucket](most)} }
+func NewRates(most int) *Rates { return &Rates{table: compactmap.New[bucket](most)} }
 
 // What is looked at for entries to let go: a little with each new name, and a
 // good deal where there is no room.
@@ -82,7 +82,7 @@
 	sweepFull   = 256
 )
 
-func nameOf(k Kind, name string) (n compact.Name) {
+func nameOf(k Kind, name string) (n compactmap.Name) {
 	var buf [128]byte
 	sum := sha256.Sum256(append(append(buf[:0], byte(k)), name...))
 	copy(n[:], sum[:])
@@ -163,8 +163,8 @@
 	return max(0, tat-Micros(max(1, l.Burst)-1)*l.gap()-now)
 }
 
-func (r *Rates) add(n compact.Name, now Micros) *bucket {
-	dead := func(_ compact.Name, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
+func (r *Rates) add(n compactmap.Name, now Micros) *bucket {
+	dead := func(_ compactmap.Name, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
 	r.table.Sweep(sweepAlways, dead)
 	if r.table.Full() {
 		r.table.Sweep(sweepFull, dead)
@@ -198,10 +198,10 @@
 
 // Uses keeps how often tokens were used. A token's entry goes when the token
 // has run out, and never before: a full table refuses.
-type Uses struct{ table *compact.Table[use] }
+type Uses struct{ table *compactmap.Table[use] }
 
 // NewUses makes room for so many tokens.
-func NewUses(most int) *Uses { return &Uses{table: compact.New[use](most)} }
+func NewUses(most int) *Uses { return &Uses{table: compactmap.New[use](most)} }
 
 // Token is one token's use.
 type Token struct {
@@ -220,7 +220,7 @@
 	object := binary.LittleEndian.Uint64(sum[:])
 	x := u.table.Find(t.Name)
 	if x == nil {
-		dead := func(_ compact.Name, x *use) bool { return x.Open == 0 && x.Until < now }
+		dead := func(_ compactmap.Name, x *use) bool { return x.Open == 0 && x.Until < now }
 		u.table.Sweep(sweepAlways, dead)
 		if u.table.Full() {
 			u.table.Sweep(sweepFull, dead)
@@ -269,6 +269,6 @@
 // have ended.
 func (u *Uses) Read(b []byte) ([]byte, error) {
 	rest, err := u.table.Read(b)
-	u.table.Sweep(1<<62, func(_ compact.Name, x *use) bool { x.Open = 0; return false })
+	u.table.Sweep(1<<62, func(_ compactmap.Name, x *use) bool { x.Open = 0; return false })
 	return rest, err
 }
