--- a/cmd/cherryramp/door_test.go
+++ b/cmd/cherryramp/door_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 )
 
 // call makes one call at the operators' door and gives the lines of its answer.
@@ -68,8 +68,8 @@
 		t.Fatalf("INFO: %q", info)
 	}
 	var figs struct {
-		Handled map[string]figures.Class `json:"handled"`
-		Known   int                      `json:"known_cache_nodes"`
+		Handled map[string]counters.Class `json:"handled"`
+		Known   int                       `json:"known_cache_nodes"`
 	}
 	if err := json.Unmarshal([]byte(info[0]), &figs); err != nil {
 		t.Fatal(err)
--- a/internal/decide/audit/audit.go
+++ b/internal/decide/audit/audit.go
@@ -21,7 +21,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 )
 
 // Micros is a moment in microseconds: of the front's own clock, or of fleet time.
@@ -50,13 +50,13 @@
 )
 
 // Outcome is how a request ended.
-type Outcome = figures.Outcome
+type Outcome = counters.Outcome
 
 // The outcomes.
 const (
-	Served  = figures.Passed
-	Refused = figures.Dropped
-	Failed  = figures.BadGateway
+	Served  = counters.Passed
+	Refused = counters.Dropped
+	Failed  = counters.BadGateway
 )
 
 // Count is the requests of a class.
--- a/internal/decide/figures/figures.go
+++ b/internal/decide/counters/counters.go
@@ -1,10 +1,10 @@
-// Package figures counts what a front has done, for the operators' door: the
+// Package counters counts what a front has done, for the operators' door: the
 // answers of each class, the attempts written to nodes, and the files that
 // SIGHUP took or turned down. It is state only, with no clock, socket or lock:
 // the event loop owns it, and it is read there. Counts start at 0 with the
 // process and only grow; a class is counted by its place in the settings, which
 // costs no look-up on the way of a request.
-package figures
+package counters
 
 import (
 	"encoding/json"
--- a/internal/decide/figures/figures_test.go
+++ b/internal/decide/counters/counters_test.go
@@ -1,4 +1,4 @@
-package figures
+package counters
 
 import (
 	"encoding/json"
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -13,7 +13,7 @@
 
 	"cherryramp/internal/decide/abuse"
 	"cherryramp/internal/decide/admission"
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/decide/resources"
 	"cherryramp/internal/decide/slowclient"
 	"cherryramp/internal/gateway"
@@ -56,7 +56,7 @@
 	// Came notes in the call what it came under.
 	Came(c *gateway.Call)
 	// Answered tells that it was answered.
-	Answered(c *gateway.Call, o figures.Outcome)
+	Answered(c *gateway.Call, o counters.Outcome)
 	// Left tells that its client has gone: it gets no answer.
 	Left(c *gateway.Call)
 }
@@ -79,7 +79,7 @@
 	Descriptors int               // of the process; 0: only the connections are bounded
 	Spare       int               // of them that stay free
 	Admission   *Queue            // of requests, for all fronts that share it; nil: none
-	Figures     *figures.Figures  // where the answers to calls are counted, by class; nil: nowhere
+	Figures     *counters.Figures // where the answers to calls are counted, by class; nil: nowhere
 	Audit       Audit             // is told of each call; nil: nobody is
 }
 
@@ -598,14 +598,14 @@
 }
 
 // outcome is what the figures count an answer as.
-func outcome(k gateway.Kind) figures.Outcome {
+func outcome(k gateway.Kind) counters.Outcome {
 	switch k {
 	case gateway.Refused:
-		return figures.Dropped
+		return counters.Dropped
 	case gateway.Failed:
-		return figures.BadGateway
+		return counters.BadGateway
 	}
-	return figures.Passed
+	return counters.Passed
 }
 
 // Drained has nothing to do: the transport has sent the rest.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,7 +14,7 @@
 	"slices"
 	"strings"
 
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/loop"
 	"cherryramp/rules"
 )
@@ -157,7 +157,7 @@
 	Kinds    []string
 	Seed     uint64
 	Copies   Copies
-	Figures  *figures.Figures // where attempts that leave are counted; nil: a gateway's own
+	Figures  *counters.Figures // where attempts that leave are counted; nil: a gateway's own
 }
 
 // Gateway owns the router and the calls it holds.
@@ -188,7 +188,7 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	if cfg.Figures == nil {
-		cfg.Figures = figures.New(make([]string, len(cfg.Settings.Classes)))
+		cfg.Figures = counters.New(make([]string, len(cfg.Settings.Classes)))
 	}
 	return &Gateway{cfg: cfg, loop: l, router: router, log: log, calls: map[rules.RequestID]*Call{},
 		open: map[string]struct{}{}, servers: map[rules.ServerID]*Server{}, purges: map[uint64]purge{},
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 )
 
 // readyAfter is how long after its start a front says that it can serve even
@@ -97,5 +97,5 @@
 		open += f.Busy()
 	}
 	known, avoided := p.gate.Servers()
-	return p.figures.AppendJSON(b, figures.Gauges{InProgress: open, Known: known, Skipped: avoided})
+	return p.figures.AppendJSON(b, counters.Gauges{InProgress: open, Known: known, Skipped: avoided})
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/decide/health"
 	"cherryramp/internal/loop"
 )
@@ -27,7 +27,7 @@
 	// Came tells of a request that came, and gives the version that it is under.
 	Came() (version uint64)
 	// Answered tells how one was ended; Left that its client has gone.
-	Answered(version uint64, class int, o figures.Outcome, id string)
+	Answered(version uint64, class int, o counters.Outcome, id string)
 	Left(version uint64)
 	// Rejoin tells that a person has the front take clients again.
 	Rejoin()
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -20,7 +20,7 @@
 	"cherryramp/internal/board"
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/admission"
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/decide/generations"
 	"cherryramp/internal/decide/health"
 	"cherryramp/internal/decide/readiness"
@@ -126,7 +126,7 @@
 	links          *config.Signed // by which it judges
 	held           *balance       // nil: no account of bytes is kept
 	queue          *session.Queue // nil: no limit is learnt
-	figures        *figures.Figures
+	figures        *counters.Figures
 	ready          *readiness.State
 	drain          *drain
 	fleet          FleetPart     // nil: the front acts alone
@@ -146,7 +146,7 @@
 	if p.table, err = generations.New(classesMost, cfg.Digest, cfg.Settings.Classes); err != nil {
 		return nil, err
 	}
-	p.figures = figures.New(lanes(cfg.Settings.Classes))
+	p.figures = counters.New(lanes(cfg.Settings.Classes))
 	p.held = newBalance(cfg, operator.Clients)
 	p.loop = loop.New(func() {
 		p.gate.Settle()
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/decide/outlier"
 	"cherryramp/internal/gateway"
 	"cherryramp/rules"
@@ -72,9 +72,9 @@
 }
 
 // answered notes how a request of this front's clients was ended.
-func (s *shared) answered(o figures.Outcome) {
+func (s *shared) answered(o counters.Outcome) {
 	if s.seen != nil {
-		s.seen.Ended(o == figures.Dropped, mono())
+		s.seen.Ended(o == counters.Dropped, mono())
 	}
 }
 
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"cherryramp/internal/config"
-	"cherryramp/internal/decide/figures"
+	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/gateway"
 )
 
@@ -154,7 +154,7 @@
 }
 
 // Answered is part of session.Audit.
-func (a auditor) Answered(c *gateway.Call, o figures.Outcome) {
+func (a auditor) Answered(c *gateway.Call, o counters.Outcome) {
 	if a.p.fleet != nil {
 		a.p.fleet.Answered(c.Version, c.Class, o, c.ID)
 	}
