--- a/internal/board/board.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"cmp"
--- a/internal/board/news.go
+++ b/internal/discovery/news.go
@@ -1,7 +1,7 @@
-// Package board follows the notice board: a long poll whose numbered events
+// Package discovery follows the notice board: a long poll whose numbered events
 // become members and purges. It starts from the events that the configuration
 // knows and resumes from the last number it has.
-package board
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/ephemeral/ephemeral.go
+++ b/internal/ephemeral/ephemeral.go
@@ -19,7 +19,7 @@
 
 	"github.com/go-zookeeper/zk"
 
-	"cherryramp/internal/board"
+	"cherryramp/internal/discovery"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/loop"
 )
@@ -203,7 +203,7 @@
 	}
 	n := f.nodes[child]
 	n.stale = false
-	member, err := board.ParseMember(data, child)
+	member, err := discovery.ParseMember(data, child)
 	if err != nil { // what was read of it before stays
 		f.log.Warn("member node can't be used", "node", child, "error", err)
 		return nil
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"os"
 
-	"cherryramp/internal/board"
 	"cherryramp/internal/config"
+	"cherryramp/internal/discovery"
 	"cherryramp/internal/front/session"
 )
 
@@ -46,7 +46,7 @@
 		p.log.Warn("configuration: these keys need a restart, their old values stay", "keys", fixed)
 	}
 	p.cfg = next
-	p.news.Renew(board.Within(grace(p.cfg)))
+	p.news.Renew(discovery.Within(grace(p.cfg)))
 	if p.cfg.Board != "" {
 		p.news.Move(p.cfg.Board)
 	}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -17,13 +17,13 @@
 	"time"
 
 	"cherryramp/internal/admin"
-	"cherryramp/internal/board"
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/admission"
 	"cherryramp/internal/decide/counters"
 	"cherryramp/internal/decide/generations"
 	"cherryramp/internal/decide/health"
 	"cherryramp/internal/decide/readiness"
+	"cherryramp/internal/discovery"
 	"cherryramp/internal/ephemeral"
 	"cherryramp/internal/front/platform"
 	"cherryramp/internal/front/session"
@@ -119,7 +119,7 @@
 	pools          *upstream.Pools
 	loop           *loop.Loop
 	gate           *gateway.Gateway
-	news           *board.Board
+	news           *discovery.Board
 	fronts         []*session.Server
 	operator       *config.Operator
 	signed         *signed.Front  // nil: off
@@ -175,7 +175,7 @@
 	if p.held != nil {
 		p.held.nodes, p.held.tcp = p.pools, tcp
 	}
-	var sink board.Sink = p.gate
+	var sink discovery.Sink = p.gate
 	var members ephemeral.Sink = p.gate
 	if operator.Fleet != nil {
 		p.bars = gateway.NewBars(p.gate)
@@ -189,7 +189,7 @@
 			return nil, err
 		}
 	}
-	p.news = board.New(p.loop, log, cfg.Board, board.Within(grace(cfg)), cfg.Known, sink)
+	p.news = discovery.New(p.loop, log, cfg.Board, discovery.Within(grace(cfg)), cfg.Known, sink)
 	limits := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
 	bound(&limits, operator.Clients)
 	limits.Connections, limits.Away = held(cfg, operator.Clients), away(cfg)
