--- a/cmd/cherryramp-fleet/main.go
+++ b/cmd/cherryramp-fleet/main.go
@@ -19,7 +19,7 @@
 
 	"cherryramp/internal/config"
 	"cherryramp/internal/fleet"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 	"cherryramp/internal/link/peers"
 	"cherryramp/internal/loop"
 	"cherryramp/internal/program"
@@ -65,16 +65,16 @@
 
 // part begins a front's part in the fleet of the operator's file.
 func part(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetPart, error) {
-	var first []agree.Address
+	var first []consensus.Address
 	for _, m := range c.First {
-		first = append(first, agree.Address{Name: m.Name, Address: m.Address})
+		first = append(first, consensus.Address{Name: m.Name, Address: m.Address})
 	}
 	k := c.Keys
 	keep := int64(0)
 	if shared != nil {
 		keep = int64(shared.KeepS * 1e6)
 	}
-	return fleet.Start(fleet.Config{Config: agree.Config{Fleet: c.Name, Name: front, Zone: c.Zone, Machine: cmp.Or(c.Machine, front),
+	return fleet.Start(fleet.Config{Config: consensus.Config{Fleet: c.Name, Name: front, Zone: c.Zone, Machine: cmp.Or(c.Machine, front),
 		Address: c.Address, Build: revision(), First: first, Rules: c.Rules.Work(), Tick: int64(c.TickMS) * 1000, Lost: int64(c.LostMS) * 1000,
 		Grace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, Snapshot: uint64(c.Log), Keep: keep}, Shared: shared, Listen: c.Listen, Folder: c.Folder, Reach: c.Reach,
 		Keys: peers.Files{Certificate: k.Certificate, Key: k.Key, Authorities: k.Authorities, Names: k.Names, Revoked: k.Revoked}}, l, host, log)
--- a/internal/fleet/book.go
+++ b/internal/fleet/book.go
@@ -13,7 +13,7 @@
 
 	"cherryramp/internal/decide/audit"
 	"cherryramp/internal/decide/rollout"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 	"cherryramp/internal/journal"
 )
 
@@ -251,7 +251,7 @@
 		f.write1(audit.Record{Kind: audit.Permit, Text: text})
 	}
 	if x := f.node.Replica().State().Versions.Stand(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.Seq > b.chain.Seq() {
-		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", agree.ErrOld, b.chain.Seq(), x.Seq))
+		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOld, b.chain.Seq(), x.Seq))
 		return
 	}
 	// Records that the log knows the head of happened before that entry.
@@ -339,7 +339,7 @@
 		if name == f.cfg.Name {
 			f.answerAudit(q, func(a audit.Answer) { f.answered(n, a) })
 		} else {
-			f.send(agree.Send{To: name, Kind: agree.KindQuestion, Payload: b})
+			f.send(consensus.Send{To: name, Kind: consensus.KindQuestion, Payload: b})
 		}
 	}
 	f.loop.At(f.loop.Now()+gatherFor.Microseconds(), func() { f.gathered(n) })
@@ -378,22 +378,22 @@
 }
 
 // heardOfAudit takes a question or an answer of another front.
-func (f *Fleet) heardOfAudit(from string, kind agree.Kind, payload []byte) {
+func (f *Fleet) heardOfAudit(from string, kind consensus.Kind, payload []byte) {
 	var m message
 	if err := json.Unmarshal(payload, &m); err != nil {
 		f.log.Warn("fleet: a question or answer of an audit can't be read", "from", from, "error", err)
 		return
 	}
 	switch {
-	case kind == agree.KindQuestion && m.Question != nil && f.node != nil:
+	case kind == consensus.KindQuestion && m.Question != nil && f.node != nil:
 		f.answerAudit(*m.Question, func(a audit.Answer) {
 			b, err := json.Marshal(message{N: m.N, Answer: &a})
 			if err != nil || len(b) > mostAnswer {
 				b, _ = json.Marshal(message{N: m.N, Answer: &audit.Answer{Front: f.cfg.Name, Error: "the answer is too long"}})
 			}
-			f.send(agree.Send{To: from, Kind: agree.KindAnswer, Payload: b})
+			f.send(consensus.Send{To: from, Kind: consensus.KindAnswer, Payload: b})
 		})
-	case kind == agree.KindAnswer && m.Answer != nil && m.Answer.Front == from:
+	case kind == consensus.KindAnswer && m.Answer != nil && m.Answer.Front == from:
 		f.answered(m.N, *m.Answer)
 	}
 }
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/consensus/node.go
@@ -1,11 +1,11 @@
-// Package agree is one front's part in a fleet's agreement: raft's RawNode round a
+// Package consensus is one front's part in a fleet's agreement: raft's RawNode round a
 // replica, the way in and out of the fleet, the feeding of fronts that do not
 // vote, and what the leader sees of the others. It has no socket, no disk and no
 // clock: moments and messages come in, and what is to be written, and then sent,
 // goes out (Ready), so that the same code runs in a process and in virtual time.
 //
 // It belongs to one goroutine.
-package agree
+package consensus
 
 import (
 	"cmp"
--- a/internal/fleet/agree/stands.go
+++ b/internal/fleet/consensus/stands.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cherryramp/internal/decide/rollout"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 	"cherryramp/internal/config"
 	"cherryramp/internal/decide/audit"
 	"cherryramp/internal/exchange"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 	"cherryramp/internal/journal"
 	"cherryramp/internal/link/peers"
 	"cherryramp/internal/loop"
@@ -31,7 +31,7 @@
 
 // Config is one front's place in the fleet.
 type Config struct {
-	agree.Config
+	consensus.Config
 	Listen string
 	Folder string
 	Keys   peers.Files
@@ -85,7 +85,7 @@
 	log  *slog.Logger
 	keys *peers.Keys
 
-	node     *agree.Node // nil until the folder is this process's
+	node     *consensus.Node // nil until the folder is this process's
 	disk     *journal.Journal
 	lock     *os.File
 	listener net.Listener
@@ -170,7 +170,7 @@
 		return
 	}
 	f.lock = lock
-	r := &agree.Recovered{}
+	r := &consensus.Recovered{}
 	disk, torn, err := journal.Open(filepath.Join(f.cfg.Folder, "journal"), mostWrites, f.loop.Post, r.Take)
 	if err != nil {
 		f.breaks(err)
@@ -188,8 +188,8 @@
 		f.begin(r)
 		return
 	}
-	r.Identity = agree.Identity{Name: f.cfg.Name, ID: draw()}
-	disk.Append(agree.IdentityRecord(r.Identity), func(err error) {
+	r.Identity = consensus.Identity{Name: f.cfg.Name, ID: draw()}
+	disk.Append(consensus.IdentityRecord(r.Identity), func(err error) {
 		if err != nil {
 			f.breaks(err)
 			return
@@ -205,11 +205,11 @@
 }
 
 // begin starts the agreement on what the folder held.
-func (f *Fleet) begin(r *agree.Recovered) {
+func (f *Fleet) begin(r *consensus.Recovered) {
 	if f.closed {
 		return
 	}
-	node, err := agree.New(f.cfg.Config, r, f.now())
+	node, err := consensus.New(f.cfg.Config, r, f.now())
 	if err != nil {
 		f.breaks(err)
 		return
@@ -354,7 +354,7 @@
 	}
 }
 
-func (f *Fleet) done(out agree.Output) bool {
+func (f *Fleet) done(out consensus.Output) bool {
 	for _, s := range out.Sends {
 		f.send(s)
 	}
@@ -367,7 +367,7 @@
 
 // write keeps an output's records, and sends once they are durable. A disk that
 // takes nothing is tried again; one that can't be trusted any more ends this part.
-func (f *Fleet) write(out agree.Output) {
+func (f *Fleet) write(out consensus.Output) {
 	kept := func(err error) {
 		if f.closed || f.broken != nil {
 			return
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cherryramp/internal/exchange"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 	"cherryramp/internal/link"
 	"cherryramp/internal/link/frame"
 	"cherryramp/internal/loop"
@@ -53,7 +53,7 @@
 }
 
 // send sends a message, or drops it where too much waits.
-func (f *Fleet) send(s agree.Send) {
+func (f *Fleet) send(s consensus.Send) {
 	p := f.peers[s.To]
 	if p == nil {
 		p = &peer{f: f, name: s.To}
@@ -296,7 +296,7 @@
 		if err == nil {
 			g.f.counts.Received++
 			g.f.node.Clock(g.f.now())
-			if kind == agree.KindQuestion || kind == agree.KindAnswer {
+			if kind == consensus.KindQuestion || kind == consensus.KindAnswer {
 				g.f.heardOfAudit(g.name, kind, slices.Clone(payload))
 			} else {
 				err = g.f.node.Receive(g.name, kind, slices.Clone(payload))
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"errors"
 
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 )
 
 // A message on the fleet's stream is its length (of kind and payload, 4 bytes,
@@ -17,13 +17,13 @@
 // ErrLength tells of a message that is empty or too long; its connection ends.
 var ErrLength = errors.New("fleet: a message's length is out of bounds")
 
-func appendMessage(dst []byte, kind agree.Kind, payload []byte) []byte {
+func appendMessage(dst []byte, kind consensus.Kind, payload []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, uint32(1+len(payload)))
 	return append(append(dst, byte(kind)), payload...)
 }
 
 // parseMessage reads a message from the front of b; 0 are used while it is not whole.
-func parseMessage(b []byte) (kind agree.Kind, payload []byte, used int, err error) {
+func parseMessage(b []byte) (kind consensus.Kind, payload []byte, used int, err error) {
 	if len(b) < 4 {
 		return 0, nil, 0, nil
 	}
@@ -34,5 +34,5 @@
 	if len(b) < 4+n {
 		return 0, nil, 0, nil
 	}
-	return agree.Kind(b[4]), b[wireHead : 4+n], 4 + n, nil
+	return consensus.Kind(b[4]), b[wireHead : 4+n], 4 + n, nil
 }
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -5,7 +5,7 @@
 
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 )
 
 // Random days, none of which breaks a promise; the same seed plays the same day.
@@ -142,9 +142,9 @@
 func twice(t *testing.T, without statemachine.Rule) *World {
 	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Without: without})
 	o := others(w)
-	var seen []agree.Send
-	w.tap = func(from string, s agree.Send) {
-		if from == o[0].Name && s.Kind == agree.KindPropose {
+	var seen []consensus.Send
+	w.tap = func(from string, s consensus.Send) {
+		if from == o[0].Name && s.Kind == consensus.KindPropose {
 			seen = append(seen, s)
 		}
 	}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -19,7 +19,7 @@
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/decide/rollout"
 	"cherryramp/internal/decide/statemachine"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/fleet/consensus"
 )
 
 // Micros is a moment or a span of virtual time, in microseconds.
@@ -96,10 +96,10 @@
 // Front is one front of the world.
 type Front struct {
 	w        *World
-	cfg      agree.Config
+	cfg      consensus.Config
 	Name     string
 	Zone     string
-	node     *agree.Node
+	node     *consensus.Node
 	disk     [][]byte // what is durable
 	life     uint64   // counts starts, so that nothing of the one before reaches the next
 	paused   bool
@@ -136,8 +136,8 @@
 	cut      map[[2]string]bool // one-way
 	delay    Micros
 	jitter   Micros
-	tap      func(from string, s agree.Send) // sees what is sent; nil: nobody does
-	lag      map[string]Micros               // added to the delay of what a front sends
+	tap      func(from string, s consensus.Send) // sees what is sent; nil: nobody does
+	lag      map[string]Micros                   // added to the delay of what a front sends
 	loss     float64
 	double   float64
 	last     map[[2]string]Micros
@@ -160,17 +160,17 @@
 	if s.Rules == (maintenance.Rules{}) {
 		w.spec.Rules = ShortRules()
 	}
-	var first []agree.Address
+	var first []consensus.Address
 	if s.First == 0 {
 		s.First = min(3, s.Fronts)
 	}
 	for i := range s.First {
-		first = append(first, agree.Address{Name: name(i), Address: "virtual"})
+		first = append(first, consensus.Address{Name: name(i), Address: "virtual"})
 	}
 	for i := range s.Fronts {
 		f := &Front{w: w, Name: name(i), Zone: fmt.Sprintf("z%d", i%max(1, s.Zones)), rate: 1 + 1e-4*(2*w.r.Float64()-1),
 			offset: Micros(w.r.Int64N(1_000_000_000))}
-		f.cfg = agree.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", First: first,
+		f.cfg = consensus.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", First: first,
 			Rules: w.spec.Rules, Draw: w.draw, Tick: 100 * Milli, Lost: 3 * Second, Grace: 30 * Second, FanOut: max(1, s.FanOut), Snapshot: 200}
 		if s.FanOut == 0 {
 			f.cfg.FanOut = 8
@@ -246,7 +246,7 @@
 	defer f.w.library()()
 	f.life++
 	f.Restarts++
-	r := &agree.Recovered{}
+	r := &consensus.Recovered{}
 	for _, record := range f.disk {
 		if err := r.Take(record); err != nil {
 			f.w.log("%s can't start: %v", f.Name, err)
@@ -254,11 +254,11 @@
 		}
 	}
 	if r.Identity.ID == 0 {
-		r.Identity = agree.Identity{Name: f.Name, ID: f.w.draw()}
-		f.disk = [][]byte{agree.IdentityRecord(r.Identity)}
+		r.Identity = consensus.Identity{Name: f.Name, ID: f.w.draw()}
+		f.disk = [][]byte{consensus.IdentityRecord(r.Identity)}
 	}
 	f.lastID, f.cfg.Start = r.Identity.ID, f.w.draw()
-	n, err := agree.New(f.cfg, r, f.clock())
+	n, err := consensus.New(f.cfg, r, f.clock())
 	if err != nil {
 		f.w.log("%s can't start: %v", f.Name, err)
 		return
@@ -417,7 +417,7 @@
 	f.w.After(f.slow+100+Micros(f.w.r.Int64N(500)), done)
 }
 
-func (f *Front) retry(out agree.Output) {
+func (f *Front) retry(out consensus.Output) {
 	if f.full {
 		life := f.life
 		f.w.After(Second, func() { f.do(life, func() { f.retry(out) }) })
@@ -427,7 +427,7 @@
 	f.finish(f.node, out)
 }
 
-func (f *Front) keep(out agree.Output) {
+func (f *Front) keep(out consensus.Output) {
 	if out.Rewrite != nil {
 		f.disk = slices.Clone(out.Rewrite)
 		return
@@ -435,7 +435,7 @@
 	f.disk = append(f.disk, out.Records...)
 }
 
-func (f *Front) finish(n *agree.Node, out agree.Output) {
+func (f *Front) finish(n *consensus.Node, out consensus.Output) {
 	for _, s := range out.Sends {
 		f.w.send(f, s)
 	}
@@ -447,7 +447,7 @@
 }
 
 // send brings a message on its way.
-func (w *World) send(f *Front, s agree.Send) {
+func (w *World) send(f *Front, s consensus.Send) {
 	if w.tap != nil {
 		w.tap(f.Name, s)
 	}
@@ -522,7 +522,7 @@
 func (f *Front) Up() bool { return f.node != nil }
 
 // Node is the front's node; nil while it is down.
-func (f *Front) Node() *agree.Node { return f.node }
+func (f *Front) Node() *consensus.Node { return f.node }
 
 // Cut has nothing come from one front to another, or again.
 func (w *World) Cut(from, to string, on bool) {
