--- a/cmd/cherryramp/members_test.go
+++ b/cmd/cherryramp/members_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"testing"
 
-	"cherryramp/internal/ephemeral/keepertest"
+	"cherryramp/internal/ephemeral/zookeepertest"
 )
 
 // Members come from ephemeral nodes in place of the board's list: a box serves
 // once its node is there, and gets nothing more once the node has vanished.
 func TestMembersFromEphemeralNodes(t *testing.T) {
-	k := keepertest.New(t)
-	s := newSite(t, 2, fmt.Sprintf(`{"ephemeral":{"servers":["%s"],"path":"%s"}}`, k.Addr(), keepertest.Root))
+	k := zookeepertest.New(t)
+	s := newSite(t, 2, fmt.Sprintf(`{"ephemeral":{"servers":["%s"],"path":"%s"}}`, k.Addr(), zookeepertest.Root))
 	add := func(name, place, kind string, n *node) {
 		k.Set(name, fmt.Sprintf(`{"host_port":"%s","locality":"%s","flavor":"%s","phase":"SERVING","size":100}`,
 			n.ln.Addr(), place, kind))
--- a/internal/ephemeral/ephemeral_test.go
+++ b/internal/ephemeral/ephemeral_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/ephemeral/keepertest"
+	"cherryramp/internal/ephemeral/zookeepertest"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/loop"
 	"cherryramp/rules"
@@ -72,20 +72,20 @@
 	return len(line), nil
 }
 
-func start(t *testing.T, k *keepertest.Keeper) *sink {
+func start(t *testing.T, k *zookeepertest.Keeper) *sink {
 	t.Helper()
 	s := &sink{lists: make(chan string, 100)}
 	startWith(t, k, s, io.Discard)
 	return s
 }
 
-func startWith(t *testing.T, k *keepertest.Keeper, s *sink, log io.Writer) {
+func startWith(t *testing.T, k *zookeepertest.Keeper, s *sink, log io.Writer) {
 	t.Helper()
 	l := loop.New(func() {})
 	done := make(chan struct{})
 	go func() { l.Run(); close(done) }()
 	t.Cleanup(func() { l.Post(l.Quit); <-done })
-	err := Start(Config{Servers: []string{k.Addr()}, Path: keepertest.Root, Session: 2 * time.Second}, l, s,
+	err := Start(Config{Servers: []string{k.Addr()}, Path: zookeepertest.Root, Session: 2 * time.Second}, l, s,
 		slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 
 // Guards against a list that is logged as read while requests still meet the one before.
 func TestLogsAListInUse(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	s := &sink{lists: make(chan string, 100)}
 	startWith(t, k, s, said{s})
@@ -111,7 +111,7 @@
 }
 
 func TestFollowsNodes(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+")
@@ -130,7 +130,7 @@
 // Guards against a lost connection emptying the list, and against changes made
 // meanwhile that are never heard of.
 func TestLostConnectionKeepsTheList(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+")
@@ -154,7 +154,7 @@
 //
 // What showed it: "member nodes: session" stands in the log after the cut, and no "member nodes read" behind it.
 func TestDrainToldDuringALostConnectionIsHeard(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	k.Set("s-2", box("SERVING"))
 	s := start(t, k)
@@ -176,7 +176,7 @@
 // the race detector: reported in 6 of 6 plays; with four reads without watches in none of 6. So
 // the library must be left without watches, and then asks for none to be set again.
 func TestLibraryHasNoWatchesToSetAgain(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+")
@@ -194,7 +194,7 @@
 // Guards against watches that die with their session: the new one must read
 // all again and hear of what comes later.
 func TestNewSessionReadsAllAgain(t *testing.T) {
-	k := keepertest.New(t)
+	k := zookeepertest.New(t)
 	k.Set("s-1", box("SERVING"))
 	k.Set("s-2", box("SERVING"))
 	s := start(t, k)
--- a/internal/ephemeral/keepertest/keepertest.go
+++ b/internal/ephemeral/zookeepertest/zookeepertest.go
@@ -1,7 +1,7 @@
-// Package keepertest is for tests and the laboratory: a stand-in for a ZooKeeper server
+// Package zookeepertest is for tests and the laboratory: a stand-in for a ZooKeeper server
 // that speaks the part of its published protocol that reading children and data
 // with watches takes.
-package keepertest
+package zookeepertest
 
 import (
 	"encoding/binary"
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"cherryramp/internal/ephemeral/keepertest"
+	"cherryramp/internal/ephemeral/zookeepertest"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/loop"
 	"cherryramp/lab/process"
@@ -228,7 +228,7 @@
 	dir     string
 	listen  string
 	signed  string
-	keeper  *keepertest.Keeper // with ephemeral nodes
+	keeper  *zookeepertest.Keeper // with ephemeral nodes
 	board   *http.Server
 	client  *http.Client
 	rev     int64
@@ -402,13 +402,13 @@
 		}
 	}
 	if o.Ephemeral {
-		if x.keeper, err = keepertest.Open(f.ip + ":0"); err != nil {
+		if x.keeper, err = zookeepertest.Open(f.ip + ":0"); err != nil {
 			return nil, err
 		}
 		for _, m := range known {
 			x.node(m)
 		}
-		file["ephemeral"] = fmt.Appendf(nil, `{"servers":[%q],"path":%q}`, x.keeper.Addr(), keepertest.Root)
+		file["ephemeral"] = fmt.Appendf(nil, `{"servers":[%q],"path":%q}`, x.keeper.Addr(), zookeepertest.Root)
 	}
 	return file, nil
 }
