--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -16,7 +16,7 @@
 	"cherryramp/internal/link/frame"
 	"cherryramp/internal/loop"
 	"cherryramp/internal/loopbacktest"
-	"cherryramp/lab/line"
+	"cherryramp/lab/faultproxy"
 )
 
 // end is a side: it answers each stream that is opened with so many bytes, and
@@ -61,7 +61,7 @@
 // joined are two ends on one loop, with a stand-in line between.
 type joined struct {
 	l        *loop.Loop
-	line     *line.Line
+	line     *faultproxy.Line
 	a, b     *Conn
 	from, to *end
 }
@@ -77,7 +77,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	j := &joined{l: loop.New(func() {}), from: from, to: to}
-	if j.line, err = line.Open("", ln.Addr().String(), 1); err != nil {
+	if j.line, err = faultproxy.Open("", ln.Addr().String(), 1); err != nil {
 		t.Fatal(err)
 	}
 	x, err := net.Dial("tcp", j.line.Addr())
@@ -162,9 +162,9 @@
 		do   func(j *joined)
 		want error // of the side that connected
 	}{
-		"the way back stands still": {func(j *joined) { j.line.Freeze(line.Back, true) }, ErrSilent},
-		"both ways do":              {func(j *joined) { j.line.Freeze(line.Back, true); j.line.Freeze(line.There, true) }, ErrSilent},
-		"the far side is gone":      {func(j *joined) { j.line.Half(line.Back) }, ErrSilent},
+		"the way back stands still": {func(j *joined) { j.line.Freeze(faultproxy.Back, true) }, ErrSilent},
+		"both ways do":              {func(j *joined) { j.line.Freeze(faultproxy.Back, true); j.line.Freeze(faultproxy.There, true) }, ErrSilent},
+		"the far side is gone":      {func(j *joined) { j.line.Half(faultproxy.Back) }, ErrSilent},
 		"it is cut":                 {func(j *joined) { j.line.Cut() }, nil},
 		"it is closed":              {func(j *joined) { j.do(j.a.Close) }, ErrClosed},
 		"a second hello":            {func(j *joined) { j.do(func() { j.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrOrder},
@@ -188,8 +188,8 @@
 			if err := await(t, from.down, "its end"); err == nil || x.want != nil && !errors.Is(err, x.want) {
 				t.Errorf("it ended by %v, want %v", err, x.want)
 			}
-			j.line.Freeze(line.Back, false)
-			j.line.Freeze(line.There, false)
+			j.line.Freeze(faultproxy.Back, false)
+			j.line.Freeze(faultproxy.There, false)
 			await(t, to.down, "the other side's end")
 			j.do(func() { j.a.Close(); j.b.Close() })
 			if len(from.down) > 0 || len(to.down) > 0 {
--- a/lab/line/line.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,8 +1,8 @@
-// Package line is a stand-in for the way between two sites: it passes TCP
+// Package faultproxy is a stand-in for the way between two sites: it passes TCP
 // connections on, late, no faster than a bandwidth, and with the faults that ways
 // have. Bytes keep their order, as TCP has it: what is lost on a real way shows as a
 // stall, and so it does here.
-package line
+package faultproxy
 
 import (
 	"errors"
--- a/lab/line/line_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -1,4 +1,4 @@
-package line
+package faultproxy
 
 import (
 	"bytes"
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -11,7 +11,7 @@
 
 	"cherryramp/internal/decide/maintenance"
 	"cherryramp/internal/fleet"
-	"cherryramp/lab/line"
+	"cherryramp/lab/faultproxy"
 )
 
 // Played is what became of a day of started fronts.
@@ -272,8 +272,8 @@
 		return func() { p.f.Part() }
 	case "delay":
 		d := time.Duration(x.Span) * time.Microsecond
-		each(func(q *Process) { p.f.Delay(q, line.Settings{Delay: d, Jitter: d / 4}) })()
-		return each(func(q *Process) { p.f.Delay(q, line.Settings{}) })
+		each(func(q *Process) { p.f.Delay(q, faultproxy.Settings{Delay: d, Jitter: d / 4}) })()
+		return each(func(q *Process) { p.f.Delay(q, faultproxy.Settings{}) })
 	case "stop":
 		each(func(q *Process) { q.Signal(syscall.SIGSTOP) })()
 		return each(func(q *Process) { q.Signal(syscall.SIGCONT) })
@@ -347,8 +347,8 @@
 	case 6:
 		d := time.Duration(p.r.IntN(1500)) * time.Millisecond
 		p.tell("what %s says comes %v late", x.Name, d)
-		p.f.Delay(x, line.Settings{Delay: d, Jitter: d})
-		return func() { p.f.Delay(x, line.Settings{}) }
+		p.f.Delay(x, faultproxy.Settings{Delay: d, Jitter: d})
+		return func() { p.f.Delay(x, faultproxy.Settings{}) }
 	case 7:
 		p.tell("all connections are reset")
 		p.f.Reset()
@@ -455,7 +455,7 @@
 	p.tell("all is well again")
 	p.f.Part()
 	for _, x := range p.f.List {
-		p.f.Delay(x, line.Settings{})
+		p.f.Delay(x, faultproxy.Settings{})
 		x.Signal(syscall.SIGCONT)
 	}
 	for _, x := range p.f.List {
--- a/lab/fleet/processes.go
+++ b/lab/fleet/processes.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"cherryramp/internal/fleet"
-	"cherryramp/lab/line"
+	"cherryramp/lab/faultproxy"
 	"cherryramp/lab/process"
 	"cherryramp/lab/site"
 )
@@ -63,7 +63,7 @@
 	o     Options
 	Site  *site.Site
 	List  []*Process
-	lines map[[2]int]*line.Line
+	lines map[[2]int]*faultproxy.Line
 }
 
 // instances tells fleets of one process apart, whose addresses must differ.
@@ -89,7 +89,7 @@
 	if o.Fronts < 1 || o.Fronts > 200 {
 		return nil, fmt.Errorf("fleet: %d fronts: 1 to 200 are possible as processes", o.Fronts)
 	}
-	f = &Processes{o: o, lines: map[[2]int]*line.Line{}}
+	f = &Processes{o: o, lines: map[[2]int]*faultproxy.Line{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(fmt.Errorf("fleet: %w", err), f.Close())
@@ -120,7 +120,7 @@
 			if i == j || !o.Lines {
 				continue
 			}
-			l, err := line.Open("", q.Fleet, o.Seed+uint64(i*len(f.List)+j))
+			l, err := faultproxy.Open("", q.Fleet, o.Seed+uint64(i*len(f.List)+j))
 			if err != nil {
 				return f, err
 			}
@@ -443,22 +443,22 @@
 func (f *Processes) Freeze(from, to *Process, on bool) {
 	i, j := f.index(from), f.index(to)
 	if l := f.lines[[2]int{i, j}]; l != nil {
-		l.Freeze(line.There, on)
+		l.Freeze(faultproxy.There, on)
 	}
 	if l := f.lines[[2]int{j, i}]; l != nil {
-		l.Freeze(line.Back, on)
+		l.Freeze(faultproxy.Back, on)
 	}
 }
 
 // Delay has all that comes from a front come late.
-func (f *Processes) Delay(from *Process, s line.Settings) {
+func (f *Processes) Delay(from *Process, s faultproxy.Settings) {
 	i := f.index(from)
 	for j := range f.List {
 		if l := f.lines[[2]int{i, j}]; l != nil {
-			l.Set(line.There, s)
+			l.Set(faultproxy.There, s)
 		}
 		if l := f.lines[[2]int{j, i}]; l != nil {
-			l.Set(line.Back, s)
+			l.Set(faultproxy.Back, s)
 		}
 	}
 }
