--- a/cmd/cherryramp/door_test.go
+++ b/cmd/cherryramp/door_test.go
@@ -68,13 +68,13 @@
 		t.Fatalf("INFO: %q", info)
 	}
 	var figs struct {
-		Handled map[string]counters.Class `json:"handled"`
-		Known   int                       `json:"known_cache_nodes"`
+		Handled map[string]counters.ClassCounts `json:"handled"`
+		Known   int                             `json:"known_cache_nodes"`
 	}
 	if err := json.Unmarshal([]byte(info[0]), &figs); err != nil {
 		t.Fatal(err)
 	}
-	if v := figs.Handled["guide-video"]; v.Passed != 1 || v.Tries != 1 || figs.Known != 3 {
+	if v := figs.Handled["guide-video"]; v.Passed != 1 || v.Attempts != 1 || figs.Known != 3 {
 		t.Errorf("figures: %s", info[0])
 	}
 	if got := call(t, door, "LAMEDUCK"); len(got) != 1 || got[0] != "ok lame duck" {
--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -18,7 +18,7 @@
 type Micros = int64
 
 // Period is after which counts halve.
-const Period Micros = 10_000_000
+const HalfLife Micros = 10_000_000
 
 const (
 	rows  = 4
@@ -76,7 +76,7 @@
 
 // Count gives about how many forged signatures came from a prefix lately.
 func (s *Sketch) Count(p netip.Prefix, now Micros) uint32 {
-	epoch, least := uint32(now/Period), ^uint32(0)
+	epoch, least := uint32(now/HalfLife), ^uint32(0)
 	for i, at := range s.places(p) {
 		least = min(least, s.cells[i][at].at(epoch))
 	}
@@ -85,7 +85,7 @@
 
 // Add counts one more.
 func (s *Sketch) Add(p netip.Prefix, now Micros) {
-	epoch, n := uint32(now/Period), s.Count(p, now)+1
+	epoch, n := uint32(now/HalfLife), s.Count(p, now)+1
 	for i, at := range s.places(p) {
 		c := &s.cells[i][at]
 		*c = counter{epoch, max(c.at(epoch), n)}
--- a/internal/decide/abuse/abuse_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -45,10 +45,10 @@
 	if got := s.Count(heavy, now); got < 5000 || got > 5100 {
 		t.Errorf("the heavy one: %d", got)
 	}
-	if got := s.Count(heavy, now+3*Period); got > 640 {
+	if got := s.Count(heavy, now+3*HalfLife); got > 640 {
 		t.Errorf("after three periods: %d", got)
 	}
-	if got := s.Count(heavy, now+40*Period); got != 0 {
+	if got := s.Count(heavy, now+40*HalfLife); got != 0 {
 		t.Errorf("after forty: %d", got)
 	}
 }
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -24,25 +24,25 @@
 type Micros = int64
 
 // Law is how the limit learns.
-type Law uint8
+type Algorithm uint8
 
 // The laws. AIMD adds one a round and takes a tenth off when answers are slow
 // (Chiu and Jain, 1989). Gradient follows the ratio of the usual time of an
 // answer to that of late (as Netflix' concurrency-limits does, gradient 2).
 const (
-	AIMD Law = iota
+	AIMD Algorithm = iota
 	Gradient
 )
 
 // Config bounds the limit.
 type Config struct {
-	Law         Law
-	Least, Most int       // requests open at a time
-	Start       int       // before anything is learnt
-	Queue       int       // requests that wait at a time
-	Away        Micros    // the greatest time to stay away
-	Worth       []float64 // of the classes
-	Seed        uint64
+	Algorithm          Algorithm
+	MinLimit, MaxLimit int       // requests open at a time
+	InitialLimit       int       // before anything is learnt
+	MaxQueued          int       // requests that wait at a time
+	MaxBackoff         Micros    // the greatest time to stay away
+	Worth              []float64 // of the classes
+	Seed               uint64
 }
 
 const (
@@ -82,13 +82,13 @@
 
 // New makes a limiter.
 func New(cfg Config) *Limiter {
-	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.Start, cfg.Least), cfg.Most)), came: abuse.New(cfg.Seed)}
-	l.Renew(cfg.Worth)
+	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.InitialLimit, cfg.MinLimit), cfg.MaxLimit)), came: abuse.New(cfg.Seed)}
+	l.UpdateClasses(cfg.Worth)
 	return l
 }
 
 // Renew takes the worth of further classes; those known so far must keep their places.
-func (l *Limiter) Renew(worth []float64) {
+func (l *Limiter) UpdateClasses(worth []float64) {
 	for _, w := range worth[len(l.lanes)/2:] {
 		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyLess}) // as laneOf has them
 	}
@@ -99,37 +99,37 @@
 func (l *Limiter) Limit() int { return int(l.limit) }
 
 // Open counts what was taken and is not done.
-func (l *Limiter) Open() int { return l.open }
+func (l *Limiter) InFlight() int { return l.open }
 
 // Pace is the answers a second, as measured; 0: not known yet.
-func (l *Limiter) Pace() float64 { return l.pace * 1e6 }
+func (l *Limiter) Throughput() float64 { return l.pace * 1e6 }
 
 // Verdict says what becomes of a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Taken Verdict = iota // it must be given back with Done
-	Waits                // Next or Leave ends that
+	Admitted Verdict = iota // it must be given back with Done
+	Queued                  // Next or Leave ends that
 	Refused
 )
 
 // Ask asks for one request. Refused, it is told how long to stay away. Where it
 // waits, another may have had to yield to it; that one is refused.
-func (l *Limiter) Ask(t *Ticket, now Micros) (v Verdict, away Micros, yields *Ticket) {
-	place := laneOf(t.Class, l.heavy(t.From, now))
+func (l *Limiter) Admit(t *Ticket, now Micros) (v Verdict, away Micros, yields *Ticket) {
+	place := laneOf(t.Class, l.heavy(t.Prefix, now))
 	x := &l.lanes[place]
 	if l.waiting == 0 && l.open < int(l.limit) && (place%2 == 0 || float64(l.open) < fairFrom*l.limit) {
-		if l.open > l.cfg.Least && !l.inTime(l.open, x, t.Until, now) {
+		if l.open > l.cfg.MinLimit && !l.inTime(l.open, x, t.Deadline, now) {
 			return Refused, l.away(now), nil
 		}
 		l.enter()
-		return Taken, 0, nil
+		return Admitted, 0, nil
 	}
-	if !l.inTime(l.open+l.ahead(x.rank()), x, t.Until, now) {
+	if !l.inTime(l.open+l.ahead(x.rank()), x, t.Deadline, now) {
 		return Refused, l.away(now), nil
 	}
-	if l.waiting >= l.cfg.Queue {
+	if l.waiting >= l.cfg.MaxQueued {
 		worst := l.worst()
 		if worst == nil || worst.rank() >= x.rank() {
 			return Refused, l.away(now), nil
@@ -143,7 +143,7 @@
 	if yields != nil {
 		away = l.away(now)
 	}
-	return Waits, away, yields
+	return Queued, away, yields
 }
 
 func (l *Limiter) enter() {
@@ -157,7 +157,7 @@
 	if !from.IsValid() {
 		return false
 	}
-	if p := now / abuse.Period; p != l.period {
+	if p := now / abuse.HalfLife; p != l.period {
 		l.period, l.all = p, l.all/2
 	}
 	l.all++
@@ -171,13 +171,13 @@
 // ones. Past the greatest time it begins again, since nobody can be told more.
 func (l *Limiter) away(now Micros) Micros {
 	if l.pace == 0 {
-		l.next = max(l.next, now) + l.cfg.Away/64
+		l.next = max(l.next, now) + l.cfg.MaxBackoff/64
 	} else {
 		l.next = max(l.next, now+Micros(float64(l.open+l.waiting)/l.pace)) + Micros(1/(l.pace*(1-freshShare)))
 	}
-	if l.next > now+l.cfg.Away {
-		l.next = now + l.cfg.Away/8
-		return l.cfg.Away
+	if l.next > now+l.cfg.MaxBackoff {
+		l.next = now + l.cfg.MaxBackoff/8
+		return l.cfg.MaxBackoff
 	}
 	return max(1, l.next-now)
 }
@@ -225,9 +225,9 @@
 	case busy:
 		l.pace += paceWeight * (pace - l.pace)
 	}
-	switch l.cfg.Law {
+	switch l.cfg.Algorithm {
 	case AIMD:
-		if time > tolerance*l.usual && l.taken > l.cfg.Least {
+		if time > tolerance*l.usual && l.taken > l.cfg.MinLimit {
 			l.limit *= 0.9
 		} else if busy {
 			l.limit++
@@ -238,5 +238,5 @@
 			l.limit += 0.2 * (l.limit*gradient + math.Sqrt(l.limit) - l.limit)
 		}
 	}
-	l.limit = max(float64(l.cfg.Least), min(float64(l.cfg.Most), l.limit))
+	l.limit = max(float64(l.cfg.MinLimit), min(float64(l.cfg.MaxLimit), l.limit))
 }
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -93,8 +93,8 @@
 			if isHeavy {
 				from = prefix(9999)
 			}
-			switch v, away, yields := l.Ask(&Ticket{Class: class, From: from, Until: e.at + patience, Value: e}, e.at); {
-			case v == Taken:
+			switch v, away, yields := l.Admit(&Ticket{Class: class, Prefix: from, Deadline: e.at + patience, Value: e}, e.at); {
+			case v == Admitted:
 				take(e, e.at)
 			case v == Refused:
 				refuse(e, away, e.at)
@@ -127,8 +127,8 @@
 	return r
 }
 
-func config(law Law) Config {
-	return Config{Law: law, Least: 8, Most: 4000, Start: 64, Queue: 20_000, Away: 500_000, Worth: worth, Seed: 1}
+func config(law Algorithm) Config {
+	return Config{Algorithm: law, MinLimit: 8, MaxLimit: 4000, InitialLimit: 64, MaxQueued: 20_000, MaxBackoff: 500_000, Worth: worth, Seed: 1}
 }
 
 // In a wake storm a learnt limit answers more in time than none, takes little in
@@ -136,15 +136,15 @@
 func TestWakeStorm(t *testing.T) {
 	s := storm{clients: 10_000, slots: 50, span: 10_000, prefixes: 5000}
 	none := config(AIMD)
-	none.Least, none.Most = 1<<30, 1<<30
+	none.MinLimit, none.MaxLimit = 1<<30, 1<<30
 	without := s.run(New(none))
 	t.Logf("no limit: %+v", without)
-	for law, name := range map[Law]string{AIMD: "AIMD", Gradient: "gradient"} {
+	for law, name := range map[Algorithm]string{AIMD: "AIMD", Gradient: "gradient"} {
 		l := New(config(law))
 		got := s.run(l)
-		t.Logf("%s: %+v, limit %d, pace %.0f", name, got, l.Limit(), l.Pace())
-		if got.inTime <= without.inTime || l.Open() != 0 || l.Waiting() != 0 {
-			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, without.inTime, l.Open(), l.Waiting())
+		t.Logf("%s: %+v, limit %d, pace %.0f", name, got, l.Limit(), l.Throughput())
+		if got.inTime <= without.inTime || l.InFlight() != 0 || l.Waiting() != 0 {
+			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, without.inTime, l.InFlight(), l.Waiting())
 		}
 		if got.dear*4 < s.clients*9/10 || got.vain*100 > got.inTime {
 			t.Errorf("%s: of %d that are worth more %d were in time; %d in vain", name, s.clients/4, got.dear, got.vain)
@@ -168,18 +168,18 @@
 // every ticket ends once.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Law: Law(rapid.IntRange(0, 1).Draw(t, "law")), Least: 4, Most: 40, Queue: rapid.IntRange(0, 30).Draw(t, "queue"),
-			Away: 500_000, Worth: worth}
+		cfg := Config{Algorithm: Algorithm(rapid.IntRange(0, 1).Draw(t, "law")), MinLimit: 4, MaxLimit: 40, MaxQueued: rapid.IntRange(0, 30).Draw(t, "queue"),
+			MaxBackoff: 500_000, Worth: worth}
 		l, now := New(cfg), Micros(1_000_000)
 		var open, waiting []*Ticket // Value of those open: since when
 		check := func(away Micros) {
-			if away < 1 || away > cfg.Away {
+			if away < 1 || away > cfg.MaxBackoff {
 				t.Fatalf("sent away for %d", away)
 			}
 		}
 		gone := func(x *Ticket) {
 			i := slices.Index(waiting, x)
-			if i < 0 || x.Waits() {
+			if i < 0 || x.Queued() {
 				t.Fatal("it did not wait, or still does")
 			}
 			waiting = slices.Delete(waiting, i, i+1)
@@ -194,7 +194,7 @@
 				x.Value = now
 				open = append(open, x)
 				for _, other := range waiting {
-					if other.Class == x.Class && other.From == x.From && other.Until < x.Until && other.lane == laneOf(x.Class, false)+1 {
+					if other.Class == x.Class && other.Prefix == x.Prefix && other.Deadline < x.Deadline && other.lane == laneOf(x.Class, false)+1 {
 						t.Fatal("one with less time left was passed over")
 					}
 				}
@@ -214,18 +214,18 @@
 			case 2:
 				if len(waiting) > 0 {
 					x := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "left")]
-					l.Leave(x)
+					l.Cancel(x)
 					gone(x)
 				}
 			default:
-				x := &Ticket{Class: rapid.IntRange(0, 1).Draw(t, "class"), From: prefix(rapid.IntRange(0, 3).Draw(t, "from")),
-					Until: now + int64(rapid.IntRange(0, 3_000_000).Draw(t, "left"))}
-				v, away, yields := l.Ask(x, now)
+				x := &Ticket{Class: rapid.IntRange(0, 1).Draw(t, "class"), Prefix: prefix(rapid.IntRange(0, 3).Draw(t, "from")),
+					Deadline: now + int64(rapid.IntRange(0, 3_000_000).Draw(t, "left"))}
+				v, away, yields := l.Admit(x, now)
 				switch {
-				case v == Taken:
+				case v == Admitted:
 					x.Value = now
 					open = append(open, x)
-				case v == Waits:
+				case v == Queued:
 					waiting = append(waiting, x)
 					if yields != nil {
 						gone(yields)
@@ -235,13 +235,13 @@
 					check(away)
 				}
 			}
-			if at, ok := l.Due(); ok != (len(waiting) > 0) {
+			if at, ok := l.NextCheck(); ok != (len(waiting) > 0) {
 				t.Fatal("due", at, ok)
 			} else if ok && at <= now {
 				pump()
 			}
-			if l.Open() != len(open) || l.Waiting() != len(waiting) || l.Waiting() > cfg.Queue || l.Limit() < cfg.Least || l.Limit() > cfg.Most {
-				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.Open(), len(open), l.Waiting(), len(waiting), l.Limit())
+			if l.InFlight() != len(open) || l.Waiting() != len(waiting) || l.Waiting() > cfg.MaxQueued || l.Limit() < cfg.MinLimit || l.Limit() > cfg.MaxLimit {
+				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.InFlight(), len(open), l.Waiting(), len(waiting), l.Limit())
 			}
 		}
 	})
@@ -252,8 +252,8 @@
 	b.ReportAllocs()
 	var t Ticket
 	for i := range b.N {
-		t = Ticket{Class: i & 1, From: prefix(i & 0xffff), Until: int64(i) + 2_000_000}
-		if v, _, _ := l.Ask(&t, int64(i)); v == Taken {
+		t = Ticket{Class: i & 1, Prefix: prefix(i & 0xffff), Deadline: int64(i) + 2_000_000}
+		if v, _, _ := l.Admit(&t, int64(i)); v == Admitted {
 			l.Done(t.Class, 1000, int64(i), true)
 		}
 	}
@@ -262,15 +262,15 @@
 // BenchmarkQueue is one that waits behind 10,000 others and is taken.
 func BenchmarkQueue(b *testing.B) {
 	cfg := config(AIMD)
-	cfg.Least, cfg.Most, cfg.Start = 1, 1, 1
+	cfg.MinLimit, cfg.MaxLimit, cfg.InitialLimit = 1, 1, 1
 	l := New(cfg)
-	l.Ask(&Ticket{Until: 1 << 50}, 0)
+	l.Admit(&Ticket{Deadline: 1 << 50}, 0)
 	for i := range 10_000 {
-		l.Ask(&Ticket{Class: i & 1, From: prefix(i), Until: 1<<50 + int64(i)}, 0)
+		l.Admit(&Ticket{Class: i & 1, Prefix: prefix(i), Deadline: 1<<50 + int64(i)}, 0)
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Ask(&Ticket{Class: i & 1, From: prefix(i), Until: 1<<50 + int64(i)}, int64(i))
+		l.Admit(&Ticket{Class: i & 1, Prefix: prefix(i), Deadline: 1<<50 + int64(i)}, int64(i))
 		l.Done(0, 1000, int64(i), false)
 		l.Next(int64(i))
 	}
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -5,17 +5,17 @@
 // Ticket is one request that asks to be taken. It belongs to the limiter from Ask
 // until it is taken, refused or left.
 type Ticket struct {
-	Class int
-	From  netip.Prefix // of the client
-	Until Micros       // when the client stops waiting
-	Value any          // the caller's own
+	Class    int
+	Prefix   netip.Prefix // of the client
+	Deadline Micros       // when the client stops waiting
+	Value    any          // the caller's own
 
 	lane int // one more than its place; 0: it does not wait
 	at   int // in the lane's heap
 }
 
 // Waits tells whether a ticket stands in the queue.
-func (t *Ticket) Waits() bool { return t.lane > 0 }
+func (t *Ticket) Queued() bool { return t.lane > 0 }
 
 // lane is the tickets of one class that wait, and of prefixes that are heavy or
 // are not; a heap by the time left, so that the first is the next to run out.
@@ -37,7 +37,7 @@
 func (l *lane) rank() float64 { return l.worth / max(timeLeast, l.time) }
 
 // starts is the last moment at which the first ticket can still be taken.
-func (l *lane) starts() Micros { return l.tickets[0].Until - Micros(max(timeLeast, l.time)) }
+func (l *lane) starts() Micros { return l.tickets[0].Deadline - Micros(max(timeLeast, l.time)) }
 
 // laneOf gives the place of a class's lane.
 func laneOf(class int, heavy bool) int {
@@ -47,7 +47,7 @@
 	return 2 * class
 }
 
-func (l *lane) less(i, j int) bool { return l.tickets[i].Until < l.tickets[j].Until }
+func (l *lane) less(i, j int) bool { return l.tickets[i].Deadline < l.tickets[j].Deadline }
 
 func (l *lane) swap(i, j int) {
 	l.tickets[i], l.tickets[j] = l.tickets[j], l.tickets[i]
@@ -174,7 +174,7 @@
 	for i := range l.lanes {
 		x := &l.lanes[i]
 		// Those with the most time left are about the last in the heap.
-		if n := len(x.tickets); n > 0 && !l.inTime(l.open+l.ahead(x.rank())-1, x, x.tickets[n-1].Until, now) {
+		if n := len(x.tickets); n > 0 && !l.inTime(l.open+l.ahead(x.rank())-1, x, x.tickets[n-1].Deadline, now) {
 			l.waiting--
 			return x.take(0)
 		}
@@ -184,7 +184,7 @@
 }
 
 // Due is when Next has to be asked again though nothing was done.
-func (l *Limiter) Due() (at Micros, ok bool) {
+func (l *Limiter) NextCheck() (at Micros, ok bool) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; len(x.tickets) > 0 && (!ok || x.starts() < at) {
 			at, ok = x.starts(), true
@@ -194,7 +194,7 @@
 }
 
 // Leave takes back a ticket that waits, for a client that has gone.
-func (l *Limiter) Leave(t *Ticket) {
+func (l *Limiter) Cancel(t *Ticket) {
 	if t.lane > 0 {
 		l.lanes[t.lane-1].take(t.at)
 		l.waiting--
--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -19,7 +19,7 @@
 const drift = 200e-6
 
 // Held measures one direction of one connection.
-type Held struct {
+type DelayEstimator struct {
 	least float64 // of came less sent
 	at    Micros
 	seen  bool
@@ -28,7 +28,7 @@
 // Came takes in a frame that was sent at a moment of the sender's clock and came at
 // one of ours, and tells for how long it was held; 0 for the first. Moments that run
 // wild give what no rule lets pass.
-func (h *Held) Came(sent, now Micros) Micros {
+func (h *DelayEstimator) Observe(sent, now Micros) Micros {
 	diff := float64(now) - float64(sent)
 	if !h.seen {
 		h.least, h.at, h.seen = diff, now, true
--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -20,7 +20,7 @@
 		least := rapid.Int64Range(100, 200_000).Draw(t, "way")
 		jitter := rapid.Int64Range(0, 20_000).Draw(t, "jitter")
 		theirs := func(now Micros) Micros { return offset + Micros(float64(now)*rate) }
-		var h Held
+		var h DelayEstimator
 		now, slow, quickest := Micros(0), Micros(0), Micros(1<<60)
 		for i := range rapid.IntRange(2, 200).Draw(t, "frames") {
 			now += rapid.Int64Range(1, 30_000_000).Draw(t, "pause")
@@ -28,7 +28,7 @@
 				slow = rapid.Int64Range(0, 5_000_000).Draw(t, "slow")
 			}
 			way := least + rapid.Int64Range(0, jitter).Draw(t, "late") + slow
-			got := h.Came(theirs(now), now+way)
+			got := h.Observe(theirs(now), now+way)
 			now += way
 			quickest = min(quickest, way)
 			// The sender's clock may gain or lose on ours while the least is old.
@@ -38,9 +38,9 @@
 			}
 		}
 	})
-	var h Held
-	h.Came(0, 0)
-	if h.Came(-1<<62, 1<<62) < 1<<60 {
+	var h DelayEstimator
+	h.Observe(0, 0)
+	if h.Observe(-1<<62, 1<<62) < 1<<60 {
 		t.Error("a sender's clock that runs wild is believed")
 	}
 }
--- a/internal/decide/compactmap/compactmap.go
+++ b/internal/decide/compactmap/compactmap.go
@@ -15,7 +15,7 @@
 )
 
 // Name is what an entry is kept under.
-type Name [16]byte
+type Key [16]byte
 
 // Table is a bounded table.
 type Table[V any] struct {
@@ -28,7 +28,7 @@
 // slot is free where its name is zero, which no digest is in practice; who
 // brings the zero name all the same finds it kept under another.
 type slot[V any] struct {
-	name Name
+	name Key
 	v    V
 }
 
@@ -51,7 +51,7 @@
 	old := t.slots
 	t.slots, t.hand = make([]slot[V], n), 0
 	for i := range old {
-		if old[i].name != (Name{}) {
+		if old[i].name != (Key{}) {
 			t.slots[t.free(&old[i].name)] = old[i]
 		}
 	}
@@ -60,7 +60,7 @@
 // home is where a name would stand if nobody else did: its first bytes as a
 // share of the table (Lemire, "Fast random integer generation", 2019), so that
 // a table may be of any size.
-func (t *Table[V]) home(n *Name) int {
+func (t *Table[V]) home(n *Key) int {
 	at, _ := bits.Mul64(binary.LittleEndian.Uint64(n[:8]), uint64(len(t.slots)))
 	return int(at)
 }
@@ -80,16 +80,16 @@
 	return i - from
 }
 
-func (t *Table[V]) free(n *Name) int {
+func (t *Table[V]) free(n *Key) int {
 	i := t.home(n)
-	for t.slots[i].name != (Name{}) {
+	for t.slots[i].name != (Key{}) {
 		i = t.next(i)
 	}
 	return i
 }
 
-func nonzero(n Name) Name {
-	if n == (Name{}) {
+func nonzero(n Key) Key {
+	if n == (Key{}) {
 		n[15] = 1
 	}
 	return n
@@ -102,15 +102,15 @@
 func (t *Table[V]) Full() bool { return t.count >= t.most }
 
 // Find gives an entry, or nil. The pointer holds until the table is changed.
-func (t *Table[V]) Find(n Name) *V {
+func (t *Table[V]) Find(n Key) *V {
 	if i := t.at(nonzero(n)); i >= 0 {
 		return &t.slots[i].v
 	}
 	return nil
 }
 
-func (t *Table[V]) at(n Name) int {
-	for i := t.home(&n); t.slots[i].name != (Name{}); i = t.next(i) {
+func (t *Table[V]) at(n Key) int {
+	for i := t.home(&n); t.slots[i].name != (Key{}); i = t.next(i) {
 		if t.slots[i].name == n {
 			return i
 		}
@@ -119,7 +119,7 @@
 }
 
 // Add makes an entry that is not there yet; nil where the table is full.
-func (t *Table[V]) Add(n Name, v V) *V {
+func (t *Table[V]) Add(n Key, v V) *V {
 	if t.Full() {
 		return nil
 	}
@@ -134,7 +134,7 @@
 }
 
 // Remove takes an entry out.
-func (t *Table[V]) Remove(n Name) bool {
+func (t *Table[V]) Remove(n Key) bool {
 	i := t.at(nonzero(n))
 	if i >= 0 {
 		t.removeAt(i)
@@ -145,7 +145,7 @@
 func (t *Table[V]) removeAt(i int) {
 	t.count--
 	for j := i; ; {
-		if j = t.next(j); t.slots[j].name == (Name{}) {
+		if j = t.next(j); t.slots[j].name == (Key{}) {
 			break
 		}
 		// What would be found no more if it stayed moves into the gap.
@@ -160,10 +160,10 @@
 // Sweep looks at the next so many slots and takes out the entries that dead
 // tells of. Called with each Add, it goes round the table for as little as a
 // wheel costs, and needs no room of its own.
-func (t *Table[V]) Sweep(slots int, dead func(Name, *V) bool) (removed int) {
+func (t *Table[V]) Sweep(slots int, dead func(Key, *V) bool) (removed int) {
 	for range min(slots, len(t.slots)) {
 		s := &t.slots[t.hand]
-		if s.name != (Name{}) && dead(s.name, &s.v) {
+		if s.name != (Key{}) && dead(s.name, &s.v) {
 			t.removeAt(t.hand) // what moved here is looked at next
 			removed++
 			continue
@@ -177,7 +177,7 @@
 func (t *Table[V]) Append(b []byte) ([]byte, error) {
 	b = binary.LittleEndian.AppendUint32(b, uint32(t.count))
 	for i := range t.slots {
-		if s := &t.slots[i]; s.name != (Name{}) {
+		if s := &t.slots[i]; s.name != (Key{}) {
 			b = append(b, s.name[:]...)
 			var err error
 			if b, err = binary.Append(b, binary.LittleEndian, &s.v); err != nil {
@@ -201,7 +201,7 @@
 		return nil, fmt.Errorf("compact: %d entries do not fit in the table or are cut off", n)
 	}
 	for range n {
-		name := Name(b[:16])
+		name := Key(b[:16])
 		if _, err := binary.Decode(b[16:16+size], binary.LittleEndian, &v); err != nil {
 			return nil, fmt.Errorf("compact: %w", err)
 		}
--- a/internal/decide/compactmap/compactmap_test.go
+++ b/internal/decide/compactmap/compactmap_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-func name(i int) (n Name) {
+func name(i int) (n Key) {
 	if i == 0 {
 		return n // the zero name is one like others
 	}
@@ -25,7 +25,7 @@
 // A table does what a map does, within its bound, through sweeps and a snapshot.
 func TestAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, want := New[int64](100), map[Name]int64{}
+		x, want := New[int64](100), map[Key]int64{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			i := rapid.IntRange(0, 150).Draw(t, "name")
 			n := name(i)
@@ -42,7 +42,7 @@
 				}
 				delete(want, n)
 			case 3:
-				x.Sweep(20, func(_ Name, v *int64) bool {
+				x.Sweep(20, func(_ Key, v *int64) bool {
 					if *v%7 == 0 {
 						delete(want, name(int(*v)))
 						return true
@@ -81,7 +81,7 @@
 // Run with -bench Million: a table against a plain map, at a million entries.
 func BenchmarkMillion(b *testing.B) {
 	const n = 1_000_000
-	names := make([]Name, 2*n)
+	names := make([]Key, 2*n)
 	for i := range names {
 		names[i] = name(i + 1)
 	}
@@ -111,7 +111,7 @@
 	})
 	b.Run("map", func(b *testing.B) {
 		before := heap()
-		t := map[Name]*use{}
+		t := map[Key]*use{}
 		for _, n := range names[:n] {
 			t[n] = &use{}
 		}
@@ -129,7 +129,7 @@
 	})
 	b.Run("map-of-values", func(b *testing.B) {
 		before := heap()
-		t := map[Name]use{}
+		t := map[Key]use{}
 		for _, n := range names[:n] {
 			t[n] = use{}
 		}
--- a/internal/decide/content/content.go
+++ b/internal/decide/content/content.go
@@ -14,8 +14,8 @@
 
 // Bounds of what a request may ask for.
 const (
-	MostRanges = 8  // more are refused
-	mostTags   = 32 // in If-None-Match; more are passed over
+	MaxRanges = 8  // more are refused
+	mostTags  = 32 // in If-None-Match; more are passed over
 )
 
 // Encodings are those that answers may have, the best first where a client
@@ -26,7 +26,7 @@
 var suffixes = map[string]string{"br": "-br", "zstd": "-zs", "gzip": "-gz"}
 
 // Ask is what a request says of the answer that it wants.
-type Ask struct {
+type Request struct {
 	any      bool     // If-None-Match: *
 	tags     []string // opaque tags, weak or not: for reads the comparison is weak
 	ranges   []span
@@ -41,11 +41,11 @@
 type span struct{ from, to int64 }
 
 // Part is a range of bytes of an object, both ends in it.
-type Part struct{ From, To int }
+type ByteRange struct{ First, Last int }
 
 // Read reads a request's header. Fields that can't be used are passed over, as
 // the RFC has it, but for ranges that are too many.
-func Read(method string, h httpwire.Header) (a Ask) {
+func ParseRequest(method string, h httpwire.Header) (a Request) {
 	for _, f := range h {
 		switch {
 		case strings.EqualFold(f.Name, "If-None-Match"):
@@ -65,7 +65,7 @@
 	return a
 }
 
-func (a *Ask) readTags(list string) {
+func (a *Request) readTags(list string) {
 	for list != "" && len(a.tags) < mostTags {
 		list = strings.TrimLeft(list, " \t,")
 		if list == "*" {
@@ -87,7 +87,7 @@
 
 // Known gives the tag of a copy that the client holds, bare, to be asked for
 // further in; empty: none, or more than one, of which nobody knows which holds.
-func (a *Ask) Known() string {
+func (a *Request) KnownTag() string {
 	known := ""
 	for _, tag := range a.tags {
 		bare := a.bare(tag)
@@ -100,7 +100,7 @@
 }
 
 // bare takes the suffix of the encoding off that this request would get.
-func (a *Ask) bare(tag string) string {
+func (a *Request) bare(tag string) string {
 	if s := suffixes[a.Encoding]; s != "" {
 		return strings.TrimSuffix(tag, s)
 	}
@@ -108,11 +108,11 @@
 }
 
 // Holds tells whether the client's own copy is the one with a tag.
-func (a *Ask) Holds(tag string) bool {
+func (a *Request) Matches(tag string) bool {
 	return a.any || tag != "" && slices.ContainsFunc(a.tags, func(t string) bool { return a.bare(t) == tag })
 }
 
-func (a *Ask) readRanges(text string) {
+func (a *Request) readRanges(text string) {
 	unit, list, ok := strings.Cut(text, "=")
 	if !ok || !strings.EqualFold(unit, "bytes") {
 		return
@@ -135,7 +135,7 @@
 			a.ranges = nil
 			return // one that can't be read spoils the field
 		}
-		if len(a.ranges) == MostRanges {
+		if len(a.ranges) == MaxRanges {
 			a.abuse = true
 			break
 		}
@@ -160,47 +160,47 @@
 
 // Plan is what to answer.
 type Plan struct {
-	Status int    // 200, 206, 304 or 416
-	Parts  []Part // with 206
+	Status int         // 200, 206, 304 or 416
+	Ranges []ByteRange // with 206
 }
 
 // Plan decides on an object of so many bytes under a tag.
-func (a *Ask) Plan(size int, tag string) Plan {
-	if a.Holds(tag) {
+func (a *Request) Plan(size int, tag string) Plan {
+	if a.Matches(tag) {
 		return Plan{Status: 304}
 	}
 	if !a.ranged || a.hasIf && (tag == "" || a.ifRange != `"`+tag+`"`) { // the comparison is strong
 		return Plan{Status: 200}
 	}
-	var parts []Part
+	var parts []ByteRange
 	total := 0
 	for _, s := range a.ranges {
-		p := Part{int(min(s.from, int64(size))), size - 1}
+		p := ByteRange{int(min(s.from, int64(size))), size - 1}
 		switch {
 		case s.from < 0:
-			p.From = int(max(0, int64(size)-s.to))
+			p.First = int(max(0, int64(size)-s.to))
 		case s.to >= 0:
-			p.To = int(min(s.to, int64(size)-1))
+			p.Last = int(min(s.to, int64(size)-1))
 		}
-		if s.from < 0 && s.to == 0 || p.From >= size || p.To < p.From {
+		if s.from < 0 && s.to == 0 || p.First >= size || p.Last < p.First {
 			continue
 		}
 		parts = append(parts, p)
-		total += p.To - p.From + 1
+		total += p.Last - p.First + 1
 	}
 	if a.abuse || len(parts) == 0 || total > size && len(parts) > 1 || overlapping(parts) {
 		return Plan{Status: 416}
 	}
-	return Plan{Status: 206, Parts: parts}
+	return Plan{Status: 206, Ranges: parts}
 }
 
 // overlapping tells whether a byte is asked for more than twice (RFC 9110,
 // section 17.15, leaves what is too much to the server).
-func overlapping(parts []Part) bool {
+func overlapping(parts []ByteRange) bool {
 	for i, p := range parts {
 		n := 0
 		for j, o := range parts {
-			if i != j && o.From <= p.From && p.From <= o.To {
+			if i != j && o.First <= p.First && p.First <= o.Last {
 				n++
 			}
 		}
@@ -212,7 +212,7 @@
 }
 
 // Tagged gives the tag of an object in an encoding.
-func Tagged(tag, encoding string) string { return tag + suffixes[encoding] }
+func EncodedTag(tag, encoding string) string { return tag + suffixes[encoding] }
 
 // choose gives the best encoding that an Accept-Encoding field takes.
 func choose(field, best string) string {
@@ -254,7 +254,7 @@
 
 // AppendParts writes several ranges of a body as multipart/byteranges (RFC
 // 9110, section 14.6).
-func AppendParts(b, body []byte, parts []Part, kind, boundary string) []byte {
+func AppendMultipart(b, body []byte, parts []ByteRange, kind, boundary string) []byte {
 	for _, p := range parts {
 		b = append(b, "\r\n--"...)
 		b = append(b, boundary...)
@@ -263,9 +263,9 @@
 			b = append(b, kind...)
 		}
 		b = append(b, "\r\nContent-Range: "...)
-		b = AppendRange(b, p, len(body))
+		b = AppendContentRange(b, p, len(body))
 		b = append(b, "\r\n\r\n"...)
-		b = append(b, body[p.From:p.To+1]...)
+		b = append(b, body[p.First:p.Last+1]...)
 	}
 	b = append(b, "\r\n--"...)
 	b = append(b, boundary...)
@@ -273,11 +273,11 @@
 }
 
 // AppendRange writes a Content-Range.
-func AppendRange(b []byte, p Part, size int) []byte {
+func AppendContentRange(b []byte, p ByteRange, size int) []byte {
 	b = append(b, "bytes "...)
-	b = strconv.AppendInt(b, int64(p.From), 10)
+	b = strconv.AppendInt(b, int64(p.First), 10)
 	b = append(b, '-')
-	b = strconv.AppendInt(b, int64(p.To), 10)
+	b = strconv.AppendInt(b, int64(p.Last), 10)
 	b = append(b, '/')
 	return strconv.AppendInt(b, int64(size), 10)
 }
--- a/internal/decide/content/content_test.go
+++ b/internal/decide/content/content_test.go
@@ -70,17 +70,17 @@
 		{[]string{`If-None-Match: "t-gz"`, "Accept-Encoding: gzip"}, "304"},
 		{[]string{`If-None-Match: "t-gz"`, "Accept-Encoding: gzip, br"}, "200"},
 	} {
-		a := Read("GET", header(x.fields...))
+		a := ParseRequest("GET", header(x.fields...))
 		p := a.Plan(100, "t")
 		got := fmt.Sprint(p.Status)
-		for _, r := range p.Parts {
-			got += fmt.Sprintf(" %d-%d", r.From, r.To)
+		for _, r := range p.Ranges {
+			got += fmt.Sprintf(" %d-%d", r.First, r.Last)
 		}
 		if got != x.want {
 			t.Errorf("%q: %s, want %s", x.fields, got, x.want)
 		}
 	}
-	a := Read("HEAD", header("Range: bytes=0-1"))
+	a := ParseRequest("HEAD", header("Range: bytes=0-1"))
 	if p := a.Plan(100, "t"); p.Status != 200 {
 		t.Error("HEAD with a range:", p)
 	}
@@ -92,11 +92,11 @@
 		"br;q=0, *": "zstd", "identity": "", "identity;q=0.5, gzip": "gzip", "identity, gzip;q=0.5": "",
 		"gzip;q=2": "", "x-gzip": "gzip", "deflate": "", "GZIP ; Q=0.3": "gzip",
 	} {
-		if got := Read("GET", header("Accept-Encoding: "+field)).Encoding; got != want {
+		if got := ParseRequest("GET", header("Accept-Encoding: "+field)).Encoding; got != want {
 			t.Errorf("%q: %q, want %q", field, got, want)
 		}
 	}
-	if a := Read("GET", header("Accept-Encoding: gzip", "Range: bytes=0-1")); a.Encoding != "" {
+	if a := ParseRequest("GET", header("Accept-Encoding: gzip", "Range: bytes=0-1")); a.Encoding != "" {
 		t.Error("a range of an encoding")
 	}
 }
@@ -107,27 +107,27 @@
 	rapid.Check(t, func(t *rapid.T) {
 		field := "bytes=" + rapid.StringMatching(`[0-9]{0,3}-[0-9]{0,3}(,[0-9]{0,3}-[0-9]{0,3}){0,9}`).Draw(t, "ranges")
 		body := []byte(rapid.StringN(1, 300, 300).Draw(t, "body"))
-		a := Read("GET", header("Range: "+field))
+		a := ParseRequest("GET", header("Range: "+field))
 		p := a.Plan(len(body), "t")
 		total := 0
-		for _, r := range p.Parts {
-			if r.From < 0 || r.To < r.From || r.To >= len(body) {
+		for _, r := range p.Ranges {
+			if r.First < 0 || r.Last < r.First || r.Last >= len(body) {
 				t.Fatalf("%s of %d: %+v", field, len(body), p)
 			}
-			total += r.To - r.From + 1
+			total += r.Last - r.First + 1
 		}
-		if len(p.Parts) > 1 && total > len(body) {
+		if len(p.Ranges) > 1 && total > len(body) {
 			t.Fatalf("%s of %d: %d bytes", field, len(body), total)
 		}
-		r := multipart.NewReader(bytes.NewReader(AppendParts(nil, body, p.Parts, "text/plain", "xyz")), "xyz")
-		for _, want := range p.Parts {
+		r := multipart.NewReader(bytes.NewReader(AppendMultipart(nil, body, p.Ranges, "text/plain", "xyz")), "xyz")
+		for _, want := range p.Ranges {
 			part, err := r.NextRawPart()
 			if err != nil {
 				t.Fatal(err)
 			}
 			got, _ := io.ReadAll(part)
-			if !bytes.Equal(got, body[want.From:want.To+1]) || part.Header.Get("Content-Range") !=
-				fmt.Sprintf("bytes %d-%d/%d", want.From, want.To, len(body)) {
+			if !bytes.Equal(got, body[want.First:want.Last+1]) || part.Header.Get("Content-Range") !=
+				fmt.Sprintf("bytes %d-%d/%d", want.First, want.Last, len(body)) {
 				t.Fatalf("part %+v came as %q", want, got)
 			}
 		}
--- a/internal/decide/counters/counters.go
+++ b/internal/decide/counters/counters.go
@@ -22,44 +22,44 @@
 )
 
 // Class holds the counts of one class.
-type Class struct {
+type ClassCounts struct {
 	Passed     uint64 `json:"passed"`
 	Dropped    uint64 `json:"dropped"`
 	BadGateway uint64 `json:"bad_gateway"`
-	Tries      uint64 `json:"upstream_tries"` // attempts written whole to nodes
+	Attempts   uint64 `json:"upstream_tries"` // attempts written whole to nodes
 }
 
 // Gauges are what is true at the moment of a report; the caller looks them up.
 type Gauges struct {
-	InProgress int // requests taken and not ended
-	Known      int // cache nodes in the list, parents and origin among them
-	Skipped    int // of those, what the front now avoids: draining or found down
+	InProgress   int // requests taken and not ended
+	KnownNodes   int // cache nodes in the list, parents and origin among them
+	SkippedNodes int // of those, what the front now avoids: draining or found down
 }
 
 // Figures holds the counts of one process: 40 bytes a class.
-type Figures struct {
+type Counters struct {
 	names   []string
-	classes []Class
+	classes []ClassCounts
 	loads   uint64
 	errors  uint64
 }
 
 // New makes figures with a count for each class, all at 0; names are the
 // classes' in the order of the settings.
-func New(names []string) *Figures {
-	return &Figures{names: names, classes: make([]Class, len(names))}
+func New(names []string) *Counters {
+	return &Counters{names: names, classes: make([]ClassCounts, len(names))}
 }
 
 // Renew takes the names of further classes; those known so far must keep their
 // places. Classes of one name are reported as one.
-func (f *Figures) Renew(names []string) {
+func (f *Counters) UpdateClasses(names []string) {
 	f.names = names
-	f.classes = append(f.classes, make([]Class, len(names)-len(f.classes))...)
+	f.classes = append(f.classes, make([]ClassCounts, len(names)-len(f.classes))...)
 }
 
 // Answered counts a request of a class, by its place, that was ended. A place
 // out of range is a fault of the caller's and panics.
-func (f *Figures) Answered(class int, o Outcome) {
+func (f *Counters) CountOutcome(class int, o Outcome) {
 	c := &f.classes[class]
 	switch o {
 	case Passed:
@@ -74,10 +74,10 @@
 }
 
 // Tried counts an attempt of a class, by its place, that left for a node.
-func (f *Figures) Tried(class int) { f.classes[class].Tries++ }
+func (f *Counters) CountAttempt(class int) { f.classes[class].Attempts++ }
 
 // Totals are the requests of all classes that were served, and those refused or failed.
-func (f *Figures) Totals() (good, bad uint64) {
+func (f *Counters) Totals() (good, bad uint64) {
 	for _, c := range f.classes {
 		good, bad = good+c.Passed, bad+c.Dropped+c.BadGateway
 	}
@@ -85,7 +85,7 @@
 }
 
 // Loaded counts a file that SIGHUP brought: taken where ok, else turned down.
-func (f *Figures) Loaded(ok bool) {
+func (f *Counters) CountReload(ok bool) {
 	if ok {
 		f.loads++
 	} else {
@@ -95,28 +95,28 @@
 
 // report is the form of AppendJSON.
 type report struct {
-	Handled    map[string]Class `json:"handled"`
-	Tries      uint64           `json:"upstream_tries"` // of all classes
-	InProgress int              `json:"in_progress"`
-	Known      int              `json:"known_cache_nodes"`
-	Skipped    int              `json:"skipped_cache_nodes"`
-	Loads      uint64           `json:"loads"`
-	LoadErrors uint64           `json:"load_errors"`
+	Handled    map[string]ClassCounts `json:"handled"`
+	Tries      uint64                 `json:"upstream_tries"` // of all classes
+	InProgress int                    `json:"in_progress"`
+	Known      int                    `json:"known_cache_nodes"`
+	Skipped    int                    `json:"skipped_cache_nodes"`
+	Loads      uint64                 `json:"loads"`
+	LoadErrors uint64                 `json:"load_errors"`
 }
 
 // AppendJSON appends the counts and the gauges as one line of JSON, without its
 // line end: {"handled":{"CLASS":{"passed":N,...},...},"upstream_tries":N,"in_progress":N,...}.
-func (f *Figures) AppendJSON(b []byte, g Gauges) []byte {
+func (f *Counters) AppendJSON(b []byte, g Gauges) []byte {
 	var tries uint64
-	handled := make(map[string]Class, len(f.names))
+	handled := make(map[string]ClassCounts, len(f.names))
 	for i, c := range f.classes {
-		tries += c.Tries
+		tries += c.Attempts
 		h := handled[f.names[i]]
-		handled[f.names[i]] = Class{Passed: h.Passed + c.Passed, Dropped: h.Dropped + c.Dropped,
-			BadGateway: h.BadGateway + c.BadGateway, Tries: h.Tries + c.Tries}
+		handled[f.names[i]] = ClassCounts{Passed: h.Passed + c.Passed, Dropped: h.Dropped + c.Dropped,
+			BadGateway: h.BadGateway + c.BadGateway, Attempts: h.Attempts + c.Attempts}
 	}
-	out, err := json.Marshal(report{Handled: handled, Tries: tries, InProgress: g.InProgress, Known: g.Known,
-		Skipped: g.Skipped, Loads: f.loads, LoadErrors: f.errors})
+	out, err := json.Marshal(report{Handled: handled, Tries: tries, InProgress: g.InProgress, Known: g.KnownNodes,
+		Skipped: g.SkippedNodes, Loads: f.loads, LoadErrors: f.errors})
 	if err != nil { // maps of strings to plain numbers always encode
 		panic(fmt.Sprintf("figures: %v", err))
 	}
--- a/internal/decide/counters/counters_test.go
+++ b/internal/decide/counters/counters_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"page-asset", "guide-video", "payout-confirm"}
 		f := New(names)
-		want := map[string]Class{}
+		want := map[string]ClassCounts{}
 		var loads, errs uint64
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(names)-1).Draw(t, "class")
@@ -25,20 +25,20 @@
 			c := want[n]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				f.Answered(i, Passed)
+				f.CountOutcome(i, Passed)
 				c.Passed++
 			case 1:
-				f.Answered(i, Dropped)
+				f.CountOutcome(i, Dropped)
 				c.Dropped++
 			case 2:
-				f.Answered(i, BadGateway)
+				f.CountOutcome(i, BadGateway)
 				c.BadGateway++
 			case 3:
-				f.Tried(i)
-				c.Tries++
+				f.CountAttempt(i)
+				c.Attempts++
 			case 4:
 				ok := rapid.Bool().Draw(t, "ok")
-				f.Loaded(ok)
+				f.CountReload(ok)
 				if ok {
 					loads++
 				} else {
@@ -48,7 +48,7 @@
 			}
 			want[n] = c
 		}
-		g := Gauges{InProgress: rapid.IntRange(0, 9).Draw(t, "open"), Known: 7, Skipped: 2}
+		g := Gauges{InProgress: rapid.IntRange(0, 9).Draw(t, "open"), KnownNodes: 7, SkippedNodes: 2}
 		var got report
 		if err := json.Unmarshal(f.AppendJSON(nil, g), &got); err != nil {
 			t.Fatal(err)
@@ -59,7 +59,7 @@
 		}
 		var tries uint64
 		for _, c := range want {
-			tries += c.Tries
+			tries += c.Attempts
 		}
 		if got.Tries != tries {
 			t.Fatalf("upstream_tries %d, want %d", got.Tries, tries)
--- a/internal/decide/draining/draining.go
+++ b/internal/decide/draining/draining.go
@@ -13,15 +13,15 @@
 package draining
 
 // Observed is what a front sees of itself.
-type Observed struct {
+type Observation struct {
 	Accepting bool // a listening socket is open, whatever it was told
-	Left      int  // requests and connections that something is still owed to
+	Pending   int  // requests and connections that something is still owed to
 }
 
 // Step is what is to be done now. The zero value: nothing yet.
 type Step struct {
 	CloseListeners bool
-	Over           bool // nothing is left; no further look is needed
+	Finished       bool // nothing is left; no further look is needed
 	Warn           bool // it lasts
 }
 
@@ -48,7 +48,7 @@
 
 // End has a drain that has begun accept no more clients, and be told as over once more where
 // it was.
-func (s *State) End(now int64) {
+func (s *State) StopAccepting(now int64) {
 	s.closeAt = min(s.closeAt, now)
 	s.over = false
 }
@@ -61,7 +61,7 @@
 }
 
 // Spent is how long a drain has lasted at a moment, in us; 0 where none has begun.
-func (s *State) Spent(now int64) int64 {
+func (s *State) Elapsed(now int64) int64 {
 	if !s.active {
 		return 0
 	}
@@ -69,7 +69,7 @@
 }
 
 // Look gives the step to take at a moment by what is observed.
-func (s *State) Look(now int64, o Observed) (step Step) {
+func (s *State) Advance(now int64, o Observation) (step Step) {
 	if !s.active || s.over {
 		return Step{}
 	}
@@ -78,9 +78,9 @@
 		step.CloseListeners = true
 		return step // its effect is observed at the next look
 	}
-	if s.closed && !o.Accepting && o.Left == 0 {
+	if s.closed && !o.Accepting && o.Pending == 0 {
 		s.over = true
-		step.Over = true
+		step.Finished = true
 		return step
 	}
 	if !s.warned && now >= s.warnAt {
--- a/internal/decide/draining/draining_test.go
+++ b/internal/decide/draining/draining_test.go
@@ -30,7 +30,7 @@
 					begun, told, over, warned, since, closeAt = true, false, false, false, now, now+accept
 				}
 			case 1:
-				s.End(now)
+				s.StopAccepting(now)
 				closeAt, over = min(closeAt, now), false
 			case 2:
 				if s.Cancel() != begun {
@@ -38,21 +38,21 @@
 				}
 				begun = false
 			default:
-				o := Observed{Accepting: rapid.Bool().Draw(t, "accepting"), Left: rapid.IntRange(0, 1).Draw(t, "left")}
-				step := s.Look(now, o)
+				o := Observation{Accepting: rapid.Bool().Draw(t, "accepting"), Pending: rapid.IntRange(0, 1).Draw(t, "left")}
+				step := s.Advance(now, o)
 				if step.CloseListeners != (begun && !over && !told && now >= closeAt) {
 					t.Fatalf("close: %v", step.CloseListeners)
 				}
-				if want := begun && !over && told && !o.Accepting && o.Left == 0; step.Over != want {
-					t.Fatalf("over: %v, want %v", step.Over, want)
+				if want := begun && !over && told && !o.Accepting && o.Pending == 0; step.Finished != want {
+					t.Fatalf("over: %v, want %v", step.Finished, want)
 				}
 				if step.Warn && (warned || now < since+warn) {
 					t.Fatal("warned early or twice")
 				}
-				told, over, warned = told || step.CloseListeners, over || step.Over, warned || step.Warn
+				told, over, warned = told || step.CloseListeners, over || step.Finished, warned || step.Warn
 			}
-			if want := now - since; begun && s.Spent(now) != want || !begun && s.Spent(now) != 0 {
-				t.Fatalf("spent %d", s.Spent(now))
+			if want := now - since; begun && s.Elapsed(now) != want || !begun && s.Elapsed(now) != 0 {
+				t.Fatalf("spent %d", s.Elapsed(now))
 			}
 		}
 	})
@@ -64,8 +64,8 @@
 	s.Begin(0, 100, 1000)
 	warned := 0
 	for now := int64(0); now < 5000; now += 10 {
-		step := s.Look(now, Observed{Accepting: true})
-		if step.Over {
+		step := s.Advance(now, Observation{Accepting: true})
+		if step.Finished {
 			t.Fatal("over while a listener accepts")
 		}
 		if step.Warn {
@@ -75,7 +75,7 @@
 	if warned != 1 {
 		t.Errorf("told %d times", warned)
 	}
-	if !s.Look(5000, Observed{}).Over {
+	if !s.Advance(5000, Observation{}).Finished {
 		t.Error("not over once it has closed")
 	}
 }
--- a/internal/decide/flowcontrol/flowcontrol.go
+++ b/internal/decide/flowcontrol/flowcontrol.go
@@ -16,24 +16,24 @@
 
 // Errors of a peer that does not keep to what was agreed.
 var (
-	ErrCredit  = errors.New("streams: credit beyond the greatest window")
-	ErrFlooded = errors.New("streams: bytes without credit")
-	ErrTaken   = errors.New("streams: a stream is opened twice")
-	ErrMany    = errors.New("streams: too many are open")
+	ErrCreditExceeded = errors.New("streams: credit beyond the greatest window")
+	ErrNoCredit       = errors.New("streams: bytes without credit")
+	ErrStreamExists   = errors.New("streams: a stream is opened twice")
+	ErrTooManyStreams = errors.New("streams: too many are open")
 )
 
 // Config bounds a connection.
 type Config struct {
-	Weights []int // by class; a class that has twice the weight sends twice the bytes
-	Window  int   // bytes that a stream may send ahead
-	Total   int   // that all may
-	Most    int   // streams
-	Quantum int   // bytes of a weight's turn, and so the most that Next gives for a weight of 1
+	Weights      []int // by class; a class that has twice the weight sends twice the bytes
+	StreamWindow int   // bytes that a stream may send ahead
+	ConnWindow   int   // that all may
+	MaxStreams   int   // streams
+	Quantum      int   // bytes of a weight's turn, and so the most that Next gives for a weight of 1
 }
 
 // Check names what can't be.
 func (c Config) Check() error {
-	if len(c.Weights) == 0 || c.Window < 1 || c.Total < c.Window || c.Most < 1 || c.Quantum < 1 {
+	if len(c.Weights) == 0 || c.StreamWindow < 1 || c.ConnWindow < c.StreamWindow || c.MaxStreams < 1 || c.Quantum < 1 {
 		return fmt.Errorf("streams: %+v can't be", c)
 	}
 	for i, w := range c.Weights {
@@ -78,7 +78,7 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	m := &Mux{cfg: cfg, by: map[uint32]*stream{}, credit: cfg.Total, owed: cfg.Total}
+	m := &Mux{cfg: cfg, by: map[uint32]*stream{}, credit: cfg.ConnWindow, owed: cfg.ConnWindow}
 	for range cfg.Weights {
 		m.classes = append(m.classes, class{ring: list.New()})
 	}
@@ -92,13 +92,13 @@
 func (m *Mux) Open(id uint32, class int) error {
 	switch {
 	case m.by[id] != nil:
-		return ErrTaken
-	case len(m.by) >= m.cfg.Most:
-		return ErrMany
+		return ErrStreamExists
+	case len(m.by) >= m.cfg.MaxStreams:
+		return ErrTooManyStreams
 	case class < 0 || class >= len(m.classes):
 		return fmt.Errorf("streams: class %d of %d", class, len(m.classes))
 	}
-	m.by[id] = &stream{id: id, class: class, credit: m.cfg.Window, owed: m.cfg.Window}
+	m.by[id] = &stream{id: id, class: class, credit: m.cfg.StreamWindow, owed: m.cfg.StreamWindow}
 	return nil
 }
 
@@ -111,7 +111,7 @@
 	}
 	m.rest(s)
 	delete(m.by, id)
-	held := m.cfg.Window - s.owed - s.taken
+	held := m.cfg.StreamWindow - s.owed - s.taken
 	return m.consume(held)
 }
 
@@ -126,11 +126,11 @@
 // Credit takes in what the peer lets a stream send, or with 0 the connection.
 func (m *Mux) Credit(id uint32, n int) error {
 	if n < 1 {
-		return ErrCredit
+		return ErrCreditExceeded
 	}
 	if id == 0 {
-		if n > m.cfg.Total-m.credit {
-			return ErrCredit
+		if n > m.cfg.ConnWindow-m.credit {
+			return ErrCreditExceeded
 		}
 		m.credit += n
 		return nil
@@ -139,8 +139,8 @@
 	if s == nil {
 		return nil // it has just ended
 	}
-	if n > m.cfg.Window-s.credit {
-		return ErrCredit
+	if n > m.cfg.StreamWindow-s.credit {
+		return ErrCreditExceeded
 	}
 	s.credit += n
 	m.rise(s)
@@ -198,7 +198,7 @@
 // Received takes in bytes of a stream, which the peer must have had credit for.
 func (m *Mux) Received(id uint32, n int) error {
 	if n < 0 || n > m.owed {
-		return ErrFlooded
+		return ErrNoCredit
 	}
 	s := m.by[id]
 	if s == nil { // of one that we have just ended: only the connection counts
@@ -206,7 +206,7 @@
 		return nil
 	}
 	if n > s.owed {
-		return ErrFlooded
+		return ErrNoCredit
 	}
 	m.owed, s.owed = m.owed-n, s.owed-n
 	return nil
@@ -217,19 +217,19 @@
 // window at a time, so that few frames are spent on it.
 func (m *Mux) Consumed(id uint32, n int) (stream, all int) {
 	if s := m.by[id]; s != nil {
-		n = min(n, m.cfg.Window-s.owed-s.taken)
-		if s.taken += n; 2*s.taken >= m.cfg.Window {
+		n = min(n, m.cfg.StreamWindow-s.owed-s.taken)
+		if s.taken += n; 2*s.taken >= m.cfg.StreamWindow {
 			stream, s.taken = s.taken, 0
 			s.owed += stream
 		}
 	} else {
-		n = min(n, m.cfg.Total-m.owed-m.taken)
+		n = min(n, m.cfg.ConnWindow-m.owed-m.taken)
 	}
 	return stream, m.consume(n)
 }
 
 func (m *Mux) consume(n int) (give int) {
-	if m.taken += n; 2*m.taken >= m.cfg.Total {
+	if m.taken += n; 2*m.taken >= m.cfg.ConnWindow {
 		give, m.taken = m.taken, 0
 		m.owed += give
 	}
--- a/internal/decide/flowcontrol/flowcontrol_test.go
+++ b/internal/decide/flowcontrol/flowcontrol_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-var config = Config{Weights: []int{1, 3}, Window: 1000, Total: 4000, Most: 8, Quantum: 100}
+var config = Config{Weights: []int{1, 3}, StreamWindow: 1000, ConnWindow: 4000, MaxStreams: 8, Quantum: 100}
 
 func end(t interface{ Fatal(...any) }, cfg Config) *Mux {
 	m, err := New(cfg)
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			got[id], held[id] = got[id]+n, held[id]+n
-			if held[id] > config.Window {
+			if held[id] > config.StreamWindow {
 				t.Fatalf("%d bytes held", held[id])
 			}
 			return true
@@ -127,7 +127,7 @@
 		}
 	}
 	heavy, light := sent[1]+sent[3], sent[2]+sent[4]
-	if sent[5] != config.Window || heavy < 28*light/10 || heavy > 32*light/10 || sent[1] < 9*sent[3]/10 || sent[2] > 11*sent[4]/10 {
+	if sent[5] != config.StreamWindow || heavy < 28*light/10 || heavy > 32*light/10 || sent[1] < 9*sent[3]/10 || sent[2] > 11*sent[4]/10 {
 		t.Errorf("%v", sent)
 	}
 }
@@ -139,20 +139,20 @@
 		do   func(m *Mux) error
 		want error
 	}{
-		"credit for a full stream":     {func(m *Mux) error { return m.Credit(1, 1) }, ErrCredit},
-		"credit for a full connection": {func(m *Mux) error { return m.Credit(0, 1) }, ErrCredit},
-		"credit of nothing":            {func(m *Mux) error { return m.Credit(1, 0) }, ErrCredit},
-		"credit less than nothing":     {func(m *Mux) error { return m.Credit(0, -5) }, ErrCredit},
-		"more than a window":           {func(m *Mux) error { return m.Received(1, 1001) }, ErrFlooded},
-		"more than the connection's":   {func(m *Mux) error { return m.Received(99, 4001) }, ErrFlooded},
-		"a stream twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrTaken},
+		"credit for a full stream":     {func(m *Mux) error { return m.Credit(1, 1) }, ErrCreditExceeded},
+		"credit for a full connection": {func(m *Mux) error { return m.Credit(0, 1) }, ErrCreditExceeded},
+		"credit of nothing":            {func(m *Mux) error { return m.Credit(1, 0) }, ErrCreditExceeded},
+		"credit less than nothing":     {func(m *Mux) error { return m.Credit(0, -5) }, ErrCreditExceeded},
+		"more than a window":           {func(m *Mux) error { return m.Received(1, 1001) }, ErrNoCredit},
+		"more than the connection's":   {func(m *Mux) error { return m.Received(99, 4001) }, ErrNoCredit},
+		"a stream twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrStreamExists},
 		"too many": {func(m *Mux) error {
 			var err error
 			for id := uint32(2); err == nil; id++ {
 				err = m.Open(id, 0)
 			}
 			return err
-		}, ErrMany},
+		}, ErrTooManyStreams},
 	} {
 		m := end(t, config)
 		if err := m.Open(1, 0); err != nil {
@@ -181,7 +181,7 @@
 		_, all := m.Consumed(id, 100)
 		given += all + m.Close(id)
 	}
-	if given < 99*900-config.Total || m.Len() != 0 {
+	if given < 99*900-config.ConnWindow || m.Len() != 0 {
 		t.Errorf("%d of %d bytes given back", given, 99*900)
 	}
 }
--- a/internal/decide/generations/generations.go
+++ b/internal/decide/generations/generations.go
@@ -35,7 +35,7 @@
 // digest names the settings, whatever else beside the classes they hold.
 func New[C comparable](most int, digest string, classes []C) (*Table[C], error) {
 	t := &Table[C]{most: most}
-	if _, err := t.Take(digest, classes); err != nil {
+	if _, err := t.Update(digest, classes); err != nil {
 		return nil, err
 	}
 	return t, nil
@@ -77,7 +77,7 @@
 // Take takes further settings, and tells whether they differ from those in
 // force. The error tells that the table's bound stands against them; nothing has
 // changed then.
-func (t *Table[C]) Take(digest string, classes []C) (changed bool, err error) {
+func (t *Table[C]) Update(digest string, classes []C) (changed bool, err error) {
 	all, places := t.Classes(), make([]int, 0, len(classes))
 	for _, c := range classes {
 		place := slices.Index(all, c)
--- a/internal/decide/generations/generations_test.go
+++ b/internal/decide/generations/generations_test.go
@@ -37,7 +37,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "files") {
 			before := table.State()
 			file, digest := draw.Draw(t, "file"), rapid.SampledFrom([]string{"0", "1"}).Draw(t, "digest")
-			changed, err := table.Take(digest, file)
+			changed, err := table.Update(digest, file)
 			switch {
 			case err != nil:
 				if changed || !reflect.DeepEqual(before, table.State()) {
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -69,7 +69,7 @@
 // Rates keeps rates and numbers of open requests.
 type Rates struct {
 	table *compactmap.Table[bucket]
-	names []compactmap.Name // used anew by each request
+	names []compactmap.Key // used anew by each request
 }
 
 // NewRates makes room for so many names.
@@ -82,7 +82,7 @@
 	sweepFull   = 256
 )
 
-func nameOf(k Kind, name string) (n compactmap.Name) {
+func nameOf(k Kind, name string) (n compactmap.Key) {
 	var buf [128]byte
 	sum := sha256.Sum256(append(append(buf[:0], byte(k)), name...))
 	copy(n[:], sum[:])
@@ -163,8 +163,8 @@
 	return max(0, tat-Micros(max(1, l.Burst)-1)*l.gap()-now)
 }
 
-func (r *Rates) add(n compactmap.Name, now Micros) *bucket {
-	dead := func(_ compactmap.Name, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
+func (r *Rates) add(n compactmap.Key, now Micros) *bucket {
+	dead := func(_ compactmap.Key, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
 	r.table.Sweep(sweepAlways, dead)
 	if r.table.Full() {
 		r.table.Sweep(sweepFull, dead)
@@ -220,7 +220,7 @@
 	object := binary.LittleEndian.Uint64(sum[:])
 	x := u.table.Find(t.Name)
 	if x == nil {
-		dead := func(_ compactmap.Name, x *use) bool { return x.Open == 0 && x.Until < now }
+		dead := func(_ compactmap.Key, x *use) bool { return x.Open == 0 && x.Until < now }
 		u.table.Sweep(sweepAlways, dead)
 		if u.table.Full() {
 			u.table.Sweep(sweepFull, dead)
@@ -269,6 +269,6 @@
 // have ended.
 func (u *Uses) Read(b []byte) ([]byte, error) {
 	rest, err := u.table.Read(b)
-	u.table.Sweep(1<<62, func(_ compactmap.Name, x *use) bool { x.Open = 0; return false })
+	u.table.Sweep(1<<62, func(_ compactmap.Key, x *use) bool { x.Open = 0; return false })
 	return rest, err
 }
--- a/internal/decide/readiness/readiness.go
+++ b/internal/decide/readiness/readiness.go
@@ -28,7 +28,7 @@
 // Ready tells whether the front takes clients and its start is over at a moment, given
 // whether the board has answered once; if not, why, in a few words.
 func (s *State) Ready(now int64, heard bool) (bool, string) {
-	if ok, why := s.Takes(); !ok {
+	if ok, why := s.Accepting(); !ok {
 		return false, why
 	}
 	if s.wait > 0 && !heard && now < s.started+s.wait {
@@ -38,7 +38,7 @@
 }
 
 // Takes tells whether the front takes clients, its start aside; if not, why, in a few words.
-func (s *State) Takes() (bool, string) {
+func (s *State) Accepting() (bool, string) {
 	switch {
 	case s.ending:
 		return false, "ending"
@@ -68,7 +68,7 @@
 }
 
 // End says no for good. It tells whether this is the first word of the end.
-func (s *State) End() (first bool) {
+func (s *State) Shutdown() (first bool) {
 	first = !s.ending
 	s.ending = true
 	return first
--- a/internal/decide/readiness/readiness_test.go
+++ b/internal/decide/readiness/readiness_test.go
@@ -33,7 +33,7 @@
 				}
 				draining = draining && ending
 			case 2:
-				if first := s.End(); first == ending {
+				if first := s.Shutdown(); first == ending {
 					t.Fatalf("end first: %v", first)
 				}
 				ending = true
--- a/internal/decide/resources/arrival.go
+++ b/internal/decide/resources/arrival.go
@@ -1,14 +1,14 @@
 package resources
 
 // Arrival is what becomes of a connection that has just come.
-type Arrival int
+type ConnDecision int
 
 // The arrivals.
 const (
-	LetIn   Arrival = iota // it takes a place
-	Refuse                 // it has none, and is held for the refusal of its request alone
-	Dropped                // not even that: it is closed
-	Left                   // it came while the front was held up, and has gone: it is owed nothing
+	AcceptConn ConnDecision = iota // it takes a place
+	RefuseConn                     // it has none, and is held for the refusal of its request alone
+	CloseConn                      // not even that: it is closed
+	ClientGone                     // it came while the front was held up, and has gone: it is owed nothing
 )
 
 // Where places run out.
@@ -21,16 +21,16 @@
 // Arrive decides over a connection that is the held-th for so many places, and whether
 // another has to make room for it. Whether its client has gone is asked where it matters
 // alone: who has left is owed no place, but finding it out costs a system call.
-func Arrive(held, places int64, gone func() bool) (a Arrival, room bool) {
+func DecideConn(held, places int64, gone func() bool) (a ConnDecision, room bool) {
 	crowded := float64(held) > crowdedFrom*float64(places)
 	switch {
 	case crowded && gone():
-		return Left, false
+		return ClientGone, false
 	case held <= places:
-		return LetIn, crowded
+		return AcceptConn, crowded
 	case held <= places+min(refuseMost, places/refusePart):
-		return Refuse, true
+		return RefuseConn, true
 	default:
-		return Dropped, true
+		return CloseConn, true
 	}
 }
--- a/internal/decide/resources/arrival_test.go
+++ b/internal/decide/resources/arrival_test.go
@@ -11,23 +11,23 @@
 	for _, x := range []struct {
 		held, places int64
 		gone         func() bool
-		want         Arrival
+		want         ConnDecision
 		room         bool
 	}{
-		{1, 100, stays, LetIn, false},
-		{90, 100, left, LetIn, false}, // not asked for: there is room
-		{91, 100, stays, LetIn, true},
-		{91, 100, left, Left, false},
-		{100, 100, stays, LetIn, true},
-		{101, 100, stays, Refuse, true},
-		{108, 100, stays, Refuse, true},
-		{109, 100, stays, Dropped, true},
-		{109, 100, left, Left, false},
-		{18, 16, stays, Refuse, true}, // a word for one in eight places
-		{19, 16, stays, Dropped, true},
-		{2, 1, stays, Dropped, true},
+		{1, 100, stays, AcceptConn, false},
+		{90, 100, left, AcceptConn, false}, // not asked for: there is room
+		{91, 100, stays, AcceptConn, true},
+		{91, 100, left, ClientGone, false},
+		{100, 100, stays, AcceptConn, true},
+		{101, 100, stays, RefuseConn, true},
+		{108, 100, stays, RefuseConn, true},
+		{109, 100, stays, CloseConn, true},
+		{109, 100, left, ClientGone, false},
+		{18, 16, stays, RefuseConn, true}, // a word for one in eight places
+		{19, 16, stays, CloseConn, true},
+		{2, 1, stays, CloseConn, true},
 	} {
-		if a, room := Arrive(x.held, x.places, x.gone); a != x.want || room != x.room {
+		if a, room := DecideConn(x.held, x.places, x.gone); a != x.want || room != x.room {
 			t.Errorf("%d held, %d places: %d, room %v", x.held, x.places, a, room)
 		}
 	}
@@ -44,11 +44,11 @@
 				continue
 			}
 			gone := rapid.Bool().Draw(t, "gone")
-			a, _ := Arrive(held+1, places, func() bool { return gone })
-			if held < places && (a == Refuse || a == Dropped) {
+			a, _ := DecideConn(held+1, places, func() bool { return gone })
+			if held < places && (a == RefuseConn || a == CloseConn) {
 				t.Fatalf("%d of %d places, and turned away", held, places)
 			}
-			if a == LetIn || a == Refuse {
+			if a == AcceptConn || a == RefuseConn {
 				held++
 			}
 			if held > places+places/refusePart {
--- a/internal/decide/resources/resources.go
+++ b/internal/decide/resources/resources.go
@@ -25,11 +25,11 @@
 
 // Limits bound what is held.
 type Limits struct {
-	Places int // connections in all
-	Prefix int // of one prefix (/24 or /56); 0: as many as there are places
+	MaxConns     int // connections in all
+	MaxPerPrefix int // of one prefix (/24 or /56); 0: as many as there are places
 	// Descriptors that the process may hold, of which Spare stay free for what
 	// comes and goes. 0: only the places count.
-	Descriptors, Spare int
+	MaxDescriptors, SpareDescriptors int
 }
 
 // Account is the places that are taken. Its table of prefixes holds those with
@@ -51,36 +51,36 @@
 // need its place, of what is set: all of it while few are silent, and nothing when
 // all are, since a crowd of them is no crowd of clients whose first request is
 // under way.
-func (a *Account) Patience(most Micros, silent int) Micros {
+func (a *Account) SilentTimeout(most Micros, silent int) Micros {
 	share := float64(silent) / float64(max(1, a.places()))
 	return Micros(float64(most) * max(0, 1-2*max(0, share-silentFew)))
 }
 
 // Rebound sets other limits. Who is over them is not turned out by that.
-func (a *Account) Rebound(l Limits) { a.limits = l }
+func (a *Account) SetLimits(l Limits) { a.limits = l }
 
 // Others takes over how many descriptors are held by others than clients.
-func (a *Account) Others(n int) { a.others = n }
+func (a *Account) SetOtherDescriptors(n int) { a.others = n }
 
 // places is how many clients there is room for now. Where descriptors run short,
 // clients yield to nodes: without those nobody is served.
 func (a *Account) places() int {
-	if a.limits.Descriptors == 0 {
-		return a.limits.Places
+	if a.limits.MaxDescriptors == 0 {
+		return a.limits.MaxConns
 	}
-	return max(1, min(a.limits.Places, a.limits.Descriptors-a.limits.Spare-a.others))
+	return max(1, min(a.limits.MaxConns, a.limits.MaxDescriptors-a.limits.SpareDescriptors-a.others))
 }
 
 // PerPrefix tells whether Enter and Leave want to know the prefix.
-func (a *Account) PerPrefix() bool { return a.limits.Prefix > 0 }
+func (a *Account) TracksPrefixes() bool { return a.limits.MaxPerPrefix > 0 }
 
 // Enter takes a place for a connection, or refuses it.
-func (a *Account) Enter(p netip.Prefix) bool {
-	if a.held >= a.places() || a.bytes != nil && a.bytes.Mark() == Critical {
+func (a *Account) Acquire(p netip.Prefix) bool {
+	if a.held >= a.places() || a.bytes != nil && a.bytes.Level() == Critical {
 		return false
 	}
-	if a.limits.Prefix > 0 && p.IsValid() {
-		if int(a.byPrefix[p]) >= a.limits.Prefix {
+	if a.limits.MaxPerPrefix > 0 && p.IsValid() {
+		if int(a.byPrefix[p]) >= a.limits.MaxPerPrefix {
 			return false
 		}
 		a.byPrefix[p]++
@@ -90,7 +90,7 @@
 }
 
 // Leave gives a place back.
-func (a *Account) Leave(p netip.Prefix) {
+func (a *Account) Release(p netip.Prefix) {
 	a.held--
 	if n, ok := a.byPrefix[p]; ok {
 		if n <= 1 {
@@ -111,7 +111,7 @@
 // places and bytes are easy, then less in proportion, down to a sixteenth when
 // none is left. It has no steps, so that a front near a mark does not drive its clients
 // back and forth.
-func (a *Account) Idle(most Micros) Micros {
+func (a *Account) IdleTimeout(most Micros) Micros {
 	share := float64(a.held) / float64(max(1, a.places()))
 	if a.bytes != nil {
 		share = max(share, a.bytes.Pressure())
--- a/internal/decide/sites/sites_test.go
+++ b/internal/decide/sites/sites_test.go
@@ -15,22 +15,22 @@
 const second Micros = 1_000_000
 
 func config() Config {
-	return Config{Classes: []Class{{Worth: 2, Bytes: 200_000, Take: 100_000}, {Worth: 1, Bytes: 50_000, Take: 60_000}, {Write: true, Worth: 3, Bytes: 1000, Take: 80_000}},
-		StoreHere: true, Low: 0.6, High: 0.9, LowFor: 500_000, HighFor: 3 * second, Rise: 10 * second, Fall: 10 * second, Requests: 500, Bytes: 1e8, Hops: 2, Seed: 9}
+	return Config{Classes: []Class{{Worth: 2, InitialBytes: 200_000, InitialLatency: 100_000}, {Worth: 1, InitialBytes: 50_000, InitialLatency: 60_000}, {Write: true, Worth: 3, InitialBytes: 1000, InitialLatency: 80_000}},
+		StoreLocal: true, UnhealthyBelow: 0.6, HealthyAbove: 0.9, UnhealthyAfter: 500_000, HealthyAfter: 3 * second, RampUp: 10 * second, RampDown: 10 * second, RequestRate: 500, ByteRate: 1e8, MaxHops: 2, Seed: 9}
 }
 
-func chooser(t interface{ Fatal(...any) }, cfg Config) *Chooser {
+func chooser(t interface{ Fatal(...any) }, cfg Config) *Selector {
 	c, err := New(cfg, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Link(0, true)
+	c.SetLink(0, true)
 	return c
 }
 
 // day plays 60 s of 200 requests a second at a site that loses its hubs from 10 s to
 // 30 s: then what is served here fails. It gives what each second had.
-func day(t *testing.T, c *Chooser, farGood func(at Micros) bool) (across, bad [60]int) {
+func day(t *testing.T, c *Selector, farGood func(at Micros) bool) (across, bad [60]int) {
 	t.Helper()
 	for at := Micros(1); at < 60*second; at += second / 200 {
 		lost := at >= 10*second && at < 30*second
@@ -38,19 +38,19 @@
 		if lost {
 			up = 0
 		}
-		c.Hubs(at, up, 2)
-		v := c.Choose(at, Request{Class: int(at/5000) % 2, Object: fmt.Sprint("o", at/5000%997), Left: second})
+		c.SetHubs(at, up, 2)
+		v := c.Select(at, Request{Class: int(at/5000) % 2, Object: fmt.Sprint("o", at/5000%997), Remaining: second})
 		n := at / second
-		switch v.Where {
-		case Across:
+		switch v.Destination {
+		case Remote:
 			across[n]++
 			good := farGood(at)
-			c.Carried(at, int(at/5000)%2, good, 90_000, 100_000)
+			c.RecordRemote(at, int(at/5000)%2, good, 90_000, 100_000)
 			if !good {
 				bad[n]++
 			}
-		case Here:
-			c.Served(at, !lost)
+		case Local:
+			c.RecordLocal(at, !lost)
 			if lost {
 				bad[n]++
 			}
@@ -64,8 +64,8 @@
 func TestFailsOverAndBack(t *testing.T) {
 	c := chooser(t, config())
 	across, bad := day(t, c, func(Micros) bool { return true })
-	if across[9] != 0 || across[22] < 150 || bad[25] > 60 || across[59] != 0 || c.s.Turns != 2 {
-		t.Errorf("%d turns; across %v; bad %v", c.s.Turns, across, bad)
+	if across[9] != 0 || across[22] < 150 || bad[25] > 60 || across[59] != 0 || c.s.Transitions != 2 {
+		t.Errorf("%d turns; across %v; bad %v", c.s.Transitions, across, bad)
 	}
 	for i := 1; i < 60; i++ {
 		if d := across[i] - across[i-1]; d > 30 || d < -30 {
@@ -82,11 +82,11 @@
 	if across[25] > 20 {
 		t.Errorf("%d a second go to a site that fails them: %v", across[25], across)
 	}
-	for _, q := range []Request{{Left: second, Far: true}, {Left: second, Hops: 2}} {
+	for _, q := range []Request{{Remaining: second, FromRemote: true}, {Remaining: second, Hops: 2}} {
 		for i := range 200 {
-			c.Hubs(61*second, 0, 2)
+			c.SetHubs(61*second, 0, 2)
 			q.Object = fmt.Sprint(i)
-			if v := c.Choose(61*second, q); v.Where == Across {
+			if v := c.Select(61*second, q); v.Destination == Remote {
 				t.Fatalf("%+v goes across", q)
 			}
 		}
@@ -94,10 +94,10 @@
 }
 
 // trouble makes a chooser all of whose objects have gone across.
-func trouble(t interface{ Fatal(...any) }, cfg Config) *Chooser {
+func trouble(t interface{ Fatal(...any) }, cfg Config) *Selector {
 	c := chooser(t, cfg)
 	for at := Micros(0); at < 15*second; at += second / 10 {
-		c.Hubs(at, 0, 2)
+		c.SetHubs(at, 0, 2)
 	}
 	return c
 }
@@ -106,29 +106,29 @@
 func TestReasons(t *testing.T) {
 	now := 15 * second
 	far := config()
-	far.StoreHere = false
+	far.StoreLocal = false
 	for name, x := range map[string]struct {
-		c    *Chooser
-		do   func(c *Chooser)
+		c    *Selector
+		do   func(c *Selector)
 		q    Request
 		want Verdict
 	}{
-		"a read":                      {trouble(t, config()), nil, Request{Object: "x", Left: second}, Verdict{Across, Troubled}},
-		"a write, the store here":     {trouble(t, config()), nil, Request{Class: 2, Object: "x", Left: second}, Verdict{Here, Healthy}},
-		"a write, the store there":    {chooser(t, far), nil, Request{Class: 2, Object: "x", Left: second}, Verdict{Across, StoreFar}},
-		"that, no link":               {chooser(t, far), func(c *Chooser) { c.Link(now, false) }, Request{Class: 2, Left: second}, Verdict{Nowhere, LinkDown}},
-		"that, no time":               {chooser(t, far), nil, Request{Class: 2, Left: 100_000}, Verdict{Nowhere, NoTime}},
-		"no time, nothing here":       {trouble(t, config()), nil, Request{Object: "x", Left: 150_000}, Verdict{Nowhere, NoTime}},
-		"it came from there":          {trouble(t, config()), nil, Request{Object: "x", Left: second, Far: true}, Verdict{Nowhere, Came}},
-		"no budget":                   {trouble(t, config()), func(c *Chooser) { c.move(now); c.s.Requests = 0 }, Request{Object: "x", Left: second}, Verdict{Nowhere, NoBudget}},
-		"worth too little":            {trouble(t, config()), func(c *Chooser) { c.move(now); c.s.Price = 1 }, Request{Object: "x", Left: second}, Verdict{Nowhere, NoBudget}},
-		"nothing is offered":          {chooser(t, config()), func(c *Chooser) { c.Offer(now, 0); c.Hubs(now, 0, 2); c.Hubs(now+second, 0, 2) }, Request{Object: "x", Left: second}, Verdict{Here, Healthy}},
-		"a peer that offers nonsense": {trouble(t, config()), func(c *Chooser) { c.Offer(now, 7); c.Offer(now, -1) }, Request{Object: "x", Left: second}, Verdict{Across, Troubled}},
+		"a read":                      {trouble(t, config()), nil, Request{Object: "x", Remaining: second}, Verdict{Remote, LocalUnhealthy}},
+		"a write, the store here":     {trouble(t, config()), nil, Request{Class: 2, Object: "x", Remaining: second}, Verdict{Local, LocalHealthy}},
+		"a write, the store there":    {chooser(t, far), nil, Request{Class: 2, Object: "x", Remaining: second}, Verdict{Remote, StoreRemote}},
+		"that, no link":               {chooser(t, far), func(c *Selector) { c.SetLink(now, false) }, Request{Class: 2, Remaining: second}, Verdict{Refused, LinkDown}},
+		"that, no time":               {chooser(t, far), nil, Request{Class: 2, Remaining: 100_000}, Verdict{Refused, DeadlineTooShort}},
+		"no time, nothing here":       {trouble(t, config()), nil, Request{Object: "x", Remaining: 150_000}, Verdict{Refused, DeadlineTooShort}},
+		"it came from there":          {trouble(t, config()), nil, Request{Object: "x", Remaining: second, FromRemote: true}, Verdict{Refused, LoopPrevented}},
+		"no budget":                   {trouble(t, config()), func(c *Selector) { c.move(now); c.s.RequestTokens = 0 }, Request{Object: "x", Remaining: second}, Verdict{Refused, BudgetExhausted}},
+		"worth too little":            {trouble(t, config()), func(c *Selector) { c.move(now); c.s.MinWorthPerByte = 1 }, Request{Object: "x", Remaining: second}, Verdict{Refused, BudgetExhausted}},
+		"nothing is offered":          {chooser(t, config()), func(c *Selector) { c.SetRemoteCapacity(now, 0); c.SetHubs(now, 0, 2); c.SetHubs(now+second, 0, 2) }, Request{Object: "x", Remaining: second}, Verdict{Local, LocalHealthy}},
+		"a peer that offers nonsense": {trouble(t, config()), func(c *Selector) { c.SetRemoteCapacity(now, 7); c.SetRemoteCapacity(now, -1) }, Request{Object: "x", Remaining: second}, Verdict{Remote, LocalUnhealthy}},
 	} {
 		if x.do != nil {
 			x.do(x.c)
 		}
-		if got := x.c.Choose(now, x.q); got != x.want {
+		if got := x.c.Select(now, x.q); got != x.want {
 			t.Errorf("%s: got %+v, want %+v", name, got, x.want)
 		}
 	}
@@ -140,7 +140,7 @@
 func TestWalks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.Requests, cfg.Bytes = 20, 2e6
+		cfg.RequestRate, cfg.ByteRate = 20, 2e6
 		c, now := chooser(t, cfg), Micros(0)
 		again := chooser(t, cfg)
 		crossed := 0
@@ -149,20 +149,20 @@
 			kind, flag, class := rapid.IntRange(0, 5).Draw(t, "step"), rapid.Bool().Draw(t, "flag"), rapid.IntRange(0, 2).Draw(t, "class")
 			object := fmt.Sprint(rapid.IntRange(0, 50).Draw(t, "object"))
 			took := rapid.Int64Range(1, 2_000_000).Draw(t, "took")
-			step := func(c *Chooser) (v Verdict) {
+			step := func(c *Selector) (v Verdict) {
 				switch kind {
 				case 0:
-					c.Hubs(now, int(took%3), 2)
+					c.SetHubs(now, int(took%3), 2)
 				case 1:
-					c.Link(now, flag)
+					c.SetLink(now, flag)
 				case 2:
-					c.Served(now, flag)
+					c.RecordLocal(now, flag)
 				case 3:
-					c.Carried(now, class, flag, took, float64(took))
+					c.RecordRemote(now, class, flag, took, float64(took))
 				case 4:
-					c.Offer(now, float64(took)/1e6)
+					c.SetRemoteCapacity(now, float64(took)/1e6)
 				default:
-					v = c.Choose(now, Request{Class: class, Object: object, Left: took})
+					v = c.Select(now, Request{Class: class, Object: object, Remaining: took})
 				}
 				return v
 			}
@@ -175,22 +175,22 @@
 			if a != b || !reflect.DeepEqual(c.s, again.s) {
 				t.Fatalf("got %+v, and %+v from the snapshot\n%+v\n%+v", a, b, c.s, again.s)
 			}
-			if a.Where == Across {
+			if a.Destination == Remote {
 				crossed++
 			}
-			if float64(crossed) > cfg.Requests*(burst+float64(now)/1e6)+1 {
+			if float64(crossed) > cfg.RequestRate*(burst+float64(now)/1e6)+1 {
 				t.Fatalf("%d crossed in %.1f s", crossed, float64(now)/1e6)
 			}
-			if c.s.Share < 0 || c.s.Share > 1 || c.s.Requests < 0 || c.s.Bytes < 0 || c.Health() < 0 || c.Health() > 1 {
+			if c.s.RemoteShare < 0 || c.s.RemoteShare > 1 || c.s.RequestTokens < 0 || c.s.ByteTokens < 0 || c.Health() < 0 || c.Health() > 1 {
 				t.Fatalf("%+v", c.s)
 			}
 			if c.crosses(object) {
-				share := c.s.Share
-				c.s.Share = min(1, share+0.1)
+				share := c.s.RemoteShare
+				c.s.RemoteShare = min(1, share+0.1)
 				if !c.crosses(object) {
 					t.Fatal("it crosses at a share and not at a greater one")
 				}
-				c.s.Share = share
+				c.s.RemoteShare = share
 			}
 		}
 	})
@@ -198,8 +198,8 @@
 
 // What makes no sense is refused by name.
 func TestChecked(t *testing.T) {
-	for _, change := range []func(c *Config){func(c *Config) { c.Classes = nil }, func(c *Config) { c.Low = 0.95 }, func(c *Config) { c.Rise = 0 },
-		func(c *Config) { c.Bytes = 0 }, func(c *Config) { c.Classes[0].Take = 0 }} {
+	for _, change := range []func(c *Config){func(c *Config) { c.Classes = nil }, func(c *Config) { c.UnhealthyBelow = 0.95 }, func(c *Config) { c.RampUp = 0 },
+		func(c *Config) { c.ByteRate = 0 }, func(c *Config) { c.Classes[0].InitialLatency = 0 }} {
 		cfg := config()
 		change(&cfg)
 		if _, err := New(cfg, 0); err == nil {
@@ -215,6 +215,6 @@
 func BenchmarkChoose(b *testing.B) {
 	c := trouble(b, config())
 	for i := range b.N {
-		c.Choose(Micros(i), Request{Object: "9f3a17c2", Left: second})
+		c.Select(Micros(i), Request{Object: "9f3a17c2", Remaining: second})
 	}
 }
--- a/internal/decide/slowclient/slowclient.go
+++ b/internal/decide/slowclient/slowclient.go
@@ -18,11 +18,11 @@
 
 // Config says what is too slow.
 type Config struct {
-	Least  float64 // bytes a second
-	Window Micros  // between two looks at a transfer
-	Credit Micros  // for so long nothing may move
-	Part   int64   // bytes that one prefix may have waiting while its network is slow
-	Room   int     // prefixes that are known at a time
+	MinRate        float64 // bytes a second
+	Window         Micros  // between two looks at a transfer
+	Credit         Micros  // for so long nothing may move
+	MaxPrefixBytes int64   // bytes that one prefix may have waiting while its network is slow
+	MaxPrefixes    int     // prefixes that are known at a time
 }
 
 // Rank orders transfers by their pace of late.
@@ -34,7 +34,7 @@
 	Slow
 	Fair
 	Fast
-	Ranks
+	NumRanks
 )
 
 // Meter is what is kept of one transfer. Begin makes one.
@@ -64,7 +64,7 @@
 }
 
 // Pacer judges transfers.
-type Pacer struct {
+type Detector struct {
 	cfg    Config
 	ranks  float64 // the pace that ranks are counted from
 	crowds map[netip.Prefix]*crowd
@@ -76,16 +76,16 @@
 const rankLeast = 1000
 
 // New makes a pacer. Without a least pace it ranks and ends nothing.
-func New(cfg Config) *Pacer {
-	return &Pacer{cfg: cfg, ranks: cmp.Or(cfg.Least, rankLeast), crowds: map[netip.Prefix]*crowd{}}
+func New(cfg Config) *Detector {
+	return &Detector{cfg: cfg, ranks: cmp.Or(cfg.MinRate, rankLeast), crowds: map[netip.Prefix]*crowd{}}
 }
 
 // Window is the time between two looks at a transfer.
-func (p *Pacer) Window() Micros { return p.cfg.Window }
+func (p *Detector) Window() Micros { return p.cfg.Window }
 
 // Begin meters a transfer that has moved so much and has so much left. It must be
 // ended.
-func (p *Pacer) Begin(from netip.Prefix, moved, left int64, now Micros) Meter {
+func (p *Detector) Begin(from netip.Prefix, moved, left int64, now Micros) Meter {
 	c := p.crowd(from, now)
 	if c != nil {
 		c.metered++
@@ -96,7 +96,7 @@
 }
 
 // End takes a transfer off its prefix's account.
-func (p *Pacer) End(m *Meter, from netip.Prefix) {
+func (p *Detector) End(m *Meter, from netip.Prefix) {
 	if m.known {
 		c := p.crowds[from]
 		c.metered--
@@ -108,11 +108,11 @@
 
 // most is the credit that a transfer has at most, in seconds at the least pace that
 // holds for it.
-func (p *Pacer) most() float32 { return float32(float64(p.cfg.Credit) / 1e6) }
+func (p *Detector) most() float32 { return float32(float64(p.cfg.Credit) / 1e6) }
 
 // Look judges a transfer that has moved so much in all and has so much left. Over
 // tells that it is to be ended.
-func (p *Pacer) Look(m *Meter, from netip.Prefix, moved, left int64, now Micros) (r Rank, over bool) {
+func (p *Detector) Observe(m *Meter, from netip.Prefix, moved, left int64, now Micros) (r Rank, over bool) {
 	spent := float64(now-m.at) / 1e6
 	if spent <= 0 { // the clock was set back: nothing is known of this window
 		m.at, m.moved = now, moved
@@ -121,7 +121,7 @@
 	rate := float64(moved-m.moved) / spent
 	m.rate += rateWeight * (float32(rate) - m.rate)
 	m.at, m.moved = now, moved
-	least, more := p.cfg.Least, left-m.left
+	least, more := p.cfg.MinRate, left-m.left
 	m.left = left
 	p.left += more
 	if m.known {
@@ -133,7 +133,7 @@
 		}
 		if c.looks >= networkFrom && c.slow >= networkShare*c.looks {
 			least /= lenience
-			if rate < p.cfg.Least && c.left > p.cfg.Part {
+			if rate < p.cfg.MinRate && c.left > p.cfg.MaxPrefixBytes {
 				return p.rank(m), true // more than its part: it is not for the others to wait for
 			}
 		}
@@ -145,7 +145,7 @@
 	return p.rank(m), m.credit < 0
 }
 
-func (p *Pacer) rank(m *Meter) Rank {
+func (p *Detector) rank(m *Meter) Rank {
 	switch rate := float64(m.rate); {
 	case rate < p.ranks:
 		return Crawling
@@ -159,14 +159,14 @@
 
 // crowd gives what is known of a prefix, halved for the time since; nil where
 // there is no room for one more.
-func (p *Pacer) crowd(from netip.Prefix, now Micros) *crowd {
+func (p *Detector) crowd(from netip.Prefix, now Micros) *crowd {
 	c := p.crowds[from]
 	if c == nil {
-		if len(p.crowds) >= p.cfg.Room && now-p.swept >= half {
+		if len(p.crowds) >= p.cfg.MaxPrefixes && now-p.swept >= half {
 			p.swept = now
 			p.sweep()
 		}
-		if len(p.crowds) >= p.cfg.Room {
+		if len(p.crowds) >= p.cfg.MaxPrefixes {
 			return nil
 		}
 		c = &crowd{at: now}
@@ -182,7 +182,7 @@
 }
 
 // sweep forgets the prefixes of which nothing is metered.
-func (p *Pacer) sweep() {
+func (p *Detector) sweep() {
 	for from, c := range p.crowds {
 		if c.metered == 0 {
 			delete(p.crowds, from)
@@ -191,7 +191,7 @@
 }
 
 // Left is what all transfers have left, as last looked at.
-func (p *Pacer) Left() int64 { return p.left }
+func (p *Detector) PendingBytes() int64 { return p.left }
 
 // Known counts the prefixes of which something is kept.
-func (p *Pacer) Known() int { return len(p.crowds) }
+func (p *Detector) Prefixes() int { return len(p.crowds) }
--- a/internal/decide/slowclient/slowclient_test.go
+++ b/internal/decide/slowclient/slowclient_test.go
@@ -18,7 +18,7 @@
 }
 
 func config() Config {
-	return Config{Least: 4000, Window: second, Credit: 5 * second, Part: 10 << 20, Room: 1000}
+	return Config{MinRate: 4000, Window: second, Credit: 5 * second, MaxPrefixBytes: 10 << 20, MaxPrefixes: 1000}
 }
 
 // client is a transfer with a pace of its own.
@@ -32,7 +32,7 @@
 }
 
 // run looks at all once a second, for so many seconds.
-func run(p *Pacer, all []*client, seconds int) {
+func run(p *Detector, all []*client, seconds int) {
 	for _, c := range all {
 		c.m = p.Begin(c.from, 0, c.left, 0)
 	}
@@ -44,7 +44,7 @@
 			n := min(c.pace, c.left)
 			c.moved, c.left = c.moved+n, c.left-n
 			if c.whole = c.left == 0; !c.whole {
-				_, c.over = p.Look(&c.m, c.from, c.moved, c.left, now)
+				_, c.over = p.Observe(&c.m, c.from, c.moved, c.left, now)
 			}
 			if c.over || c.whole {
 				c.at = now
@@ -72,7 +72,7 @@
 		if now/second%10 >= 4 { // four seconds of ten nothing moves
 			moved += 8000
 		}
-		if _, over := p.Look(&m, prefix(9), moved, 1, now); over {
+		if _, over := p.Observe(&m, prefix(9), moved, 1, now); over {
 			t.Fatalf("one that stalls now and then was ended at %d", now)
 		}
 	}
@@ -113,7 +113,7 @@
 			left += c.left
 		}
 	}
-	if n := count(many); n < 300 || left > config().Part {
+	if n := count(many); n < 300 || left > config().MaxPrefixBytes {
 		t.Errorf("of 400 of a slow network %d were ended, %d bytes wait", n, left)
 	}
 	if n := count(mixed); n != 5 {
@@ -129,7 +129,7 @@
 func TestPacerHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.Room = 8
+		cfg.MaxPrefixes = 8
 		p := New(cfg)
 		var all []*client
 		now := Micros(1000 * second)
@@ -139,8 +139,8 @@
 				c := all[i]
 				before := c.m.at
 				c.moved += int64(rapid.IntRange(0, 100_000).Draw(t, "moved"))
-				r, over := p.Look(&c.m, c.from, c.moved, 1000, now)
-				if r >= Ranks || over && now <= before {
+				r, over := p.Observe(&c.m, c.from, c.moved, 1000, now)
+				if r >= NumRanks || over && now <= before {
 					t.Fatal("rank", r, over)
 				}
 				if over || rapid.Bool().Draw(t, "end") {
@@ -152,15 +152,15 @@
 				c.m = p.Begin(c.from, 0, 500, now)
 				all = append(all, c)
 			}
-			if p.Known() > cfg.Room {
-				t.Fatalf("%d prefixes are known", p.Known())
+			if p.Prefixes() > cfg.MaxPrefixes {
+				t.Fatalf("%d prefixes are known", p.Prefixes())
 			}
 		}
 		for _, c := range all {
 			p.End(&c.m, c.from)
 		}
-		if p.Left() != 0 {
-			t.Fatalf("%d bytes are left", p.Left())
+		if p.PendingBytes() != 0 {
+			t.Fatalf("%d bytes are left", p.PendingBytes())
 		}
 		for from, c := range p.crowds {
 			if c.left != 0 || c.metered < 0 {
@@ -175,6 +175,6 @@
 	m := p.Begin(prefix(0), 0, 0, 0)
 	b.ReportAllocs()
 	for i := range b.N {
-		p.Look(&m, prefix(0), int64(i)*5000, 1000, int64(i)*second)
+		p.Observe(&m, prefix(0), int64(i)*5000, 1000, int64(i)*second)
 	}
 }
--- a/internal/front/session/queue.go
+++ b/internal/front/session/queue.go
@@ -25,18 +25,18 @@
 }
 
 // Renew takes the worth of further classes; those known so far keep their places.
-func (q *Queue) Renew(worth []float64) { q.limiter.Renew(worth) }
+func (q *Queue) Renew(worth []float64) { q.limiter.UpdateClasses(worth) }
 
 // ask has a connection's open call taken, or waits with it, or refuses it.
 func (q *Queue) ask(c *conn) {
 	now := q.loop.Now()
-	c.ticket = &admission.Ticket{Class: c.call.Class, From: c.origin(), Until: c.call.Deadline, Value: c}
-	switch v, away, yields := q.limiter.Ask(c.ticket, now); v {
-	case admission.Taken:
+	c.ticket = &admission.Ticket{Class: c.call.Class, Prefix: c.origin(), Deadline: c.call.Deadline, Value: c}
+	switch v, away, yields := q.limiter.Admit(c.ticket, now); v {
+	case admission.Admitted:
 		c.turn(now)
 	case admission.Refused:
 		c.turnDown(away)
-	case admission.Waits:
+	case admission.Queued:
 		if yields != nil {
 			yields.Value.(*conn).turnDown(away)
 		}
@@ -60,8 +60,8 @@
 func (q *Queue) done(c *conn, answered bool) {
 	t, now := c.ticket, q.loop.Now()
 	c.ticket = nil
-	if t.Waits() {
-		q.limiter.Leave(t)
+	if t.Queued() {
+		q.limiter.Cancel(t)
 	} else {
 		q.limiter.Done(t.Class, now-c.taken, now, answered)
 		c.taken = 0
@@ -99,7 +99,7 @@
 
 // watch has the next that runs out told in time.
 func (q *Queue) watch() {
-	at, ok := q.limiter.Due()
+	at, ok := q.limiter.NextCheck()
 	if !ok {
 		q.loop.Stop(&q.due)
 	} else if !q.due.Pending() || at < q.dueAt {
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -66,21 +66,21 @@
 	Name        string // of the front, for the log
 	Listen      string
 	Limits      httpwire.Limits
-	Buffer      int               // bytes that may wait, of requests sent behind each other; 0: as one request
-	Connections int               // held at most
-	Away        loop.Micros       // that a client refused for want of a place is told to stay away; 0: no advice
-	Prefix      int               // held of one prefix of addresses at most; 0: any number
-	Idle        loop.Micros       // that a connection may have no open request; 0: 4.5 s
-	Request     loop.Micros       // that a whole request may take to come; 0: 2.3 s
-	Shrink      bool              // idle times shrink as places fill, and clients are told
-	Park        bool              // connections long idle hold as little as can be
-	Pace        *slowclient.Pacer // of requests that come and answers that go; nil: only whole times are bounded
-	Bytes       *resources.Budget // of all parts of the program; nil: none is kept
-	Descriptors int               // of the process; 0: only the connections are bounded
-	Spare       int               // of them that stay free
-	Admission   *Queue            // of requests, for all fronts that share it; nil: none
-	Figures     *counters.Figures // where the answers to calls are counted, by class; nil: nowhere
-	Audit       Audit             // is told of each call; nil: nobody is
+	Buffer      int                  // bytes that may wait, of requests sent behind each other; 0: as one request
+	Connections int                  // held at most
+	Away        loop.Micros          // that a client refused for want of a place is told to stay away; 0: no advice
+	Prefix      int                  // held of one prefix of addresses at most; 0: any number
+	Idle        loop.Micros          // that a connection may have no open request; 0: 4.5 s
+	Request     loop.Micros          // that a whole request may take to come; 0: 2.3 s
+	Shrink      bool                 // idle times shrink as places fill, and clients are told
+	Park        bool                 // connections long idle hold as little as can be
+	Pace        *slowclient.Detector // of requests that come and answers that go; nil: only whole times are bounded
+	Bytes       *resources.Budget    // of all parts of the program; nil: none is kept
+	Descriptors int                  // of the process; 0: only the connections are bounded
+	Spare       int                  // of them that stay free
+	Admission   *Queue               // of requests, for all fronts that share it; nil: none
+	Figures     *counters.Counters   // where the answers to calls are counted, by class; nil: nowhere
+	Audit       Audit                // is told of each call; nil: nobody is
 }
 
 // App gives requests and outcomes their meaning.
@@ -207,21 +207,21 @@
 // that stand idle has to make room.
 func (s *Server) admit(tc *transport.Conn) transport.Handler {
 	places := s.places.Load()
-	arrival, room := resources.Arrive(s.held.Add(1), places, tc.Gone)
-	if arrival == resources.Refuse || arrival == resources.Dropped {
+	arrival, room := resources.DecideConn(s.held.Add(1), places, tc.Gone)
+	if arrival == resources.RefuseConn || arrival == resources.CloseConn {
 		s.turnAway("client turned away: too many connections", "limit", places)
 	}
 	if room {
 		s.loop.Post(s.evictIdle)
 	}
-	if arrival == resources.Dropped {
+	if arrival == resources.CloseConn {
 		tc.Dismiss(s.full)
 	}
-	if arrival == resources.Left || arrival == resources.Dropped {
+	if arrival == resources.ClientGone || arrival == resources.CloseConn {
 		s.held.Add(-1)
 		return nil
 	}
-	c := &conn{server: s, tc: tc, refuse: arrival == resources.Refuse}
+	c := &conn{server: s, tc: tc, refuse: arrival == resources.RefuseConn}
 	s.loop.Post(func() {
 		if c.over || c.state != outside {
 			return
@@ -230,10 +230,10 @@
 			c.enter(silent)
 			return
 		}
-		if s.account.PerPrefix() {
+		if s.account.TracksPrefixes() {
 			c.prefix = abuse.Prefix(c.address())
 		}
-		if !s.account.Enter(c.prefix) {
+		if !s.account.Acquire(c.prefix) {
 			s.turnAway("client turned away: too many connections of its prefix", "prefix", c.prefix)
 			c.prefix = netip.Prefix{}
 			c.enter(ending)
@@ -268,7 +268,7 @@
 	for _, x := range []struct {
 		state state
 		limit loop.Micros
-	}{{silent, s.account.Patience(yieldSilent, s.lists[silent].count)}, {parked, yieldIdle}, {idle, yieldIdle}, {reading, yieldIdle}} {
+	}{{silent, s.account.SilentTimeout(yieldSilent, s.lists[silent].count)}, {parked, yieldIdle}, {idle, yieldIdle}, {reading, yieldIdle}} {
 		for range mostPassed {
 			c := s.lists[x.state].least(now - x.limit)
 			if c == nil {
@@ -346,7 +346,7 @@
 		return
 	}
 	if c.meter != nil {
-		if _, over := c.server.cfg.Pace.Look(c.meter, c.origin(), c.tc.Came(), 0, now); over {
+		if _, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), c.tc.Came(), 0, now); over {
 			c.server.slow(c, "request")
 			c.quit()
 			return
@@ -362,7 +362,7 @@
 		c.enter(idle)
 		return
 	}
-	rank, over := c.server.cfg.Pace.Look(c.meter, c.origin(), taken, int64(left), c.server.loop.Now())
+	rank, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), taken, int64(left), c.server.loop.Now())
 	if over {
 		c.server.slow(c, "answer")
 		c.tc.Abort()
@@ -392,15 +392,15 @@
 		for c, seen := l.head.next, 0; c != &l.head && out > 0 && seen < mostShed; c, seen = next, seen+1 {
 			next = c.next
 			if _, n := c.tc.Taken(); n > 0 && c != but {
-				counted := s.cfg.Pace.Left()
+				counted := s.cfg.Pace.PendingBytes()
 				c.tc.Abort()
 				c.enter(ending)
 				// The account knows what was left when the transfer was last looked at, which is more.
-				freed := max(int64(n), counted-s.cfg.Pace.Left())
+				freed := max(int64(n), counted-s.cfg.Pace.PendingBytes())
 				out -= freed
 				ended++
 				if b := s.cfg.Bytes; b != nil {
-					b.Gave(resources.Out, freed)
+					b.Release(resources.PendingOutput, freed)
 				}
 			}
 		}
@@ -436,7 +436,7 @@
 	s.cfg.Connections, s.cfg.Prefix = b.Connections, b.Prefix
 	s.cfg.Idle, s.cfg.Request = cmp.Or(b.Idle, idleMost), cmp.Or(b.Request, requestMost)
 	s.places.Store(int64(b.Connections))
-	s.account.Rebound(s.limits())
+	s.account.SetLimits(s.limits())
 	s.bound()
 	for i := range s.lists {
 		s.loop.Stop(&s.lists[i].due)
@@ -464,7 +464,7 @@
 }
 
 func (s *Server) limits() resources.Limits {
-	return resources.Limits{Places: s.cfg.Connections, Prefix: s.cfg.Prefix, Descriptors: s.cfg.Descriptors, Spare: s.cfg.Spare}
+	return resources.Limits{MaxConns: s.cfg.Connections, MaxPerPrefix: s.cfg.Prefix, MaxDescriptors: s.cfg.Descriptors, SpareDescriptors: s.cfg.Spare}
 }
 
 const (
@@ -483,7 +483,7 @@
 }
 
 // Others takes over how many descriptors are held by others than clients.
-func (s *Server) Others(n int) { s.account.Others(n) }
+func (s *Server) Others(n int) { s.account.SetOtherDescriptors(n) }
 
 // park has as little as can be held for an idle connection.
 func (c *conn) park() {
@@ -545,7 +545,7 @@
 // it is counted here, once.
 func (c *conn) answer(a gateway.Answer) {
 	if f := c.server.cfg.Figures; f != nil {
-		f.Answered(c.call.Class, outcome(a.Kind))
+		f.CountOutcome(c.call.Class, outcome(a.Kind))
 	}
 	if x := c.server.cfg.Audit; x != nil {
 		x.Answered(c.call, outcome(a.Kind))
@@ -572,7 +572,7 @@
 	r.Close = c.last
 	if s.cfg.Shrink && !c.last {
 		// Under a second there is nothing that whole seconds could promise.
-		if left := s.account.Idle(s.cfg.Idle) / 1_000_000; left > 0 {
+		if left := s.account.IdleTimeout(s.cfg.Idle) / 1_000_000; left > 0 {
 			r.Header = append(r.Header, httpwire.Field{Name: "Keep-Alive", Value: "timeout=" + strconv.FormatInt(left, 10)})
 		}
 	}
@@ -586,9 +586,9 @@
 		if taken, left := c.tc.Taken(); left > 0 {
 			c.enter(sending + state(slowclient.Fast))
 			c.measure(taken, int64(left))
-			if b := s.cfg.Bytes; b != nil && !b.May(resources.Out, int64(left)) {
+			if b := s.cfg.Bytes; b != nil && !b.TryReserve(resources.PendingOutput, int64(left)) {
 				s.shed(int64(left), 0, 0, c)
-				b.May(resources.Out, int64(left))
+				b.TryReserve(resources.PendingOutput, int64(left))
 			}
 		}
 	}
@@ -617,10 +617,10 @@
 	c.server.held.Add(-1)
 	c.enter(outside)
 	if c.counted {
-		c.server.account.Leave(c.prefix)
+		c.server.account.Release(c.prefix)
 	}
 	if c.call != nil {
-		waits := c.ticket != nil && c.ticket.Waits()
+		waits := c.ticket != nil && c.ticket.Queued()
 		if c.ticket != nil {
 			c.server.cfg.Admission.done(c, false)
 		}
--- a/internal/front/session/states.go
+++ b/internal/front/session/states.go
@@ -18,7 +18,7 @@
 	busy                 // a request is open
 	ending               // its last answer is on its way
 	sending              // an answer goes out and no request is open; so many states as there are ranks of pace
-	states  = sending + state(slowclient.Ranks)
+	states  = sending + state(slowclient.NumRanks)
 )
 
 // sends tells whether a state is one of those in which an answer goes out.
@@ -71,7 +71,7 @@
 func (l *list) limit() loop.Micros {
 	s := l.server
 	if s.cfg.Shrink && (l == &s.lists[idle] || l == &s.lists[parked]) {
-		return s.account.Idle(l.most)
+		return s.account.IdleTimeout(l.most)
 	}
 	return l.most
 }
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -133,19 +133,19 @@
 	case 200:
 		if r.Body = a.Body; encoded != nil {
 			r.Body = encoded
-			tag = content.Tagged(tag, v.ask.Encoding)
+			tag = content.EncodedTag(tag, v.ask.Encoding)
 			add(r, "Content-Encoding", v.ask.Encoding)
 		}
 	case 206:
-		if len(plan.Parts) == 1 {
-			p := plan.Parts[0]
-			r.Body = a.Body[p.From : p.To+1]
-			add(r, "Content-Range", string(content.AppendRange(nil, p, len(a.Body))))
+		if len(plan.Ranges) == 1 {
+			p := plan.Ranges[0]
+			r.Body = a.Body[p.First : p.Last+1]
+			add(r, "Content-Range", string(content.AppendContentRange(nil, p, len(a.Body))))
 			break
 		}
 		f.count++
 		boundary := fmt.Sprintf("%016x%016x", f.base, f.count) // nobody knows the base
-		r.Body = content.AppendParts(nil, a.Body, plan.Parts, kind, boundary)
+		r.Body = content.AppendMultipart(nil, a.Body, plan.Ranges, kind, boundary)
 		kind = "multipart/byteranges; boundary=" + boundary
 	case 416:
 		add(r, "Content-Range", fmt.Sprintf("bytes */%d", len(a.Body)))
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -146,7 +146,7 @@
 	x      *session.Exchange
 	r      *httpwire.Request
 	asked  grants.Request
-	ask    content.Ask
+	ask    content.Request
 	grant  grants.Grant
 	call   *gateway.Call
 	class  *Class
@@ -173,7 +173,7 @@
 	}
 	// The last byte is here: this try is judged once, for this moment.
 	v.asked = grants.Request{Target: r.Target, Header: r.Header, Peer: x.Peer(), Now: f.wall()}
-	v.ask = content.Read(r.Method, r.Header)
+	v.ask = content.ParseRequest(r.Method, r.Header)
 	return f.judge(v)
 }
 
@@ -242,7 +242,7 @@
 	if session.ReadCopy(c, v.grant.Query, group) != "" {
 		return nil, nil
 	}
-	if tag := v.ask.Known(); gateway.IsName(tag) {
+	if tag := v.ask.KnownTag(); gateway.IsName(tag) {
 		c.Tag = tag
 	}
 	if !class.Compress {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 	Kinds    []string
 	Seed     uint64
 	Copies   Copies
-	Figures  *counters.Figures // where attempts that leave are counted; nil: a gateway's own
+	Figures  *counters.Counters // where attempts that leave are counted; nil: a gateway's own
 }
 
 // Gateway owns the router and the calls it holds.
@@ -606,7 +606,7 @@
 			maxAge = min(maxAge, fresh)
 		}
 	}
-	g.cfg.Figures.Tried(a.Call.Class)
+	g.cfg.Figures.CountAttempt(a.Call.Class)
 	return maxAge, true
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -67,7 +67,7 @@
 	cfg   Config
 	h     Handler
 	mux   *flowcontrol.Mux // nil until both have said hello
-	held  clockoffset.Held
+	held  clockoffset.DelayEstimator
 	data  map[uint32][]byte // waits for its stream's turn
 	began Micros
 	came  Micros
@@ -316,7 +316,7 @@
 func (c *Conn) take(f frame.Frame) {
 	now := c.loop.Now()
 	c.came = now
-	held := c.held.Came(Micros(f.Sent), now)
+	held := c.held.Observe(Micros(f.Sent), now)
 	if c.mux == nil {
 		c.hello(f)
 		return
@@ -365,8 +365,8 @@
 	agreed := frame.Hello{Versions: []uint16{version}, Site: x.Site, Epoch: x.Epoch, Window: min(own.Window, x.Window),
 		Total: min(own.Total, x.Total), Streams: min(own.Streams, x.Streams)}
 	if err == nil {
-		c.mux, err = flowcontrol.New(flowcontrol.Config{Weights: c.cfg.Weights, Window: int(agreed.Window), Total: int(agreed.Total),
-			Most: int(agreed.Streams), Quantum: frame.MostData})
+		c.mux, err = flowcontrol.New(flowcontrol.Config{Weights: c.cfg.Weights, StreamWindow: int(agreed.Window), ConnWindow: int(agreed.Total),
+			MaxStreams: int(agreed.Streams), Quantum: frame.MostData})
 	}
 	if err != nil {
 		c.end(err)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -168,14 +168,14 @@
 		"it is cut":                 {func(j *joined) { j.line.Cut() }, nil},
 		"it is closed":              {func(j *joined) { j.do(j.a.Close) }, ErrClosed},
 		"a second hello":            {func(j *joined) { j.do(func() { j.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrOrder},
-		"credit without end":        {func(j *joined) { j.do(func() { j.b.Send(frame.KindCredit, 0, frame.Credit{Bytes: 1 << 30}) }) }, flowcontrol.ErrCredit},
+		"credit without end":        {func(j *joined) { j.do(func() { j.b.Send(frame.KindCredit, 0, frame.Credit{Bytes: 1 << 30}) }) }, flowcontrol.ErrCreditExceeded},
 		"bytes without credit": {func(j *joined) {
 			j.do(func() {
 				for range 17 {
 					j.b.put(frame.Frame{Kind: frame.KindData, Stream: 5, Body: make([]byte, frame.MostData)})
 				}
 			})
-		}, flowcontrol.ErrFlooded},
+		}, flowcontrol.ErrNoCredit},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -48,7 +48,7 @@
 // takesClients tells whether the front takes clients, as their health check asks. A start
 // that is not over is no reason against it: the configuration holds a list to serve by.
 func (p *program) takesClients() (bool, string) {
-	if ok, why := p.ready.Takes(); !ok {
+	if ok, why := p.ready.Accepting(); !ok {
 		return false, why
 	}
 	return p.allowed()
@@ -97,5 +97,5 @@
 		open += f.Busy()
 	}
 	known, avoided := p.gate.Servers()
-	return p.figures.AppendJSON(b, counters.Gauges{InProgress: open, Known: known, Skipped: avoided})
+	return p.figures.AppendJSON(b, counters.Gauges{InProgress: open, KnownNodes: known, SkippedNodes: avoided})
 }
--- a/internal/program/balance.go
+++ b/internal/program/balance.go
@@ -28,11 +28,11 @@
 // balance keeps the account of bytes and has those give back who must.
 type balance struct {
 	budget *resources.Budget
-	pace   *slowclient.Pacer
+	pace   *slowclient.Detector
 	nodes  *upstream.Pools
 	tcp    *upstream.TCP
 	next   loop.Micros
-	mark   resources.Mark
+	mark   resources.Level
 }
 
 // newBalance makes the account, where the operator's file has a section of it.
@@ -45,13 +45,13 @@
 		all = int64(clientsPart * float64(cfg.MemoryMB) * (1 << 20))
 	}
 	part := func(share float64) int64 { return int64(share * float64(all)) }
-	b := resources.Bytes{All: all}
-	b.Cap[resources.Out], b.Cap[resources.In] = part(outCap), part(inCap)
+	b := resources.ByteLimits{Total: all}
+	b.Cap[resources.PendingOutput], b.Cap[resources.PartialRequests] = part(outCap), part(inCap)
 	for p := range b.Floor {
 		b.Floor[p] = part(floorPart)
 	}
-	return &balance{budget: resources.NewBudget(b), pace: slowclient.New(slowclient.Config{Least: float64(c.Least), Window: paceWindow,
-		Credit: int64(cmp.Or(c.CreditMS, paceCredit)) * 1000, Part: part(outCap * pacePart), Room: paceRoom})}
+	return &balance{budget: resources.NewBudget(b), pace: slowclient.New(slowclient.Config{MinRate: float64(c.Least), Window: paceWindow,
+		Credit: int64(cmp.Or(c.CreditMS, paceCredit)) * 1000, MaxPrefixBytes: part(outCap * pacePart), MaxPrefixes: paceRoom})}
 }
 
 // apply has a front's connections keep to the account.
@@ -68,36 +68,36 @@
 		return
 	}
 	b.next = now + balanceEvery
-	var held [resources.Parts]int64
+	var held [resources.NumConsumers]int64
 	files, records := b.nodes.Held(), 0
 	for _, f := range p.fronts {
 		in, out, n := f.Held()
-		held[resources.In] += in
-		held[resources.Out] += out
+		held[resources.PartialRequests] += in
+		held[resources.PendingOutput] += out
 		records += n
 	}
 	// The pacer counts the kernel's part too, which is most of it.
-	held[resources.Out] = max(held[resources.Out], b.pace.Left())
-	held[resources.Records] = int64(records) * recordBytes
-	held[resources.Nodes] = b.tcp.Held()
-	held[resources.Copies] = int64(p.gate.Kept())
+	held[resources.PendingOutput] = max(held[resources.PendingOutput], b.pace.PendingBytes())
+	held[resources.ConnRecords] = int64(records) * recordBytes
+	held[resources.NodeResponses] = b.tcp.Held()
+	held[resources.CachedCopies] = int64(p.gate.Kept())
 	give := b.budget.Observe(held)
-	if mark := b.budget.Mark(); mark != b.mark {
+	if mark := b.budget.Level(); mark != b.mark {
 		b.mark = mark
 		p.log.Warn("memory of clients and copies", "mark", mark.String(), "share", b.budget.Pressure(),
-			"copies", held[resources.Copies], "out", held[resources.Out], "in", held[resources.In], "connections", records)
+			"copies", held[resources.CachedCopies], "out", held[resources.PendingOutput], "in", held[resources.PartialRequests], "connections", records)
 	}
 	limit := copies(p.cfg)
 	if b.mark != resources.Easy {
-		limit.Bytes = min(limit.Bytes, int(held[resources.Copies]-give[resources.Copies]))
+		limit.Bytes = min(limit.Bytes, int(held[resources.CachedCopies]-give[resources.CachedCopies]))
 	}
 	p.gate.Limit(limit)
 	for _, f := range p.fronts {
 		others := files + records // of the other fronts too
 		_, _, own := f.Held()
 		f.Others(others - own)
-		if give[resources.Out]+give[resources.In]+give[resources.Records] > 0 {
-			f.Shed(give[resources.Out], give[resources.In], int(give[resources.Records]/recordBytes))
+		if give[resources.PendingOutput]+give[resources.PartialRequests]+give[resources.ConnRecords] > 0 {
+			f.Shed(give[resources.PendingOutput], give[resources.PartialRequests], int(give[resources.ConnRecords]/recordBytes))
 		}
 	}
 }
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -55,23 +55,23 @@
 func (d *drain) end(reason string, then func()) {
 	d.over = then
 	d.begin(reason, 0)
-	d.state.End(d.loop.Now())
+	d.state.StopAccepting(d.loop.Now())
 	d.look()
 }
 
 // look ends the connections that have nothing to bring, and takes the next step.
 func (d *drain) look() {
 	d.loop.Stop(d.poll)
-	observed := draining.Observed{Left: d.gate.Open()}
+	observed := draining.Observation{Pending: d.gate.Open()}
 	for _, f := range d.fronts {
 		f.Drain()
 		observed.Accepting = observed.Accepting || f.Accepting()
-		observed.Left += f.Busy() + f.Coming() + f.Ending()
+		observed.Pending += f.Busy() + f.Coming() + f.Ending()
 	}
 	now := d.loop.Now()
-	step := d.state.Look(now, observed)
-	spent := d.state.Spent(now) / 1000
-	if step.Over {
+	step := d.state.Advance(now, observed)
+	spent := d.state.Elapsed(now) / 1000
+	if step.Finished {
 		d.log.Info("drain: over", "after_ms", spent, "closed_outright", transport.Unshut(),
 			"poller_gave_up", transport.Adopted())
 		if d.over != nil {
@@ -97,7 +97,7 @@
 // listener's; the drain then goes on.
 func (d *drain) cancel() error {
 	d.loop.Stop(d.poll)
-	spent := d.state.Spent(d.loop.Now()) / 1000
+	spent := d.state.Elapsed(d.loop.Now()) / 1000
 	if d.state.Cancel() {
 		d.log.Info("drain: taken back", "after_ms", spent)
 	}
--- a/internal/program/end.go
+++ b/internal/program/end.go
@@ -22,7 +22,7 @@
 // stop goes on serving while clients may still come, then ends once all is
 // answered, and before whoever sent the signal runs out of patience.
 func (p *program) stop(got os.Signal) {
-	if !p.ready.End() {
+	if !p.ready.Shutdown() {
 		return
 	}
 	now := p.loop.Now()
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -18,7 +18,7 @@
 		cfg, operator, err := config.LoadVersion(os.Getenv, <-version)
 		if err != nil {
 			p.log.Error("configuration can't be used, the old one stays", "error", err)
-			p.loop.Post(func() { p.figures.Loaded(false) })
+			p.loop.Post(func() { p.figures.CountReload(false) })
 			continue
 		}
 		p.loop.Post(func() { p.reload(cfg, operator) })
@@ -29,10 +29,10 @@
 func (p *program) reload(cfg *config.Config, operator *config.Operator) {
 	if err := p.take(cfg, operator); err != nil {
 		p.log.Error("configuration can't be used, the old one stays", "error", err)
-		p.figures.Loaded(false)
+		p.figures.CountReload(false)
 		return
 	}
-	p.figures.Loaded(true)
+	p.figures.CountReload(true)
 	p.log.Info("configuration read again", "board", p.cfg.Board, "generation", p.table.Number(), "settings", p.cfg.Digest)
 }
 
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -126,7 +126,7 @@
 	links          *config.Signed // by which it judges
 	held           *balance       // nil: no account of bytes is kept
 	queue          *session.Queue // nil: no limit is learnt
-	figures        *counters.Figures
+	figures        *counters.Counters
 	ready          *readiness.State
 	drain          *drain
 	fleet          FleetPart     // nil: the front acts alone
@@ -325,8 +325,8 @@
 	if c.Admission == "gradient" {
 		law = admission.Gradient
 	}
-	return session.NewQueue(l, admission.New(admission.Config{Law: law, Least: admitLeast, Start: admitStart,
-		Most: max(admitStart, cfg.Settings.MaxHeld), Queue: admitQueue, Away: cmp.Or(cfg.Settings.MaxAway, admitAway),
+	return session.NewQueue(l, admission.New(admission.Config{Algorithm: law, MinLimit: admitLeast, InitialLimit: admitStart,
+		MaxLimit: max(admitStart, cfg.Settings.MaxHeld), MaxQueued: admitQueue, MaxBackoff: cmp.Or(cfg.Settings.MaxAway, admitAway),
 		Worth: worth(cfg.Settings.Classes), Seed: cfg.Seed}))
 }
 
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	changed, err := table.Take(cfg.Digest, cfg.Settings.Classes)
+	changed, err := table.Update(cfg.Digest, cfg.Settings.Classes)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -37,7 +37,7 @@
 	}
 	p.table = table
 	p.pools.Renew(towards(cfg, classes))
-	p.figures.Renew(lanes(classes))
+	p.figures.UpdateClasses(lanes(classes))
 	if p.queue != nil {
 		p.queue.Renew(worth(classes))
 	}
