--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -238,9 +238,9 @@
 		}
 		return c.tell(r, len(r.Broken) > 0)
 	}
-	d, _ := s.Virtual(statemachine.Rule(c.Without), say)
+	d, _ := s.Virtual(statemachine.Mutation(c.Without), say)
 	if len(d.Broken) > 0 && !c.JSON {
-		short, _, w := s.Shortest(statemachine.Rule(c.Without))
+		short, _, w := s.Shortest(statemachine.Mutation(c.Without))
 		fmt.Printf("broken, and so is what is left of the day:\n%s\nthe last of what happened in it:\n", short)
 		w.Dump(os.Stdout, 40)
 	}
@@ -255,7 +255,7 @@
 	began := time.Now()
 	total := fleet.Result{}
 	for i := range c.Days {
-		spec := fleet.Spec{Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed + uint64(i), Without: statemachine.Rule(c.Without)}
+		spec := fleet.Spec{Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed + uint64(i), Without: statemachine.Mutation(c.Without)}
 		if c.Random {
 			spec = fleet.Random(spec.Seed, spec.Without)
 		}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -67,11 +67,11 @@
 
 // Work gives the rules with their defaults.
 func (r FleetRules) Work() maintenance.Rules {
-	d := maintenance.Defaults()
+	d := maintenance.DefaultRules()
 	span := func(s float64, absent int64) int64 { return cmp.Or(int64(max(-1, min(s, 1e9))*1e6), absent) }
-	return maintenance.Rules{Out: cmp.Or(r.Out, d.Out), Zone: cmp.Or(r.Zone, d.Zone), Percent: cmp.Or(r.Percent, d.Percent), Hurt: cmp.Or(r.Hurt, d.Hurt),
-		Accept: span(r.AcceptS, d.Accept), Empty: span(r.EmptyS, d.Empty), Back: span(r.BackS, d.Back), Cold: span(r.ColdS, d.Cold),
-		AgeStep: span(r.AgeStepS, d.AgeStep), Patience: span(r.PatienceS, d.Patience), Alone: span(r.AloneS, d.Alone), Pace: r.Pace, Quota: r.Lag}
+	return maintenance.Rules{MaxOut: cmp.Or(r.Out, d.MaxOut), MaxZoneOut: cmp.Or(r.Zone, d.MaxZoneOut), MaxFrontsPercent: cmp.Or(r.Percent, d.MaxFrontsPercent), UnhealthyPercent: cmp.Or(r.Hurt, d.UnhealthyPercent),
+		AcceptTimeout: span(r.AcceptS, d.AcceptTimeout), DrainTimeout: span(r.EmptyS, d.DrainTimeout), ReturnTimeout: span(r.BackS, d.ReturnTimeout), WarmUp: span(r.ColdS, d.WarmUp),
+		AgeStep: span(r.AgeStepS, d.AgeStep), Patience: span(r.PatienceS, d.Patience), LeaseSpan: span(r.AloneS, d.LeaseSpan), MaxPacePercent: r.Pace, MaxFencedPercent: r.Lag}
 }
 
 // Bounds of the fleet section.
@@ -133,7 +133,7 @@
 			at.addf(x.key, "%d is not %d to %d", x.n, x.least, x.most)
 		}
 	}
-	if err := f.Rules.Work().Check(); err != nil {
+	if err := f.Rules.Work().Validate(); err != nil {
 		at.add("rules", err)
 	}
 	k := &f.Keys
--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -19,11 +19,11 @@
 // Counts are the front's, from its start.
 type Counts struct {
 	Known, Avoided int    // servers
-	Good, Bad      uint64 // requests served, and refused or failed
+	Served, Failed uint64 // requests served, and refused or failed
 }
 
 // Watch holds what was seen last.
-type Watch struct {
+type Detector struct {
 	from  Counts // at the window's begin
 	at    Micros
 	begun bool
@@ -33,7 +33,7 @@
 }
 
 // Look takes the counts of a moment and tells whether the front is in trouble, and why.
-func (w *Watch) Look(c Counts, now Micros) (hurt bool, why string) {
+func (w *Detector) Update(c Counts, now Micros) (hurt bool, why string) {
 	if !w.begun || now < w.at {
 		w.from, w.at, w.begun = c, now, true
 	}
@@ -41,7 +41,7 @@
 	if c.Known > 0 {
 		boxes = float64(c.Avoided) / float64(c.Known)
 	}
-	good, bad := c.Good-w.from.Good, c.Bad-w.from.Bad
+	good, bad := c.Served-w.from.Served, c.Failed-w.from.Failed
 	failing := 0.0
 	if good+bad >= leastJudged {
 		failing = float64(bad) / float64(good+bad)
--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -6,25 +6,25 @@
 // say nothing; a quarter of the servers down is trouble by itself.
 func TestWatch(t *testing.T) {
 	const s = 1_000_000
-	var w Watch
+	var w Detector
 	for i, x := range []struct {
 		at   Micros
 		c    Counts
 		want bool
 	}{
 		{1 * s, Counts{Known: 8}, false},
-		{2 * s, Counts{Known: 8, Bad: 19}, false},           // too few
-		{3 * s, Counts{Known: 8, Bad: 19, Good: 100}, true}, // 16%
-		{13 * s, Counts{Known: 8, Bad: 19, Good: 900}, true},
-		{14 * s, Counts{Known: 8, Bad: 19, Good: 1000}, true},
-		{22 * s, Counts{Known: 8, Bad: 19, Good: 1100}, true},
-		{25 * s, Counts{Known: 8, Bad: 19, Good: 1200}, false},
-		{26 * s, Counts{Known: 8, Avoided: 2, Bad: 19, Good: 1300}, true},
-		{27 * s, Counts{Known: 8, Avoided: 1, Bad: 19, Good: 1400}, true}, // not well yet
-		{60 * s, Counts{Known: 8, Bad: 19, Good: 1500}, true},
-		{71 * s, Counts{Known: 8, Bad: 19, Good: 1600}, false},
+		{2 * s, Counts{Known: 8, Failed: 19}, false},             // too few
+		{3 * s, Counts{Known: 8, Failed: 19, Served: 100}, true}, // 16%
+		{13 * s, Counts{Known: 8, Failed: 19, Served: 900}, true},
+		{14 * s, Counts{Known: 8, Failed: 19, Served: 1000}, true},
+		{22 * s, Counts{Known: 8, Failed: 19, Served: 1100}, true},
+		{25 * s, Counts{Known: 8, Failed: 19, Served: 1200}, false},
+		{26 * s, Counts{Known: 8, Avoided: 2, Failed: 19, Served: 1300}, true},
+		{27 * s, Counts{Known: 8, Avoided: 1, Failed: 19, Served: 1400}, true}, // not well yet
+		{60 * s, Counts{Known: 8, Failed: 19, Served: 1500}, true},
+		{71 * s, Counts{Known: 8, Failed: 19, Served: 1600}, false},
 	} {
-		if got, why := w.Look(x.c, x.at); got != x.want {
+		if got, why := w.Update(x.c, x.at); got != x.want {
 			t.Errorf("%d: got %v (%s)", i, got, why)
 		}
 	}
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -22,16 +22,16 @@
 const mostWaiting = 4
 
 // Ask asks for a lease. It travels to who grants, and its stamp back.
-type Ask struct {
+type Request struct {
 	Stamp Micros `cbor:"1,keyasint"` // the asker's own clock at its making; 0: none is wanted
 }
 
 // Grant is the answer.
 type Grant struct {
-	Stamp Micros `cbor:"1,keyasint"`           // of the ask
-	Span  Micros `cbor:"2,keyasint"`           // from the stamp on
-	Index uint64 `cbor:"3,keyasint"`           // committed when a majority confirmed it, after the ask
-	Keep  Micros `cbor:"4,keyasint,omitempty"` // from the stamp on, as a keeper of sites
+	Stamp     Micros `cbor:"1,keyasint"`           // of the ask
+	Span      Micros `cbor:"2,keyasint"`           // from the stamp on
+	Index     uint64 `cbor:"3,keyasint"`           // committed when a majority confirmed it, after the ask
+	OwnerSpan Micros `cbor:"4,keyasint,omitempty"` // from the stamp on, as a keeper of sites
 }
 
 // Lease is the holder's side. The zero value holds nothing.
@@ -43,7 +43,7 @@
 
 // Take takes a grant in; it counts once entries up to its index have been applied.
 // A span longer than most counts as most.
-func (l *Lease) Take(g Grant, most Micros, applied uint64) {
+func (l *Lease) Accept(g Grant, most Micros, applied uint64) {
 	if g.Span <= 0 || g.Stamp == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 func (l *Lease) End() Micros { return l.end }
 
 // Holds tells whether it does at a moment.
-func (l *Lease) Holds(now Micros) bool { return now < l.end }
+func (l *Lease) Valid(now Micros) bool { return now < l.end }
 
 // Index is the entry that had been committed when what is held was confirmed.
 func (l *Lease) Index() uint64 { return l.index }
@@ -83,8 +83,8 @@
 // Pass is what a holder grants to one that it feeds, at a moment after the ask came:
 // what is left of its own. The caller has seen that the asker is not lost in the
 // state that the holder has applied, which goes beyond the lease's own index.
-func (l *Lease) Pass(a Ask, now Micros) (Grant, bool) {
-	if a.Stamp == 0 || !l.Holds(now) {
+func (l *Lease) Delegate(a Request, now Micros) (Grant, bool) {
+	if a.Stamp == 0 || !l.Valid(now) {
 		return Grant{}, false
 	}
 	return Grant{Stamp: a.Stamp, Span: l.end - now, Index: l.index}, true
@@ -92,7 +92,7 @@
 
 // Span is the longest lease that a holder may live by: what the rules have for it,
 // and no more than the others believe that it does. Rule and known are 0 for ever.
-func Span(rule, known Micros) Micros {
+func EffectiveSpan(rule, known Micros) Micros {
 	switch {
 	case rule == 0:
 		return known // until the others know better
@@ -104,45 +104,45 @@
 
 // Over tells whether a lease of a span is surely over for one that asked before a
 // moment, once a clock has gone on by elapsed since. A span of 0 is for ever.
-func Over(span, elapsed Micros) bool {
-	return span > 0 && elapsed >= Until(span)
+func Expired(span, elapsed Micros) bool {
+	return span > 0 && elapsed >= ExpirySpan(span)
 }
 
 // Until is how much must have passed on a clock for a lease of a span to be surely
 // over: the holder's runs slow, and that one fast.
-func Until(span Micros) Micros { return (span*(100+Drift) + (100 - Drift) - 1) / (100 - Drift) }
+func ExpirySpan(span Micros) Micros { return (span*(100+Drift) + (100 - Drift) - 1) / (100 - Drift) }
 
 // Asker is one who waits for the leader's word.
-type Asker struct {
-	Name string
-	ID   uint64 // incarnation
-	From uint64 // process
-	Ask  Ask
+type Requester struct {
+	Name    string
+	ID      uint64 // incarnation
+	Start   uint64 // process
+	Request Request
 }
 
 // Round is what a leader grants after a majority has confirmed it once.
 type Round struct {
-	Number uint64
-	List   []Asker
+	Number     uint64
+	Requesters []Requester
 }
 
 // Grantor is the leader's side: it gathers asks, has a majority confirm that it
 // leads, and then answers those that were there before the confirmation began.
 type Grantor struct {
 	number  uint64
-	next    map[string]Asker
+	next    map[string]Requester
 	open    *Round
 	index   uint64 // of the open one, once confirmed
 	settled bool
 }
 
 // Asked notes an ask; the newest of an asker counts.
-func (g *Grantor) Asked(a Asker, most int) {
-	if a.Ask.Stamp == 0 {
+func (g *Grantor) Add(a Requester, most int) {
+	if a.Request.Stamp == 0 {
 		return
 	}
 	if g.next == nil {
-		g.next = map[string]Asker{}
+		g.next = map[string]Requester{}
 	}
 	if _, known := g.next[a.Name]; known || len(g.next) < most {
 		g.next[a.Name] = a
@@ -158,7 +158,7 @@
 	g.number++
 	g.open, g.settled = &Round{Number: g.number}, false
 	for _, name := range slices.Sorted(maps.Keys(g.next)) { // like rounds have like effects
-		g.open.List = append(g.open.List, g.next[name])
+		g.open.Requesters = append(g.open.Requesters, g.next[name])
 	}
 	g.next = nil
 	return g.number, true
@@ -173,11 +173,11 @@
 
 // Answers gives the askers of a round that was confirmed, once entries up to its
 // index have been applied, and ends it.
-func (g *Grantor) Answers(applied uint64) (list []Asker, index uint64) {
+func (g *Grantor) TakeConfirmed(applied uint64) (list []Requester, index uint64) {
 	if g.open == nil || !g.settled || applied < g.index {
 		return nil, 0
 	}
-	list = g.open.List
+	list = g.open.Requesters
 	g.open = nil
 	return list, g.index
 }
@@ -186,4 +186,4 @@
 func (g *Grantor) Reset() { g.open, g.next, g.settled = nil, nil, false }
 
 // Under tells whether a round is under way.
-func (g *Grantor) Under() bool { return g.open != nil }
+func (g *Grantor) InProgress() bool { return g.open != nil }
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -137,7 +137,7 @@
 			add(func(n *mState) { // what had been committed when it was confirmed is applied with it
 				var l Lease
 				l.end = Micros(n.end)
-				l.Take(Grant{Stamp: Micros(n.grant), Span: mSpan}, mSpan, 0)
+				l.Accept(Grant{Stamp: Micros(n.grant), Span: mSpan}, mSpan, 0)
 				n.end, n.grant = int16(l.End()), 0
 				n.wants = n.wants || n.barred
 			})
@@ -183,7 +183,7 @@
 	}
 	// It looks, and then acts; between both no time passes that it could not see: what
 	// it had in hand is looked at again. A stop is that any number of other steps come between.
-	may := (&Lease{end: Micros(s.end)}).Holds(Micros(s.front)) || rule == noLook
+	may := (&Lease{end: Micros(s.end)}).Valid(Micros(s.front)) || rule == noLook
 	if may && !(s.wants && s.barred && s.acts == 0) {
 		n := step{mState: s}
 		if s.passed && s.acts == 0 {
@@ -199,7 +199,7 @@
 	if !s.barred || s.passed {
 		return
 	}
-	over := Over(mSpan, Micros(s.council-s.lost))
+	over := Expired(mSpan, Micros(s.council-s.lost))
 	if rule == noDrift {
 		over = s.council-s.lost >= mSpan
 	}
--- a/internal/decide/maintenance/maintenance.go
+++ b/internal/decide/maintenance/maintenance.go
@@ -25,12 +25,12 @@
 
 // Bounds.
 const (
-	MostItems  = 2000 // works that are not ended
-	mostEnded  = 256  // works that are, kept to be told of
-	mostFences = 2000 // machines with a fence of their own
-	mostText   = 200  // bytes of a reason
-	mostApart  = 16   // machines that a work must not overlap with
-	mostAge    = 1 << 20
+	MaxOperations = 2000 // works that are not ended
+	mostEnded     = 256  // works that are, kept to be told of
+	mostFences    = 2000 // machines with a fence of their own
+	mostText      = 200  // bytes of a reason
+	mostApart     = 16   // machines that a work must not overlap with
+	mostAge       = 1 << 20
 )
 
 // Phase is how far a work has come.
@@ -38,9 +38,9 @@
 
 // The phases.
 const (
-	Asked     Phase = iota // it waits for its turn
+	Requested Phase = iota // it waits for its turn
 	Permitted              // leave was given, and not accepted yet
-	Emptying               // accepted: it counts as out from here on
+	Draining               // accepted: it counts as out from here on
 	Out                    // the work may be done
 	Returning              // it comes back, and is not a full machine yet
 	Done
@@ -63,108 +63,108 @@
 func (p Phase) Ended() bool { return p >= Done }
 
 // IsOut tells whether a machine counts as out.
-func (p Phase) IsOut() bool { return p >= Emptying && p <= Returning }
+func (p Phase) IsOut() bool { return p >= Draining && p <= Returning }
 
 // Kind is what is taken out.
 type Kind uint8
 
 // The kinds.
 const (
-	AFront Kind = iota // a front: it empties itself
-	ABox               // a cache box: every front leaves it
+	Front Kind = iota // a front: it empties itself
+	Box               // a cache box: every front leaves it
 )
 
 // Item is one work.
-type Item struct {
-	ID         uint64   `cbor:"1,keyasint"` // in the order in which they were asked for, from 1
-	Machine    string   `cbor:"2,keyasint"` // a front's name, or a box's
-	Kind       Kind     `cbor:"3,keyasint,omitempty"`
-	Zone       string   `cbor:"4,keyasint,omitempty"` // of a box; of a front the fleet knows it
-	Why        string   `cbor:"5,keyasint,omitempty"`
-	Span       Micros   `cbor:"6,keyasint"`           // that the work takes, once the machine is out
-	Latest     Micros   `cbor:"7,keyasint,omitempty"` // from when it was asked, until which leave must be given; 0: any time
-	Importance int      `cbor:"8,keyasint,omitempty"`
-	Apart      []string `cbor:"9,keyasint,omitempty"`  // machines that must not be out at the same time
-	ZoneWise   bool     `cbor:"10,keyasint,omitempty"` // only while nothing of another zone is out
-	Urgent     bool     `cbor:"11,keyasint,omitempty"` // goes before all that is not, also while the fleet is hurt
-	Restart    bool     `cbor:"12,keyasint,omitempty"` // it is back once its process has started anew; else once a person says so
-	Asked      Micros   `cbor:"13,keyasint"`
-	Phase      Phase    `cbor:"14,keyasint,omitempty"`
-	Since      Micros   `cbor:"15,keyasint"`           // when it came into its phase
-	Permit     uint64   `cbor:"16,keyasint,omitempty"` // the last one given
-	Holder     uint64   `cbor:"17,keyasint,omitempty"` // incarnation that accepted it
-	Start      uint64   `cbor:"18,keyasint,omitempty"` // its process when it did
-	Note       string   `cbor:"19,keyasint,omitempty"` // why it ended, or what is unusual
-	Left       []string `cbor:"20,keyasint,omitempty"` // of a box: the fronts that have confirmed, by name, ordered
-	Overdue    bool     `cbor:"21,keyasint,omitempty"`
-	Tries      int      `cbor:"22,keyasint,omitempty"` // leaves that were not accepted
-	Home       bool     `cbor:"23,keyasint,omitempty"` // returning: the front itself has said that it takes clients
-	Pace       int      `cbor:"24,keyasint,omitempty"` // of a box: percent of its hub's pace, as the front that was asked saw it; 0: not known
+type Operation struct {
+	ID            uint64   `cbor:"1,keyasint"` // in the order in which they were asked for, from 1
+	Machine       string   `cbor:"2,keyasint"` // a front's name, or a box's
+	Kind          Kind     `cbor:"3,keyasint,omitempty"`
+	Zone          string   `cbor:"4,keyasint,omitempty"` // of a box; of a front the fleet knows it
+	Reason        string   `cbor:"5,keyasint,omitempty"`
+	Duration      Micros   `cbor:"6,keyasint"`           // that the work takes, once the machine is out
+	StartWithin   Micros   `cbor:"7,keyasint,omitempty"` // from when it was asked, until which leave must be given; 0: any time
+	Importance    int      `cbor:"8,keyasint,omitempty"`
+	ConflictsWith []string `cbor:"9,keyasint,omitempty"`  // machines that must not be out at the same time
+	SingleZone    bool     `cbor:"10,keyasint,omitempty"` // only while nothing of another zone is out
+	Urgent        bool     `cbor:"11,keyasint,omitempty"` // goes before all that is not, also while the fleet is hurt
+	EndsOnRestart bool     `cbor:"12,keyasint,omitempty"` // it is back once its process has started anew; else once a person says so
+	RequestedAt   Micros   `cbor:"13,keyasint"`
+	Phase         Phase    `cbor:"14,keyasint,omitempty"`
+	Since         Micros   `cbor:"15,keyasint"`           // when it came into its phase
+	Permit        uint64   `cbor:"16,keyasint,omitempty"` // the last one given
+	Holder        uint64   `cbor:"17,keyasint,omitempty"` // incarnation that accepted it
+	Start         uint64   `cbor:"18,keyasint,omitempty"` // its process when it did
+	Note          string   `cbor:"19,keyasint,omitempty"` // why it ended, or what is unusual
+	LeftBy        []string `cbor:"20,keyasint,omitempty"` // of a box: the fronts that have confirmed, by name, ordered
+	Overdue       bool     `cbor:"21,keyasint,omitempty"`
+	Unaccepted    int      `cbor:"22,keyasint,omitempty"` // leaves that were not accepted
+	Serving       bool     `cbor:"23,keyasint,omitempty"` // returning: the front itself has said that it takes clients
+	Pace          int      `cbor:"24,keyasint,omitempty"` // of a box: percent of its hub's pace, as the front that was asked saw it; 0: not known
 }
 
 // Rules are the budgets and bounds, replicated so that all replicas use the same.
 type Rules struct {
-	Out      int    `cbor:"1,keyasint"`            // machines out at once, lost ones included
-	Zone     int    `cbor:"2,keyasint"`            // of one zone
-	Percent  int    `cbor:"3,keyasint"`            // of the fleet's fronts, rounded down, but one at least
-	Hurt     int    `cbor:"4,keyasint"`            // percent of the fronts lost from which nothing goes but what is urgent
-	Accept   Micros `cbor:"5,keyasint"`            // for leave to be accepted
-	Empty    Micros `cbor:"6,keyasint"`            // for a machine to be empty, after which it is told as late
-	Back     Micros `cbor:"7,keyasint"`            // for it to come back, after which it is told as late
-	Cold     Micros `cbor:"8,keyasint"`            // it is not a full machine for so long after it came back
-	AgeStep  Micros `cbor:"9,keyasint"`            // waiting that counts as one step of importance
-	Patience Micros `cbor:"10,keyasint"`           // after which a work that waits is not passed over any more
-	Alone    Micros `cbor:"11,keyasint,omitempty"` // for which a front acts without hearing the fleet; 0: for ever
-	Pace     int    `cbor:"12,keyasint,omitempty"` // percent of a hub's pace that boxes out at once may have; 0: not looked at
-	Quota    int    `cbor:"13,keyasint,omitempty"` // percent of the fronts, and of a zone's, that may be shut out for acting on old versions; 0: 34
+	MaxOut           int    `cbor:"1,keyasint"`            // machines out at once, lost ones included
+	MaxZoneOut       int    `cbor:"2,keyasint"`            // of one zone
+	MaxFrontsPercent int    `cbor:"3,keyasint"`            // of the fleet's fronts, rounded down, but one at least
+	UnhealthyPercent int    `cbor:"4,keyasint"`            // percent of the fronts lost from which nothing goes but what is urgent
+	AcceptTimeout    Micros `cbor:"5,keyasint"`            // for leave to be accepted
+	DrainTimeout     Micros `cbor:"6,keyasint"`            // for a machine to be empty, after which it is told as late
+	ReturnTimeout    Micros `cbor:"7,keyasint"`            // for it to come back, after which it is told as late
+	WarmUp           Micros `cbor:"8,keyasint"`            // it is not a full machine for so long after it came back
+	AgeStep          Micros `cbor:"9,keyasint"`            // waiting that counts as one step of importance
+	Patience         Micros `cbor:"10,keyasint"`           // after which a work that waits is not passed over any more
+	LeaseSpan        Micros `cbor:"11,keyasint,omitempty"` // for which a front acts without hearing the fleet; 0: for ever
+	MaxPacePercent   int    `cbor:"12,keyasint,omitempty"` // percent of a hub's pace that boxes out at once may have; 0: not looked at
+	MaxFencedPercent int    `cbor:"13,keyasint,omitempty"` // percent of the fronts, and of a zone's, that may be shut out for acting on old versions; 0: 34
 }
 
 // Defaults are the rules where the operators set none.
-func Defaults() Rules {
-	return Rules{Out: 1, Zone: 1, Percent: 34, Hurt: 20, Accept: 20 * second, Empty: 90 * second, Back: 120 * second,
-		Cold: 15 * second, AgeStep: 60 * second, Patience: 600 * second}
+func DefaultRules() Rules {
+	return Rules{MaxOut: 1, MaxZoneOut: 1, MaxFrontsPercent: 34, UnhealthyPercent: 20, AcceptTimeout: 20 * second, DrainTimeout: 90 * second, ReturnTimeout: 120 * second,
+		WarmUp: 15 * second, AgeStep: 60 * second, Patience: 600 * second}
 }
 
 // Check names the first rule that can't be.
-func (r Rules) Check() error {
+func (r Rules) Validate() error {
 	for _, x := range []struct {
 		key         string
 		n           int64
 		least, most int64
-	}{{"out", int64(r.Out), 1, 1000}, {"zone", int64(r.Zone), 1, 1000}, {"percent", int64(r.Percent), 1, 100},
-		{"hurt_percent", int64(r.Hurt), 1, 100}, {"accept_s", r.Accept, second / 10, 3600 * second}, {"empty_s", r.Empty, second / 10, 3600 * second},
-		{"back_s", r.Back, second / 10, 24 * 3600 * second}, {"cold_s", r.Cold, 0, 3600 * second},
+	}{{"out", int64(r.MaxOut), 1, 1000}, {"zone", int64(r.MaxZoneOut), 1, 1000}, {"percent", int64(r.MaxFrontsPercent), 1, 100},
+		{"hurt_percent", int64(r.UnhealthyPercent), 1, 100}, {"accept_s", r.AcceptTimeout, second / 10, 3600 * second}, {"empty_s", r.DrainTimeout, second / 10, 3600 * second},
+		{"back_s", r.ReturnTimeout, second / 10, 24 * 3600 * second}, {"cold_s", r.WarmUp, 0, 3600 * second},
 		{"age_step_s", r.AgeStep, second / 10, 24 * 3600 * second}, {"patience_s", r.Patience, second / 10, 24 * 3600 * second},
-		{"alone_s", r.Alone, 0, 24 * 3600 * second}} {
+		{"alone_s", r.LeaseSpan, 0, 24 * 3600 * second}} {
 		if x.n < x.least || x.n > x.most {
 			return fmt.Errorf("%s: %d is not %d to %d", x.key, x.n, x.least, x.most)
 		}
 	}
-	if r.Pace < 0 || r.Pace > 100 {
-		return fmt.Errorf("pace_percent: %d is not 0 to 100", r.Pace)
+	if r.MaxPacePercent < 0 || r.MaxPacePercent > 100 {
+		return fmt.Errorf("pace_percent: %d is not 0 to 100", r.MaxPacePercent)
 	}
-	if r.Quota < 0 || r.Quota > 100 {
-		return fmt.Errorf("lag_percent: %d is not 0 to 100", r.Quota)
+	if r.MaxFencedPercent < 0 || r.MaxFencedPercent > 100 {
+		return fmt.Errorf("lag_percent: %d is not 0 to 100", r.MaxFencedPercent)
 	}
-	if r.Alone > 0 && r.Alone < second {
-		return fmt.Errorf("alone_s: %d us is under a second", r.Alone)
+	if r.LeaseSpan > 0 && r.LeaseSpan < second {
+		return fmt.Errorf("alone_s: %d us is under a second", r.LeaseSpan)
 	}
 	return nil
 }
 
 // Machine is what Step must know of a front.
 type Machine struct {
-	Name  string
-	Zone  string
-	ID    uint64
-	Start uint64
-	Lost  bool
-	Away  bool // it says itself that it takes no clients
-	Hurt  bool // it says itself that it is in trouble
-	Votes bool
-	Yield bool   // it votes, and another front can take its seat, or it can be done without
-	Ended Micros // lost: fleet time at which its lease is surely over, with all that it had open; 0: never
-	Lease Micros // the longest that it acts without hearing the fleet; 0: for ever
+	Name         string
+	Zone         string
+	ID           uint64
+	Start        uint64
+	Lost         bool
+	NotServing   bool // it says itself that it takes no clients
+	Unhealthy    bool // it says itself that it is in trouble
+	Voter        bool
+	CanYieldSeat bool   // it votes, and another front can take its seat, or it can be done without
+	LeaseExpiry  Micros // lost: fleet time at which its lease is surely over, with all that it had open; 0: never
+	Lease        Micros // the longest that it acts without hearing the fleet; 0: for ever
 }
 
 // Fleet is the fronts as the council's state has them, ordered by name.
@@ -181,74 +181,76 @@
 
 // State is all works. Permits are numbered through the fleet's life.
 type State struct {
-	Rules  Rules             `cbor:"1,keyasint"`
-	Last   uint64            `cbor:"2,keyasint"` // permit
-	LastID uint64            `cbor:"3,keyasint"`
-	Hold   string            `cbor:"4,keyasint,omitempty"` // why nothing new goes; empty: it does
-	Items  []Item            `cbor:"5,keyasint,omitempty"` // not ended, by ID
-	Ended  []Item            `cbor:"6,keyasint,omitempty"` // the last ones
-	Fences map[string]uint64 `cbor:"7,keyasint,omitempty"` // permits of a machine below it are void
+	Rules      Rules             `cbor:"1,keyasint"`
+	LastPermit uint64            `cbor:"2,keyasint"` // permit
+	LastID     uint64            `cbor:"3,keyasint"`
+	HoldReason string            `cbor:"4,keyasint,omitempty"` // why nothing new goes; empty: it does
+	Operations []Operation       `cbor:"5,keyasint,omitempty"` // not ended, by ID
+	Ended      []Operation       `cbor:"6,keyasint,omitempty"` // the last ones
+	Fences     map[string]uint64 `cbor:"7,keyasint,omitempty"` // permits of a machine below it are void
 }
 
 // New makes the state of a fleet that has never taken a machine out.
-func New() State { return State{Rules: Defaults(), Fences: map[string]uint64{}} }
+func New() State { return State{Rules: DefaultRules(), Fences: map[string]uint64{}} }
 
 // Errors of what was asked.
 var (
-	ErrNone   = errors.New("no such work, or it has ended")
-	ErrMany   = fmt.Errorf("%d works wait or are under way, which is the most", MostItems)
-	ErrTwice  = errors.New("the machine has a work that is not ended")
-	ErrPermit = errors.New("the permit is void")
-	ErrPhase  = errors.New("the work is not so far, or farther")
-	ErrFront  = errors.New("no front of that name")
-	ErrSpan   = errors.New("span: 1 s to 7 days are wanted")
-	ErrText   = fmt.Errorf("a machine, a reason of %d bytes at most, and %d machines apart at most are wanted", mostText, mostApart)
-	ErrHeard  = errors.New("the front is heard: it can say itself that it is back")
+	ErrNoOperation       = errors.New("no such work, or it has ended")
+	ErrTooManyOperations = fmt.Errorf("%d works wait or are under way, which is the most", MaxOperations)
+	ErrDuplicate         = errors.New("the machine has a work that is not ended")
+	ErrPermitVoid        = errors.New("the permit is void")
+	ErrPhase             = errors.New("the work is not so far, or farther")
+	ErrNoFront           = errors.New("no front of that name")
+	ErrDuration          = errors.New("span: 1 s to 7 days are wanted")
+	ErrText              = fmt.Errorf("a machine, a reason of %d bytes at most, and %d machines apart at most are wanted", mostText, mostApart)
+	ErrFrontReachable    = errors.New("the front is heard: it can say itself that it is back")
 )
 
 // Ask takes a work in. A front's must be of the fleet; one work a machine.
-func (s *State) Ask(x Item, fleet Fleet, now Micros) (id uint64, err error) {
+func (s *State) Request(x Operation, fleet Fleet, now Micros) (id uint64, err error) {
 	switch {
-	case x.Machine == "" || len(x.Machine) > mostText || len(x.Why) > mostText || len(x.Apart) > mostApart || len(x.Zone) > mostText:
+	case x.Machine == "" || len(x.Machine) > mostText || len(x.Reason) > mostText || len(x.ConflictsWith) > mostApart || len(x.Zone) > mostText:
 		return 0, ErrText
-	case x.Span < second || x.Span > 7*24*3600*second || x.Latest < 0:
-		return 0, ErrSpan
-	case x.Kind == AFront && fleet.Find(x.Machine) == nil:
-		return 0, ErrFront
-	case len(s.Items) >= MostItems:
-		return 0, ErrMany
-	case s.On(x.Machine) != nil:
-		return 0, ErrTwice
+	case x.Duration < second || x.Duration > 7*24*3600*second || x.StartWithin < 0:
+		return 0, ErrDuration
+	case x.Kind == Front && fleet.Find(x.Machine) == nil:
+		return 0, ErrNoFront
+	case len(s.Operations) >= MaxOperations:
+		return 0, ErrTooManyOperations
+	case s.ForMachine(x.Machine) != nil:
+		return 0, ErrDuplicate
 	}
 	s.LastID++
-	s.Items = append(s.Items, Item{ID: s.LastID, Machine: x.Machine, Kind: x.Kind, Zone: x.Zone, Why: x.Why, Span: x.Span,
-		Latest: x.Latest, Importance: x.Importance, Pace: max(0, min(x.Pace, 100)), Apart: x.Apart, ZoneWise: x.ZoneWise, Urgent: x.Urgent, Restart: x.Restart,
-		Asked: now, Since: now})
+	s.Operations = append(s.Operations, Operation{ID: s.LastID, Machine: x.Machine, Kind: x.Kind, Zone: x.Zone, Reason: x.Reason, Duration: x.Duration,
+		StartWithin: x.StartWithin, Importance: x.Importance, Pace: max(0, min(x.Pace, 100)), ConflictsWith: x.ConflictsWith, SingleZone: x.SingleZone, Urgent: x.Urgent, EndsOnRestart: x.EndsOnRestart,
+		RequestedAt: now, Since: now})
 	return s.LastID, nil
 }
 
 // Find gives a work that is not ended; nil: there is none.
-func (s *State) Find(id uint64) *Item {
-	i, ok := slices.BinarySearchFunc(s.Items, id, func(x Item, id uint64) int { return cmp.Compare(x.ID, id) })
+func (s *State) Find(id uint64) *Operation {
+	i, ok := slices.BinarySearchFunc(s.Operations, id, func(x Operation, id uint64) int { return cmp.Compare(x.ID, id) })
 	if !ok {
 		return nil
 	}
-	return &s.Items[i]
+	return &s.Operations[i]
 }
 
 // On gives a machine's work that is not ended; nil: there is none.
-func (s *State) On(machine string) *Item {
-	i := slices.IndexFunc(s.Items, func(x Item) bool { return x.Machine == machine })
+func (s *State) ForMachine(machine string) *Operation {
+	i := slices.IndexFunc(s.Operations, func(x Operation) bool { return x.Machine == machine })
 	if i < 0 {
 		return nil
 	}
-	return &s.Items[i]
+	return &s.Operations[i]
 }
 
-func (x *Item) to(p Phase, now Micros) { x.Phase, x.Since, x.Overdue, x.Home = p, now, false, false }
+func (x *Operation) to(p Phase, now Micros) {
+	x.Phase, x.Since, x.Overdue, x.Serving = p, now, false, false
+}
 
 // fence voids the permit that a machine may still have in hand.
-func (s *State) fence(x *Item) {
+func (s *State) fence(x *Operation) {
 	if x.Permit == 0 {
 		return
 	}
@@ -268,15 +270,15 @@
 }
 
 // end ends a work and voids its permit.
-func (s *State) end(x *Item, p Phase, note string, now Micros) {
+func (s *State) end(x *Operation, p Phase, note string, now Micros) {
 	s.fence(x)
 	x.to(p, now)
 	if note != "" {
 		x.Note = note
 	}
 	done := *x
-	done.Left = nil
-	s.Items = slices.DeleteFunc(s.Items, func(y Item) bool { return y.ID == done.ID })
+	done.LeftBy = nil
+	s.Operations = slices.DeleteFunc(s.Operations, func(y Operation) bool { return y.ID == done.ID })
 	if s.Ended = append(s.Ended, done); len(s.Ended) > mostEnded {
 		s.Ended = slices.Delete(s.Ended, 0, len(s.Ended)-mostEnded)
 	}
@@ -287,7 +289,7 @@
 	x := s.Find(id)
 	switch {
 	case x == nil:
-		return ErrNone
+		return ErrNoOperation
 	case !x.Phase.IsOut():
 		s.end(x, Cancelled, why, now)
 	case x.Phase != Returning:
@@ -303,8 +305,8 @@
 	x := s.Find(id)
 	switch {
 	case x == nil:
-		return ErrNone
-	case x.Phase != Out && x.Phase != Emptying:
+		return ErrNoOperation
+	case x.Phase != Out && x.Phase != Draining:
 		return ErrPhase
 	}
 	x.to(Returning, now)
@@ -314,16 +316,16 @@
 // Declare is a person's word that a machine in work will not come back: the only
 // way in which it stops counting as out without being heard. A front that is
 // heard can say so itself.
-func (s *State) Declare(id uint64, why string, fleet Fleet, now Micros) error {
+func (s *State) DeclareLost(id uint64, why string, fleet Fleet, now Micros) error {
 	x := s.Find(id)
 	if x == nil {
-		return ErrNone
+		return ErrNoOperation
 	}
 	if !x.Phase.IsOut() {
 		return ErrPhase
 	}
-	if m := fleet.Find(x.Machine); x.Kind == AFront && m != nil && !m.Lost && m.ID == x.Holder && m.Start == x.Start {
-		return ErrHeard
+	if m := fleet.Find(x.Machine); x.Kind == Front && m != nil && !m.Lost && m.ID == x.Holder && m.Start == x.Start {
+		return ErrFrontReachable
 	}
 	s.end(x, Lost, cmp.Or(why, "declared lost"), now)
 	return nil
@@ -332,25 +334,25 @@
 // Accept is a front's acceptance of leave: from here on it is out. It stands only
 // while the leave does.
 func (s *State) Accept(machine string, permit, id, start uint64, now Micros) error {
-	x := s.On(machine)
+	x := s.ForMachine(machine)
 	if x == nil || permit < s.Fences[machine] || x.Permit != permit {
-		return ErrPermit
+		return ErrPermitVoid
 	}
 	if x.Phase != Permitted {
 		return ErrPhase
 	}
 	x.Holder, x.Start = id, start
-	x.to(Emptying, now)
+	x.to(Draining, now)
 	return nil
 }
 
 // Empty is a front's word that it holds no request any more.
-func (s *State) Empty(machine string, permit, id uint64, now Micros) error {
-	x := s.On(machine)
+func (s *State) Drained(machine string, permit, id uint64, now Micros) error {
+	x := s.ForMachine(machine)
 	if x == nil || x.Permit != permit || x.Holder != id {
-		return ErrPermit
+		return ErrPermitVoid
 	}
-	if x.Phase != Emptying {
+	if x.Phase != Draining {
 		return ErrPhase
 	}
 	x.to(Out, now)
@@ -359,32 +361,32 @@
 
 // Back is a front's word that it takes clients again. Only that ends its work: what
 // others last heard of it may be older than its way out.
-func (s *State) Back(machine string, permit, id uint64, now Micros) error {
-	x := s.On(machine)
+func (s *State) Returned(machine string, permit, id uint64, now Micros) error {
+	x := s.ForMachine(machine)
 	if x == nil || x.Permit != permit {
-		return ErrPermit
+		return ErrPermitVoid
 	}
-	if !x.Phase.IsOut() || x.Home && x.Holder == id {
+	if !x.Phase.IsOut() || x.Serving && x.Holder == id {
 		return ErrPhase
 	}
 	x.Holder = id
 	x.to(Returning, now)
-	x.Home = true
+	x.Serving = true
 	return nil
 }
 
 // Leave is a front's word, for a box in work, that it sends nothing new there and
 // has nothing open there.
-func (s *State) Leave(machine string, permit uint64, front string, now Micros) error {
-	x := s.On(machine)
-	if x == nil || x.Kind != ABox || x.Permit != permit {
-		return ErrPermit
+func (s *State) ConfirmLeft(machine string, permit uint64, front string, now Micros) error {
+	x := s.ForMachine(machine)
+	if x == nil || x.Kind != Box || x.Permit != permit {
+		return ErrPermitVoid
 	}
-	if x.Phase != Permitted && x.Phase != Emptying {
+	if x.Phase != Permitted && x.Phase != Draining {
 		return ErrPhase
 	}
-	if i, ok := slices.BinarySearch(x.Left, front); !ok {
-		x.Left = slices.Insert(x.Left, i, front)
+	if i, ok := slices.BinarySearch(x.LeftBy, front); !ok {
+		x.LeftBy = slices.Insert(x.LeftBy, i, front)
 	}
 	return nil
 }
@@ -392,16 +394,16 @@
 // Rejoined is told when a front came under a new incarnation, or its process
 // started anew: what the one before confirmed of boxes counts no more.
 func (s *State) Rejoined(front string) {
-	for i := range s.Items {
-		if j, ok := slices.BinarySearch(s.Items[i].Left, front); ok && s.Items[i].Phase < Out {
-			s.Items[i].Left = slices.Delete(s.Items[i].Left, j, j+1)
+	for i := range s.Operations {
+		if j, ok := slices.BinarySearch(s.Operations[i].LeftBy, front); ok && s.Operations[i].Phase < Out {
+			s.Operations[i].LeftBy = slices.Delete(s.Operations[i].LeftBy, j, j+1)
 		}
 	}
 }
 
 // Zone is where a work's machine stands.
-func (x *Item) zone(fleet Fleet) string {
-	if m := fleet.Find(x.Machine); x.Kind == AFront && m != nil {
+func (x *Operation) zone(fleet Fleet) string {
+	if m := fleet.Find(x.Machine); x.Kind == Front && m != nil {
 		return m.Zone
 	}
 	return x.Zone
@@ -431,14 +433,14 @@
 			u.fronts++
 		}
 	}
-	for i := range s.Items {
-		if x := &s.Items[i]; x.Phase == Permitted || x.Phase.IsOut() {
-			count(x.Machine, x.zone(fleet), x.Kind == AFront)
+	for i := range s.Operations {
+		if x := &s.Operations[i]; x.Phase == Permitted || x.Phase.IsOut() {
+			count(x.Machine, x.zone(fleet), x.Kind == Front)
 			u.pace[x.Zone] += x.Pace
 		}
 	}
 	for _, m := range fleet {
-		if m.Votes {
+		if m.Voter {
 			u.voters++
 			if !u.machines[m.Name] && !m.Lost { // one that is away by itself votes all the same
 				u.heard++
@@ -447,10 +449,10 @@
 		if m.Lost && !u.machines[m.Name] {
 			u.lost++
 		}
-		if m.Hurt && !m.Lost {
+		if m.Unhealthy && !m.Lost {
 			u.hurt++
 		}
-		if m.Lost || m.Away {
+		if m.Lost || m.NotServing {
 			count(m.Name, m.Zone, true)
 		}
 	}
@@ -458,18 +460,18 @@
 }
 
 // score orders what waits: importance, and a step of it for every span waited.
-func (x *Item) score(r Rules, now Micros) int64 {
-	return int64(x.Importance) + min(mostAge, (now-x.Asked)/max(1, r.AgeStep))
+func (x *Operation) score(r Rules, now Micros) int64 {
+	return int64(x.Importance) + min(mostAge, (now-x.RequestedAt)/max(1, r.AgeStep))
 }
 
 // queue is what waits, the next first.
-func (s *State) queue(now Micros) (list []*Item) {
-	for i := range s.Items {
-		if x := &s.Items[i]; x.Phase == Asked {
+func (s *State) queue(now Micros) (list []*Operation) {
+	for i := range s.Operations {
+		if x := &s.Operations[i]; x.Phase == Requested {
 			list = append(list, x)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *Item) int {
+	slices.SortStableFunc(list, func(a, b *Operation) int {
 		if a.Urgent != b.Urgent {
 			if a.Urgent {
 				return -1
@@ -484,17 +486,17 @@
 const seatFirst = "its seat in the council goes to another front first"
 
 // bar tells why a work can't have leave now; empty: it can.
-func (s *State) bar(x *Item, u *usage, fleet Fleet, now Micros) string {
+func (s *State) bar(x *Operation, u *usage, fleet Fleet, now Micros) string {
 	m := fleet.Find(x.Machine)
 	zone := x.zone(fleet)
 	switch {
-	case s.Hold != "":
-		return "held: " + s.Hold
-	case x.Kind == AFront && m == nil:
+	case s.HoldReason != "":
+		return "held: " + s.HoldReason
+	case x.Kind == Front && m == nil:
 		return "the front has left the fleet"
-	case x.Kind == AFront && m.Lost:
+	case x.Kind == Front && m.Lost:
 		return "the front is not heard, so it can't accept"
-	case (u.lost+u.hurt)*100 >= s.Rules.Hurt*len(fleet) && u.lost+u.hurt > 0 && !x.Urgent:
+	case (u.lost+u.hurt)*100 >= s.Rules.UnhealthyPercent*len(fleet) && u.lost+u.hurt > 0 && !x.Urgent:
 		return fmt.Sprintf("the fleet is hurt: of %d fronts %d are lost and %d in trouble", len(fleet), u.lost, u.hurt)
 	}
 	if wait := s.again(x); now < wait {
@@ -505,17 +507,17 @@
 		others, sameZone, fronts = others-1, sameZone-1, fronts-1
 	}
 	switch {
-	case others+1 > s.Rules.Out:
-		return fmt.Sprintf("%d machines are out or lost, %d may be", others, s.Rules.Out)
-	case sameZone+1 > s.Rules.Zone:
-		return fmt.Sprintf("%d machines of zone %s are out or lost, %d may be", sameZone, zone, s.Rules.Zone)
-	case x.Kind == AFront && fronts+1 > max(1, len(fleet)*s.Rules.Percent/100):
-		return fmt.Sprintf("%d of %d fronts are out or lost, %d%% may be", fronts, len(fleet), s.Rules.Percent)
-	case x.Kind == ABox && s.Rules.Pace > 0 && u.pace[zone] > 0 && u.pace[zone]+x.Pace > s.Rules.Pace:
-		return fmt.Sprintf("boxes with %d%% of the pace of %s are out and this one has %d%%, together %d%% may be", u.pace[zone], zone, x.Pace, s.Rules.Pace)
-	case x.Kind == AFront && m.Yield:
+	case others+1 > s.Rules.MaxOut:
+		return fmt.Sprintf("%d machines are out or lost, %d may be", others, s.Rules.MaxOut)
+	case sameZone+1 > s.Rules.MaxZoneOut:
+		return fmt.Sprintf("%d machines of zone %s are out or lost, %d may be", sameZone, zone, s.Rules.MaxZoneOut)
+	case x.Kind == Front && fronts+1 > max(1, len(fleet)*s.Rules.MaxFrontsPercent/100):
+		return fmt.Sprintf("%d of %d fronts are out or lost, %d%% may be", fronts, len(fleet), s.Rules.MaxFrontsPercent)
+	case x.Kind == Box && s.Rules.MaxPacePercent > 0 && u.pace[zone] > 0 && u.pace[zone]+x.Pace > s.Rules.MaxPacePercent:
+		return fmt.Sprintf("boxes with %d%% of the pace of %s are out and this one has %d%%, together %d%% may be", u.pace[zone], zone, x.Pace, s.Rules.MaxPacePercent)
+	case x.Kind == Front && m.CanYieldSeat:
 		return seatFirst
-	case x.Kind == AFront && m.Votes && u.voters > 1 && u.heard-1 < u.voters/2+1:
+	case x.Kind == Front && m.Voter && u.voters > 1 && u.heard-1 < u.voters/2+1:
 		return fmt.Sprintf("it votes, and %d of %d voters would be left, no majority", u.heard-1, u.voters)
 	}
 	return s.apart(x, u, zone)
@@ -523,27 +525,27 @@
 
 // again is when a work whose leave was not accepted may have the next: it waits twice
 // as long after each, so that a front that hears and is not heard costs little.
-func (s *State) again(x *Item) Micros {
-	if x.Tries == 0 {
+func (s *State) again(x *Operation) Micros {
+	if x.Unaccepted == 0 {
 		return 0
 	}
-	return x.Since + s.Rules.Accept<<(x.Tries-1)
+	return x.Since + s.Rules.AcceptTimeout<<(x.Unaccepted-1)
 }
 
 // apart tells what stands against a work beside the budgets.
-func (s *State) apart(x *Item, u *usage, zone string) string {
-	for _, other := range x.Apart {
+func (s *State) apart(x *Operation, u *usage, zone string) string {
+	for _, other := range x.ConflictsWith {
 		if other != x.Machine && u.machines[other] {
 			return other + " is out, and both must not be"
 		}
 	}
-	for i := range s.Items {
-		y := &s.Items[i]
-		if y.Machine != x.Machine && (y.Phase == Permitted || y.Phase.IsOut()) && slices.Contains(y.Apart, x.Machine) {
+	for i := range s.Operations {
+		y := &s.Operations[i]
+		if y.Machine != x.Machine && (y.Phase == Permitted || y.Phase.IsOut()) && slices.Contains(y.ConflictsWith, x.Machine) {
 			return y.Machine + " is out, and both must not be"
 		}
 	}
-	if x.ZoneWise {
+	if x.SingleZone {
 		for z, n := range u.zones {
 			if z != zone && n > 0 {
 				return "machines of another zone are out, and a zone at a time was asked for"
@@ -557,66 +559,66 @@
 // over, leave for those whose turn it is. It must run after every change, and
 // gives what has happened, a line each.
 func (s *State) Step(fleet Fleet, now Micros) (told []string) {
-	tell := func(x *Item, what string) {
+	tell := func(x *Operation, what string) {
 		told = append(told, fmt.Sprintf("work %d on %s: %s", x.ID, x.Machine, what))
 	}
-	back := func(x *Item, why string) {
+	back := func(x *Operation, why string) {
 		s.fence(x)
 		x.Note = fmt.Sprintf("leave %d %s", x.Permit, why)
 		tell(x, x.Note)
-		x.to(Asked, now)
+		x.to(Requested, now)
 	}
 	for _, id := range s.ids() {
 		x := s.Find(id)
 		m := fleet.Find(x.Machine)
 		waited := now - x.Since
 		switch x.Phase {
-		case Asked:
-			if x.Latest > 0 && now-x.Asked > x.Latest {
+		case Requested:
+			if x.StartWithin > 0 && now-x.RequestedAt > x.StartWithin {
 				tell(x, "refused: its latest moment has passed")
 				s.end(x, Refused, "its latest moment has passed", now)
-			} else if x.Kind == AFront && m == nil {
+			} else if x.Kind == Front && m == nil {
 				tell(x, "refused: the front has left the fleet")
 				s.end(x, Refused, "the front has left the fleet", now)
 			}
 		case Permitted:
 			switch {
-			case x.Kind == ABox:
+			case x.Kind == Box:
 				if s.left(x, fleet, now) {
 					tell(x, "all fronts have left it")
 					x.to(Out, now)
 				}
-			case waited > s.Rules.Accept || m == nil || m.Lost:
-				x.Tries = min(x.Tries+1, 8)
+			case waited > s.Rules.AcceptTimeout || m == nil || m.Lost:
+				x.Unaccepted = min(x.Unaccepted+1, 8)
 				back(x, "was not accepted and was taken back")
-			case m.Votes: // it may have got a seat, or another voter been lost, since
+			case m.Voter: // it may have got a seat, or another voter been lost, since
 				if u := s.use(fleet); u.voters > 1 && u.heard < u.voters/2+1 {
 					back(x, "was taken back: those voters that are left are no majority any more")
 				}
 			}
-		case Emptying:
-			if x.Kind == AFront && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
+		case Draining:
+			if x.Kind == Front && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
 				tell(x, "its process ended on its way out")
 				x.to(Out, now)
-			} else if !x.Overdue && waited > s.Rules.Empty {
+			} else if !x.Overdue && waited > s.Rules.DrainTimeout {
 				x.Overdue, x.Note = true, "emptying takes longer than it may"
 				tell(x, x.Note)
 			}
 		case Out:
-			if x.Restart && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
+			if x.EndsOnRestart && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
 				tell(x, "its process has started anew")
 				x.Holder = m.ID
 				x.to(Returning, now)
-			} else if !x.Overdue && waited > x.Span {
+			} else if !x.Overdue && waited > x.Duration {
 				x.Overdue, x.Note = true, "out for longer than was asked"
 				tell(x, x.Note)
 			}
 		case Returning:
-			ready := x.Kind == ABox || x.Home && m != nil && !m.Lost && m.ID == x.Holder
-			if ready && waited >= s.Rules.Cold {
+			ready := x.Kind == Box || x.Serving && m != nil && !m.Lost && m.ID == x.Holder
+			if ready && waited >= s.Rules.WarmUp {
 				tell(x, "done")
 				s.end(x, Done, "", now)
-			} else if !ready && !x.Overdue && waited > s.Rules.Back {
+			} else if !ready && !x.Overdue && waited > s.Rules.ReturnTimeout {
 				x.Overdue, x.Note = true, "coming back takes longer than it may"
 				tell(x, x.Note)
 			}
@@ -626,16 +628,16 @@
 	for _, x := range s.queue(now) {
 		// Where the budget is spent, nobody who is not part of what spent it need be looked at.
 		why := "the budget is spent"
-		if u.out < s.Rules.Out || u.machines[x.Machine] {
+		if u.out < s.Rules.MaxOut || u.machines[x.Machine] {
 			why = s.bar(x, &u, fleet, now)
 		}
 		if why == "" {
-			s.Last++
-			x.Permit, x.Left, x.Holder, x.Start = s.Last, nil, 0, 0
+			s.LastPermit++
+			x.Permit, x.LeftBy, x.Holder, x.Start = s.LastPermit, nil, 0, 0
 			x.to(Permitted, now)
 			tell(x, fmt.Sprintf("leave %d", x.Permit))
 			u = s.use(fleet)
-		} else if now-x.Asked > s.Rules.Patience && s.Hold == "" && !s.stuck(x, fleet, now) {
+		} else if now-x.RequestedAt > s.Rules.Patience && s.HoldReason == "" && !s.stuck(x, fleet, now) {
 			break // nothing goes before it any more
 		}
 	}
@@ -644,16 +646,16 @@
 
 // stuck tells that a work waits for something of its own, so that others need not
 // wait with it.
-func (s *State) stuck(x *Item, fleet Fleet, now Micros) bool {
+func (s *State) stuck(x *Operation, fleet Fleet, now Micros) bool {
 	m := fleet.Find(x.Machine)
-	return x.Kind == AFront && (m == nil || m.Lost || now < s.again(x))
+	return x.Kind == Front && (m == nil || m.Lost || now < s.again(x))
 }
 
 // left tells whether every front has confirmed that it has left a box, or can't act
 // any more.
-func (s *State) left(x *Item, fleet Fleet, now Micros) bool {
+func (s *State) left(x *Operation, fleet Fleet, now Micros) bool {
 	for _, m := range fleet {
-		if _, ok := slices.BinarySearch(x.Left, m.Name); !ok && !m.over(now) {
+		if _, ok := slices.BinarySearch(x.LeftBy, m.Name); !ok && !m.over(now) {
 			return false
 		}
 	}
@@ -661,51 +663,51 @@
 }
 
 // over tells whether a front is lost and its lease surely over.
-func (m *Machine) over(now Micros) bool { return m.Lost && m.Ended > 0 && now >= m.Ended }
+func (m *Machine) over(now Micros) bool { return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry }
 
 func (s *State) ids() (ids []uint64) {
-	for _, x := range s.Items {
+	for _, x := range s.Operations {
 		ids = append(ids, x.ID)
 	}
 	return ids
 }
 
 // Line is one work of a plan, with what it waits for.
-type Line struct {
-	Item
-	Place int    // in the order, from 1; 0: it is under way
-	Waits string // for what; empty: for nothing
+type PlanEntry struct {
+	Operation
+	Position int    // in the order, from 1; 0: it is under way
+	WaitsFor string // for what; empty: for nothing
 }
 
 // Plan is who goes when: what is under way, then what waits in its order, each with
 // what stands in its way now.
-func (s *State) Plan(fleet Fleet, now Micros) (plan []Line) {
+func (s *State) Plan(fleet Fleet, now Micros) (plan []PlanEntry) {
 	u := s.use(fleet)
-	for i := range s.Items {
-		if x := &s.Items[i]; x.Phase != Asked {
-			plan = append(plan, Line{Item: *x, Waits: s.waits(x, fleet, now)})
+	for i := range s.Operations {
+		if x := &s.Operations[i]; x.Phase != Requested {
+			plan = append(plan, PlanEntry{Operation: *x, WaitsFor: s.waits(x, fleet, now)})
 		}
 	}
 	for i, x := range s.queue(now) {
-		plan = append(plan, Line{Item: *x, Place: i + 1, Waits: cmp.Or(s.bar(x, &u, fleet, now), "its turn")})
+		plan = append(plan, PlanEntry{Operation: *x, Position: i + 1, WaitsFor: cmp.Or(s.bar(x, &u, fleet, now), "its turn")})
 	}
 	return plan
 }
 
 // waits tells what a work under way waits for.
-func (s *State) waits(x *Item, fleet Fleet, now Micros) string {
+func (s *State) waits(x *Operation, fleet Fleet, now Micros) string {
 	late := ""
 	if x.Overdue {
 		late = " (" + x.Note + ")"
 	}
 	switch x.Phase {
 	case Permitted:
-		if x.Kind == ABox {
+		if x.Kind == Box {
 			var missing []string
 			for _, m := range fleet {
-				if _, ok := slices.BinarySearch(x.Left, m.Name); !ok && !m.over(now) {
-					if m.Lost && m.Ended > 0 {
-						m.Name += fmt.Sprintf(" (not heard; its lease is surely over in %d s)", (m.Ended-now)/second+1)
+				if _, ok := slices.BinarySearch(x.LeftBy, m.Name); !ok && !m.over(now) {
+					if m.Lost && m.LeaseExpiry > 0 {
+						m.Name += fmt.Sprintf(" (not heard; its lease is surely over in %d s)", (m.LeaseExpiry-now)/second+1)
 					} else if m.Lost {
 						m.Name += " (not heard)"
 					}
@@ -719,10 +721,10 @@
 			return fmt.Sprintf("%d fronts to leave it: %s", n, strings.Join(missing, ", "))
 		}
 		return "the front to accept"
-	case Emptying:
+	case Draining:
 		return "its open requests to end" + late
 	case Out:
-		if x.Restart {
+		if x.EndsOnRestart {
 			return "its process to start anew" + late
 		}
 		return "a person's word that it is done" + late
@@ -733,15 +735,15 @@
 }
 
 // Why says in a sentence what becomes of a machine's work.
-func (s *State) Why(machine string, fleet Fleet, now Micros) string {
+func (s *State) Explain(machine string, fleet Fleet, now Micros) string {
 	for _, l := range s.Plan(fleet, now) {
 		if l.Machine != machine {
 			continue
 		}
-		if l.Place > 0 {
-			return fmt.Sprintf("%s waits as number %d (work %d, asked %d s ago): %s.", machine, l.Place, l.ID, (now-l.Asked)/second, l.Waits)
+		if l.Position > 0 {
+			return fmt.Sprintf("%s waits as number %d (work %d, asked %d s ago): %s.", machine, l.Position, l.ID, (now-l.RequestedAt)/second, l.WaitsFor)
 		}
-		return fmt.Sprintf("%s is %s under permit %d (work %d) for %d s and waits for %s.", machine, l.Phase, l.Permit, l.ID, (now-l.Since)/second, l.Waits)
+		return fmt.Sprintf("%s is %s under permit %d (work %d) for %d s and waits for %s.", machine, l.Phase, l.Permit, l.ID, (now-l.Since)/second, l.WaitsFor)
 	}
 	for i := len(s.Ended) - 1; i >= 0; i-- {
 		if x := s.Ended[i]; x.Machine == machine {
@@ -757,8 +759,8 @@
 
 // Soon tells whether a front is about to go out, or is: it should hold no seat that
 // another can have.
-func (s *State) Soon(front string, fleet Fleet, now Micros) bool {
-	if x := s.On(front); x != nil && x.Kind == AFront && x.Phase != Asked {
+func (s *State) OutSoon(front string, fleet Fleet, now Micros) bool {
+	if x := s.ForMachine(front); x != nil && x.Kind == Front && x.Phase != Requested {
 		return true
 	}
 	u := s.use(fleet)
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -19,26 +19,26 @@
 
 // Bounds.
 const (
-	MostFronts = 1000 // in a fleet
-	MostName   = 64   // bytes of a name, zone, machine or address
+	MaxFronts   = 1000 // in a fleet
+	MaxNameSize = 64   // bytes of a name, zone, machine or address
 )
 
 // Front is one front as the fleet knows it.
 type Front struct {
-	Name    string `cbor:"1,keyasint"`
-	Zone    string `cbor:"2,keyasint"`
-	Machine string `cbor:"3,keyasint"` // what is taken out; fronts may share one
-	Address string `cbor:"4,keyasint"` // where the others reach it
-	ID      uint64 `cbor:"5,keyasint"` // its incarnation: its life with one disk
-	Build   string `cbor:"6,keyasint,omitempty"`
-	Start   uint64 `cbor:"7,keyasint,omitempty"`  // of its process, drawn anew at each
-	Lost    bool   `cbor:"8,keyasint,omitempty"`  // not heard for longer than it may be
-	Away    bool   `cbor:"9,keyasint,omitempty"`  // heard, and says itself that it takes no clients
-	Since   Micros `cbor:"10,keyasint"`           // fleet time at which it came, was lost or was found
-	Hurt    bool   `cbor:"12,keyasint,omitempty"` // heard, and says itself that it is in trouble
-	Leaving bool   `cbor:"11,keyasint,omitempty"` // it goes for good once it has no seat
-	Lease   Micros `cbor:"13,keyasint,omitempty"` // the longest that it acts without hearing the fleet; 0: for ever
-	Keep    Micros `cbor:"14,keyasint,omitempty"` // the span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
+	Name       string `cbor:"1,keyasint"`
+	Zone       string `cbor:"2,keyasint"`
+	Machine    string `cbor:"3,keyasint"` // what is taken out; fronts may share one
+	Address    string `cbor:"4,keyasint"` // where the others reach it
+	ID         uint64 `cbor:"5,keyasint"` // its incarnation: its life with one disk
+	Build      string `cbor:"6,keyasint,omitempty"`
+	Start      uint64 `cbor:"7,keyasint,omitempty"`  // of its process, drawn anew at each
+	Lost       bool   `cbor:"8,keyasint,omitempty"`  // not heard for longer than it may be
+	NotServing bool   `cbor:"9,keyasint,omitempty"`  // heard, and says itself that it takes no clients
+	Since      Micros `cbor:"10,keyasint"`           // fleet time at which it came, was lost or was found
+	Unhealthy  bool   `cbor:"12,keyasint,omitempty"` // heard, and says itself that it is in trouble
+	Leaving    bool   `cbor:"11,keyasint,omitempty"` // it goes for good once it has no seat
+	Lease      Micros `cbor:"13,keyasint,omitempty"` // the longest that it acts without hearing the fleet; 0: for ever
+	OwnerLease Micros `cbor:"14,keyasint,omitempty"` // the span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
 }
 
 // State is the fleet's fronts, ordered by name.
@@ -48,10 +48,10 @@
 
 // Errors of a front that can't be taken in.
 var (
-	ErrName   = fmt.Errorf("council: a name, zone, machine and address of 1 to %d bytes are wanted", MostName)
-	ErrMany   = fmt.Errorf("council: %d fronts at most", MostFronts)
-	ErrNobody = errors.New("council: no such front, or under another incarnation")
-	ErrLast   = errors.New("council: the last front can't leave")
+	ErrInvalidFront  = fmt.Errorf("council: a name, zone, machine and address of 1 to %d bytes are wanted", MaxNameSize)
+	ErrTooManyFronts = fmt.Errorf("council: %d fronts at most", MaxFronts)
+	ErrUnknownFront  = errors.New("council: no such front, or under another incarnation")
+	ErrLastFront     = errors.New("council: the last front can't leave")
 )
 
 // Find gives a front by name; nil: there is none.
@@ -78,23 +78,23 @@
 // is heard to take clients.
 func (s *State) Join(f Front, now Micros) error {
 	for _, x := range []string{f.Name, f.Zone, f.Machine, f.Address} {
-		if x == "" || len(x) > MostName {
-			return ErrName
+		if x == "" || len(x) > MaxNameSize {
+			return ErrInvalidFront
 		}
 	}
-	if f.ID == 0 || len(f.Build) > MostName || f.Lease < 0 || f.Keep < 0 {
-		return ErrName
+	if f.ID == 0 || len(f.Build) > MaxNameSize || f.Lease < 0 || f.OwnerLease < 0 {
+		return ErrInvalidFront
 	}
-	f.Lost, f.Away, f.Since = false, true, now // until it is heard to take clients
+	f.Lost, f.NotServing, f.Since = false, true, now // until it is heard to take clients
 	if old := s.Find(f.Name); old != nil {
 		if same := *old; same.ID == f.ID && same.Start == f.Start {
-			f.Since, f.Lost, f.Away, f.Hurt = same.Since, same.Lost, same.Away, same.Hurt
+			f.Since, f.Lost, f.NotServing, f.Unhealthy = same.Since, same.Lost, same.NotServing, same.Unhealthy
 		}
 		*old = f
 		return nil
 	}
-	if len(s.Fronts) >= MostFronts {
-		return ErrMany
+	if len(s.Fronts) >= MaxFronts {
+		return ErrTooManyFronts
 	}
 	s.Fronts = append(s.Fronts, f)
 	slices.SortFunc(s.Fronts, func(a, b Front) int { return cmp.Compare(a.Name, b.Name) })
@@ -105,17 +105,17 @@
 func (s *State) Leave(name string) error {
 	f := s.Find(name)
 	if f == nil {
-		return ErrNobody
+		return ErrUnknownFront
 	}
 	if !slices.ContainsFunc(s.Fronts, func(x Front) bool { return x.Name != name && !x.Leaving }) {
-		return ErrLast
+		return ErrLastFront
 	}
 	f.Leaving = true
 	return nil
 }
 
 // Settle forgets the fronts that leave and have no seat, and gives their names.
-func (s *State) Settle(seats Seats) (gone []string) {
+func (s *State) RemoveLeft(seats Seats) (gone []string) {
 	s.Fronts = slices.DeleteFunc(s.Fronts, func(f Front) bool {
 		goes := f.Leaving && !seats.Has(f.ID) && !slices.Contains(seats.Learners, f.ID)
 		if goes {
@@ -128,18 +128,18 @@
 
 // Contact takes in whether a front is heard, whether it takes clients and whether
 // it is in trouble. It tells whether anything has changed.
-func (s *State) Contact(name string, id uint64, lost, away, hurt bool, now Micros) (changed bool, err error) {
+func (s *State) SetContact(name string, id uint64, lost, away, hurt bool, now Micros) (changed bool, err error) {
 	f := s.Find(name)
 	if f == nil || f.ID != id {
-		return false, ErrNobody
+		return false, ErrUnknownFront
 	}
-	if f.Lost == lost && f.Away == away && f.Hurt == hurt {
+	if f.Lost == lost && f.NotServing == away && f.Unhealthy == hurt {
 		return false, nil
 	}
 	if f.Lost != lost {
 		f.Since = now
 	}
-	f.Lost, f.Away, f.Hurt = lost, away, hurt
+	f.Lost, f.NotServing, f.Unhealthy = lost, away, hurt
 	return true, nil
 }
 
@@ -149,7 +149,7 @@
 // Target is how many voters there should be: 7 where twenty fronts stand in three
 // zones or more, 5 from five fronts on, 3 from three; fewer fronts vote all. An
 // even number bears no more losses than the odd one below it.
-func (s *State) Target() int {
+func (s *State) TargetVoters() int {
 	zones, n := map[string]bool{}, 0
 	for _, f := range s.Fronts {
 		if !f.Leaving {
@@ -184,17 +184,17 @@
 
 // The moves.
 const (
-	Stay    Kind = iota
-	Learn        // Add becomes a learner
-	Promote      // Add, a learner that has caught up, becomes a voter; in place of Drop, where that is not 0
-	Drop         // Drop is neither voter nor learner any more
+	Stay       Kind = iota
+	AddLearner      // Add becomes a learner
+	Promote         // Add, a learner that has caught up, becomes a voter; in place of Drop, where that is not 0
+	Remove          // Drop is neither voter nor learner any more
 )
 
 // Move is one change of the seats.
-type Move struct {
-	Kind      Kind
-	Add, Drop uint64
-	Why       string
+type Change struct {
+	Kind        Kind
+	Add, Remove uint64
+	Reason      string
 }
 
 // Config holds what the operators set.
@@ -204,25 +204,25 @@
 
 // View is what the leader knows beside the state.
 type View struct {
-	Now    Micros
-	Leader uint64
-	Caught func(id uint64) bool // the learner has all but the newest entries
-	Near   func(f *Front) bool  // it follows the log closely enough to become a learner; nil: all do
-	Avoid  func(f *Front) bool  // it is about to go out for work: no seat for it, if another can have it
+	Now      Micros
+	Leader   uint64
+	CaughtUp func(id uint64) bool // the learner has all but the newest entries
+	KeepsUp  func(f *Front) bool  // it follows the log closely enough to become a learner; nil: all do
+	Avoid    func(f *Front) bool  // it is about to go out for work: no seat for it, if another can have it
 }
 
 // Next gives the next change of the seats, one at a time, and why; Stay tells in
 // Why what is waited for, if anything is. What it never does: begin a change
 // that the voters who are heard could not end, or give up a voter while those
 // who are left and heard would be no majority, before and after.
-func (s *State) Next(seats Seats, cfg Config, v View) Move {
+func (s *State) Next(seats Seats, cfg Config, v View) Change {
 	if seats.Joint {
-		return Move{Why: "a change of voters is under way"}
+		return Change{Reason: "a change of voters is under way"}
 	}
 	// Who should go.
 	out, why := s.leaving(&seats, cfg, &v)
 	// Who should come: in place of the one that goes, or where seats are free.
-	free := s.Target() - len(seats.Voters)
+	free := s.TargetVoters() - len(seats.Voters)
 	var in *Front
 	if out != 0 || free > 0 {
 		in = s.candidate(&seats, out, &v)
@@ -243,38 +243,38 @@
 				in = f
 				continue
 			}
-			return Move{Kind: Drop, Drop: id, Why: "a learner that is not wanted any more"}
+			return Change{Kind: Remove, Remove: id, Reason: "a learner that is not wanted any more"}
 		}
 	}
 	if in != nil && !slices.Contains(seats.Learners, in.ID) {
 		if !s.canChange(&seats, 0, 0) {
-			return Move{Why: "no majority of the voters is heard"}
+			return Change{Reason: "no majority of the voters is heard"}
 		}
-		return Move{Kind: Learn, Add: in.ID, Why: cmp.Or(why, "a seat is free") + ": " + in.Name + " learns"}
+		return Change{Kind: AddLearner, Add: in.ID, Reason: cmp.Or(why, "a seat is free") + ": " + in.Name + " learns"}
 	}
 	if in != nil {
-		if !v.Caught(in.ID) {
-			return Move{Why: in.Name + " learns and has not caught up"}
+		if !v.CaughtUp(in.ID) {
+			return Change{Reason: in.Name + " learns and has not caught up"}
 		}
 		if !s.canChange(&seats, in.ID, out) {
-			return Move{Why: "no majority of the voters is heard without the one replaced"}
+			return Change{Reason: "no majority of the voters is heard without the one replaced"}
 		}
-		return Move{Kind: Promote, Add: in.ID, Drop: out, Why: cmp.Or(why, "a seat is free") + ": " + in.Name + " votes"}
+		return Change{Kind: Promote, Add: in.ID, Remove: out, Reason: cmp.Or(why, "a seat is free") + ": " + in.Name + " votes"}
 	}
 	// Nobody takes its place. One of an even number bears no loss that those left do not.
 	if f := s.ByID(out); out != 0 && (free < 0 || f == nil || f.Leaving || s.even(f, &seats, &v)) {
 		if out == v.Leader {
-			return Move{Why: "the leader's seat goes once it has handed over"}
+			return Change{Reason: "the leader's seat goes once it has handed over"}
 		}
 		if !s.canChange(&seats, 0, out) {
-			return Move{Why: "no majority of the voters is heard without the one replaced"}
+			return Change{Reason: "no majority of the voters is heard without the one replaced"}
 		}
-		return Move{Kind: Drop, Drop: out, Why: why}
+		return Change{Kind: Remove, Remove: out, Reason: why}
 	}
 	if out != 0 {
-		return Move{Why: why + ", and no other front can take its seat"}
+		return Change{Reason: why + ", and no other front can take its seat"}
 	}
-	return Move{}
+	return Change{}
 }
 
 // leaving finds a voter that should give up its seat: one of an incarnation that
@@ -313,7 +313,7 @@
 	zones, machines := s.spread(seats, out)
 	for i := range s.Fronts {
 		f := &s.Fronts[i]
-		if f.Lost || f.Away || f.Leaving || seats.Has(f.ID) || v.Avoid(f) || machines[f.Machine] > 0 || v.Near != nil && !v.Near(f) {
+		if f.Lost || f.NotServing || f.Leaving || seats.Has(f.ID) || v.Avoid(f) || machines[f.Machine] > 0 || v.KeepsUp != nil && !v.KeepsUp(f) {
 			continue
 		}
 		if best == nil || zones[f.Zone] < zones[best.Zone] {
@@ -342,7 +342,7 @@
 
 // Yields tells whether a voter's seat can be taken by another front, or given up,
 // before it goes out for work.
-func (s *State) Yields(id uint64, seats Seats, avoid func(f *Front) bool) bool {
+func (s *State) CanYield(id uint64, seats Seats, avoid func(f *Front) bool) bool {
 	f := s.ByID(id)
 	if f == nil || !seats.Has(id) {
 		return false
@@ -402,7 +402,7 @@
 
 // Bears is how many further losses of voters leave a majority that is heard;
 // below 0: there is none now.
-func (s *State) Bears(seats Seats) int {
+func (s *State) TolerableLosses(seats Seats) int {
 	heard := 0
 	for _, id := range seats.Voters {
 		if f := s.ByID(id); f != nil && !f.Lost {
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -134,7 +134,7 @@
 		return list
 	}
 	c, seats := s.council()
-	v := View{Now: 100, Leader: s.leader(), Avoid: func(*Front) bool { return false }, Caught: func(id uint64) bool {
+	v := View{Now: 100, Leader: s.leader(), Avoid: func(*Front) bool { return false }, CaughtUp: func(id uint64) bool {
 		_, holds := s.holder(uint8(id))
 		return holds || m == noCaught
 	}}
@@ -143,16 +143,16 @@
 	switch move.Kind {
 	case Stay:
 		return list
-	case Learn:
+	case AddLearner:
 		x.learner = uint8(move.Add)
-	case Promote, Drop:
-		b := slices.DeleteFunc([]byte(s.voters), func(v byte) bool { return uint64(v) == move.Drop })
+	case Promote, Remove:
+		b := slices.DeleteFunc([]byte(s.voters), func(v byte) bool { return uint64(v) == move.Remove })
 		if move.Kind == Promote {
 			b = append(b, byte(move.Add))
 		}
 		slices.Sort(b)
 		x.voters = string(b)
-		if uint64(x.learner) == move.Add || uint64(x.learner) == move.Drop {
+		if uint64(x.learner) == move.Add || uint64(x.learner) == move.Remove {
 			x.learner = 0
 		}
 		if len(b) == 0 || !s.majority(x.voters) {
--- a/internal/decide/quotalease/dealer.go
+++ b/internal/decide/quotalease/dealer.go
@@ -112,7 +112,7 @@
 func NewDealer(rules Rules, limits []Limit, site string, number uint64, wait, now Micros) *Dealer {
 	d := &Dealer{l: Ledger{Site: site, Number: number, Sheets: map[Key]*sheet{}, Members: map[string]*member{}}}
 	if wait > 0 && site == "" {
-		d.l.Quiet = now + lease.Until(wait)
+		d.l.Quiet = now + lease.ExpirySpan(wait)
 	}
 	d.Renew(rules, limits, now)
 	return d
@@ -145,7 +145,7 @@
 	case d.l.Quiet == 0:
 		return 0
 	case l.Kind == Uses:
-		return d.l.Quiet + lease.Until(l.Span)
+		return d.l.Quiet + lease.ExpirySpan(l.Span)
 	}
 	return d.l.Quiet + d.rules.over(l.Kind)
 }
@@ -421,10 +421,10 @@
 	if c.Number == 0 {
 		return g
 	}
-	over := came + lease.Until(span)
+	over := came + lease.ExpirySpan(span)
 	switch l.Kind {
 	case Open:
-		over = came + lease.Until(span+d.rules.Longest)
+		over = came + lease.ExpirySpan(span+d.rules.Longest)
 	case Uses:
 		over = math.MaxInt64 / 2
 	}
--- a/internal/decide/quotalease/limit.go
+++ b/internal/decide/quotalease/limit.go
@@ -120,7 +120,7 @@
 // Bound computes it. A hard limit is never over; Stale is then no danger, since what a
 // front may still spend has not been given to another.
 func (l *Limit) Bound(r Rules) Bound {
-	b := Bound{Holders: math.Floor(l.Amount / l.least()), Stale: r.Part, Back: r.over(l.Kind), Root: lease.Until(r.Keep) + r.over(l.Kind)}
+	b := Bound{Holders: math.Floor(l.Amount / l.least()), Stale: r.Part, Back: r.over(l.Kind), Root: lease.ExpirySpan(r.Keep) + r.over(l.Kind)}
 	if !l.Hard {
 		b.Over = l.Amount * l.Alone
 	}
@@ -133,9 +133,9 @@
 // over is how long a part counts after it was last leased.
 func (r Rules) over(k Kind) Micros {
 	if k == Open {
-		return lease.Until(r.Part + r.Longest)
+		return lease.ExpirySpan(r.Part + r.Longest)
 	}
-	return lease.Until(r.Part)
+	return lease.ExpirySpan(r.Part)
 }
 
 // Key names one limit of one name.
--- a/internal/decide/quotalease/purse.go
+++ b/internal/decide/quotalease/purse.go
@@ -221,7 +221,7 @@
 // fade has a soft limit's part go over to what may be spent alone, within the span
 // for which nobody else is given it, so that there is no jump.
 func (b *Bucket) fade(now Micros) {
-	gap := max(1, lease.Until(b.rules.Part)-b.rules.Part)
+	gap := max(1, lease.ExpirySpan(b.rules.Part)-b.rules.Part)
 	left := max(0, 1-float64(now-b.fades)/float64(gap))
 	b.amount = b.alone + max(0, b.faded-b.alone)*left
 	b.until = now + gap/16 + 1
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -30,17 +30,17 @@
 
 // Bounds.
 const (
-	MostPiece  = 8 << 10   // bytes of a piece
-	MostSize   = 512 << 10 // bytes of a version
-	mostKept   = 32        // versions that are told of
-	mostPieces = 4 * MostSize / MostPiece
-	mostText   = 200
-	mostSteps  = 8
-	looseFor   = 120 * second // a piece that no version names is kept
-	checkFor   = 30 * second  // for every front that is heard to check a version
-	actFor     = 30 * second  // for the fronts of a step to act on it
-	flapFor    = 600 * second // after which a front that was shut out once counts as steady again
-	mostFlaps  = 5
+	MaxPieceSize   = 8 << 10   // bytes of a piece
+	MaxVersionSize = 512 << 10 // bytes of a version
+	mostKept       = 32        // versions that are told of
+	mostPieces     = 4 * MaxVersionSize / MaxPieceSize
+	mostText       = 200
+	mostSteps      = 8
+	looseFor       = 120 * second // a piece that no version names is kept
+	checkFor       = 30 * second  // for every front that is heard to check a version
+	actFor         = 30 * second  // for the fronts of a step to act on it
+	flapFor        = 600 * second // after which a front that was shut out once counts as steady again
+	mostFlaps      = 5
 )
 
 // Phase is how far a version has come.
@@ -50,10 +50,10 @@
 const (
 	Checking Phase = iota // every front that is heard checks it whole
 	Rolling               // part of the fleet acts on it, and is watched
-	Standing              // it is the fleet's
+	Stable                // it is the fleet's
 	Replaced              // it was
-	TurnedDown
-	Back // it went back to the last good one
+	Rejected
+	RolledBack // it went back to the last good one
 )
 
 var phases = [...]string{"checking", "rolling", "standing", "replaced", "turned down", "rolled back"}
@@ -67,126 +67,126 @@
 }
 
 // Void tells whether nobody may take a version up any more.
-func (p Phase) Void() bool { return p == TurnedDown || p == Back }
+func (p Phase) Withdrawn() bool { return p == Rejected || p == RolledBack }
 
 // Version is one of them.
 type Version struct {
-	N      uint64   `cbor:"1,keyasint"`
-	Digest string   `cbor:"2,keyasint"` // SHA-256 of its bytes, in hex
-	Pieces []string `cbor:"3,keyasint"` // digests of its pieces, in order
-	Why    string   `cbor:"4,keyasint,omitempty"`
-	By     string   `cbor:"5,keyasint,omitempty"`
-	Urgent bool     `cbor:"6,keyasint,omitempty"`  // to all at once, unwatched
-	Bar    Micros   `cbor:"7,keyasint,omitempty"`  // after it stands for so long nobody may act on older ones; 0: no bar
-	Watch  Micros   `cbor:"8,keyasint,omitempty"`  // for which each step is watched
-	Steps  []int    `cbor:"9,keyasint,omitempty"`  // percent of the fronts; 0: one a zone; the last is 100
-	Base   uint64   `cbor:"10,keyasint,omitempty"` // what stood when it was proposed
-	Phase  Phase    `cbor:"11,keyasint"`
-	Since  Micros   `cbor:"12,keyasint"` // when it came into its phase, or step
-	Step   int      `cbor:"13,keyasint,omitempty"`
-	Acted  Micros   `cbor:"14,keyasint,omitempty"` // rolling: when all of the step acted on it; 0: not yet
-	Note   string   `cbor:"15,keyasint,omitempty"` // why it ended, or what is unusual
-	Passed Micros   `cbor:"16,keyasint,omitempty"` // when its bar had passed; 0: not yet, or none
-	Part   []string `cbor:"18,keyasint,omitempty"` // rolling: who takes it up in this step, by name; none: all
-	Spared []string `cbor:"17,keyasint,omitempty"` // fronts that are older and go on, since too many would be shut out
+	Number       uint64   `cbor:"1,keyasint"`
+	Digest       string   `cbor:"2,keyasint"` // SHA-256 of its bytes, in hex
+	Pieces       []string `cbor:"3,keyasint"` // digests of its pieces, in order
+	Reason       string   `cbor:"4,keyasint,omitempty"`
+	ProposedBy   string   `cbor:"5,keyasint,omitempty"`
+	Urgent       bool     `cbor:"6,keyasint,omitempty"`  // to all at once, unwatched
+	Gate         Micros   `cbor:"7,keyasint,omitempty"`  // after it stands for so long nobody may act on older ones; 0: no bar
+	Watch        Micros   `cbor:"8,keyasint,omitempty"`  // for which each step is watched
+	Steps        []int    `cbor:"9,keyasint,omitempty"`  // percent of the fronts; 0: one a zone; the last is 100
+	Base         uint64   `cbor:"10,keyasint,omitempty"` // what stood when it was proposed
+	Phase        Phase    `cbor:"11,keyasint"`
+	Since        Micros   `cbor:"12,keyasint"` // when it came into its phase, or step
+	Step         int      `cbor:"13,keyasint,omitempty"`
+	ActiveAt     Micros   `cbor:"14,keyasint,omitempty"` // rolling: when all of the step acted on it; 0: not yet
+	Note         string   `cbor:"15,keyasint,omitempty"` // why it ended, or what is unusual
+	GatePassedAt Micros   `cbor:"16,keyasint,omitempty"` // when its bar had passed; 0: not yet, or none
+	Cohort       []string `cbor:"18,keyasint,omitempty"` // rolling: who takes it up in this step, by name; none: all
+	Exempt       []string `cbor:"17,keyasint,omitempty"` // fronts that are older and go on, since too many would be shut out
 }
 
 // Stand is what a front says of itself, and what the state concludes.
-type Stand struct {
-	Name    string `cbor:"1,keyasint"`
-	ID      uint64 `cbor:"2,keyasint"`
-	Start   uint64 `cbor:"3,keyasint"`
-	Acts    uint64 `cbor:"4,keyasint,omitempty"`  // version that it acts on
-	Checked uint64 `cbor:"5,keyasint,omitempty"`  // the newest that it found good
-	Refused uint64 `cbor:"6,keyasint,omitempty"`  // the newest that it turned down
-	Why     string `cbor:"7,keyasint,omitempty"`  // with the key at fault
-	Crashed uint64 `cbor:"8,keyasint,omitempty"`  // the newest under which its process ended soon after it took it up
-	Oldest  uint64 `cbor:"9,keyasint,omitempty"`  // the oldest under which it has open requests, and one; 0: none under an older one
-	Bad     int    `cbor:"10,keyasint,omitempty"` // percent of its requests lately that were refused or failed, in steps of 5
-	Seen    bool   `cbor:"11,keyasint,omitempty"` // so many that it tells anything
-	Shut    uint64 `cbor:"12,keyasint,omitempty"` // it acts on nothing below this version
-	Seq     uint64 `cbor:"13,keyasint,omitempty"` // of its audit's chain
-	Head    string `cbor:"14,keyasint,omitempty"` // digest of the chain there
-
-	Fenced  uint64 `cbor:"20,keyasint,omitempty"` // by the state: it is shut out below this version
-	At      Micros `cbor:"21,keyasint,omitempty"` // since when its lease is granted no more; 0: not counted yet
-	Flaps   int    `cbor:"22,keyasint,omitempty"` // how often it was shut out lately
-	FlapAt  Micros `cbor:"23,keyasint,omitempty"`
-	WarmAt  Micros `cbor:"24,keyasint,omitempty"` // after it came back: until when it is not a full machine
-	WasBad  int    `cbor:"25,keyasint,omitempty"` // Bad at the moment at which the step began
-	WasSeen bool   `cbor:"26,keyasint,omitempty"`
+type FrontStatus struct {
+	Name          string `cbor:"1,keyasint"`
+	ID            uint64 `cbor:"2,keyasint"`
+	Start         uint64 `cbor:"3,keyasint"`
+	Active        uint64 `cbor:"4,keyasint,omitempty"`  // version that it acts on
+	Checked       uint64 `cbor:"5,keyasint,omitempty"`  // the newest that it found good
+	Refused       uint64 `cbor:"6,keyasint,omitempty"`  // the newest that it turned down
+	Reason        string `cbor:"7,keyasint,omitempty"`  // with the key at fault
+	Crashed       uint64 `cbor:"8,keyasint,omitempty"`  // the newest under which its process ended soon after it took it up
+	OldestInUse   uint64 `cbor:"9,keyasint,omitempty"`  // the oldest under which it has open requests, and one; 0: none under an older one
+	FailedPercent int    `cbor:"10,keyasint,omitempty"` // percent of its requests lately that were refused or failed, in steps of 5
+	HasSample     bool   `cbor:"11,keyasint,omitempty"` // so many that it tells anything
+	SelfFenced    uint64 `cbor:"12,keyasint,omitempty"` // it acts on nothing below this version
+	AuditSeq      uint64 `cbor:"13,keyasint,omitempty"` // of its audit's chain
+	AuditHead     string `cbor:"14,keyasint,omitempty"` // digest of the chain there
+
+	Fenced                uint64 `cbor:"20,keyasint,omitempty"` // by the state: it is shut out below this version
+	FencedAt              Micros `cbor:"21,keyasint,omitempty"` // since when its lease is granted no more; 0: not counted yet
+	Flaps                 int    `cbor:"22,keyasint,omitempty"` // how often it was shut out lately
+	LastFlapAt            Micros `cbor:"23,keyasint,omitempty"`
+	WarmAt                Micros `cbor:"24,keyasint,omitempty"` // after it came back: until when it is not a full machine
+	BaselineFailedPercent int    `cbor:"25,keyasint,omitempty"` // Bad at the moment at which the step began
+	BaselineHasSample     bool   `cbor:"26,keyasint,omitempty"`
 }
 
 // Said is what the front itself said of it.
-func (x Stand) Said() Stand {
-	x.Fenced, x.At, x.Flaps, x.FlapAt, x.WarmAt, x.WasBad, x.WasSeen = 0, 0, 0, 0, 0, 0, false
+func (x FrontStatus) OwnReport() FrontStatus {
+	x.Fenced, x.FencedAt, x.Flaps, x.LastFlapAt, x.WarmAt, x.BaselineFailedPercent, x.BaselineHasSample = 0, 0, 0, 0, 0, 0, false
 	return x
 }
 
 // Headless is a stand without its audit's head, which changes all the time.
-func (x Stand) Headless() Stand {
-	x.Seq, x.Head = 0, ""
+func (x FrontStatus) WithoutAuditHead() FrontStatus {
+	x.AuditSeq, x.AuditHead = 0, ""
 	return x
 }
 
 // Piece is a part of a version's bytes.
 type Piece struct {
-	Hash string `cbor:"1,keyasint"`
-	Data []byte `cbor:"2,keyasint"`
-	At   Micros `cbor:"3,keyasint"`
+	Hash     string `cbor:"1,keyasint"`
+	Data     []byte `cbor:"2,keyasint"`
+	StoredAt Micros `cbor:"3,keyasint"`
 }
 
 // Machine is what Step must know of a front.
 type Machine struct {
-	Name, Zone string
-	ID, Start  uint64
-	Lost       bool
-	Away       bool
-	Ended      Micros // lost: when its lease is surely over; 0: never
-	Lease      Micros // the longest that it acts without hearing the fleet; 0: for ever
+	Name, Zone  string
+	ID, Start   uint64
+	Lost        bool
+	NotServing  bool
+	LeaseExpiry Micros // lost: when its lease is surely over; 0: never
+	Lease       Micros // the longest that it acts without hearing the fleet; 0: for ever
 }
 
 // Rules are what the operators set.
 type Rules struct {
-	Alone Micros // of leases; without them there are no bars
-	Quota int    // percent of the fronts, and of those of a zone, that may be shut out for lagging
-	Cold  Micros // for which a front that comes back is not a full machine
-	Empty Micros // that open requests may take
+	LeaseSpan        Micros // of leases; without them there are no bars
+	MaxFencedPercent int    // percent of the fronts, and of those of a zone, that may be shut out for lagging
+	WarmUp           Micros // for which a front that comes back is not a full machine
+	DrainTimeout     Micros // that open requests may take
 }
 
 // State is all versions, and where the fronts stand.
 type State struct {
-	Last     uint64    `cbor:"1,keyasint"`
-	Good     uint64    `cbor:"2,keyasint"` // that stands; 0: what fronts have in files of their own
-	Versions []Version `cbor:"3,keyasint,omitempty"`
-	Stands   []Stand   `cbor:"4,keyasint,omitempty"` // by name
-	Pieces   []Piece   `cbor:"5,keyasint,omitempty"` // by hash
-	Barred   uint64    `cbor:"6,keyasint,omitempty"` // nobody may act below this one, once its bar has passed
-	Holes    []Hole    `cbor:"7,keyasint,omitempty"` // audits that were lost with their disks
+	LastNumber  uint64        `cbor:"1,keyasint"`
+	Stable      uint64        `cbor:"2,keyasint"` // that stands; 0: what fronts have in files of their own
+	Versions    []Version     `cbor:"3,keyasint,omitempty"`
+	Statuses    []FrontStatus `cbor:"4,keyasint,omitempty"` // by name
+	Pieces      []Piece       `cbor:"5,keyasint,omitempty"` // by hash
+	EnforcedMin uint64        `cbor:"6,keyasint,omitempty"` // nobody may act below this one, once its bar has passed
+	LostAudits  []LostAudit   `cbor:"7,keyasint,omitempty"` // audits that were lost with their disks
 }
 
 // Hole is what the fleet knows of an audit that is gone: its front came back under
 // another incarnation.
-type Hole struct {
-	Name string `cbor:"1,keyasint"`
-	ID   uint64 `cbor:"2,keyasint"` // that it was
-	Seq  uint64 `cbor:"3,keyasint"` // records up to here are gone, and those behind it that nobody heard of
-	Head string `cbor:"4,keyasint"`
-	At   Micros `cbor:"5,keyasint"` // when it came back
+type LostAudit struct {
+	Name    string `cbor:"1,keyasint"`
+	ID      uint64 `cbor:"2,keyasint"` // that it was
+	Seq     uint64 `cbor:"3,keyasint"` // records up to here are gone, and those behind it that nobody heard of
+	Head    string `cbor:"4,keyasint"`
+	FoundAt Micros `cbor:"5,keyasint"` // when it came back
 }
 
 const mostHoles = 256
 
 // Errors of what was proposed.
 var (
-	ErrPiece  = fmt.Errorf("a piece of 1 to %d bytes is wanted", MostPiece)
-	ErrPieces = fmt.Errorf("too many pieces wait or are kept, %d at most", mostPieces)
-	ErrDigest = errors.New("the pieces do not make up the digest that was given, or some are not there")
-	ErrSteps  = fmt.Errorf("steps of 0 to 100 percent that grow, %d at most, are wanted", mostSteps)
-	ErrBar    = errors.New("a bar needs leases: set rules alone_s first")
-	ErrNone   = errors.New("no such version is on its way")
-	ErrText   = fmt.Errorf("a reason of %d bytes at most is wanted", mostText)
-	ErrSpans  = errors.New("bar and watch: 0 to a day are possible")
+	ErrPieceSize       = fmt.Errorf("a piece of 1 to %d bytes is wanted", MaxPieceSize)
+	ErrTooManyPieces   = fmt.Errorf("too many pieces wait or are kept, %d at most", mostPieces)
+	ErrDigest          = errors.New("the pieces do not make up the digest that was given, or some are not there")
+	ErrSteps           = fmt.Errorf("steps of 0 to 100 percent that grow, %d at most, are wanted", mostSteps)
+	ErrGateNeedsLeases = errors.New("a bar needs leases: set rules alone_s first")
+	ErrNoCandidate     = errors.New("no such version is on its way")
+	ErrReasonLength    = fmt.Errorf("a reason of %d bytes at most is wanted", mostText)
+	ErrSpanRange       = errors.New("bar and watch: 0 to a day are possible")
 )
 
 // Hash names a piece.
@@ -200,20 +200,20 @@
 }
 
 // Keep takes a piece in. One that is there already costs nothing.
-func (s *State) Keep(data []byte, now Micros) (hash string, err error) {
-	if len(data) == 0 || len(data) > MostPiece {
-		return "", ErrPiece
+func (s *State) StorePiece(data []byte, now Micros) (hash string, err error) {
+	if len(data) == 0 || len(data) > MaxPieceSize {
+		return "", ErrPieceSize
 	}
 	hash = Hash(data)
 	i, ok := find(s.Pieces, hash, func(p *Piece) string { return p.Hash })
 	if ok {
-		s.Pieces[i].At = now
+		s.Pieces[i].StoredAt = now
 		return hash, nil
 	}
 	if len(s.Pieces) >= mostPieces {
-		return "", ErrPieces
+		return "", ErrTooManyPieces
 	}
-	s.Pieces = slices.Insert(s.Pieces, i, Piece{Hash: hash, Data: data, At: now})
+	s.Pieces = slices.Insert(s.Pieces, i, Piece{Hash: hash, Data: data, StoredAt: now})
 	return hash, nil
 }
 
@@ -239,7 +239,7 @@
 
 // Find gives a version; nil: it is not kept, or there is none.
 func (s *State) Find(n uint64) *Version {
-	i, ok := slices.BinarySearchFunc(s.Versions, n, func(v Version, n uint64) int { return cmp.Compare(v.N, n) })
+	i, ok := slices.BinarySearchFunc(s.Versions, n, func(v Version, n uint64) int { return cmp.Compare(v.Number, n) })
 	if !ok {
 		return nil
 	}
@@ -255,12 +255,12 @@
 }
 
 // Stand gives a front's; nil: it has said nothing yet.
-func (s *State) Stand(name string) *Stand {
-	i, ok := find(s.Stands, name, func(x *Stand) string { return x.Name })
+func (s *State) Status(name string) *FrontStatus {
+	i, ok := find(s.Statuses, name, func(x *FrontStatus) string { return x.Name })
 	if !ok {
 		return nil
 	}
-	return &s.Stands[i]
+	return &s.Statuses[i]
 }
 
 // Candidate is the version on its way; nil: there is none.
@@ -283,32 +283,32 @@
 	grows := slices.IsSorted(v.Steps) && v.Steps[0] >= 0 && v.Steps[len(v.Steps)-1] <= 100 && len(v.Steps) <= mostSteps
 	data := s.join(v.Pieces)
 	switch {
-	case len(v.Why) > mostText || len(v.By) > mostText:
-		return 0, ErrText
+	case len(v.Reason) > mostText || len(v.ProposedBy) > mostText:
+		return 0, ErrReasonLength
 	case !grows:
 		return 0, ErrSteps
-	case v.Bar < 0 || v.Watch < 0 || v.Bar > 86400*second || v.Watch > 86400*second:
-		return 0, ErrSpans
-	case data == nil || len(data) > MostSize || Hash(data) != v.Digest:
+	case v.Gate < 0 || v.Watch < 0 || v.Gate > 86400*second || v.Watch > 86400*second:
+		return 0, ErrSpanRange
+	case data == nil || len(data) > MaxVersionSize || Hash(data) != v.Digest:
 		return 0, ErrDigest
-	case v.Bar > 0 && r.Alone == 0:
-		return 0, ErrBar
+	case v.Gate > 0 && r.LeaseSpan == 0:
+		return 0, ErrGateNeedsLeases
 	}
 	if c := s.Candidate(); c != nil {
-		return 0, fmt.Errorf("version %d (%s) is %s, and one goes at a time", c.N, cmp.Or(c.Why, "no reason given"), c.Phase)
+		return 0, fmt.Errorf("version %d (%s) is %s, and one goes at a time", c.Number, cmp.Or(c.Reason, "no reason given"), c.Phase)
 	}
-	if v.Base != s.Good {
+	if v.Base != s.Stable {
 		why := ""
-		if g := s.Find(s.Good); g != nil {
-			why = fmt.Sprintf(" (%s, by %s)", cmp.Or(g.Why, "no reason given"), cmp.Or(g.By, "nobody named"))
+		if g := s.Find(s.Stable); g != nil {
+			why = fmt.Sprintf(" (%s, by %s)", cmp.Or(g.Reason, "no reason given"), cmp.Or(g.ProposedBy, "nobody named"))
 		}
-		return 0, fmt.Errorf("it was made on version %d, and version %d%s stands now", v.Base, s.Good, why)
+		return 0, fmt.Errorf("it was made on version %d, and version %d%s stands now", v.Base, s.Stable, why)
 	}
 	if v.Steps[len(v.Steps)-1] < 100 {
 		v.Steps = append(slices.Clone(v.Steps), 100)
 	}
-	s.Last++
-	s.Versions = append(s.Versions, Version{N: s.Last, Digest: v.Digest, Pieces: v.Pieces, Why: v.Why, By: v.By, Urgent: v.Urgent, Bar: v.Bar,
+	s.LastNumber++
+	s.Versions = append(s.Versions, Version{Number: s.LastNumber, Digest: v.Digest, Pieces: v.Pieces, Reason: v.Reason, ProposedBy: v.ProposedBy, Urgent: v.Urgent, Gate: v.Gate,
 		Watch: v.Watch, Steps: v.Steps, Base: v.Base, Since: now})
 	c := &s.Versions[len(s.Versions)-1]
 	if c.Urgent {
@@ -317,25 +317,25 @@
 	if len(s.Versions) > mostKept {
 		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-mostKept)
 	}
-	return s.Last, nil
+	return s.LastNumber, nil
 }
 
 // stands has a version be the fleet's.
 func (s *State) stands(v *Version, now Micros) {
-	if old := s.Find(s.Good); old != nil {
+	if old := s.Find(s.Stable); old != nil {
 		old.Phase, old.Since = Replaced, now
 	}
-	v.Phase, v.Since, v.Step, v.Part = Standing, now, len(v.Steps)-1, nil
-	s.Good = v.N
+	v.Phase, v.Since, v.Step, v.Cohort = Stable, now, len(v.Steps)-1, nil
+	s.Stable = v.Number
 }
 
 // Stop is a person's word that the version on its way goes back.
 func (s *State) Stop(why string, now Micros) error {
 	c := s.Candidate()
 	if c == nil {
-		return ErrNone
+		return ErrNoCandidate
 	}
-	s.end(c, Back, cmp.Or(why, "stopped by a person"), now)
+	s.end(c, RolledBack, cmp.Or(why, "stopped by a person"), now)
 	return nil
 }
 
@@ -345,30 +345,30 @@
 
 // Reported takes in what a front says of itself, under the incarnation and process
 // that the fleet knows it by.
-func (s *State) Reported(x Stand, now Micros) {
-	x.Why = x.Why[:min(len(x.Why), mostText)]
-	x = x.Said()
-	i, ok := find(s.Stands, x.Name, func(x *Stand) string { return x.Name })
+func (s *State) ApplyReport(x FrontStatus, now Micros) {
+	x.Reason = x.Reason[:min(len(x.Reason), mostText)]
+	x = x.OwnReport()
+	i, ok := find(s.Statuses, x.Name, func(x *FrontStatus) string { return x.Name })
 	if !ok {
-		s.Stands = slices.Insert(s.Stands, i, x)
+		s.Statuses = slices.Insert(s.Statuses, i, x)
 		return
 	}
-	old := &s.Stands[i]
-	if old.ID != x.ID && old.Seq > 0 {
-		s.Holes = append(s.Holes, Hole{Name: x.Name, ID: old.ID, Seq: old.Seq, Head: old.Head, At: now})
-		s.Holes = s.Holes[max(0, len(s.Holes)-mostHoles):]
+	old := &s.Statuses[i]
+	if old.ID != x.ID && old.AuditSeq > 0 {
+		s.LostAudits = append(s.LostAudits, LostAudit{Name: x.Name, ID: old.ID, Seq: old.AuditSeq, Head: old.AuditHead, FoundAt: now})
+		s.LostAudits = s.LostAudits[max(0, len(s.LostAudits)-mostHoles):]
 	}
-	x.Fenced, x.At, x.Flaps, x.FlapAt, x.WarmAt, x.WasBad, x.WasSeen = old.Fenced, old.At, old.Flaps, old.FlapAt, old.WarmAt, old.WasBad, old.WasSeen
+	x.Fenced, x.FencedAt, x.Flaps, x.LastFlapAt, x.WarmAt, x.BaselineFailedPercent, x.BaselineHasSample = old.Fenced, old.FencedAt, old.Flaps, old.LastFlapAt, old.WarmAt, old.BaselineFailedPercent, old.BaselineHasSample
 	*old = x
 }
 
 // Of gives a front's stand where it is of its incarnation and process; else one that
 // has said nothing.
-func (s *State) of(m *Machine) Stand {
-	if x := s.Stand(m.Name); x != nil && x.ID == m.ID && x.Start == m.Start {
+func (s *State) of(m *Machine) FrontStatus {
+	if x := s.Status(m.Name); x != nil && x.ID == m.ID && x.Start == m.Start {
 		return *x
 	}
-	return Stand{Name: m.Name}
+	return FrontStatus{Name: m.Name}
 }
 
 // rank orders the fronts for a version, differently for each.
@@ -380,23 +380,23 @@
 // percent, of those that are heard and serve, and all of the step before; at 100 all.
 func (s *State) begin(v *Version, step int, fleet []Machine, now Micros) {
 	part := map[string]bool{}
-	for _, name := range v.Part {
+	for _, name := range v.Cohort {
 		part[name] = true
 	}
-	v.Phase, v.Step, v.Since, v.Acted = Rolling, step, now, 0
+	v.Phase, v.Step, v.Since, v.ActiveAt = Rolling, step, now, 0
 	s.began()
 	if v.Steps[step] >= 100 {
-		v.Part = nil
+		v.Cohort = nil
 		return
 	}
 	order := make([]*Machine, 0, len(fleet))
 	for i := range fleet {
-		if m := &fleet[i]; !m.Lost && !m.Away {
+		if m := &fleet[i]; !m.Lost && !m.NotServing {
 			order = append(order, m)
 		}
 	}
 	slices.SortFunc(order, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(rank(v.N, a.Name), rank(v.N, b.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(rank(v.Number, a.Name), rank(v.Number, b.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	if percent := v.Steps[step]; percent == 0 {
 		zones := map[string]bool{}
@@ -414,7 +414,7 @@
 			part[m.Name] = true
 		}
 	}
-	v.Part = slices.Sorted(maps.Keys(part))
+	v.Cohort = slices.Sorted(maps.Keys(part))
 }
 
 // has tells whether a front is of the step's part.
@@ -422,32 +422,32 @@
 	if v.Steps[v.Step] >= 100 {
 		return true
 	}
-	_, ok := slices.BinarySearch(v.Part, name)
+	_, ok := slices.BinarySearch(v.Cohort, name)
 	return ok
 }
 
 // Target is the version that a front is to act on, by the state alone.
 func (s *State) Target(name string) uint64 {
 	if c := s.Candidate(); c != nil && c.Phase == Rolling && c.has(name) {
-		return c.N
+		return c.Number
 	}
-	return s.Good
+	return s.Stable
 }
 
 // Least is the oldest version that a front may act on where the state is known; bar
 // tells after how long since the state said so it must have stopped.
-func (s *State) Least(name string) (n uint64, bar Micros) {
+func (s *State) MinVersion(name string) (n uint64, bar Micros) {
 	n = s.floor(name)
-	if g := s.Find(s.Good); g != nil && g.Bar > 0 && g.Passed == 0 && !slices.Contains(g.Spared, name) {
-		return max(n, g.N), g.Bar
+	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 && !slices.Contains(g.Exempt, name) {
+		return max(n, g.Number), g.Gate
 	}
 	return n, 0
 }
 
 // floor is the version below which a front may not act at all, whatever newer bar runs.
 func (s *State) floor(name string) uint64 {
-	n := s.Barred
-	if x := s.Stand(name); x != nil {
+	n := s.EnforcedMin
+	if x := s.Status(name); x != nil {
 		n = max(n, x.Fenced)
 	}
 	return n
@@ -457,7 +457,7 @@
 // Facts tells that the entry is one by which time has moved on.
 func (s *State) Step(fleet []Machine, r Rules, now Micros, facts bool) (told []string) {
 	tell := func(v *Version, format string, args ...any) {
-		told = append(told, fmt.Sprintf("version %d: ", v.N)+fmt.Sprintf(format, args...))
+		told = append(told, fmt.Sprintf("version %d: ", v.Number)+fmt.Sprintf(format, args...))
 	}
 	if c := s.Candidate(); c != nil {
 		was, step := c.Phase, c.Step
@@ -474,7 +474,7 @@
 	// What is shut out by this entry is counted from the next on by which time moves on:
 	// until this one was committed, leases may have been asked for.
 	s.release(fleet, r, now, facts, func(text string) { told = append(told, text) })
-	if g := s.Find(s.Good); g != nil && g.Bar > 0 && g.Passed == 0 {
+	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
 		s.bar(g, fleet, r, now, tell)
 	}
 	s.loose(now)
@@ -509,26 +509,26 @@
 			continue
 		}
 		x := s.of(m)
-		if x.Refused == c.N {
-			s.end(c, TurnedDown, m.Name+" turned it down: "+x.Why, now)
+		if x.Refused == c.Number {
+			s.end(c, Rejected, m.Name+" turned it down: "+x.Reason, now)
 			return
 		}
-		if x.Checked < c.N && waits == "" {
+		if x.Checked < c.Number && waits == "" {
 			waits = m.Name
 		}
 	}
 	if waits == "" {
 		s.begin(c, 0, fleet, now)
 	} else if now-c.Since > checkFor {
-		s.end(c, TurnedDown, fmt.Sprintf("%s has not checked it in %d s", waits, checkFor/second), now)
+		s.end(c, Rejected, fmt.Sprintf("%s has not checked it in %d s", waits, checkFor/second), now)
 	}
 }
 
 // began notes how the fronts fare at the moment at which a step begins.
 func (s *State) began() {
-	for i := range s.Stands {
-		x := &s.Stands[i]
-		x.WasBad, x.WasSeen = x.Bad, x.Seen
+	for i := range s.Statuses {
+		x := &s.Statuses[i]
+		x.BaselineFailedPercent, x.BaselineHasSample = x.FailedPercent, x.HasSample
 	}
 }
 
@@ -539,31 +539,31 @@
 		m := &fleet[i]
 		x := s.of(m)
 		switch {
-		case x.Crashed == c.N:
-			s.end(c, Back, m.Name+" ended soon after it had taken it up", now)
+		case x.Crashed == c.Number:
+			s.end(c, RolledBack, m.Name+" ended soon after it had taken it up", now)
 			return
-		case x.Refused == c.N && c.has(m.Name):
-			s.end(c, Back, m.Name+" turned it down: "+x.Why, now)
+		case x.Refused == c.Number && c.has(m.Name):
+			s.end(c, RolledBack, m.Name+" turned it down: "+x.Reason, now)
 			return
-		case x.Acts == c.N:
+		case x.Active == c.Number:
 			acting++
 		case c.has(m.Name) && !m.Lost && waits == "":
 			waits = m.Name
 		}
 	}
 	if text := s.sick(c, fleet); text != "" {
-		s.end(c, Back, text, now)
+		s.end(c, RolledBack, text, now)
 		return
 	}
 	switch {
 	case waits != "" || acting == 0:
-		c.Acted = 0
+		c.ActiveAt = 0
 		if now-c.Since > actFor+c.Watch {
-			s.end(c, Back, cmp.Or(waits, "nobody")+fmt.Sprintf(" does not act on it after %d s", (now-c.Since)/second), now)
+			s.end(c, RolledBack, cmp.Or(waits, "nobody")+fmt.Sprintf(" does not act on it after %d s", (now-c.Since)/second), now)
 		}
-	case c.Acted == 0:
-		c.Acted = max(1, now)
-	case now-c.Acted < c.Watch:
+	case c.ActiveAt == 0:
+		c.ActiveAt = max(1, now)
+	case now-c.ActiveAt < c.Watch:
 	case c.Step+1 < len(c.Steps):
 		s.begin(c, c.Step+1, fleet, now)
 	default:
@@ -581,16 +581,16 @@
 	for i := range fleet {
 		m := &fleet[i]
 		x := s.of(m)
-		if m.Lost || !x.Seen {
+		if m.Lost || !x.HasSample {
 			continue
 		}
-		if x.Acts == c.N {
-			on, n = on+x.Bad, n+1
-			if x.WasSeen {
-				was, nWas = was+x.WasBad, nWas+1
+		if x.Active == c.Number {
+			on, n = on+x.FailedPercent, n+1
+			if x.BaselineHasSample {
+				was, nWas = was+x.BaselineFailedPercent, nWas+1
 			}
 		} else {
-			others, nOthers = others+x.Bad, nOthers+1
+			others, nOthers = others+x.FailedPercent, nOthers+1
 		}
 	}
 	if n == 0 {
@@ -606,13 +606,13 @@
 // bar follows a version's bar: who is late is shut out, within the quota, and it has
 // passed once nobody acts on an older one.
 func (s *State) bar(g *Version, fleet []Machine, r Rules, now Micros, tell func(*Version, string, ...any)) {
-	late := now-g.Since >= g.Bar
+	late := now-g.Since >= g.Gate
 	total, zones, shut, zoneShut := 0, map[string]int{}, 0, map[string]int{}
 	for i := range fleet {
 		m := &fleet[i]
 		total++
 		zones[m.Zone]++
-		if x := s.Stand(m.Name); m.Lost || x != nil && x.Fenced > 0 && x.Acts < x.Fenced {
+		if x := s.Status(m.Name); m.Lost || x != nil && x.Fenced > 0 && x.Active < x.Fenced {
 			shut++
 			zoneShut[m.Zone]++
 		}
@@ -621,12 +621,12 @@
 	for i := range fleet {
 		m := &fleet[i]
 		x := s.of(m)
-		if x.Acts >= g.N && x.none(g.N) || x.Shut >= g.N && x.none(g.N) || m.over(now) {
+		if x.Active >= g.Number && x.none(g.Number) || x.SelfFenced >= g.Number && x.none(g.Number) || m.over(now) {
 			continue
 		}
-		own := s.Stand(m.Name)
-		if own != nil && own.Fenced >= g.N {
-			if own.At == 0 || m.Lease == 0 || now < own.At+lease.Until(m.Lease+r.Empty) {
+		own := s.Status(m.Name)
+		if own != nil && own.Fenced >= g.Number {
+			if own.FencedAt == 0 || m.Lease == 0 || now < own.FencedAt+lease.ExpirySpan(m.Lease+r.DrainTimeout) {
 				open++
 			}
 			continue
@@ -635,7 +635,7 @@
 			open++
 			continue
 		}
-		if (shut+1)*100 > max(100, r.Quota*total) || (zoneShut[m.Zone]+1)*100 > max(100, r.Quota*zones[m.Zone]) {
+		if (shut+1)*100 > max(100, r.MaxFencedPercent*total) || (zoneShut[m.Zone]+1)*100 > max(100, r.MaxFencedPercent*zones[m.Zone]) {
 			spared = append(spared, m.Name)
 			open++
 			continue
@@ -644,39 +644,39 @@
 		zoneShut[m.Zone]++
 		open++
 		if own == nil {
-			s.Reported(Stand{Name: m.Name, ID: m.ID, Start: m.Start}, now)
-			own = s.Stand(m.Name)
+			s.ApplyReport(FrontStatus{Name: m.Name, ID: m.ID, Start: m.Start}, now)
+			own = s.Status(m.Name)
 		}
-		own.Fenced, own.At = g.N, 0
-		if now-own.FlapAt > flapFor {
+		own.Fenced, own.FencedAt = g.Number, 0
+		if now-own.LastFlapAt > flapFor {
 			own.Flaps = 0
 		}
-		own.Flaps, own.FlapAt = min(own.Flaps+1, mostFlaps), now
-		tell(g, "%s is shut out: %s", m.Name, s.Cause(m, now))
+		own.Flaps, own.LastFlapAt = min(own.Flaps+1, mostFlaps), now
+		tell(g, "%s is shut out: %s", m.Name, s.LagCause(m, now))
 	}
-	if !slices.Equal(spared, g.Spared) {
-		if g.Spared = spared; len(spared) > 0 {
-			tell(g, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(spared), r.Quota, few(spared))
+	if !slices.Equal(spared, g.Exempt) {
+		if g.Exempt = spared; len(spared) > 0 {
+			tell(g, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(spared), r.MaxFencedPercent, few(spared))
 		}
 	}
 	if open == 0 {
-		g.Passed = max(1, now)
-		s.Barred = max(s.Barred, g.N)
+		g.GatePassedAt = max(1, now)
+		s.EnforcedMin = max(s.EnforcedMin, g.Number)
 		tell(g, "its bar has passed: nobody acts on an older one")
 	}
 }
 
 // none tells that no request is open that came under an older version than one.
-func (x *Stand) none(n uint64) bool { return x.Oldest == 0 || x.Oldest > n }
+func (x *FrontStatus) none(n uint64) bool { return x.OldestInUse == 0 || x.OldestInUse > n }
 
 // over tells whether a front is lost and its lease surely over.
-func (m *Machine) over(now Micros) bool { return m.Lost && m.Ended > 0 && now >= m.Ended }
+func (m *Machine) over(now Micros) bool { return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry }
 
 // release counts from when a front that was shut out is granted nothing, and lets in
 // those that have come up to what they were shut out below.
 func (s *State) release(fleet []Machine, r Rules, now Micros, facts bool, tell func(string)) {
-	for i := range s.Stands {
-		x := &s.Stands[i]
+	for i := range s.Statuses {
+		x := &s.Statuses[i]
 		if x.Fenced == 0 {
 			continue
 		}
@@ -685,12 +685,12 @@
 			continue
 		}
 		m := &fleet[j]
-		if x.Acts >= x.Fenced && x.ID == m.ID && x.Start == m.Start && !m.Lost {
-			x.Fenced, x.At = 0, 0
-			x.WarmAt = now + r.Cold<<max(0, x.Flaps-1)
-			tell(fmt.Sprintf("front %s: brought up to version %d; it is a full machine in %d s", x.Name, x.Acts, (x.WarmAt-now)/second))
-		} else if x.At == 0 && facts {
-			x.At = max(1, now)
+		if x.Active >= x.Fenced && x.ID == m.ID && x.Start == m.Start && !m.Lost {
+			x.Fenced, x.FencedAt = 0, 0
+			x.WarmAt = now + r.WarmUp<<max(0, x.Flaps-1)
+			tell(fmt.Sprintf("front %s: brought up to version %d; it is a full machine in %d s", x.Name, x.Active, (x.WarmAt-now)/second))
+		} else if x.FencedAt == 0 && facts {
+			x.FencedAt = max(1, now)
 		}
 	}
 }
@@ -700,70 +700,70 @@
 func (s *State) loose(now Micros) {
 	needed := map[string]bool{}
 	for i := range s.Versions {
-		if v := &s.Versions[i]; v.N == s.Good || v.Phase == Checking || v.Phase == Rolling {
+		if v := &s.Versions[i]; v.Number == s.Stable || v.Phase == Checking || v.Phase == Rolling {
 			for _, h := range v.Pieces {
 				needed[h] = true
 			}
 		}
 	}
-	s.Pieces = slices.DeleteFunc(s.Pieces, func(p Piece) bool { return !needed[p.Hash] && now-p.At > looseFor })
+	s.Pieces = slices.DeleteFunc(s.Pieces, func(p Piece) bool { return !needed[p.Hash] && now-p.StoredAt > looseFor })
 }
 
 // Waiting tells whether anything here waits for time to pass.
 func (s *State) Waiting(now Micros) bool {
-	if s.Candidate() != nil || slices.ContainsFunc(s.Stands, func(x Stand) bool { return now < x.WarmAt }) {
+	if s.Candidate() != nil || slices.ContainsFunc(s.Statuses, func(x FrontStatus) bool { return now < x.WarmAt }) {
 		return true
 	}
-	if g := s.Find(s.Good); g != nil && g.Bar > 0 && g.Passed == 0 {
+	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
 		return true
 	}
-	if slices.ContainsFunc(s.Stands, func(x Stand) bool { return x.Fenced > 0 && x.At == 0 }) {
+	if slices.ContainsFunc(s.Statuses, func(x FrontStatus) bool { return x.Fenced > 0 && x.FencedAt == 0 }) {
 		return true
 	}
 	named := 0
-	if g := s.Find(s.Good); g != nil {
+	if g := s.Find(s.Stable); g != nil {
 		named = len(g.Pieces)
 	}
 	return len(s.Pieces) > named
 }
 
 // Cause tells why a front lags, as far as the state knows.
-func (s *State) Cause(m *Machine, now Micros) string {
+func (s *State) LagCause(m *Machine, now Micros) string {
 	x := s.of(m)
-	target := s.Good
+	target := s.Stable
 	switch {
 	case m.Lost:
 		return "it is not heard: cut off, stopped or down"
 	case x.ID == 0:
 		return "it has said nothing of versions: an older build, or only just started"
 	case x.Refused == target && target > 0:
-		return "it turned version " + fmt.Sprint(target) + " down: " + x.Why
+		return "it turned version " + fmt.Sprint(target) + " down: " + x.Reason
 	case x.Crashed == target && target > 0:
 		return fmt.Sprintf("its process ended soon after it had taken version %d up", target)
-	case x.Checked >= target && x.Acts < target:
+	case x.Checked >= target && x.Active < target:
 		return "it has checked the version and does not act on it yet: its disk is slow or takes nothing"
-	case x.Acts < target:
+	case x.Active < target:
 		return "it has not checked the version yet"
 	case !x.none(target):
-		return fmt.Sprintf("it has requests open that came under version %d", x.Oldest-1)
-	case x.Acts > target:
-		return fmt.Sprintf("it is on its way back from version %d", x.Acts)
+		return fmt.Sprintf("it has requests open that came under version %d", x.OldestInUse-1)
+	case x.Active > target:
+		return fmt.Sprintf("it is on its way back from version %d", x.Active)
 	}
 	return "it does not lag"
 }
 
 // Lag is one front of a report.
 type Lag struct {
-	Name    string
-	Acts    uint64
-	Target  uint64
-	Behind  uint64 // versions
-	Oldest  uint64 // with open requests
-	Cause   string // empty: it does not lag
-	Shut    bool
-	Warm    bool // it is not a full machine yet
-	Refused uint64
-	Why     string
+	Name        string
+	Active      uint64
+	Target      uint64
+	Behind      uint64 // versions
+	OldestInUse uint64 // with open requests
+	Cause       string // empty: it does not lag
+	Fenced      bool
+	WarmingUp   bool // it is not a full machine yet
+	Refused     uint64
+	Reason      string
 }
 
 // Lags tells where each front stands.
@@ -772,18 +772,18 @@
 		m := &fleet[i]
 		x := s.of(m)
 		if m.Lost {
-			if y := s.Stand(m.Name); y != nil {
-				x.Acts = y.Acts
+			if y := s.Status(m.Name); y != nil {
+				x.Active = y.Active
 			}
 		}
-		l := Lag{Name: m.Name, Acts: x.Acts, Target: s.Target(m.Name), Oldest: x.Oldest, Refused: x.Refused, Why: x.Why}
-		if y := s.Stand(m.Name); y != nil {
-			l.Shut, l.Warm = y.Fenced > y.Acts, now < y.WarmAt
+		l := Lag{Name: m.Name, Active: x.Active, Target: s.Target(m.Name), OldestInUse: x.OldestInUse, Refused: x.Refused, Reason: x.Reason}
+		if y := s.Status(m.Name); y != nil {
+			l.Fenced, l.WarmingUp = y.Fenced > y.Active, now < y.WarmAt
 		}
-		if l.Acts != l.Target || m.Lost {
-			l.Cause = s.Cause(m, now)
-			if l.Target > l.Acts {
-				l.Behind = l.Target - l.Acts
+		if l.Active != l.Target || m.Lost {
+			l.Cause = s.LagCause(m, now)
+			if l.Target > l.Active {
+				l.Behind = l.Target - l.Active
 			}
 		}
 		list = append(list, l)
@@ -792,7 +792,7 @@
 }
 
 // Why says in a sentence what a version waits for, or what became of it.
-func (s *State) Why(n uint64, fleet []Machine, r Rules, now Micros) string {
+func (s *State) Explain(n uint64, fleet []Machine, r Rules, now Micros) string {
 	v := s.Find(n)
 	if v == nil {
 		return fmt.Sprintf("version %d is not known here.", n)
@@ -808,29 +808,29 @@
 		return fmt.Sprintf("version %d is being checked for %d s and waits for %s.", n, (now-v.Since)/second, few(waits))
 	case Rolling:
 		for i := range fleet {
-			if m := &fleet[i]; v.has(m.Name) && !m.Lost && s.of(m).Acts != n {
+			if m := &fleet[i]; v.has(m.Name) && !m.Lost && s.of(m).Active != n {
 				waits = append(waits, m.Name)
 			}
 		}
 		if len(waits) > 0 {
 			return fmt.Sprintf("version %d is %s and waits for %s to act on it.", n, s.line(v), few(waits))
 		}
-		return fmt.Sprintf("version %d is %s and watched for %d s more.", n, s.line(v), (max(0, v.Watch-(now-v.Acted))+second-1)/second)
-	case Standing:
-		if v.Bar == 0 || v.Passed > 0 {
+		return fmt.Sprintf("version %d is %s and watched for %d s more.", n, s.line(v), (max(0, v.Watch-(now-v.ActiveAt))+second-1)/second)
+	case Stable:
+		if v.Gate == 0 || v.GatePassedAt > 0 {
 			text := fmt.Sprintf("version %d stands for %d s", n, (now-v.Since)/second)
-			if v.Passed > 0 {
-				text += fmt.Sprintf("; its bar passed after %d s", (v.Passed-v.Since)/second)
+			if v.GatePassedAt > 0 {
+				text += fmt.Sprintf("; its bar passed after %d s", (v.GatePassedAt-v.Since)/second)
 			}
 			return text + "."
 		}
 		for i := range fleet {
 			m := &fleet[i]
-			if x := s.of(m); (x.Acts < n && x.Shut < n || !x.none(n)) && !m.over(now) {
-				waits = append(waits, fmt.Sprintf("%s (%s)", m.Name, s.Cause(m, now)))
+			if x := s.of(m); (x.Active < n && x.SelfFenced < n || !x.none(n)) && !m.over(now) {
+				waits = append(waits, fmt.Sprintf("%s (%s)", m.Name, s.LagCause(m, now)))
 			}
 		}
-		return fmt.Sprintf("version %d stands for %d s; its bar of %d s has not passed: %s.", n, (now-v.Since)/second, v.Bar/second, few(waits))
+		return fmt.Sprintf("version %d stands for %d s; its bar of %d s has not passed: %s.", n, (now-v.Since)/second, v.Gate/second, few(waits))
 	}
 	return fmt.Sprintf("version %d was %s %d s ago.", n, s.line(v), (now-v.Since)/second)
 }
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -14,11 +14,11 @@
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
 func proposed(t *rapid.T, s *State, text string, v Version, r Rules) uint64 {
-	h, err := s.Keep([]byte(text), 0)
+	h, err := s.StorePiece([]byte(text), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Pieces, v.Digest, v.Base = []string{h}, h, s.Good
+	v.Pieces, v.Digest, v.Base = []string{h}, h, s.Stable
 	n, err := s.Propose(v, r, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -31,43 +31,43 @@
 // says that it acts on nothing older, or was shut out and its lease is over.
 func TestBarKeepsTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Rules{Alone: 5 * second, Quota: rapid.IntRange(0, 100).Draw(t, "quota")}
+		r := Rules{LeaseSpan: 5 * second, MaxFencedPercent: rapid.IntRange(0, 100).Draw(t, "quota")}
 		s := &State{}
 		var fleet []Machine
 		for i := range rapid.IntRange(1, 12).Draw(t, "fronts") {
 			fleet = append(fleet, Machine{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%3), ID: uint64(i + 1), Start: 1, Lease: 5 * second})
 		}
-		n := proposed(t, s, "a", Version{Urgent: true, Bar: second}, r)
+		n := proposed(t, s, "a", Version{Urgent: true, Gate: second}, r)
 		behind := 0
 		for i := range fleet {
-			x := Stand{Name: fleet[i].Name, ID: fleet[i].ID, Start: 1, Acts: n}
+			x := FrontStatus{Name: fleet[i].Name, ID: fleet[i].ID, Start: 1, Active: n}
 			if rapid.Bool().Draw(t, "behind") {
-				x.Acts = 0
+				x.Active = 0
 				behind++
 			}
-			s.Reported(x, 0)
+			s.ApplyReport(x, 0)
 		}
 		for now := Micros(0); now < 20*second; now += second {
 			s.Step(fleet, r, now, true)
 			shut, zones := 0, map[string]int{}
 			for i := range fleet {
-				if s.Stand(fleet[i].Name).Fenced > 0 {
+				if s.Status(fleet[i].Name).Fenced > 0 {
 					shut++
 					zones[fleet[i].Zone]++
 				}
 			}
-			if shut > max(1, r.Quota*len(fleet)/100) || shut > behind {
-				t.Fatalf("%d of %d are shut out, %d%% may be, %d are behind", shut, len(fleet), r.Quota, behind)
+			if shut > max(1, r.MaxFencedPercent*len(fleet)/100) || shut > behind {
+				t.Fatalf("%d of %d are shut out, %d%% may be, %d are behind", shut, len(fleet), r.MaxFencedPercent, behind)
 			}
 			g := s.Find(n)
-			if g.Passed > 0 && shut < behind {
+			if g.GatePassedAt > 0 && shut < behind {
 				t.Fatalf("the bar has passed with %d behind and %d shut out", behind, shut)
 			}
-			if g.Passed > 0 && behind > 0 && now < second+lease5 {
+			if g.GatePassedAt > 0 && behind > 0 && now < second+lease5 {
 				t.Fatalf("the bar has passed at %d s, within a lease", now/second)
 			}
-			if now > 15*second && (g.Passed > 0) != (len(g.Spared) == 0) {
-				t.Fatalf("passed %d, spared %v", g.Passed, g.Spared)
+			if now > 15*second && (g.GatePassedAt > 0) != (len(g.Exempt) == 0) {
+				t.Fatalf("passed %d, spared %v", g.GatePassedAt, g.Exempt)
 			}
 		}
 	})
@@ -84,7 +84,7 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "fronts") {
 			fleet = append(fleet, Machine{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%4), ID: uint64(i + 1), Lost: rapid.IntRange(0, 9).Draw(t, "lost") == 0})
 		}
-		n := proposed(t, s, "a", Version{Steps: []int{0, 10, 50}, Why: "the one before"}, Rules{})
+		n := proposed(t, s, "a", Version{Steps: []int{0, 10, 50}, Reason: "the one before"}, Rules{})
 		v := s.Find(n)
 		var before []string
 		for step := range v.Steps {
@@ -94,7 +94,7 @@
 					t.Fatalf("step %d has not %s", step, name)
 				}
 			}
-			before = slices.Clone(v.Part)
+			before = slices.Clone(v.Cohort)
 		}
 		if v.Steps[len(v.Steps)-1] != 100 || !v.has("n00") {
 			t.Fatalf("the last step is not all: %+v", v)
--- a/internal/decide/rollout/taker.go
+++ b/internal/decide/rollout/taker.go
@@ -15,30 +15,30 @@
 
 // The actions.
 const (
-	Rest    Action = iota
-	Check          // look through the version whole, and tell Checked
-	Note           // keep a note on disk that it is about to be taken up, and tell Noted
-	Take           // act on it, and tell Took
-	Survive        // keep a note on disk that it did not end the process
+	Idle             Action = iota
+	Check                   // look through the version whole, and tell Checked
+	RecordActivation        // keep a note on disk that it is about to be taken up, and tell Noted
+	Activate                // act on it, and tell Took
+	RecordSurvival          // keep a note on disk that it did not end the process
 )
 
 // Notes are what a front's disk knows of the versions that it took up.
-type Notes struct {
-	Trying   uint64 `cbor:"1,keyasint,omitempty"` // the last that was taken up
+type ActivationRecord struct {
+	Version  uint64 `cbor:"1,keyasint,omitempty"` // the last that was taken up
 	Survived bool   `cbor:"2,keyasint,omitempty"` // the process went on with it
-	Tries    int    `cbor:"3,keyasint,omitempty"` // processes that took it up, one after the other, and did not
-	Ended    uint64 `cbor:"4,keyasint,omitempty"` // the last version that ended a process
+	Crashes  int    `cbor:"3,keyasint,omitempty"` // processes that took it up, one after the other, and did not
+	Crashed  uint64 `cbor:"4,keyasint,omitempty"` // the last version that ended a process
 }
 
 // Taker is a front's own side: which version it acts on, and what it does to act on
 // the one that the state wants of it.
-type Taker struct {
+type Applier struct {
 	acts    uint64
 	good    []uint64 // found good, the newest last
 	refused uint64
 	why     string
 	crashed uint64
-	notes   Notes
+	notes   ActivationRecord
 	busy    bool
 	failed  uint64 // that was found good and could not be taken up
 	again   bool   // a note was kept for the version that ended a process before
@@ -59,20 +59,20 @@
 const mostTries = 3
 
 // NewTaker makes a front's side on what its disk knows.
-func NewTaker(n Notes) *Taker {
-	t := &Taker{notes: n, crashed: n.Ended}
-	if n.Trying > 0 && !n.Survived {
-		t.crashed = n.Trying
+func NewApplier(n ActivationRecord) *Applier {
+	t := &Applier{notes: n, crashed: n.Crashed}
+	if n.Version > 0 && !n.Survived {
+		t.crashed = n.Version
 	}
 	return t
 }
 
 // Acts is the version that the front acts on.
-func (t *Taker) Acts() uint64 { return t.acts }
+func (t *Applier) Active() uint64 { return t.acts }
 
 // Settled tells whether the front acts on what is wanted, or has found that it can't:
 // until the first time it acts on nothing at all.
-func (t *Taker) Settled() bool { return t.begun }
+func (t *Applier) Settled() bool { return t.begun }
 
 // Forever is past all moments.
 const Forever Micros = math.MaxInt64
@@ -80,13 +80,13 @@
 // Measure sees, at a moment of the front's own clock, up to when it may act on the
 // version that it acts on. A front that has once said that it acts on nothing below a
 // version keeps to it until it acts on that one.
-func (t *Taker) Measure(s *State, name string, now Micros) {
-	least, bar := s.Least(name)
+func (t *Applier) Evaluate(s *State, name string, now Micros) {
+	least, bar := s.MinVersion(name)
 	if least != t.below {
 		t.below, t.since = least, now
 	}
 	switch {
-	case t.acts >= least && (s.Good == 0 || t.begun):
+	case t.acts >= least && (s.Stable == 0 || t.begun):
 		t.may = Forever
 	case t.acts >= least: // it has only just started, and has not taken up what stands
 		t.may = 0
@@ -104,16 +104,16 @@
 }
 
 // May tells whether the front may act at a moment of its own clock, by its version.
-func (t *Taker) May(now Micros) bool { return now < t.may }
+func (t *Applier) MayAct(now Micros) bool { return now < t.may }
 
 // Below is the version below which it may not act, by what it was measured by last.
-func (t *Taker) Below() uint64 { return t.below }
+func (t *Applier) MinVersion() uint64 { return t.below }
 
 // Report is what the front says of itself.
-func (t *Taker) Report() Stand {
-	x := Stand{Acts: t.acts, Refused: t.refused, Why: t.why, Crashed: t.crashed}
+func (t *Applier) Report() FrontStatus {
+	x := FrontStatus{Active: t.acts, Refused: t.refused, Reason: t.why, Crashed: t.crashed}
 	if t.shut > t.acts {
-		x.Shut = t.shut
+		x.SelfFenced = t.shut
 	}
 	if len(t.good) > 0 {
 		x.Checked = slices.Max(t.good)
@@ -123,50 +123,50 @@
 
 // Next is what to do at a moment of the front's own clock, given the version on its
 // way (0: none) and the one that the state wants of this front.
-func (t *Taker) Next(candidate, target uint64, now Micros) (Action, uint64) {
+func (t *Applier) Next(candidate, target uint64, now Micros) (Action, uint64) {
 	if t.busy || now < t.tried {
-		return Rest, 0
+		return Idle, 0
 	}
 	if target != t.acts && target != t.refused && !t.ends(target, candidate) {
 		switch {
 		case target > 0 && !slices.Contains(t.good, target):
 			t.busy = true
 			return Check, target
-		case t.notes.Trying != target || target == t.crashed && !t.again:
+		case t.notes.Version != target || target == t.crashed && !t.again:
 			t.busy = true
-			return Note, target
+			return RecordActivation, target
 		}
 		t.busy = true
-		return Take, target
+		return Activate, target
 	}
 	if candidate > 0 && candidate != t.refused && !t.ends(candidate, candidate) && !slices.Contains(t.good, candidate) {
 		t.busy = true
 		return Check, candidate
 	}
 	t.begun = true
-	if !t.notes.Survived && t.notes.Trying == t.acts && t.took > 0 && now-t.took >= max(survives, t.watch) {
+	if !t.notes.Survived && t.notes.Version == t.acts && t.took > 0 && now-t.took >= max(survives, t.watch) {
 		t.busy = true
-		return Survive, t.acts
+		return RecordSurvival, t.acts
 	}
-	return Rest, 0
+	return Idle, 0
 }
 
 // ends tells whether a version has ended this front's process, so that it must not be
 // taken up again.
-func (t *Taker) ends(n, candidate uint64) bool {
-	return n > 0 && n == t.crashed && (n == candidate || t.notes.Trying == n && t.notes.Tries >= mostTries)
+func (t *Applier) ends(n, candidate uint64) bool {
+	return n > 0 && n == t.crashed && (n == candidate || t.notes.Version == n && t.notes.Crashes >= mostTries)
 }
 
 // Noting is the note to keep for an action.
-func (t *Taker) Noting(do Action, n uint64) Notes {
-	x := Notes{Trying: n, Survived: do == Survive || n == 0, Ended: t.crashed}
-	if do == Survive && n == t.crashed {
-		x.Ended = 0
+func (t *Applier) Record(do Action, n uint64) ActivationRecord {
+	x := ActivationRecord{Version: n, Survived: do == RecordSurvival || n == 0, Crashed: t.crashed}
+	if do == RecordSurvival && n == t.crashed {
+		x.Crashed = 0
 	}
 	if !x.Survived {
-		x.Tries = 1
-		if t.notes.Trying == n {
-			x.Tries = t.notes.Tries + 1
+		x.Crashes = 1
+		if t.notes.Version == n {
+			x.Crashes = t.notes.Crashes + 1
 		}
 	}
 	return x
@@ -176,7 +176,7 @@
 const later = second
 
 // Checked tells what came of a check; an error names the key at fault.
-func (t *Taker) Checked(n uint64, err error) {
+func (t *Applier) Checked(n uint64, err error) {
 	t.busy = false
 	if err != nil {
 		if t.refused, t.why = n, err.Error(); len(t.why) > mostText {
@@ -190,19 +190,19 @@
 }
 
 // Noted tells that a note was kept, or was not: without it nothing is taken up.
-func (t *Taker) Noted(n Notes, ok bool, now Micros) {
+func (t *Applier) Recorded(n ActivationRecord, ok bool, now Micros) {
 	t.busy = false
 	if !ok {
 		t.tried = now + later
 		return
 	}
 	t.notes = n
-	t.again, t.crashed = !n.Survived, n.Ended
+	t.again, t.crashed = !n.Survived, n.Crashed
 }
 
 // Took tells that the front acts on a version, which is watched for a span, or why it
 // could not.
-func (t *Taker) Took(n uint64, err error, watch, now Micros) {
+func (t *Applier) Activated(n uint64, err error, watch, now Micros) {
 	t.busy = false
 	if err != nil {
 		if t.failed != n { // what it was checked with may have changed since: once more from the check on
--- a/internal/decide/statemachine/model_test.go
+++ b/internal/decide/statemachine/model_test.go
@@ -48,7 +48,7 @@
 
 type model struct {
 	t       *testing.T
-	without Rule
+	without Mutation
 	states  []*Replica
 	ids     map[string]int
 	next    map[[2]int]int
@@ -58,7 +58,7 @@
 	seats   membership.Seats
 }
 
-func newModel(t *testing.T, without Rule) *model {
+func newModel(t *testing.T, without Mutation) *model {
 	return &model{t: t, without: without, ids: map[string]int{}, next: map[[2]int]int{}, entryID: map[entry]int{}}
 }
 
@@ -68,7 +68,7 @@
 		return id
 	}
 	c := New()
-	c.Without(m.without)
+	c.SetMutation(m.without)
 	if err := c.Restore([]byte(key)); err != nil {
 		m.t.Fatal(err)
 	}
@@ -97,22 +97,22 @@
 	name, id := frontName(e.front), uint64(e.front)+1
 	c := Command{ID: ID{Front: id, Start: uint64(e.start) + 1, N: uint64(e.kind)<<16 | uint64(e.permit)<<8 | 1}}
 	report := func(what string) Command {
-		c.Report = []Report{{What: what, Machine: name, Permit: uint64(e.permit), Front: name, ID: id, Start: uint64(e.start) + 1}}
+		c.Reports = []Report{{Kind: what, Machine: name, Permit: uint64(e.permit), Front: name, ID: id, Start: uint64(e.start) + 1}}
 		return c
 	}
 	switch e.kind {
 	case eTime:
 		return Command{Facts: &Facts{Span: 6_000_000}}
 	case eLost, eFound:
-		return Command{Facts: &Facts{Contact: []Contact{{Name: name, ID: id, Lost: e.kind == eLost}}}}
+		return Command{Facts: &Facts{Contacts: []Contact{{Name: name, ID: id, Lost: e.kind == eLost}}}}
 	case eAccept:
 		return report(Accepted)
 	case eEmpty:
-		return report(Emptied)
+		return report(Drained)
 	case eBack:
-		return report(Back)
+		return report(Returned)
 	case eDone:
-		return Command{Order: &Order{What: Finish, Work: uint64(e.front) + 1}}
+		return Command{Order: &Order{Action: Finish, Operation: uint64(e.front) + 1}}
 	}
 	return Command{Join: &Join{Front: modelFront(e.front, e.start)}}
 }
@@ -129,13 +129,13 @@
 		return to
 	}
 	r := New()
-	r.Without(m.without)
+	r.SetMutation(m.without)
 	if err := r.Restore(m.states[state].Snapshot()); err != nil {
 		m.t.Fatal(err)
 	}
-	last := r.State().Work.Last
+	last := r.State().Maintenance.LastPermit
 	r.Apply(m.command(m.entries[e]))
-	if r.State().Work.Last > last {
+	if r.State().Maintenance.LastPermit > last {
 		m.leave(r)
 	}
 	to := m.intern(r)
@@ -146,26 +146,26 @@
 func (m *model) leave(r *Replica) {
 	s := r.State()
 	gone, stay := map[string]bool{}, 0
-	for _, x := range s.Work.Items {
+	for _, x := range s.Maintenance.Operations {
 		if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
 			gone[x.Machine] = true
 		}
 	}
-	for _, f := range s.Council.Fronts {
+	for _, f := range s.Members.Fronts {
 		if f.Lost {
 			gone[f.Name] = true
 		}
 	}
-	for _, f := range s.Council.Fronts {
+	for _, f := range s.Members.Fronts {
 		if s.Seats.Has(f.ID) && !gone[f.Name] {
 			stay++
 		}
 	}
-	if len(gone) > s.Work.Rules.Out {
-		m.broken = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Work.Last, len(gone), s.Work.Rules.Out)
+	if len(gone) > s.Maintenance.Rules.MaxOut {
+		m.broken = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Maintenance.LastPermit, len(gone), s.Maintenance.Rules.MaxOut)
 	}
 	if stay < membership.Majority(len(s.Seats.Voters)) {
-		m.broken = fmt.Sprintf("leave %d leaves %d of %d voters", s.Work.Last, stay, len(s.Seats.Voters))
+		m.broken = fmt.Sprintf("leave %d leaves %d of %d voters", s.Maintenance.LastPermit, stay, len(s.Seats.Voters))
 	}
 }
 
@@ -183,8 +183,8 @@
 	if !s.up[i] || s.fresh[i] > s.off[i] {
 		return false
 	}
-	x := m.view(s, i).State().Work.On(frontName(uint8(i)))
-	return x != nil && (x.Phase == maintenance.Out || x.Phase == maintenance.Emptying && x.Holder == uint64(i)+1)
+	x := m.view(s, i).State().Maintenance.ForMachine(frontName(uint8(i)))
+	return x != nil && (x.Phase == maintenance.Out || x.Phase == maintenance.Draining && x.Holder == uint64(i)+1)
 }
 
 // trim drops what all have applied.
@@ -258,7 +258,7 @@
 		if s.fresh[i] > s.off[i] || len(s.flight) >= mostFlight {
 			continue
 		}
-		w := m.view(&s, int(i)).State().Work.On(frontName(i))
+		w := m.view(&s, int(i)).State().Maintenance.ForMachine(frontName(i))
 		if w == nil || w.Permit == 0 {
 			continue
 		}
@@ -266,9 +266,9 @@
 		switch {
 		case w.Phase == maintenance.Permitted:
 			e.kind = eAccept
-		case w.Phase == maintenance.Emptying && m.out(&s, int(i)):
+		case w.Phase == maintenance.Draining && m.out(&s, int(i)):
 			e.kind = eEmpty
-		case w.Phase == maintenance.Returning && !w.Home:
+		case w.Phase == maintenance.Returning && !w.Serving:
 			e.kind = eBack
 		default:
 			continue
@@ -299,19 +299,19 @@
 // play goes through all orders, and gives how many states there are.
 func (m *model) play(out, mostLog, mostFlight, mostStates int, left [4]uint8) (states int) {
 	r := New()
-	r.Without(m.without)
-	rules := maintenance.Defaults()
-	rules.Out, rules.Zone, rules.Percent, rules.Hurt, rules.Accept, rules.Cold = out, 1, 100, 100, 5_000_000, 0
+	r.SetMutation(m.without)
+	rules := maintenance.DefaultRules()
+	rules.MaxOut, rules.MaxZoneOut, rules.MaxFrontsPercent, rules.UnhealthyPercent, rules.AcceptTimeout, rules.WarmUp = out, 1, 100, 100, 5_000_000, 0
 	r.Apply(Command{ID: ID{Front: 1, N: 1 << 40}, Found: &Found{Name: "m", Fleet: 1, Rules: rules}})
 	for i := range uint8(modelFronts) {
 		r.Apply(Command{Join: &Join{Front: modelFront(i, 0)}})
 	}
-	r.Sat(membership.Seats{Voters: []uint64{1, 2, 3}})
+	r.ApplySeats(membership.Seats{Voters: []uint64{1, 2, 3}})
 	for i := range uint8(modelFronts) {
-		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: frontName(i), ID: uint64(i) + 1}}}})
+		r.Apply(Command{Facts: &Facts{Contacts: []Contact{{Name: frontName(i), ID: uint64(i) + 1}}}})
 	}
 	for i := range uint8(2) {
-		r.Apply(Command{ID: ID{Front: 1, N: 1<<40 + 1 + uint64(i)}, Ask: &Ask{Work: maintenance.Item{Machine: frontName(i), Span: 1_000_000}}})
+		r.Apply(Command{ID: ID{Front: 1, N: 1<<40 + 1 + uint64(i)}, Request: &Request{Operation: maintenance.Operation{Machine: frontName(i), Duration: 1_000_000}}})
 		m.leave(r)
 	}
 	first := mState{base: m.intern(r), up: [modelFronts]bool{true, true, true}, left: left}
@@ -348,11 +348,11 @@
 		out             int
 		mostLog, flight int
 		left            [4]uint8 // time, deaths, told lost or found, a person's words
-		found           []Rule
+		found           []Mutation
 	}{
-		{"time and a person", 1, 2, 2, [4]uint8{2, 0, 0, 1}, []Rule{NoFence}},
-		{"deaths, and who is told lost", 1, 2, 2, [4]uint8{1, 1, 1, 0}, []Rule{NoLostOut}},
-		{"two dead or told lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Rule{NoMajority}},
+		{"time and a person", 1, 2, 2, [4]uint8{2, 0, 0, 1}, []Mutation{DisableFence}},
+		{"deaths, and who is told lost", 1, 2, 2, [4]uint8{1, 1, 1, 0}, []Mutation{DisableLostCount}},
+		{"two dead or told lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Mutation{DisableMajority}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			const most = 3_000_000
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -30,24 +30,24 @@
 // Versions of the state and its commands. A fleet stays at the one that all its fronts
 // read until the leader has heard that each of them reads a newer one.
 const (
-	first  = 1
-	leases = 2 // leases, a hub's pace, versions
+	versionFirst  = 1
+	versionLeases = 2 // leases, a hub's pace, versions
 
 	// Stands is the version from which on fronts' stands on versions may be proposed.
-	Stands  = leases
-	keepers = 3 // keepers of sites
+	VersionStatuses = versionLeases
+	versionOwners   = 3 // keepers of sites
 	// Keepers is the version from which on sites have keepers.
-	Keepers = keepers
+	VersionOwners = versionOwners
 )
 
 // Bounds.
 const (
-	MostCommand = 16 << 10      // bytes of a command
-	mostSeen    = 4096          // ids whose word is remembered
-	mostAdvance = Micros(10e6)  // fleet time that one command moves on
-	seenFor     = Micros(600e6) // fleet time for which a word is remembered
-	mostWord    = 512           // bytes of a word
-	mostBatch   = membership.MostFronts
+	MaxCommandSize = 16 << 10      // bytes of a command
+	mostSeen       = 4096          // ids whose word is remembered
+	mostAdvance    = Micros(10e6)  // fleet time that one command moves on
+	seenFor        = Micros(600e6) // fleet time for which a word is remembered
+	mostWord       = 512           // bytes of a word
+	mostBatch      = membership.MaxFronts
 )
 
 // ErrVersion tells of state or commands that this build can't read.
@@ -62,34 +62,34 @@
 
 // Command is what an entry holds. Exactly one part is set.
 type Command struct {
-	Version int                `cbor:"1,keyasint"`
-	ID      ID                 `cbor:"2,keyasint"`
-	Found   *Found             `cbor:"3,keyasint,omitempty"`
-	Join    *Join              `cbor:"4,keyasint,omitempty"`
-	Leave   *Leave             `cbor:"5,keyasint,omitempty"`
-	Facts   *Facts             `cbor:"6,keyasint,omitempty"`
-	Ask     *Ask               `cbor:"7,keyasint,omitempty"`
-	Order   *Order             `cbor:"8,keyasint,omitempty"`
-	Report  []Report           `cbor:"9,keyasint,omitempty"`
-	Rules   *maintenance.Rules `cbor:"10,keyasint,omitempty"`
-	Raise   int                `cbor:"11,keyasint,omitempty"` // the version that all fronts read
-
-	Piece   []byte           `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
-	Propose *rollout.Version `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
-	Stop    string           `cbor:"14,keyasint,omitempty"` // why the version on its way goes back
-	Stands  []rollout.Stand  `cbor:"15,keyasint,omitempty"` // what fronts say of the versions that they act on
+	Version      int                `cbor:"1,keyasint"`
+	ID           ID                 `cbor:"2,keyasint"`
+	Found        *Found             `cbor:"3,keyasint,omitempty"`
+	Join         *Join              `cbor:"4,keyasint,omitempty"`
+	Leave        *Leave             `cbor:"5,keyasint,omitempty"`
+	Facts        *Facts             `cbor:"6,keyasint,omitempty"`
+	Request      *Request           `cbor:"7,keyasint,omitempty"`
+	Order        *Order             `cbor:"8,keyasint,omitempty"`
+	Reports      []Report           `cbor:"9,keyasint,omitempty"`
+	Rules        *maintenance.Rules `cbor:"10,keyasint,omitempty"`
+	RaiseVersion int                `cbor:"11,keyasint,omitempty"` // the version that all fronts read
+
+	Piece    []byte                `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
+	Propose  *rollout.Version      `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
+	Stop     string                `cbor:"14,keyasint,omitempty"` // why the version on its way goes back
+	Statuses []rollout.FrontStatus `cbor:"15,keyasint,omitempty"` // what fronts say of the versions that they act on
 }
 
 // needs is the version that a command belongs to.
 func (c *Command) needs() int {
-	if c.Join != nil && c.Join.Front.Keep > 0 {
-		return keepers
+	if c.Join != nil && c.Join.Front.OwnerLease > 0 {
+		return versionOwners
 	}
-	if c.Raise > 0 || c.Piece != nil || c.Propose != nil || c.Stop != "" || c.Stands != nil || c.Rules != nil && (c.Rules.Alone > 0 || c.Rules.Pace > 0 || c.Rules.Quota > 0) ||
-		c.Found != nil && (c.Found.Rules.Alone > 0 || c.Found.Rules.Pace > 0) || c.Ask != nil && c.Ask.Work.Pace > 0 || c.Join != nil && c.Join.Front.Lease > 0 {
-		return leases
+	if c.RaiseVersion > 0 || c.Piece != nil || c.Propose != nil || c.Stop != "" || c.Statuses != nil || c.Rules != nil && (c.Rules.LeaseSpan > 0 || c.Rules.MaxPacePercent > 0 || c.Rules.MaxFencedPercent > 0) ||
+		c.Found != nil && (c.Found.Rules.LeaseSpan > 0 || c.Found.Rules.MaxPacePercent > 0) || c.Request != nil && c.Request.Operation.Pace > 0 || c.Join != nil && c.Join.Front.Lease > 0 {
+		return versionLeases
 	}
-	return first
+	return versionFirst
 }
 
 // Found begins a fleet. It is the first command of its log.
@@ -112,23 +112,23 @@
 // Facts are what the leader saw: how much time has passed, and who was lost, found,
 // or says that it takes no clients.
 type Facts struct {
-	Span    Micros    `cbor:"1,keyasint"`
-	Contact []Contact `cbor:"2,keyasint,omitempty"`
+	Span     Micros    `cbor:"1,keyasint"`
+	Contacts []Contact `cbor:"2,keyasint,omitempty"`
 }
 
 // Contact is one front as the leader sees it.
 type Contact struct {
-	Name string `cbor:"1,keyasint"`
-	ID   uint64 `cbor:"2,keyasint"`
-	Lost bool   `cbor:"3,keyasint,omitempty"`
-	Away bool   `cbor:"4,keyasint,omitempty"`
-	Hurt bool   `cbor:"5,keyasint,omitempty"`
+	Name       string `cbor:"1,keyasint"`
+	ID         uint64 `cbor:"2,keyasint"`
+	Lost       bool   `cbor:"3,keyasint,omitempty"`
+	NotServing bool   `cbor:"4,keyasint,omitempty"`
+	Unhealthy  bool   `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask asks for a work.
-type Ask struct {
-	Work maintenance.Item `cbor:"1,keyasint"`
-	By   string           `cbor:"2,keyasint,omitempty"`
+type Request struct {
+	Operation   maintenance.Operation `cbor:"1,keyasint"`
+	RequestedBy string                `cbor:"2,keyasint,omitempty"`
 }
 
 // What a person orders.
@@ -142,22 +142,22 @@
 
 // Order is a person's word.
 type Order struct {
-	What string `cbor:"1,keyasint"`
-	Work uint64 `cbor:"2,keyasint,omitempty"`
-	Why  string `cbor:"3,keyasint,omitempty"`
+	Action    string `cbor:"1,keyasint"`
+	Operation uint64 `cbor:"2,keyasint,omitempty"`
+	Reason    string `cbor:"3,keyasint,omitempty"`
 }
 
 // What a front reports of a permit.
 const (
 	Accepted = "accepted"
-	Emptied  = "emptied"
-	Back     = "back"
+	Drained  = "emptied"
+	Returned = "back"
 	Left     = "left" // a box
 )
 
 // Report is a front's word on a permit.
 type Report struct {
-	What    string `cbor:"1,keyasint"`
+	Kind    string `cbor:"1,keyasint"`
 	Machine string `cbor:"2,keyasint"`
 	Permit  uint64 `cbor:"3,keyasint"`
 	Front   string `cbor:"4,keyasint"`
@@ -166,44 +166,44 @@
 }
 
 // Word is what became of a command.
-type Word struct {
-	Err  string `cbor:"1,keyasint,omitempty"`
-	Work uint64 `cbor:"2,keyasint,omitempty"` // that was asked for, or the version that was proposed
+type Result struct {
+	Err    string `cbor:"1,keyasint,omitempty"`
+	Number uint64 `cbor:"2,keyasint,omitempty"` // that was asked for, or the version that was proposed
 }
 
 // seen is a command that was applied.
 type seen struct {
 	ID   ID     `cbor:"1,keyasint"`
 	At   Micros `cbor:"2,keyasint"`
-	Word Word   `cbor:"3,keyasint"`
+	Word Result `cbor:"3,keyasint"`
 }
 
 // State is all that a replica holds.
 type State struct {
-	Version int               `cbor:"1,keyasint"`
-	Name    string            `cbor:"2,keyasint"`
-	Fleet   uint64            `cbor:"3,keyasint"` // 0: not founded
-	Now     Micros            `cbor:"4,keyasint"` // fleet time
-	Council membership.State  `cbor:"5,keyasint"`
-	Work    maintenance.State `cbor:"6,keyasint"`
-	Seen    []seen            `cbor:"7,keyasint,omitempty"` // by age
-	Seats   membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
+	Version     int               `cbor:"1,keyasint"`
+	Name        string            `cbor:"2,keyasint"`
+	Fleet       uint64            `cbor:"3,keyasint"` // 0: not founded
+	Now         Micros            `cbor:"4,keyasint"` // fleet time
+	Members     membership.State  `cbor:"5,keyasint"`
+	Maintenance maintenance.State `cbor:"6,keyasint"`
+	Seen        []seen            `cbor:"7,keyasint,omitempty"` // by age
+	Seats       membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
 
-	Versions rollout.State  `cbor:"9,keyasint,omitzero"`
-	Tree     topology.State `cbor:"10,keyasint,omitzero"`
+	Rollout  rollout.State  `cbor:"9,keyasint,omitzero"`
+	Topology topology.State `cbor:"10,keyasint,omitzero"`
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
-type Rule string
+type Mutation string
 
 // The rules that can be left out.
 const (
-	NoFence    Rule = "fence"       // an acceptance stands whatever became of the leave
-	NoOnce     Rule = "once"        // a command that comes again is applied again
-	NoLostOut  Rule = "lost-is-out" // what is lost does not count as out
-	NoMajority Rule = "majority"    // a voter goes though no majority is left
-	NoDrift    Rule = "drift"       // a lease is over once the fleet's clock says so
-	NoLook     Rule = "look"        // a front does not look at its lease before it acts
+	DisableFence      Mutation = "fence"       // an acceptance stands whatever became of the leave
+	DisableDedup      Mutation = "once"        // a command that comes again is applied again
+	DisableLostCount  Mutation = "lost-is-out" // what is lost does not count as out
+	DisableMajority   Mutation = "majority"    // a voter goes though no majority is left
+	DisableDrift      Mutation = "drift"       // a lease is over once the fleet's clock says so
+	DisableLeaseCheck Mutation = "look"        // a front does not look at its lease before it acts
 )
 
 // Replica applies commands.
@@ -211,19 +211,19 @@
 	s       State
 	byID    map[ID]int // place in Seen, less what was cut off
 	cut     int
-	without Rule
+	without Mutation
 }
 
 // New makes a replica of a fleet that is not founded.
 func New() *Replica {
-	return &Replica{s: State{Version: first, Work: maintenance.New()}, byID: map[ID]int{}}
+	return &Replica{s: State{Version: versionFirst, Maintenance: maintenance.New()}, byID: map[ID]int{}}
 }
 
 // Without leaves a rule out.
-func (r *Replica) Without(rule Rule) { r.without = rule }
+func (r *Replica) SetMutation(rule Mutation) { r.without = rule }
 
 // Leaves tells whether a rule is left out.
-func (r *Replica) Leaves(rule Rule) bool { return rule != "" && r.without == rule }
+func (r *Replica) HasMutation(rule Mutation) bool { return rule != "" && r.without == rule }
 
 // State is the state. The caller must not write to it.
 func (r *Replica) State() *State { return &r.s }
@@ -232,24 +232,24 @@
 func (r *Replica) Fleet() maintenance.Fleet {
 	s := &r.s
 	avoid := func(f *membership.Front) bool {
-		x := s.Work.On(f.Name)
-		return x != nil && x.Kind == maintenance.AFront && x.Phase != maintenance.Asked
+		x := s.Maintenance.ForMachine(f.Name)
+		return x != nil && x.Kind == maintenance.Front && x.Phase != maintenance.Requested
 	}
-	fleet := make(maintenance.Fleet, 0, len(s.Council.Fronts))
-	for _, f := range s.Council.Fronts {
-		m := maintenance.Machine{Name: f.Name, Zone: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Away: f.Away, Hurt: f.Hurt, Votes: s.Seats.Has(f.ID)}
+	fleet := make(maintenance.Fleet, 0, len(s.Members.Fronts))
+	for _, f := range s.Members.Fronts {
+		m := maintenance.Machine{Name: f.Name, Zone: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, NotServing: f.NotServing, Unhealthy: f.Unhealthy, Voter: s.Seats.Has(f.ID)}
 		if f.Lost && f.Lease > 0 {
-			m.Ended = f.Since + lease.Until(f.Lease+s.Work.Rules.Empty)
-			if r.without == NoDrift {
-				m.Ended = f.Since + f.Lease
+			m.LeaseExpiry = f.Since + lease.ExpirySpan(f.Lease+s.Maintenance.Rules.DrainTimeout)
+			if r.without == DisableDrift {
+				m.LeaseExpiry = f.Since + f.Lease
 			}
 		}
 		m.Lease = f.Lease
-		m.Yield = m.Votes && s.Council.Yields(f.ID, s.Seats, avoid)
-		if r.without == NoMajority {
-			m.Votes, m.Yield = false, false
+		m.CanYieldSeat = m.Voter && s.Members.CanYield(f.ID, s.Seats, avoid)
+		if r.without == DisableMajority {
+			m.Voter, m.CanYieldSeat = false, false
 		}
-		if r.without == NoLostOut && s.Work.On(f.Name) == nil {
+		if r.without == DisableLostCount && s.Maintenance.ForMachine(f.Name) == nil {
 			m.Lost = false
 		}
 		fleet = append(fleet, m)
@@ -259,7 +259,7 @@
 
 // Avoid tells whether a front is about to go out for work.
 func (r *Replica) Avoid(f *membership.Front) bool {
-	return r.s.Work.Soon(f.Name, r.Fleet(), r.s.Now)
+	return r.s.Maintenance.OutSoon(f.Name, r.Fleet(), r.s.Now)
 }
 
 var (
@@ -282,21 +282,21 @@
 		return nil, ErrVersion
 	}
 	b, err := encoder.Marshal(c)
-	if err == nil && len(b) > MostCommand {
-		err = fmt.Errorf("replica: a command of %d bytes, %d at most", len(b), MostCommand)
+	if err == nil && len(b) > MaxCommandSize {
+		err = fmt.Errorf("replica: a command of %d bytes, %d at most", len(b), MaxCommandSize)
 	}
 	return b, err
 }
 
 // Decode reads a command.
 func Decode(b []byte) (c Command, err error) {
-	if len(b) > MostCommand {
-		return c, fmt.Errorf("replica: a command of %d bytes, %d at most", len(b), MostCommand)
+	if len(b) > MaxCommandSize {
+		return c, fmt.Errorf("replica: a command of %d bytes, %d at most", len(b), MaxCommandSize)
 	}
 	if err := decoder.Unmarshal(b, &c); err != nil {
 		return c, fmt.Errorf("%w: %w", ErrVersion, err)
 	}
-	if c.Version < first || c.Version > Version {
+	if c.Version < versionFirst || c.Version > Version {
 		return c, fmt.Errorf("%w: it is %d, %d at most", ErrVersion, c.Version, Version)
 	}
 	return c, nil
@@ -317,11 +317,11 @@
 	if err := decoder.Unmarshal(b, &s); err != nil {
 		return fmt.Errorf("%w: %w", ErrVersion, err)
 	}
-	if s.Version < first || s.Version > Version {
+	if s.Version < versionFirst || s.Version > Version {
 		return fmt.Errorf("%w: it is %d, %d at most", ErrVersion, s.Version, Version)
 	}
-	if s.Work.Fences == nil {
-		s.Work.Fences = map[string]uint64{}
+	if s.Maintenance.Fences == nil {
+		s.Maintenance.Fences = map[string]uint64{}
 	}
 	r.s, r.byID, r.cut = s, map[ID]int{}, 0
 	for i, x := range s.Seen {
@@ -331,7 +331,7 @@
 }
 
 // Sat tells of the seats after a change of them was applied.
-func (r *Replica) Sat(seats membership.Seats) (told []string) {
+func (r *Replica) ApplySeats(seats membership.Seats) (told []string) {
 	slices.Sort(seats.Voters)
 	slices.Sort(seats.Learners)
 	r.s.Seats = seats
@@ -340,51 +340,51 @@
 
 // settle draws the conclusions of a change; facts tells that time has moved on.
 func (r *Replica) settle(facts bool) (told []string) {
-	for _, name := range r.s.Council.Settle(r.s.Seats) {
+	for _, name := range r.s.Members.RemoveLeft(r.s.Seats) {
 		told = append(told, "front "+name+": has left")
 	}
 	fleet := r.Fleet()
-	told = append(told, r.s.Work.Step(fleet, r.s.Now)...)
-	if r.s.Versions.Last > 0 || len(r.s.Versions.Pieces) > 0 {
-		told = append(told, r.s.Versions.Step(Machines(fleet), r.VersionRules(), r.s.Now, facts)...)
+	told = append(told, r.s.Maintenance.Step(fleet, r.s.Now)...)
+	if r.s.Rollout.LastNumber > 0 || len(r.s.Rollout.Pieces) > 0 {
+		told = append(told, r.s.Rollout.Step(RolloutMachines(fleet), r.RolloutRules(), r.s.Now, facts)...)
 	}
-	if r.s.Version >= keepers {
-		told = append(told, r.s.Tree.Step(r.Exchange(fleet), r.s.Now)...)
+	if r.s.Version >= versionOwners {
+		told = append(told, r.s.Topology.Step(r.TopologyFronts(fleet), r.s.Now)...)
 	}
 	return told
 }
 
 // Exchange is the fronts as keepers of sites are chosen of them.
-func (r *Replica) Exchange(fleet maintenance.Fleet) []topology.Front {
+func (r *Replica) TopologyFronts(fleet maintenance.Fleet) []topology.Front {
 	list := make([]topology.Front, 0, len(fleet))
-	for i, f := range r.s.Council.Fronts {
+	for i, f := range r.s.Members.Fronts {
 		m := fleet[i]
-		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, Keep: f.Keep,
-			Over: f.Lost && m.Ended > 0 && r.s.Now >= m.Ended})
+		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, Keep: f.OwnerLease,
+			Over: f.Lost && m.LeaseExpiry > 0 && r.s.Now >= m.LeaseExpiry})
 	}
 	return list
 }
 
 // Machines is the fronts as versions see them.
-func Machines(fleet maintenance.Fleet) []rollout.Machine {
+func RolloutMachines(fleet maintenance.Fleet) []rollout.Machine {
 	list := make([]rollout.Machine, 0, len(fleet))
 	for _, m := range fleet {
-		list = append(list, rollout.Machine{Name: m.Name, Zone: m.Zone, ID: m.ID, Start: m.Start, Lost: m.Lost, Away: m.Away, Ended: m.Ended, Lease: m.Lease})
+		list = append(list, rollout.Machine{Name: m.Name, Zone: m.Zone, ID: m.ID, Start: m.Start, Lost: m.Lost, NotServing: m.NotServing, LeaseExpiry: m.LeaseExpiry, Lease: m.Lease})
 	}
 	return list
 }
 
 // VersionRules is what versions know of the fleet's rules.
-func (r *Replica) VersionRules() rollout.Rules {
-	w := &r.s.Work.Rules
-	return rollout.Rules{Alone: w.Alone, Quota: cmp.Or(w.Quota, defaultQuota), Cold: w.Cold, Empty: w.Empty}
+func (r *Replica) RolloutRules() rollout.Rules {
+	w := &r.s.Maintenance.Rules
+	return rollout.Rules{LeaseSpan: w.LeaseSpan, MaxFencedPercent: cmp.Or(w.MaxFencedPercent, defaultQuota), WarmUp: w.WarmUp, DrainTimeout: w.DrainTimeout}
 }
 
 const defaultQuota = 34 // percent
 
 // Apply applies a command. Told is what has happened, a line each.
-func (r *Replica) Apply(c Command) (w Word, told []string) {
-	if i, ok := r.byID[c.ID]; ok && c.ID != (ID{}) && r.without != NoOnce {
+func (r *Replica) Apply(c Command) (w Result, told []string) {
+	if i, ok := r.byID[c.ID]; ok && c.ID != (ID{}) && r.without != DisableDedup {
 		return r.s.Seen[i-r.cut].Word, nil
 	}
 	w, told, err := r.apply(c)
@@ -398,16 +398,16 @@
 }
 
 // Seen gives the word on a command that was applied lately.
-func (r *Replica) Seen(id ID) (Word, bool) {
+func (r *Replica) Seen(id ID) (Result, bool) {
 	i, ok := r.byID[id]
-	if !ok || r.without == NoOnce {
-		return Word{}, false
+	if !ok || r.without == DisableDedup {
+		return Result{}, false
 	}
 	return r.s.Seen[i-r.cut].Word, true
 }
 
 // remember keeps the word on a command, for as long as it may come again.
-func (r *Replica) remember(id ID, w Word) {
+func (r *Replica) remember(id ID, w Result) {
 	if id == (ID{}) {
 		return
 	}
@@ -431,19 +431,19 @@
 
 // Takes tells whether all fronts read a command. One that they do not must not even
 // be sent: it would end the part of those that can't read it.
-func (r *Replica) Takes(c *Command) error {
-	if need := c.needs(); c.Found == nil && c.Raise == 0 && need > r.s.Version {
+func (r *Replica) CheckSupported(c *Command) error {
+	if need := c.needs(); c.Found == nil && c.RaiseVersion == 0 && need > r.s.Version {
 		return fmt.Errorf("%w: it needs version %d of the state, which is at %d", errOlder, need, r.s.Version)
 	}
 	return nil
 }
 
-func (r *Replica) apply(c Command) (w Word, told []string, err error) {
+func (r *Replica) apply(c Command) (w Result, told []string, err error) {
 	s := &r.s
 	if c.Found == nil && s.Fleet == 0 {
 		return w, nil, errNone
 	}
-	if err := r.Takes(&c); err != nil {
+	if err := r.CheckSupported(&c); err != nil {
 		return w, nil, err
 	}
 	switch {
@@ -451,66 +451,66 @@
 		if s.Fleet != 0 {
 			return w, nil, errFounded
 		}
-		s.Name, s.Fleet, s.Work.Rules, s.Version = c.Found.Name, c.Found.Fleet, c.Found.Rules, c.needs()
+		s.Name, s.Fleet, s.Maintenance.Rules, s.Version = c.Found.Name, c.Found.Fleet, c.Found.Rules, c.needs()
 		return w, []string{"the fleet " + s.Name + " is founded"}, nil
 	case c.Join != nil:
 		f := c.Join.Front
-		old := s.Council.Find(f.Name)
+		old := s.Members.Find(f.Name)
 		again := old != nil && (old.ID != f.ID || old.Start != f.Start)
-		if err := s.Council.Join(f, s.Now); err != nil {
+		if err := s.Members.Join(f, s.Now); err != nil {
 			return w, nil, err
 		}
 		if again {
-			s.Work.Rejoined(f.Name)
+			s.Maintenance.Rejoined(f.Name)
 			told = append(told, "front "+f.Name+": started anew")
 		} else if old == nil {
 			told = append(told, "front "+f.Name+": joined")
 		}
 		return w, told, nil
 	case c.Leave != nil:
-		return w, nil, s.Council.Leave(c.Leave.Name)
+		return w, nil, s.Members.Leave(c.Leave.Name)
 	case c.Facts != nil:
 		return w, r.facts(c.Facts), nil
-	case c.Ask != nil:
-		w.Work, err = s.Work.Ask(c.Ask.Work, r.Fleet(), s.Now)
+	case c.Request != nil:
+		w.Number, err = s.Maintenance.Request(c.Request.Operation, r.Fleet(), s.Now)
 		return w, nil, err
 	case c.Order != nil:
 		return w, nil, r.order(c.Order)
-	case len(c.Report) > 0:
+	case len(c.Reports) > 0:
 		var errs []error
-		for _, x := range c.Report[:min(len(c.Report), mostBatch)] {
+		for _, x := range c.Reports[:min(len(c.Reports), mostBatch)] {
 			errs = append(errs, r.report(x))
 		}
 		return w, nil, errors.Join(errs...)
 	case c.Piece != nil:
-		_, err = s.Versions.Keep(c.Piece, s.Now)
+		_, err = s.Rollout.StorePiece(c.Piece, s.Now)
 		return w, nil, err
 	case c.Propose != nil:
-		w.Work, err = s.Versions.Propose(*c.Propose, r.VersionRules(), s.Now)
+		w.Number, err = s.Rollout.Propose(*c.Propose, r.RolloutRules(), s.Now)
 		if err == nil {
-			told = []string{fmt.Sprintf("version %d was proposed: %s", w.Work, cmp.Or(c.Propose.Why, "no reason given"))}
+			told = []string{fmt.Sprintf("version %d was proposed: %s", w.Number, cmp.Or(c.Propose.Reason, "no reason given"))}
 		}
 		return w, told, err
 	case c.Stop != "":
-		return w, nil, s.Versions.Stop(c.Stop, s.Now)
-	case c.Stands != nil:
-		for _, x := range c.Stands[:min(len(c.Stands), mostBatch)] {
-			if f := s.Council.Find(x.Name); f != nil && f.ID == x.ID && f.Start == x.Start {
-				s.Versions.Reported(x, s.Now)
+		return w, nil, s.Rollout.Stop(c.Stop, s.Now)
+	case c.Statuses != nil:
+		for _, x := range c.Statuses[:min(len(c.Statuses), mostBatch)] {
+			if f := s.Members.Find(x.Name); f != nil && f.ID == x.ID && f.Start == x.Start {
+				s.Rollout.ApplyReport(x, s.Now)
 			}
 		}
 		return w, nil, nil
-	case c.Raise > 0:
-		if c.Raise <= s.Version {
+	case c.RaiseVersion > 0:
+		if c.RaiseVersion <= s.Version {
 			return w, nil, nil
 		}
-		s.Version = c.Raise
+		s.Version = c.RaiseVersion
 		return w, []string{fmt.Sprintf("the fleet's state is of version %d now, which all fronts read", s.Version)}, nil
 	case c.Rules != nil:
-		if err := c.Rules.Check(); err != nil {
+		if err := c.Rules.Validate(); err != nil {
 			return w, nil, err
 		}
-		s.Work.Rules = *c.Rules
+		s.Maintenance.Rules = *c.Rules
 		return w, []string{"the rules of work have changed"}, nil
 	}
 	return w, nil, errUnknown
@@ -519,13 +519,13 @@
 func (r *Replica) facts(f *Facts) (told []string) {
 	s := &r.s
 	s.Now += min(max(0, f.Span), mostAdvance)
-	for _, x := range f.Contact[:min(len(f.Contact), mostBatch)] {
-		was := s.Council.Find(x.Name)
+	for _, x := range f.Contacts[:min(len(f.Contacts), mostBatch)] {
+		was := s.Members.Find(x.Name)
 		if was == nil {
 			continue
 		}
 		lost := was.Lost
-		if changed, err := s.Council.Contact(x.Name, x.ID, x.Lost, x.Away, x.Hurt, s.Now); err == nil && changed && lost != x.Lost {
+		if changed, err := s.Members.SetContact(x.Name, x.ID, x.Lost, x.NotServing, x.Unhealthy, s.Now); err == nil && changed && lost != x.Lost {
 			told = append(told, "front "+x.Name+map[bool]string{true: ": lost", false: ": found"}[x.Lost])
 		}
 	}
@@ -533,48 +533,48 @@
 }
 
 func (r *Replica) order(o *Order) error {
-	w, now := &r.s.Work, r.s.Now
-	switch o.What {
+	w, now := &r.s.Maintenance, r.s.Now
+	switch o.Action {
 	case Cancel:
-		return w.Cancel(o.Work, o.Why, now)
+		return w.Cancel(o.Operation, o.Reason, now)
 	case Hold:
-		w.Hold = cmp.Or(o.Why, "by a person")
+		w.HoldReason = cmp.Or(o.Reason, "by a person")
 		return nil
 	case Resume:
-		w.Hold = ""
+		w.HoldReason = ""
 		return nil
 	case Lost:
-		return w.Declare(o.Work, o.Why, r.Fleet(), now)
+		return w.DeclareLost(o.Operation, o.Reason, r.Fleet(), now)
 	case Finish:
-		return w.Finish(o.Work, now)
+		return w.Finish(o.Operation, now)
 	}
 	return errUnknown
 }
 
 func (r *Replica) report(x Report) error {
-	w, now := &r.s.Work, r.s.Now
-	f := r.s.Council.Find(x.Front)
+	w, now := &r.s.Maintenance, r.s.Now
+	f := r.s.Members.Find(x.Front)
 	if f == nil || f.ID != x.ID || f.Start != x.Start {
-		return membership.ErrNobody
+		return membership.ErrUnknownFront
 	}
-	switch x.What {
+	switch x.Kind {
 	case Accepted:
-		if r.without == NoFence {
-			if y := w.On(x.Machine); y != nil && !y.Phase.IsOut() {
+		if r.without == DisableFence {
+			if y := w.ForMachine(x.Machine); y != nil && !y.Phase.IsOut() {
 				y.Phase, y.Permit = maintenance.Permitted, x.Permit
 				delete(w.Fences, x.Machine)
 			}
 		}
 		return w.Accept(x.Machine, x.Permit, x.ID, x.Start, now)
-	case Emptied:
-		return w.Empty(x.Machine, x.Permit, x.ID, now)
-	case Back:
-		return w.Back(x.Machine, x.Permit, x.ID, now)
+	case Drained:
+		return w.Drained(x.Machine, x.Permit, x.ID, now)
+	case Returned:
+		return w.Returned(x.Machine, x.Permit, x.ID, now)
 	case Left:
-		return w.Leave(x.Machine, x.Permit, x.Front, now)
+		return w.ConfirmLeft(x.Machine, x.Permit, x.Front, now)
 	}
 	return errUnknown
 }
 
 // Same tells whether two replicas hold the same.
-func (r *Replica) Same(o *Replica) bool { return bytes.Equal(r.Snapshot(), o.Snapshot()) }
+func (r *Replica) Equal(o *Replica) bool { return bytes.Equal(r.Snapshot(), o.Snapshot()) }
--- a/internal/decide/statemachine/statemachine_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -22,16 +22,16 @@
 	case 0:
 		c.Join = &Join{membership.Front{Name: name, Zone: "z" + name[:rapid.IntRange(0, 1).Draw(t, "zone")], Machine: name, Address: "x", ID: id, Start: 1}}
 	case 1:
-		c.Facts = &Facts{Span: rapid.Int64Range(-5, 20_000_000).Draw(t, "span"), Contact: []Contact{{Name: name, ID: id, Lost: rapid.Bool().Draw(t, "lost"),
-			Away: rapid.Bool().Draw(t, "away"), Hurt: rapid.Bool().Draw(t, "hurt")}}}
+		c.Facts = &Facts{Span: rapid.Int64Range(-5, 20_000_000).Draw(t, "span"), Contacts: []Contact{{Name: name, ID: id, Lost: rapid.Bool().Draw(t, "lost"),
+			NotServing: rapid.Bool().Draw(t, "away"), Unhealthy: rapid.Bool().Draw(t, "hurt")}}}
 	case 2:
-		c.Ask = &Ask{Work: maintenance.Item{Machine: name, Span: rapid.Int64Range(0, 100_000_000).Draw(t, "span"), Latest: rapid.Int64Range(-1, 50_000_000).Draw(t, "latest"),
-			Importance: rapid.IntRange(-3, 3).Draw(t, "importance"), Urgent: rapid.Bool().Draw(t, "urgent"), Restart: rapid.Bool().Draw(t, "restart"),
-			ZoneWise: rapid.Bool().Draw(t, "zonewise"), Apart: rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b"}), 0, 1).Draw(t, "apart")}}
+		c.Request = &Request{Operation: maintenance.Operation{Machine: name, Duration: rapid.Int64Range(0, 100_000_000).Draw(t, "span"), StartWithin: rapid.Int64Range(-1, 50_000_000).Draw(t, "latest"),
+			Importance: rapid.IntRange(-3, 3).Draw(t, "importance"), Urgent: rapid.Bool().Draw(t, "urgent"), EndsOnRestart: rapid.Bool().Draw(t, "restart"),
+			SingleZone: rapid.Bool().Draw(t, "zonewise"), ConflictsWith: rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b"}), 0, 1).Draw(t, "apart")}}
 	case 3:
-		c.Order = &Order{What: rapid.SampledFrom([]string{Cancel, Hold, Resume, Lost, Finish, "?"}).Draw(t, "what"), Work: uint64(rapid.IntRange(0, 9).Draw(t, "work"))}
+		c.Order = &Order{Action: rapid.SampledFrom([]string{Cancel, Hold, Resume, Lost, Finish, "?"}).Draw(t, "what"), Operation: uint64(rapid.IntRange(0, 9).Draw(t, "work"))}
 	case 4:
-		c.Report = []Report{{What: rapid.SampledFrom([]string{Accepted, Emptied, Back, Left}).Draw(t, "what"), Machine: name,
+		c.Reports = []Report{{Kind: rapid.SampledFrom([]string{Accepted, Drained, Returned, Left}).Draw(t, "what"), Machine: name,
 			Permit: uint64(rapid.IntRange(0, 9).Draw(t, "permit")), Front: name, ID: id, Start: 1}}
 	case 5:
 		c.Leave = &Leave{name}
@@ -45,8 +45,8 @@
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		rules := maintenance.Defaults()
-		rules.Out, rules.Zone, rules.Percent = rapid.IntRange(1, 3).Draw(t, "out"), 3, 100
+		rules := maintenance.DefaultRules()
+		rules.MaxOut, rules.MaxZoneOut, rules.MaxFrontsPercent = rapid.IntRange(1, 3).Draw(t, "out"), 3, 100
 		found := Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: rules}}
 		a.Apply(found)
 		b.Apply(found)
@@ -59,7 +59,7 @@
 			if c, err = Decode(text); err != nil {
 				t.Fatal(err)
 			}
-			last := a.State().Work.Last
+			last := a.State().Maintenance.LastPermit
 			wa, _ := a.Apply(c)
 			wb, _ := b.Apply(c)
 			if wa != wb {
@@ -75,7 +75,7 @@
 			}
 			s := a.State()
 			out, machines := 0, map[string]bool{}
-			for _, x := range s.Work.Items {
+			for _, x := range s.Maintenance.Operations {
 				if machines[x.Machine] || x.Phase.Ended() {
 					t.Fatalf("two works on %s, or one that has ended", x.Machine)
 				}
@@ -84,8 +84,8 @@
 					out++
 				}
 			}
-			if s.Work.Last > last && out > rules.Out {
-				t.Fatalf("%d out, %d may be", out, rules.Out)
+			if s.Maintenance.LastPermit > last && out > rules.MaxOut {
+				t.Fatalf("%d out, %d may be", out, rules.MaxOut)
 			}
 		}
 	})
@@ -94,7 +94,7 @@
 // What can't be read is refused, never half taken.
 func TestBytesThatAreNone(t *testing.T) {
 	r := New()
-	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.Defaults()}})
+	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.DefaultRules()}})
 	whole := r.Snapshot()
 	for cut := range len(whole) {
 		if err := New().Restore(whole[:cut]); err == nil {
@@ -112,29 +112,29 @@
 // The plan of a thousand machines.
 func BenchmarkPlan(b *testing.B) {
 	r := New()
-	rules := maintenance.Defaults()
+	rules := maintenance.DefaultRules()
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: rules}})
 	for i := range 300 {
 		name := fmt.Sprintf("n%03d", i)
 		r.Apply(Command{Join: &Join{membership.Front{Name: name, Zone: fmt.Sprintf("z%d", i%5), Machine: name, Address: "x", ID: uint64(i + 1), Start: 1}}})
-		r.Apply(Command{Facts: &Facts{Contact: []Contact{{Name: name, ID: uint64(i + 1)}}}})
+		r.Apply(Command{Facts: &Facts{Contacts: []Contact{{Name: name, ID: uint64(i + 1)}}}})
 	}
 	for i := range 1000 {
-		x := maintenance.Item{Machine: fmt.Sprintf("box%04d", i), Kind: maintenance.ABox, Zone: fmt.Sprintf("z%d", i%5), Span: 1_000_000}
+		x := maintenance.Operation{Machine: fmt.Sprintf("box%04d", i), Kind: maintenance.Box, Zone: fmt.Sprintf("z%d", i%5), Duration: 1_000_000}
 		if i < 300 {
-			x.Machine, x.Kind = fmt.Sprintf("n%03d", i), maintenance.AFront
+			x.Machine, x.Kind = fmt.Sprintf("n%03d", i), maintenance.Front
 		}
-		r.Apply(Command{ID: ID{N: uint64(i + 2)}, Ask: &Ask{Work: x}})
+		r.Apply(Command{ID: ID{N: uint64(i + 2)}, Request: &Request{Operation: x}})
 	}
 	s := r.State()
 	b.Run("plan", func(b *testing.B) {
 		for b.Loop() {
-			s.Work.Plan(r.Fleet(), s.Now)
+			s.Maintenance.Plan(r.Fleet(), s.Now)
 		}
 	})
 	b.Run("step", func(b *testing.B) {
 		for b.Loop() {
-			s.Work.Step(r.Fleet(), s.Now)
+			s.Maintenance.Step(r.Fleet(), s.Now)
 		}
 	})
 	b.Run("apply", func(b *testing.B) {
--- a/internal/fleet/book.go
+++ b/internal/fleet/book.go
@@ -22,7 +22,7 @@
 	chain    audit.Chain
 	disk     *journal.Journal
 	path     string
-	notes    rollout.Notes
+	notes    rollout.ActivationRecord
 	seq      uint64 // of the last record that is durable
 	head     string
 	closed   int64  // when records were last closed
@@ -58,7 +58,7 @@
 	b := &f.book
 	b.path = filepath.Join(f.cfg.Folder, "audit")
 	read := func() error {
-		b.chain, b.notes = audit.Chain{}, rollout.Notes{}
+		b.chain, b.notes = audit.Chain{}, rollout.ActivationRecord{}
 		var torn int64
 		var err error
 		b.disk, torn, err = journal.Open(b.path, mostWrites, f.loop.Post, func(record []byte) error {
@@ -98,7 +98,7 @@
 		}
 	}
 	b.seq, b.head = b.chain.Seq(), headOf(b.chain.Head())
-	f.ver.taker = rollout.NewTaker(b.notes)
+	f.ver.taker = rollout.NewApplier(b.notes)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 }
 
 // note keeps a note of the version that is taken up.
-func (f *Fleet) note(n rollout.Notes, kept func(error)) {
+func (f *Fleet) note(n rollout.ActivationRecord, kept func(error)) {
 	b, err := cbor.Marshal(n)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err)) // plain values always encode
@@ -212,7 +212,7 @@
 	})
 }
 
-func encodeNotes(n rollout.Notes) []byte {
+func encodeNotes(n rollout.ActivationRecord) []byte {
 	b, err := cbor.Marshal(n)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err))
@@ -250,14 +250,14 @@
 		}
 		f.write1(audit.Record{Kind: audit.Permit, Text: text})
 	}
-	if x := f.node.Replica().State().Versions.Stand(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.Seq > b.chain.Seq() {
-		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOld, b.chain.Seq(), x.Seq))
+	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.chain.Seq() {
+		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOld, b.chain.Seq(), x.AuditSeq))
 		return
 	}
 	// Records that the log knows the head of happened before that entry.
-	if x := f.node.Replica().State().Versions.Stand(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.Seq > b.anchored && b.events {
-		b.anchored, b.events = x.Seq, false
-		f.write1(audit.Record{Kind: audit.Anchor, Seen: x.Seq, Entry: f.node.Applied()})
+	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.anchored && b.events {
+		b.anchored, b.events = x.AuditSeq, false
+		f.write1(audit.Record{Kind: audit.Anchor, Seen: x.AuditSeq, Entry: f.node.Applied()})
 	}
 }
 
@@ -281,8 +281,8 @@
 
 // answerAudit answers a question from this front's own audit, beside the loop.
 func (f *Fleet) answerAudit(q audit.Question, done func(audit.Answer)) {
-	if x := f.node.Replica().State().Versions.Stand(f.cfg.Name); x != nil && x.ID == f.node.ID() {
-		q.Seq, q.Head = x.Seq, x.Head
+	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() {
+		q.Seq, q.Head = x.AuditSeq, x.AuditHead
 	}
 	path, name := f.book.path, f.cfg.Name
 	go func() {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -192,14 +192,14 @@
 
 // submit has a command agreed on, and answers with its word.
 func (f *Fleet) submit(c statemachine.Command, give func(any), fail func(error)) {
-	f.node.Submit(c, mostWithin, func(w statemachine.Word, err error) {
+	f.node.Submit(c, mostWithin, func(w statemachine.Result, err error) {
 		switch {
 		case err != nil:
 			fail(err)
 		case w.Err != "":
 			fail(errors.New(w.Err))
 		default:
-			give(map[string]uint64{"work": w.Work})
+			give(map[string]uint64{"work": w.Number})
 		}
 	})
 	f.pump()
@@ -207,9 +207,9 @@
 
 // rules gives the rules of works, or has those changed that are named.
 func (f *Fleet) rules(change string, give func(any), fail func(error)) {
-	r := f.node.Replica().State().Work.Rules
-	x := Rules{Out: r.Out, Zone: r.Zone, Percent: r.Percent, Hurt: r.Hurt, AcceptS: seconds(r.Accept), EmptyS: seconds(r.Empty), BackS: seconds(r.Back),
-		ColdS: seconds(r.Cold), AgeStepS: seconds(r.AgeStep), PatienceS: seconds(r.Patience), AloneS: seconds(r.Alone), Pace: r.Pace, Lag: r.Quota}
+	r := f.node.Replica().State().Maintenance.Rules
+	x := Rules{Out: r.MaxOut, Zone: r.MaxZoneOut, Percent: r.MaxFrontsPercent, Hurt: r.UnhealthyPercent, AcceptS: seconds(r.AcceptTimeout), EmptyS: seconds(r.DrainTimeout), BackS: seconds(r.ReturnTimeout),
+		ColdS: seconds(r.WarmUp), AgeStepS: seconds(r.AgeStep), PatienceS: seconds(r.Patience), AloneS: seconds(r.LeaseSpan), Pace: r.MaxPacePercent, Lag: r.MaxFencedPercent}
 	if change == "" {
 		give(x)
 		return
@@ -219,9 +219,9 @@
 		return
 	}
 	micros := func(s float64) int64 { return int64(max(-1, min(s, 1e9)) * 1e6) }
-	r = maintenance.Rules{Out: x.Out, Zone: x.Zone, Percent: x.Percent, Hurt: x.Hurt, Accept: micros(x.AcceptS), Empty: micros(x.EmptyS), Back: micros(x.BackS),
-		Cold: micros(x.ColdS), AgeStep: micros(x.AgeStepS), Patience: micros(x.PatienceS), Alone: micros(x.AloneS), Pace: x.Pace, Quota: x.Lag}
-	if err := r.Check(); err != nil {
+	r = maintenance.Rules{MaxOut: x.Out, MaxZoneOut: x.Zone, MaxFrontsPercent: x.Percent, UnhealthyPercent: x.Hurt, AcceptTimeout: micros(x.AcceptS), DrainTimeout: micros(x.EmptyS), ReturnTimeout: micros(x.BackS),
+		WarmUp: micros(x.ColdS), AgeStep: micros(x.AgeStepS), Patience: micros(x.PatienceS), LeaseSpan: micros(x.AloneS), MaxPacePercent: x.Pace, MaxFencedPercent: x.Lag}
+	if err := r.Validate(); err != nil {
 		fail(err)
 		return
 	}
@@ -240,7 +240,7 @@
 			fail(errNumber)
 			return
 		}
-		f.submit(statemachine.Command{Order: &statemachine.Order{What: what, Work: id, Why: strings.TrimSpace(why)}}, give, fail)
+		f.submit(statemachine.Command{Order: &statemachine.Order{Action: what, Operation: id, Reason: strings.TrimSpace(why)}}, give, fail)
 	}
 	switch word {
 	case "ASK":
@@ -250,30 +250,30 @@
 			return
 		}
 		if !(a.SpanS >= 0 && a.SpanS < 1e7 && a.LatestS >= 0 && a.LatestS < 1e9) {
-			fail(maintenance.ErrSpan)
+			fail(maintenance.ErrDuration)
 			return
 		}
-		x := maintenance.Item{Machine: a.Machine, Zone: a.Zone, Why: a.Why, Span: int64(a.SpanS * 1e6), Latest: int64(a.LatestS * 1e6),
-			Importance: max(-1000, min(a.Importance, 1000)), Apart: a.Apart, ZoneWise: a.ZoneWise, Urgent: a.Urgent, Restart: a.Restart}
+		x := maintenance.Operation{Machine: a.Machine, Zone: a.Zone, Reason: a.Why, Duration: int64(a.SpanS * 1e6), StartWithin: int64(a.LatestS * 1e6),
+			Importance: max(-1000, min(a.Importance, 1000)), ConflictsWith: a.Apart, SingleZone: a.ZoneWise, Urgent: a.Urgent, EndsOnRestart: a.Restart}
 		if a.Box {
 			zone, pace, known := f.host.Share(a.Machine)
 			if !known {
 				fail(errBox)
 				return
 			}
-			x.Kind, x.Zone = maintenance.ABox, cmp.Or(a.Zone, zone)
-			if s.Work.Rules.Pace > 0 {
+			x.Kind, x.Zone = maintenance.Box, cmp.Or(a.Zone, zone)
+			if s.Maintenance.Rules.MaxPacePercent > 0 {
 				x.Pace = pace
 			}
 		}
-		f.submit(statemachine.Command{Ask: &statemachine.Ask{Work: x, By: a.By}}, give, fail)
+		f.submit(statemachine.Command{Request: &statemachine.Request{Operation: x, RequestedBy: a.By}}, give, fail)
 	case "LIST":
 		list := f.plan()
-		for _, x := range slices.Backward(s.Work.Ended) {
+		for _, x := range slices.Backward(s.Maintenance.Ended) {
 			if len(list) >= 100 {
 				break
 			}
-			list = append(list, tellWork(maintenance.Line{Item: x}, s.Now))
+			list = append(list, tellWork(maintenance.PlanEntry{Operation: x}, s.Now))
 		}
 		give(list)
 	case "PLAN":
@@ -283,9 +283,9 @@
 			fail(errName)
 			return
 		}
-		give(map[string]string{"why": s.Work.Why(rest, fleet, s.Now)})
+		give(map[string]string{"why": s.Maintenance.Explain(rest, fleet, s.Now)})
 	case "HOLD", "RESUME":
-		f.submit(statemachine.Command{Order: &statemachine.Order{What: strings.ToLower(word), Why: rest}}, give, fail)
+		f.submit(statemachine.Command{Order: &statemachine.Order{Action: strings.ToLower(word), Reason: rest}}, give, fail)
 	case "CANCEL", "LOST", "DONE":
 		order(strings.ToLower(word))
 	default:
@@ -297,17 +297,17 @@
 	r := f.node.Replica()
 	s := r.State()
 	list := []Work{}
-	for _, l := range s.Work.Plan(r.Fleet(), s.Now) {
+	for _, l := range s.Maintenance.Plan(r.Fleet(), s.Now) {
 		list = append(list, tellWork(l, s.Now))
 	}
 	return list
 }
 
-func tellWork(l maintenance.Line, now int64) Work {
-	w := Work{ID: l.ID, Machine: l.Machine, Kind: "front", Zone: l.Zone, Phase: l.Phase.String(), Place: l.Place, Permit: l.Permit, Why: l.Item.Why,
-		SpanS: seconds(l.Span), Importance: l.Importance, Urgent: l.Urgent, Restart: l.Restart, For: seconds(now - l.Since), Waits: l.Waits,
-		Note: l.Note, Overdue: l.Overdue, Apart: l.Apart}
-	if l.Kind == maintenance.ABox {
+func tellWork(l maintenance.PlanEntry, now int64) Work {
+	w := Work{ID: l.ID, Machine: l.Machine, Kind: "front", Zone: l.Zone, Phase: l.Phase.String(), Place: l.Position, Permit: l.Permit, Why: l.Operation.Reason,
+		SpanS: seconds(l.Duration), Importance: l.Importance, Urgent: l.Urgent, Restart: l.EndsOnRestart, For: seconds(now - l.Since), Waits: l.WaitsFor,
+		Note: l.Note, Overdue: l.Overdue, Apart: l.ConflictsWith}
+	if l.Kind == maintenance.Box {
 		w.Kind = "box"
 	}
 	return w
@@ -334,10 +334,10 @@
 	s := n.Replica().State()
 	_, term := n.Leader()
 	x := Status{Fleet: f.cfg.Fleet, Front: f.cfg.Name, Incarnation: fmt.Sprintf("%016x", n.ID()), Build: f.cfg.Build, Leader: n.LeaderName(),
-		Term: term, Applied: n.Applied(), Seat: f.seat(n.ID()), Feeder: n.Feeder(), Feeds: n.Children(), Fronts: len(s.Council.Fronts), Version: s.Version,
-		Wanted: s.Council.Target(), Bears: s.Council.Bears(s.Seats), Hold: s.Work.Hold, Waits: cmp.Or(n.Founding(), n.Changing()), FleetTime: seconds(s.Now),
+		Term: term, Applied: n.Applied(), Seat: f.seat(n.ID()), Feeder: n.Feeder(), Feeds: n.Children(), Fronts: len(s.Members.Fronts), Version: s.Version,
+		Wanted: s.Members.TargetVoters(), Bears: s.Members.TolerableLosses(s.Seats), Hold: s.Maintenance.HoldReason, Waits: cmp.Or(n.Founding(), n.Changing()), FleetTime: seconds(s.Now),
 		Sent: f.counts.Sent, SentBytes: f.counts.Bytes, Received: f.counts.Received, Dropped: f.counts.Dropped}
-	x.Acts = f.ver.taker.Acts()
+	x.Acts = f.ver.taker.Active()
 	x.May, _ = f.Holds()
 	if n.Leads() {
 		x.Older = n.Older()
@@ -354,20 +354,20 @@
 	if err := n.Stale(); err != nil {
 		x.Waits = err.Error()
 	}
-	for _, m := range s.Council.Fronts {
+	for _, m := range s.Members.Fronts {
 		if m.Lost {
 			x.Lost = append(x.Lost, m.Name)
-		} else if m.Away {
+		} else if m.NotServing {
 			x.Away = append(x.Away, m.Name)
 		}
-		if m.Hurt && !m.Lost {
+		if m.Unhealthy && !m.Lost {
 			x.Hurt = append(x.Hurt, m.Name)
 		}
 		if s.Seats.Has(m.ID) {
 			x.Voters = append(x.Voters, m.Name)
 		}
 	}
-	for _, i := range s.Work.Items {
+	for _, i := range s.Maintenance.Operations {
 		if i.Phase.IsOut() {
 			x.Out = append(x.Out, i.Machine)
 		}
@@ -378,7 +378,7 @@
 func (f *Fleet) members() []Member {
 	s := f.node.Replica().State()
 	list := []Member{}
-	for _, m := range s.Council.Fronts {
+	for _, m := range s.Members.Fronts {
 		list = append(list, Member{Name: m.Name, Zone: m.Zone, Machine: m.Machine, Address: m.Address, Incarnation: fmt.Sprintf("%016x", m.ID),
 			Build: m.Build, Seat: f.seat(m.ID), State: state(m), For: seconds(s.Now - m.Since)})
 	}
@@ -391,7 +391,7 @@
 		return "lost"
 	case m.Leaving:
 		return "leaving"
-	case m.Away:
+	case m.NotServing:
 		return "away"
 	}
 	return "in"
--- a/internal/fleet/consensus/duty.go
+++ b/internal/fleet/consensus/duty.go
@@ -29,8 +29,8 @@
 
 // Boxes gives the boxes that this front is to leave, by name.
 func (n *Node) Boxes() (list []string) {
-	for _, x := range n.rep.State().Work.Items {
-		if x.Kind == maintenance.ABox && x.Phase != maintenance.Asked && !x.Phase.Ended() && x.Phase != maintenance.Returning {
+	for _, x := range n.rep.State().Maintenance.Operations {
+		if x.Kind == maintenance.Box && x.Phase != maintenance.Requested && !x.Phase.Ended() && x.Phase != maintenance.Returning {
 			list = append(list, x.Machine)
 		}
 	}
@@ -53,7 +53,7 @@
 func (n *Node) Rejoin() {
 	if n.duty.permit != 0 && n.duty.out {
 		n.duty.out = false
-		n.report(statemachine.Back, n.cfg.Name, n.duty.permit)
+		n.report(statemachine.Returned, n.cfg.Name, n.duty.permit)
 	}
 }
 
@@ -61,12 +61,12 @@
 // accepted here; the front goes out once its acceptance has been applied.
 func (n *Node) dutyStep() {
 	s := n.rep.State()
-	x := s.Work.On(n.cfg.Name)
+	x := s.Maintenance.ForMachine(n.cfg.Name)
 	n.duty.out, n.duty.permit = false, 0
 	if !n.fresh && !n.leads { // what this front last knew may be long over
 		return
 	}
-	if x != nil && x.Kind == maintenance.AFront && n.stale == nil {
+	if x != nil && x.Kind == maintenance.Front && n.stale == nil {
 		n.duty.permit = x.Permit
 		switch x.Phase {
 		case maintenance.Permitted:
@@ -74,22 +74,22 @@
 			if !n.leads || n.successor() == 0 {
 				n.report(statemachine.Accepted, x.Machine, x.Permit)
 			}
-		case maintenance.Emptying:
+		case maintenance.Draining:
 			n.duty.out = x.Holder == n.id
 			if n.duty.out && n.away && n.empty {
-				n.report(statemachine.Emptied, x.Machine, x.Permit)
+				n.report(statemachine.Drained, x.Machine, x.Permit)
 			}
 		case maintenance.Out:
 			n.duty.out = true
 		case maintenance.Returning:
-			if !n.away && (!x.Home || x.Holder != n.id) {
-				n.report(statemachine.Back, x.Machine, x.Permit)
+			if !n.away && (!x.Serving || x.Holder != n.id) {
+				n.report(statemachine.Returned, x.Machine, x.Permit)
 			}
 		}
 	}
-	for _, x := range s.Work.Items { // its beats have said so all the while; a leader of an older build does not hear that
-		if since, left := n.boxes[x.Machine]; left && x.Kind == maintenance.ABox && x.Phase == maintenance.Permitted && n.now-since > n.span(leftTicks) {
-			if _, heard := slices.BinarySearch(x.Left, n.cfg.Name); !heard {
+	for _, x := range s.Maintenance.Operations { // its beats have said so all the while; a leader of an older build does not hear that
+		if since, left := n.boxes[x.Machine]; left && x.Kind == maintenance.Box && x.Phase == maintenance.Permitted && n.now-since > n.span(leftTicks) {
+			if _, heard := slices.BinarySearch(x.LeftBy, n.cfg.Name); !heard {
 				n.report(statemachine.Left, x.Machine, x.Permit)
 			}
 		}
@@ -105,8 +105,8 @@
 	if !n.fresh && !n.leads {
 		return nil
 	}
-	for _, x := range n.rep.State().Work.Items {
-		if _, left := n.boxes[x.Machine]; left && x.Kind == maintenance.ABox && x.Phase == maintenance.Permitted && len(list) < mostLeft {
+	for _, x := range n.rep.State().Maintenance.Operations {
+		if _, left := n.boxes[x.Machine]; left && x.Kind == maintenance.Box && x.Phase == maintenance.Permitted && len(list) < mostLeft {
 			list = append(list, x.Permit)
 		}
 	}
@@ -121,20 +121,20 @@
 	}
 	s := n.rep.State()
 	var reports []statemachine.Report
-	for _, x := range s.Work.Items {
-		if x.Kind != maintenance.ABox || x.Phase != maintenance.Permitted {
+	for _, x := range s.Maintenance.Operations {
+		if x.Kind != maintenance.Box || x.Phase != maintenance.Permitted {
 			continue
 		}
-		for _, f := range s.Council.Fronts {
+		for _, f := range s.Members.Fronts {
 			left := n.heard[f.Name].left
 			if f.Name == n.cfg.Name {
 				left = n.leftPermits()
 			}
 			h := n.heard[f.Name]
-			if _, known := slices.BinarySearch(x.Left, f.Name); known || h.id != f.ID || h.start != f.Start || !slices.Contains(left, x.Permit) {
+			if _, known := slices.BinarySearch(x.LeftBy, f.Name); known || h.id != f.ID || h.start != f.Start || !slices.Contains(left, x.Permit) {
 				continue
 			}
-			if reports = append(reports, statemachine.Report{What: statemachine.Left, Machine: x.Machine, Permit: x.Permit, Front: f.Name, ID: f.ID,
+			if reports = append(reports, statemachine.Report{Kind: statemachine.Left, Machine: x.Machine, Permit: x.Permit, Front: f.Name, ID: f.ID,
 				Start: f.Start}); len(reports) == mostReports {
 				break
 			}
@@ -144,7 +144,7 @@
 		return
 	}
 	n.number++
-	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Report: reports[:min(len(reports), mostReports)]}
+	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Reports: reports[:min(len(reports), mostReports)]}
 	if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
 		n.leftID, n.leftAt = c.ID, n.now
 	}
@@ -166,8 +166,8 @@
 		clear(n.duty.sent)
 	}
 	n.duty.sent[key] = sent{permit, n.now}
-	n.Submit(statemachine.Command{Report: []statemachine.Report{{What: what, Machine: machine, Permit: permit, Front: n.cfg.Name, ID: n.id,
-		Start: n.cfg.Start}}}, n.span(3*againTicks), func(w statemachine.Word, err error) {
+	n.Submit(statemachine.Command{Reports: []statemachine.Report{{Kind: what, Machine: machine, Permit: permit, Front: n.cfg.Name, ID: n.id,
+		Start: n.cfg.Start}}}, n.span(3*againTicks), func(w statemachine.Result, err error) {
 		if w.Err != "" && what == statemachine.Accepted {
 			n.tell("the acceptance of permit %d came to nothing: %s", permit, w.Err)
 		}
--- a/internal/fleet/consensus/feed.go
+++ b/internal/fleet/consensus/feed.go
@@ -46,7 +46,7 @@
 // feeders are those that may feed this front.
 func (n *Node) feeders() (list []string) {
 	s := n.rep.State()
-	for _, f := range s.Council.Fronts {
+	for _, f := range s.Members.Fronts {
 		if s.Seats.Has(f.ID) && !f.Lost && f.Name != n.cfg.Name {
 			list = append(list, f.Name)
 		}
@@ -83,16 +83,16 @@
 
 // feed answers one that asks to be fed.
 func (n *Node) feed(from string, a Ask) {
-	if len(n.addresses) >= membership.MostFronts {
+	if len(n.addresses) >= membership.MaxFronts {
 		clear(n.addresses)
 	}
-	if len(a.Address) <= membership.MostName {
+	if len(a.Address) <= membership.MaxNameSize {
 		n.addresses[from] = a.Address
 	}
 	i := slices.IndexFunc(n.children, func(c *child) bool { return c.name == from })
 	attached := n.feeder != "" && n.now-n.fed < n.span(feederTicks)
 	// One that lives by leases and holds none has none to pass on: whoever it fed would starve.
-	leaseless := n.Lives() > 0 && !n.leads && !n.leases.own.Holds(n.now)
+	leaseless := n.Lives() > 0 && !n.leads && !n.leases.own.Valid(n.now)
 	if lead, _ := n.Leader(); lead == 0 || leaseless || !n.led() && !attached || len(n.path) >= mostPath || slices.Contains(n.path, from) || n.rep.State().Fleet == 0 {
 		if i >= 0 {
 			n.children = slices.Delete(n.children, i, i+1)
@@ -186,26 +186,26 @@
 	}
 	n.heard[n.cfg.Name] = heard{id: n.id, start: n.cfg.Start, at: n.now, away: n.away, hurt: n.hurt, applied: n.applied, stand: n.stand}
 	var contacts []statemachine.Contact
-	for _, f := range s.Council.Fronts {
+	for _, f := range s.Members.Fronts {
 		h, ok := n.heard[f.Name]
 		if !f.Lost && (!ok || h.id != f.ID) { // it has only just come
-			h, ok = heard{id: f.ID, start: f.Start, at: n.now, away: f.Away, hurt: f.Hurt}, true
+			h, ok = heard{id: f.ID, start: f.Start, at: n.now, away: f.NotServing, hurt: f.Unhealthy}, true
 			n.heard[f.Name] = h
 		}
 		lost := !ok || h.id != f.ID || n.now-h.at > n.cfg.Lost
-		away, hurt := f.Away, f.Hurt
+		away, hurt := f.NotServing, f.Unhealthy
 		if ok && h.id == f.ID && h.start == f.Start {
 			away, hurt = h.away, h.hurt
 		}
-		if lost != f.Lost || away != f.Away || hurt != f.Hurt {
-			contacts = append(contacts, statemachine.Contact{Name: f.Name, ID: f.ID, Lost: lost, Away: away, Hurt: hurt})
+		if lost != f.Lost || away != f.NotServing || hurt != f.Unhealthy {
+			contacts = append(contacts, statemachine.Contact{Name: f.Name, ID: f.ID, Lost: lost, NotServing: away, Unhealthy: hurt})
 		}
 	}
 	if len(contacts) > 0 || n.timeMatters() && n.now-n.facts >= n.span(beatTicks) {
 		if _, done := n.rep.Seen(n.factsID); done || n.factsID == (statemachine.ID{}) || n.now-n.facts > n.span(againTicks) {
 			n.number++
 			n.factsID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
-			c := statemachine.Command{ID: n.factsID, Facts: &statemachine.Facts{Span: n.now - n.facts, Contact: contacts}}
+			c := statemachine.Command{ID: n.factsID, Facts: &statemachine.Facts{Span: n.now - n.facts, Contacts: contacts}}
 			if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
 				n.facts = n.now
 				n.factsLost = slices.ContainsFunc(contacts, func(x statemachine.Contact) bool { return x.Lost })
@@ -223,13 +223,13 @@
 // timeMatters tells whether anything in the state waits for time to pass.
 func (n *Node) timeMatters() bool {
 	s := n.rep.State()
-	return len(s.Work.Items) > 0 || s.Versions.Waiting(s.Now) ||
-		slices.ContainsFunc(s.Council.Fronts, func(f membership.Front) bool { return f.Lost && s.Seats.Has(f.ID) })
+	return len(s.Maintenance.Operations) > 0 || s.Rollout.Waiting(s.Now) ||
+		slices.ContainsFunc(s.Members.Fronts, func(f membership.Front) bool { return f.Lost && s.Seats.Has(f.ID) })
 }
 
 // handOver gives the lead to another voter before this front goes out.
 func (n *Node) handOver() {
-	own := n.rep.State().Council.Find(n.cfg.Name)
+	own := n.rep.State().Members.Find(n.cfg.Name)
 	if own == nil || !n.rep.Avoid(own) && !own.Leaving || n.now-n.handed < n.span(electionTicks) {
 		return
 	}
@@ -245,7 +245,7 @@
 	s := n.rep.State()
 	most := uint64(0)
 	for id, p := range n.raw.Status().Progress {
-		f := s.Council.ByID(id)
+		f := s.Members.ByID(id)
 		if f == nil || id == n.id || p.IsLearner || f.Lost || f.Leaving || n.rep.Avoid(f) {
 			continue
 		}
@@ -263,13 +263,13 @@
 	}
 	s := n.rep.State()
 	progress := n.raw.Status().Progress
-	m := s.Council.Next(s.Seats, membership.Config{Grace: n.cfg.Grace}, membership.View{Now: s.Now, Leader: n.id,
-		Caught: func(id uint64) bool { return progress[id].Match+16 >= n.last() }, Avoid: n.rep.Avoid,
-		Near: func(f *membership.Front) bool {
+	m := s.Members.Next(s.Seats, membership.Config{Grace: n.cfg.Grace}, membership.View{Now: s.Now, Leader: n.id,
+		CaughtUp: func(id uint64) bool { return progress[id].Match+16 >= n.last() }, Avoid: n.rep.Avoid,
+		KeepsUp: func(f *membership.Front) bool {
 			h := n.heard[f.Name]
 			return h.id == f.ID && h.applied+nearEntries >= n.applied
 		}})
-	n.changing = m.Why
+	n.changing = m.Reason
 	cc := &raftpb.ConfChangeV2{}
 	change := func(t raftpb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: t.Enum(), NodeId: new(id)})
@@ -277,19 +277,19 @@
 	switch m.Kind {
 	case membership.Stay:
 		return
-	case membership.Learn:
+	case membership.AddLearner:
 		change(raftpb.ConfChangeAddLearnerNode, m.Add)
 	case membership.Promote:
 		change(raftpb.ConfChangeAddNode, m.Add)
-		if m.Drop != 0 {
-			change(raftpb.ConfChangeRemoveNode, m.Drop)
+		if m.Remove != 0 {
+			change(raftpb.ConfChangeRemoveNode, m.Remove)
 		}
-	case membership.Drop:
-		change(raftpb.ConfChangeRemoveNode, m.Drop)
+	case membership.Remove:
+		change(raftpb.ConfChangeRemoveNode, m.Remove)
 	}
 	n.confAt = n.now
 	if err := n.raw.ProposeConfChange(cc); err == nil {
 		n.conf2 = n.last() + 1
-		n.tell("council: %s", m.Why)
+		n.tell("council: %s", m.Reason)
 	}
 }
--- a/internal/fleet/consensus/found.go
+++ b/internal/fleet/consensus/found.go
@@ -70,7 +70,7 @@
 // found begins the fleet with this front alone; the others join it.
 func (n *Node) found() {
 	conf := &raftpb.ConfState{Voters: []uint64{n.id}}
-	n.rep.Sat(membership.Seats{Voters: []uint64{n.id}})
+	n.rep.ApplySeats(membership.Seats{Voters: []uint64{n.id}})
 	s := &raftpb.Snapshot{Data: n.rep.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
 	// The agreement takes it in as a snapshot of a leader of the first term.
 	err := n.raw.Step(&raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: new(n.id), From: new(n.id), Term: new(uint64(1)), Snapshot: s})
@@ -81,19 +81,19 @@
 	n.tell("this front founds the fleet %s", n.cfg.Fleet)
 	front := n.self()
 	n.founding = func() {
-		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.Draw(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Word, error) {})
-		n.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, n.span(600), func(statemachine.Word, error) {})
+		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.Draw(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Result, error) {})
+		n.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, n.span(600), func(statemachine.Result, error) {})
 	}
 }
 
 func (n *Node) self() membership.Front {
 	return membership.Front{Name: n.cfg.Name, Zone: n.cfg.Zone, Machine: n.cfg.Machine, Address: n.cfg.Address, ID: n.id,
-		Build: n.cfg.Build, Start: n.cfg.Start, Lease: n.rep.State().Work.Rules.Alone, Keep: n.keepSpan()}
+		Build: n.cfg.Build, Start: n.cfg.Start, Lease: n.rep.State().Maintenance.Rules.LeaseSpan, OwnerLease: n.keepSpan()}
 }
 
 // keepSpan is the span that this front joins with as a keeper, once all fronts read it.
 func (n *Node) keepSpan() Micros {
-	if n.rep.State().Version < statemachine.Keepers {
+	if n.rep.State().Version < statemachine.VersionOwners {
 		return 0
 	}
 	return n.cfg.Keep
@@ -113,13 +113,13 @@
 // join asks to be taken in, as long as the fleet does not know this front as it is.
 func (n *Node) join() {
 	s := n.rep.State()
-	if f := s.Council.Find(n.cfg.Name); s.Fleet == 0 || n.joining ||
+	if f := s.Members.Find(n.cfg.Name); s.Fleet == 0 || n.joining ||
 		f != nil && f.ID == n.id && f.Start == n.cfg.Start && f.Address == n.cfg.Address && f.Zone == n.cfg.Zone && f.Machine == n.cfg.Machine &&
-			f.Lease == s.Work.Rules.Alone && f.Keep == n.keepSpan() {
+			f.Lease == s.Maintenance.Rules.LeaseSpan && f.OwnerLease == n.keepSpan() {
 		return
 	}
 	n.joining = true
-	n.Submit(statemachine.Command{Join: &statemachine.Join{Front: n.self()}}, n.span(100), func(w statemachine.Word, err error) {
+	n.Submit(statemachine.Command{Join: &statemachine.Join{Front: n.self()}}, n.span(100), func(w statemachine.Result, err error) {
 		n.joining = false
 		if w.Err != "" {
 			n.tell("the fleet does not take this front in: %s", w.Err)
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -25,14 +25,14 @@
 // Lives is the span that this front lives by without hearing the fleet; 0: for ever.
 func (n *Node) Lives() Micros {
 	s := n.rep.State()
-	rule, known := n.cfg.Rules.Alone, Micros(0)
+	rule, known := n.cfg.Rules.LeaseSpan, Micros(0)
 	if s.Fleet != 0 {
-		rule = s.Work.Rules.Alone
+		rule = s.Maintenance.Rules.LeaseSpan
 	}
-	if f := s.Council.Find(n.cfg.Name); f != nil && f.ID == n.id {
+	if f := s.Members.Find(n.cfg.Name); f != nil && f.ID == n.id {
 		known = f.Lease
 	}
-	return lease.Span(rule, known)
+	return lease.EffectiveSpan(rule, known)
 }
 
 // Holds tells whether this front may act at a moment of its own clock. One that can't
@@ -45,11 +45,11 @@
 	if !n.leases.looked {
 		span = n.Lives()
 	}
-	return span == 0 || n.leases.own.Holds(now) || n.rep.Leaves(statemachine.NoLook)
+	return span == 0 || n.leases.own.Valid(now) || n.rep.HasMutation(statemachine.DisableLeaseCheck)
 }
 
 // Rep tells whether the replica leaves a rule out.
-func (n *Node) Rep(rule statemachine.Rule) bool { return n.rep.Leaves(rule) }
+func (n *Node) Rep(rule statemachine.Mutation) bool { return n.rep.HasMutation(rule) }
 
 // LeaseEnd is the moment up to which it may; 0: for ever, or not at all.
 func (n *Node) LeaseEnd() Micros { return n.leases.own.End() }
@@ -64,7 +64,7 @@
 	l.keep.Applied(n.applied)
 	if span > 0 {
 		if l.looked && l.before == 0 {
-			l.own.Take(lease.Grant{Stamp: max(1, n.now), Span: span, Index: n.applied}, span, n.applied)
+			l.own.Accept(lease.Grant{Stamp: max(1, n.now), Span: span, Index: n.applied}, span, n.applied)
 		}
 		l.own.Shorten(n.now, span)
 	}
@@ -72,11 +72,11 @@
 }
 
 // wants is an ask for a lease, where this front lives by one.
-func (n *Node) wants() lease.Ask {
+func (n *Node) wants() lease.Request {
 	if n.Lives() == 0 && n.cfg.Keep == 0 {
-		return lease.Ask{}
+		return lease.Request{}
 	}
-	return lease.Ask{Stamp: max(1, n.now)}
+	return lease.Request{Stamp: max(1, n.now)}
 }
 
 // Keep is the moment of this front's clock up to which it may act as a keeper of sites,
@@ -93,11 +93,11 @@
 // granted anything, so that no lease is asked for after its holder counts as lost.
 func (n *Node) granting() {
 	l := &n.leases
-	if l.grantor.Under() && n.now-l.began > n.span(feederTicks) { // no majority has answered
+	if l.grantor.InProgress() && n.now-l.began > n.span(feederTicks) { // no majority has answered
 		l.grantor.Reset()
 	}
 	if a := n.wants(); a.Stamp != 0 {
-		l.grantor.Asked(lease.Asker{Name: n.cfg.Name, ID: n.id, From: n.cfg.Start, Ask: a}, membership.MostFronts)
+		l.grantor.Add(lease.Requester{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, Request: a}, membership.MaxFronts)
 	}
 	if _, done := n.rep.Seen(n.factsID); !done && n.factsLost {
 		return
@@ -121,18 +121,18 @@
 // has said of boxes and versions counts until the state knows of the next, which
 // therefore may not act before that.
 func (n *Node) grant() {
-	list, index := n.leases.grantor.Answers(n.applied)
+	list, index := n.leases.grantor.TakeConfirmed(n.applied)
 	s := n.rep.State()
 	for _, a := range list {
-		f := s.Council.Find(a.Name)
-		if f == nil || f.ID != a.ID || f.Start != a.From || f.Lost || n.fenced(a.Name) {
+		f := s.Members.Find(a.Name)
+		if f == nil || f.ID != a.ID || f.Start != a.Start || f.Lost || n.fenced(a.Name) {
 			continue
 		}
-		g := lease.Grant{Stamp: a.Ask.Stamp, Span: s.Work.Rules.Alone, Index: index}
+		g := lease.Grant{Stamp: a.Request.Stamp, Span: s.Maintenance.Rules.LeaseSpan, Index: index}
 		if g.Span == 0 {
 			g.Span = f.Lease // until it has joined for ever
 		}
-		g.Keep = f.Keep
+		g.OwnerSpan = f.OwnerLease
 		if a.Name == n.cfg.Name {
 			n.granted(g)
 		} else {
@@ -148,19 +148,19 @@
 		return
 	}
 	if n.leads {
-		n.leases.grantor.Asked(lease.Asker{Name: from, ID: a.ID, From: a.Start, Ask: a.Lease}, membership.MostFronts)
+		n.leases.grantor.Add(lease.Requester{Name: from, ID: a.ID, Start: a.Start, Request: a.Lease}, membership.MaxFronts)
 		return
 	}
-	f := n.rep.State().Council.Find(from)
+	f := n.rep.State().Members.Find(from)
 	if f == nil || f.ID != a.ID || f.Start != a.Start || f.Lost || n.fenced(from) {
 		return
 	}
 	g, ok := lease.Grant{}, false
 	if n.Lives() > 0 {
-		g, ok = n.leases.own.Pass(a.Lease, n.now)
+		g, ok = n.leases.own.Delegate(a.Lease, n.now)
 	}
-	if k, held := n.leases.keep.Pass(a.Lease, n.now); held && f.Keep > 0 {
-		g.Stamp, g.Keep = k.Stamp, k.Span
+	if k, held := n.leases.keep.Delegate(a.Lease, n.now); held && f.OwnerLease > 0 {
+		g.Stamp, g.OwnerSpan = k.Stamp, k.Span
 		if g.Index = max(g.Index, k.Index); !ok {
 			ok = true
 		}
@@ -173,7 +173,7 @@
 // fenced tells whether a front is shut out for acting on an old version: it is granted
 // nothing until it has come up to what it is shut out below.
 func (n *Node) fenced(name string) bool {
-	x := n.rep.State().Versions.Stand(name)
+	x := n.rep.State().Rollout.Status(name)
 	return x != nil && x.Fenced > 0
 }
 
@@ -183,9 +183,9 @@
 		return
 	}
 	if span := n.Lives(); span > 0 {
-		n.leases.own.Take(g, span, n.applied)
+		n.leases.own.Accept(g, span, n.applied)
 	}
 	if n.cfg.Keep > 0 {
-		n.leases.keep.Take(lease.Grant{Stamp: g.Stamp, Span: g.Keep, Index: g.Index}, n.cfg.Keep, n.applied)
+		n.leases.keep.Accept(lease.Grant{Stamp: g.Stamp, Span: g.OwnerSpan, Index: g.Index}, n.cfg.Keep, n.applied)
 	}
 }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -44,11 +44,11 @@
 	Below   []Beat `cbor:"7,keyasint,omitempty"`
 	Hurt    bool   `cbor:"8,keyasint,omitempty"`
 
-	Lease lease.Ask `cbor:"9,keyasint,omitzero"`   // of the sender itself, to the leader
-	Left  []uint64  `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
-	Reads int       `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
+	Lease lease.Request `cbor:"9,keyasint,omitzero"`   // of the sender itself, to the leader
+	Left  []uint64      `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
+	Reads int           `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
 
-	Stand *rollout.Stand `cbor:"12,keyasint,omitempty"` // which version it acts on
+	Stand *rollout.FrontStatus `cbor:"12,keyasint,omitempty"` // which version it acts on
 }
 
 // mostLeft bounds the boxes of one beat.
@@ -60,8 +60,8 @@
 	Next    uint64 `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // where to answer: the fleet may not know this front yet
 
-	Lease lease.Ask `cbor:"4,keyasint,omitzero"`
-	Start uint64    `cbor:"5,keyasint,omitempty"` // of its process
+	Lease lease.Request `cbor:"4,keyasint,omitzero"`
+	Start uint64        `cbor:"5,keyasint,omitempty"` // of its process
 }
 
 // Fed is the answer.
@@ -257,7 +257,7 @@
 	}
 	note(b)
 	if n.leads {
-		n.leases.grantor.Asked(lease.Asker{Name: from, ID: b.ID, From: b.Start, Ask: b.Lease}, membership.MostFronts)
+		n.leases.grantor.Add(lease.Requester{Name: from, ID: b.ID, Start: b.Start, Request: b.Lease}, membership.MaxFronts)
 	}
 	for _, x := range b.Below {
 		if x.Name != n.cfg.Name {
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -97,7 +97,7 @@
 	data []byte
 	at   Micros // when it was last sent
 	end  Micros
-	done func(statemachine.Word, error)
+	done func(statemachine.Result, error)
 }
 
 // child is a front that is fed.
@@ -117,7 +117,7 @@
 	applied   uint64
 	left      []uint64 // permits of boxes that it has left
 	reads     int      // the newest version of the state that its build reads; 0: the first
-	stand     *rollout.Stand
+	stand     *rollout.FrontStatus
 }
 
 // Node is one front's part.
@@ -181,10 +181,10 @@
 	away   bool
 	empty  bool
 	hurt   bool
-	boxes  map[string]Micros // boxes in work that it has left, since when
-	stand  *rollout.Stand    // which version it acts on; nil: it takes none up
-	stood  map[string]stood  // of the leader: what it has proposed of fronts' stands
-	heads  Micros            // when heads of audits were last proposed
+	boxes  map[string]Micros    // boxes in work that it has left, since when
+	stand  *rollout.FrontStatus // which version it acts on; nil: it takes none up
+	stood  map[string]stood     // of the leader: what it has proposed of fronts' stands
+	heads  Micros               // when heads of audits were last proposed
 	duty   duty
 	leases leases
 }
@@ -303,7 +303,7 @@
 	if s.Version >= statemachine.Version {
 		return nil
 	}
-	for _, f := range s.Council.Fronts {
+	for _, f := range s.Members.Fronts {
 		if h := n.heard[f.Name]; f.Name != n.cfg.Name && (h.id != f.ID || h.start != f.Start || h.reads < statemachine.Version) {
 			names = append(names, f.Name)
 		}
@@ -318,7 +318,7 @@
 	}
 	n.raisedAt = n.now
 	n.number++
-	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Raise: statemachine.Version}
+	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, RaiseVersion: statemachine.Version}
 	if b, err := statemachine.Encode(c); err == nil {
 		_ = n.raw.Propose(b) // or the next time
 	}
@@ -357,7 +357,7 @@
 }
 
 func (n *Node) nameOf(id uint64) string {
-	if f := n.rep.State().Council.ByID(id); f != nil {
+	if f := n.rep.State().Members.ByID(id); f != nil {
 		return f.Name
 	}
 	return n.names[id]
@@ -365,7 +365,7 @@
 
 // AddressOf is where a front is reached; empty: not known.
 func (n *Node) AddressOf(name string) string {
-	if f := n.rep.State().Council.Find(name); f != nil {
+	if f := n.rep.State().Members.Find(name); f != nil {
 		return f.Address
 	}
 	for _, a := range n.cfg.First {
@@ -413,20 +413,20 @@
 
 // Submit has a command applied, once; done is told its word, or that none came
 // within a span.
-func (n *Node) Submit(c statemachine.Command, within Micros, done func(statemachine.Word, error)) {
+func (n *Node) Submit(c statemachine.Command, within Micros, done func(statemachine.Result, error)) {
 	if len(n.waiting) >= mostPending {
-		done(statemachine.Word{}, ErrBusy)
+		done(statemachine.Result{}, ErrBusy)
 		return
 	}
-	if err := n.rep.Takes(&c); err != nil {
-		done(statemachine.Word{Err: err.Error()}, nil)
+	if err := n.rep.CheckSupported(&c); err != nil {
+		done(statemachine.Result{Err: err.Error()}, nil)
 		return
 	}
 	n.number++
 	c.ID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
 	data, err := statemachine.Encode(c)
 	if err != nil {
-		done(statemachine.Word{}, err)
+		done(statemachine.Result{}, err)
 		return
 	}
 	p := &pending{id: c.ID, data: data, end: n.now + within, done: done}
@@ -462,7 +462,7 @@
 	for _, p := range waiting {
 		switch {
 		case n.now >= p.end:
-			p.done(statemachine.Word{}, ErrUnknown)
+			p.done(statemachine.Result{}, ErrUnknown)
 		case n.now-p.at >= n.span(againTicks):
 			n.waiting = append(n.waiting, p)
 			n.propose(p)
@@ -473,7 +473,7 @@
 }
 
 // word tells a waiting command what became of it.
-func (n *Node) word(id statemachine.ID, w statemachine.Word) {
+func (n *Node) word(id statemachine.ID, w statemachine.Result) {
 	i := slices.IndexFunc(n.waiting, func(p *pending) bool { return p.id == id })
 	if i < 0 {
 		return
@@ -592,9 +592,9 @@
 		n.factsLost = false
 		n.leases.grantor.Reset()
 		n.heard = map[string]heard{}
-		for _, f := range n.rep.State().Council.Fronts { // nobody is lost for not having been heard by another
+		for _, f := range n.rep.State().Members.Fronts { // nobody is lost for not having been heard by another
 			if !f.Lost {
-				n.heard[f.Name] = heard{id: f.ID, start: f.Start, at: n.now, away: f.Away, hurt: f.Hurt}
+				n.heard[f.Name] = heard{id: f.ID, start: f.Start, at: n.now, away: f.NotServing, hurt: f.Unhealthy}
 			}
 		}
 		n.tell("this front leads")
@@ -616,7 +616,7 @@
 		}
 		n.conf = n.raw.ApplyConfChange(cc)
 		if n.stale == nil {
-			n.told = append(n.told, n.rep.Sat(seats(n.conf))...)
+			n.told = append(n.told, n.rep.ApplySeats(seats(n.conf))...)
 		}
 	default:
 		if len(e.GetData()) > 0 && n.stale == nil {
--- a/internal/fleet/consensus/stands.go
+++ b/internal/fleet/consensus/stands.go
@@ -7,7 +7,7 @@
 
 // stood is what the leader has proposed of a front's stand and the log may not have yet.
 type stood struct {
-	x  rollout.Stand
+	x  rollout.FrontStatus
 	at Micros
 }
 
@@ -18,7 +18,7 @@
 )
 
 // SetStand tells which version this front acts on, in its own words.
-func (n *Node) SetStand(x rollout.Stand) {
+func (n *Node) SetStand(x rollout.FrontStatus) {
 	x.Name, x.ID, x.Start = n.cfg.Name, n.id, n.cfg.Start
 	n.stand = &x
 }
@@ -27,32 +27,32 @@
 // word is new: heads of audits alone every few seconds.
 func (n *Node) gatherStands() {
 	s := n.rep.State()
-	if s.Version < statemachine.Stands {
+	if s.Version < statemachine.VersionStatuses {
 		return
 	}
-	if n.stood == nil || len(n.stood) > 2*len(s.Council.Fronts)+16 {
+	if n.stood == nil || len(n.stood) > 2*len(s.Members.Fronts)+16 {
 		n.stood = map[string]stood{}
 	}
 	heads := n.now-n.heads >= n.span(headTicks)
 	if heads {
 		n.heads = n.now
 	}
-	var list []rollout.Stand
-	for _, f := range s.Council.Fronts {
+	var list []rollout.FrontStatus
+	for _, f := range s.Members.Fronts {
 		h := n.heard[f.Name]
 		if h.stand == nil || h.id != f.ID || h.start != f.Start || n.now-h.at > n.cfg.Lost {
 			continue
 		}
 		x := *h.stand
 		x.Name, x.ID, x.Start = f.Name, f.ID, f.Start
-		known := rollout.Stand{}
-		if y := s.Versions.Stand(f.Name); y != nil {
-			known = y.Said()
+		known := rollout.FrontStatus{}
+		if y := s.Rollout.Status(f.Name); y != nil {
+			known = y.OwnReport()
 		}
-		if x == known || !heads && x.Headless() == known.Headless() {
+		if x == known || !heads && x.WithoutAuditHead() == known.WithoutAuditHead() {
 			continue
 		}
-		if p, ok := n.stood[f.Name]; ok && n.now-p.at < n.span(againTicks) && (p.x == x || !heads && p.x.Headless() == x.Headless()) {
+		if p, ok := n.stood[f.Name]; ok && n.now-p.at < n.span(againTicks) && (p.x == x || !heads && p.x.WithoutAuditHead() == x.WithoutAuditHead()) {
 			continue
 		}
 		n.stood[f.Name] = stood{x, n.now}
@@ -65,7 +65,7 @@
 		part := list[:min(len(list), mostStands)]
 		list = list[len(part):]
 		n.number++
-		c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Stands: part}
+		c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Statuses: part}
 		if b, err := statemachine.Encode(c); err == nil {
 			_ = n.raw.Propose(b) // again after a while, where it is dropped
 		}
