--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -70,12 +70,12 @@
 	c := &f.changed
 	if at := f.node.Applied(); c.view == nil || at != c.tree {
 		c.tree = at
-		v := &topology.View{Index: at, Fleet: s.Fleet, Keepers: append([]topology.Keeper(nil), s.Tree.Keepers...),
+		v := &topology.View{Index: at, Fleet: s.Fleet, Keepers: append([]topology.Keeper(nil), s.Topology.Keepers...),
 			Self: topology.Front{Name: f.cfg.Name, Site: f.cfg.Zone, ID: f.node.ID(), Start: f.cfg.Start}}
-		v.Fronts = r.Exchange(r.Fleet())
+		v.Fronts = r.TopologyFronts(r.Fleet())
 		sum := fnv.New64a()
 		for i, x := range v.Fronts {
-			v.Fronts[i].Address = s.Council.Fronts[i].Address
+			v.Fronts[i].Address = s.Members.Fronts[i].Address
 			if x.Name == f.cfg.Name && x.ID == v.Self.ID && x.Start == v.Self.Start && x.Keep > 0 {
 				v.In = true
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -296,7 +296,7 @@
 		return true
 	}
 	s := f.node.Replica().State()
-	x := s.Versions.Stand(f.cfg.Name)
+	x := s.Rollout.Status(f.cfg.Name)
 	return x == nil || s.Now >= x.WarmAt
 }
 
@@ -306,7 +306,7 @@
 func (f *Fleet) Holds() (ok bool, away int64) {
 	switch {
 	case f.node == nil:
-		return f.cfg.Rules.Alone == 0 && (f.cfg.Shared == nil || f.cfg.Shared.Purges == nil), awayUnknown
+		return f.cfg.Rules.LeaseSpan == 0 && (f.cfg.Shared == nil || f.cfg.Shared.Purges == nil), awayUnknown
 	case f.broken != nil:
 		ok = f.node.Lives() == 0
 	case f.opened:
@@ -314,9 +314,9 @@
 		if ok = f.node.Holds(now); !ok {
 			f.opened = false
 		}
-		ok = ok && f.ver.taker.May(now)
+		ok = ok && f.ver.taker.MayAct(now)
 	default:
-		ok = f.node.Lives() == 0 && f.node.Stale() == nil && f.ver.taker.May(f.now())
+		ok = f.node.Lives() == 0 && f.node.Stale() == nil && f.ver.taker.MayAct(f.now())
 	}
 	if ok && f.cfg.Shared != nil && f.cfg.Shared.Purges != nil { // what it missed comes first
 		ok = f.ex != nil && f.ex.Open()
--- a/internal/fleet/versioncalls.go
+++ b/internal/fleet/versioncalls.go
@@ -75,24 +75,24 @@
 	errStage   = errors.New("STAGE takes a name for the upload and the next bytes in base64")
 	errVersion = errors.New("the version's number is wanted")
 	errUpload  = errors.New("no file of that name was staged here lately")
-	errBig     = fmt.Errorf("a version of 1 to %d bytes is wanted", rollout.MostSize)
+	errBig     = fmt.Errorf("a version of 1 to %d bytes is wanted", rollout.MaxVersionSize)
 )
 
 func (f *Fleet) versionsCall(call string, give func(any), fail func(error)) {
 	r := f.node.Replica()
-	s, fleet := r.State(), statemachine.Machines(r.Fleet())
+	s, fleet := r.State(), statemachine.RolloutMachines(r.Fleet())
 	word, rest, _ := strings.Cut(call, " ")
 	rest = strings.TrimSpace(rest)
 	switch word {
 	case "LIST":
 		list := []Version{}
-		for i := range slices.Backward(s.Versions.Versions) {
-			v := &s.Versions.Versions[i]
-			x := Version{N: v.N, Digest: v.Digest[:min(16, len(v.Digest))], Phase: v.Phase.String(), Why: v.Why, By: v.By, Urgent: v.Urgent,
-				BarS: seconds(v.Bar), Passed: v.Passed > 0, Fronts: len(fleet), For: seconds(s.Now - v.Since), Note: v.Note,
-				Waits: s.Versions.Why(v.N, fleet, r.VersionRules(), s.Now), Spared: v.Spared}
-			for _, y := range s.Versions.Stands {
-				if y.Acts == v.N {
+		for i := range slices.Backward(s.Rollout.Versions) {
+			v := &s.Rollout.Versions[i]
+			x := Version{N: v.Number, Digest: v.Digest[:min(16, len(v.Digest))], Phase: v.Phase.String(), Why: v.Reason, By: v.ProposedBy, Urgent: v.Urgent,
+				BarS: seconds(v.Gate), Passed: v.GatePassedAt > 0, Fronts: len(fleet), For: seconds(s.Now - v.Since), Note: v.Note,
+				Waits: s.Rollout.Explain(v.Number, fleet, r.RolloutRules(), s.Now), Spared: v.Exempt}
+			for _, y := range s.Rollout.Statuses {
+				if y.Active == v.Number {
 					x.Acts++
 				}
 			}
@@ -101,12 +101,12 @@
 		give(list)
 	case "LAG":
 		list := []Lag{}
-		for _, l := range s.Versions.Lags(fleet, s.Now) {
-			c := s.Council.Find(l.Name)
-			x := Lag{Front: l.Name, Zone: c.Zone, Acts: l.Acts, Target: l.Target, Behind: l.Behind, Cause: l.Cause, Shut: l.Shut, Warming: l.Warm,
-				Oldest: l.Oldest, Build: c.Build}
-			if y := s.Versions.Stand(l.Name); y != nil {
-				x.Record = y.Seq
+		for _, l := range s.Rollout.Lags(fleet, s.Now) {
+			c := s.Members.Find(l.Name)
+			x := Lag{Front: l.Name, Zone: c.Zone, Acts: l.Active, Target: l.Target, Behind: l.Behind, Cause: l.Cause, Shut: l.Fenced, Warming: l.WarmingUp,
+				Oldest: l.OldestInUse, Build: c.Build}
+			if y := s.Rollout.Status(l.Name); y != nil {
+				x.Record = y.AuditSeq
 			}
 			list = append(list, x)
 		}
@@ -117,7 +117,7 @@
 			fail(errVersion)
 			return
 		}
-		give(map[string]string{"why": s.Versions.Why(n, fleet, r.VersionRules(), s.Now)})
+		give(map[string]string{"why": s.Rollout.Explain(n, fleet, r.RolloutRules(), s.Now)})
 	case "STAGE":
 		name, text, _ := strings.Cut(rest, " ")
 		b, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
@@ -163,7 +163,7 @@
 		x = &staged{}
 		f.staged[name] = x
 	}
-	if len(x.data)+len(b) > rollout.MostSize {
+	if len(x.data)+len(b) > rollout.MaxVersionSize {
 		delete(f.staged, name)
 		fail(errBig)
 		return
@@ -188,10 +188,10 @@
 		fail(errBig)
 		return
 	case !(p.BarS >= 0 && p.BarS < 1e6 && p.WatchS >= 0 && p.WatchS < 1e6):
-		fail(rollout.ErrSpans)
+		fail(rollout.ErrSpanRange)
 		return
 	}
-	base := f.node.Replica().State().Versions.Good
+	base := f.node.Replica().State().Rollout.Stable
 	if p.Base != nil {
 		base = *p.Base
 	}
@@ -200,9 +200,9 @@
 			fail(fmt.Errorf("this front can't act on it: %w", err))
 			return
 		}
-		v := rollout.Version{Digest: rollout.Hash(x.data), Why: p.Why, By: p.By, Urgent: p.Urgent, Bar: int64(p.BarS * 1e6), Watch: int64(p.WatchS * 1e6),
+		v := rollout.Version{Digest: rollout.Hash(x.data), Reason: p.Why, ProposedBy: p.By, Urgent: p.Urgent, Gate: int64(p.BarS * 1e6), Watch: int64(p.WatchS * 1e6),
 			Steps: p.Steps, Base: base}
-		pieces := slices.Collect(slices.Chunk(x.data, rollout.MostPiece))
+		pieces := slices.Collect(slices.Chunk(x.data, rollout.MaxPieceSize))
 		left, failed := len(pieces), error(nil)
 		for _, piece := range pieces {
 			v.Pieces = append(v.Pieces, rollout.Hash(piece))
@@ -260,7 +260,7 @@
 	}
 	s := f.node.Replica().State()
 	var names []string
-	for _, x := range s.Council.Fronts {
+	for _, x := range s.Members.Fronts {
 		if ask.Name == "" || ask.Name == x.Name {
 			names = append(names, x.Name)
 		}
@@ -271,9 +271,9 @@
 	}
 	err := f.askAll(ask.Question, names, func(answers []audit.Answer, missing []string) {
 		r := Report{Question: ask.Question, FleetS: seconds(s.Now), Answers: answers, Missing: missing}
-		for _, h := range s.Versions.Holes {
+		for _, h := range s.Rollout.LostAudits {
 			if ask.Name == "" || ask.Name == h.Name {
-				r.Lost = append(r.Lost, Lost{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, Before: seconds(h.At)})
+				r.Lost = append(r.Lost, Lost{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, Before: seconds(h.FoundAt)})
 			}
 		}
 		if ask.Request != "" { // whoever surely did not decide it has nothing to say
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -10,7 +10,7 @@
 
 // acting is the version that this front acts on.
 type acting struct {
-	taker   *rollout.Taker
+	taker   *rollout.Applier
 	applied uint64
 	target  uint64
 	next    uint64
@@ -31,14 +31,14 @@
 // fleet where it stands.
 func (f *Fleet) versions() {
 	v := &f.ver
-	s := &f.node.Replica().State().Versions
+	s := &f.node.Replica().State().Rollout
 	if f.node.Stale() != nil {
 		return
 	}
 	if at := f.node.Applied(); at != v.applied {
-		v.applied, v.target, v.next = at, s.Good, 0
+		v.applied, v.target, v.next = at, s.Stable, 0
 		if c := s.Candidate(); c != nil {
-			v.next = c.N
+			v.next = c.Number
 			v.target = s.Target(f.cfg.Name)
 		}
 	}
@@ -56,22 +56,22 @@
 				f.log.Warn("fleet: a version is turned down", "version", n, "error", err)
 			}
 		})
-	case rollout.Note, rollout.Survive:
-		notes := v.taker.Noting(do, n)
+	case rollout.RecordActivation, rollout.RecordSurvival:
+		notes := v.taker.Record(do, n)
 		f.note(notes, func(err error) {
 			if err != nil {
 				f.log.Error("fleet: the disk takes no note, and no version without one is taken up", "error", err)
 			}
-			v.taker.Noted(notes, err == nil, f.now())
+			v.taker.Recorded(notes, err == nil, f.now())
 		})
-	case rollout.Take:
+	case rollout.Activate:
 		f.closeRecords()
 		var content []byte
 		if n > 0 {
 			content = s.Content(n)
 		}
 		err := f.host.TakeUp(n, content)
-		v.taker.Took(n, err, s.Watch(n), f.now())
+		v.taker.Activated(n, err, s.Watch(n), f.now())
 		if err != nil {
 			f.log.Error("fleet: a version is not taken up", "version", n, "error", err)
 			break
@@ -87,18 +87,18 @@
 // measure sees whether the front may act on the version that it acts on.
 func (f *Fleet) measure(s *rollout.State) {
 	v, now := &f.ver, f.now()
-	v.taker.Measure(s, f.cfg.Name, now)
-	told := !v.taker.May(now)
+	v.taker.Evaluate(s, f.cfg.Name, now)
+	told := !v.taker.MayAct(now)
 	if told == v.told {
 		return
 	}
 	v.told = told
 	text := "no more"
 	if told {
-		text = fmt.Sprintf("below version %d", v.taker.Below())
-		f.log.Warn("fleet: the front acts on a version that is too old, and refuses requests", "version", v.taker.Acts(), "wanted", v.taker.Below())
+		text = fmt.Sprintf("below version %d", v.taker.MinVersion())
+		f.log.Warn("fleet: the front acts on a version that is too old, and refuses requests", "version", v.taker.Active(), "wanted", v.taker.MinVersion())
 	} else {
-		f.log.Info("fleet: the front may act on its version", "version", v.taker.Acts())
+		f.log.Info("fleet: the front may act on its version", "version", v.taker.Active())
 	}
 	f.write1(audit.Record{Kind: audit.Shut, Text: text})
 }
@@ -107,12 +107,12 @@
 func (f *Fleet) stand() {
 	x := f.ver.taker.Report()
 	for _, o := range f.ver.open {
-		if o.n > 0 && o.version < x.Acts && (x.Oldest == 0 || o.version+1 < x.Oldest) {
-			x.Oldest = o.version + 1
+		if o.n > 0 && o.version < x.Active && (x.OldestInUse == 0 || o.version+1 < x.OldestInUse) {
+			x.OldestInUse = o.version + 1
 		}
 	}
-	x.Bad, x.Seen = f.host.Fares()
-	x.Seq, x.Head = f.book.seq, f.book.head
+	x.FailedPercent, x.HasSample = f.host.Fares()
+	x.AuditSeq, x.AuditHead = f.book.seq, f.book.head
 	f.node.SetStand(x)
 }
 
@@ -121,7 +121,7 @@
 	if f.ver.taker == nil {
 		return 0
 	}
-	n := f.ver.taker.Acts()
+	n := f.ver.taker.Active()
 	for i := range f.ver.open {
 		if o := &f.ver.open[i]; o.version == n {
 			o.n++
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -105,10 +105,10 @@
 	}
 	c := health.Counts{}
 	c.Known, c.Avoided = h.p.gate.Servers()
-	c.Good, c.Bad = h.p.figures.Totals()
+	c.Served, c.Failed = h.p.figures.Totals()
 	was := h.p.hurt
 	var why string
-	if h.p.hurt, why = h.p.watched.Look(c, h.p.loop.Now()); h.p.hurt != was {
+	if h.p.hurt, why = h.p.watched.Update(c, h.p.loop.Now()); h.p.hurt != was {
 		h.p.log.Info("fleet: trouble of this front", "hurt", h.p.hurt, "why", why)
 	}
 	return ready, busy == 0, h.p.hurt
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -129,9 +129,9 @@
 	figures        *counters.Counters
 	ready          *readiness.State
 	drain          *drain
-	fleet          FleetPart     // nil: the front acts alone
-	bars           *gateway.Bars // nil without fleet
-	watched        health.Watch  // of what the fleet must know of this front
+	fleet          FleetPart       // nil: the front acts alone
+	bars           *gateway.Bars   // nil without fleet
+	watched        health.Detector // of what the fleet must know of this front
 	hurt           bool
 	drainedByFleet bool // it takes no clients, as the fleet wants
 	drainedByHand  bool // nor did it before, as a person wanted
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -30,7 +30,7 @@
 
 func traffic(b *testing.B, fronts int, busy bool) {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent = 3, 3, 50
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent = 3, 3, 50
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: 9, Rules: r, FanOut: 16})
 	for _, f := range w.Fronts {
 		f.Start()
@@ -48,10 +48,10 @@
 	if busy {
 		for i := range 10 {
 			w.After(Micros(i)*6*Second, func() {
-				w.Ask(w.Fronts[1], maintenance.Item{Machine: fmt.Sprintf("box%d", i), Kind: maintenance.ABox, Zone: fmt.Sprint(i), Span: Second}, func(statemachine.Word, error) {})
+				w.Ask(w.Fronts[1], maintenance.Operation{Machine: fmt.Sprintf("box%d", i), Kind: maintenance.Box, Zone: fmt.Sprint(i), Duration: Second}, func(statemachine.Result, error) {})
 			})
 			w.After(Micros(i)*6*Second+4*Second, func() {
-				w.Order(w.Fronts[1], statemachine.Order{What: statemachine.Finish, Work: uint64(i + 1)}, func(statemachine.Word, error) {})
+				w.Order(w.Fronts[1], statemachine.Order{Action: statemachine.Finish, Operation: uint64(i + 1)}, func(statemachine.Result, error) {})
 			})
 		}
 	}
@@ -283,7 +283,7 @@
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
 		r := statemachine.New()
-		r.Apply(statemachine.Command{Found: &statemachine.Found{Name: "f", Fleet: 1, Rules: maintenance.Defaults()}})
+		r.Apply(statemachine.Command{Found: &statemachine.Found{Name: "f", Fleet: 1, Rules: maintenance.DefaultRules()}})
 		empty := len(r.Snapshot())
 		for i := range 300 {
 			n := fmt.Sprintf("front-%03d", i)
@@ -292,7 +292,7 @@
 		}
 		fronts := len(r.Snapshot())
 		for i := range 100 {
-			r.Apply(statemachine.Command{Ask: &statemachine.Ask{Work: maintenance.Item{Machine: fmt.Sprintf("front-%03d", i), Span: 600 * Second, Why: "a new build"}}})
+			r.Apply(statemachine.Command{Request: &statemachine.Request{Operation: maintenance.Operation{Machine: fmt.Sprintf("front-%03d", i), Duration: 600 * Second, Reason: "a new build"}}})
 		}
 		b.ReportMetric(float64(fronts-empty)/300, "B/front")
 		b.ReportMetric(float64(len(r.Snapshot())-fronts)/100, "B/work")
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -32,11 +32,11 @@
 	r := rand.New(rand.NewPCG(s.Seed, 0xc4a05))
 	if s.Rules == (maintenance.Rules{}) {
 		s.Rules = ShortRules()
-		s.Rules.Out = 1 + r.IntN(max(1, s.Fronts/4))
-		s.Rules.Zone = 1 + r.IntN(s.Rules.Out)
-		s.Rules.Percent = 20 + r.IntN(40)
-		s.Rules.Hurt = 20 + r.IntN(60)
-		s.Rules.Alone = []Micros{0, 0, 2, 5, 20}[r.IntN(5)] * Second
+		s.Rules.MaxOut = 1 + r.IntN(max(1, s.Fronts/4))
+		s.Rules.MaxZoneOut = 1 + r.IntN(s.Rules.MaxOut)
+		s.Rules.MaxFrontsPercent = 20 + r.IntN(40)
+		s.Rules.UnhealthyPercent = 20 + r.IntN(60)
+		s.Rules.LeaseSpan = []Micros{0, 0, 2, 5, 20}[r.IntN(5)] * Second
 	}
 	w := NewWorld(s)
 	w.Verbose = verbose
@@ -72,7 +72,7 @@
 	w.Checks.End()
 	if l := w.Leader(); l != nil {
 		c.day.Entries = l.node.Applied()
-		c.day.Ended = len(l.node.Replica().State().Work.Ended)
+		c.day.Ended = len(l.node.Replica().State().Maintenance.Ended)
 	}
 	c.day.Bars = w.Checks.Bars
 	c.day.Most, c.day.Checked, c.day.Digest, c.day.Broken = w.Checks.Most, w.Checks.Checked, w.Digest(), w.Checks.Broken()
@@ -89,7 +89,7 @@
 }
 
 // ambush has something go wrong at the very moment at which leave is given.
-func (c *chaos) ambush(x maintenance.Item) {
+func (c *chaos) ambush(x maintenance.Operation) {
 	w, f := c.w, c.w.byName[x.Machine]
 	if w.now >= c.end || f == nil || c.r.IntN(2) == 0 {
 		return
@@ -133,25 +133,25 @@
 		if w.now >= until {
 			return
 		}
-		x := maintenance.Item{Machine: c.front().Name, Span: Micros(1+c.r.IntN(20)) * Second, Importance: c.r.IntN(3),
-			Urgent: c.r.IntN(8) == 0, Restart: c.r.IntN(2) == 0, ZoneWise: c.r.IntN(6) == 0}
+		x := maintenance.Operation{Machine: c.front().Name, Duration: Micros(1+c.r.IntN(20)) * Second, Importance: c.r.IntN(3),
+			Urgent: c.r.IntN(8) == 0, EndsOnRestart: c.r.IntN(2) == 0, SingleZone: c.r.IntN(6) == 0}
 		if c.r.IntN(4) == 0 {
-			x = maintenance.Item{Machine: fmt.Sprintf("box%d", c.r.IntN(4)), Kind: maintenance.ABox, Zone: c.front().Zone, Span: Second}
+			x = maintenance.Operation{Machine: fmt.Sprintf("box%d", c.r.IntN(4)), Kind: maintenance.Box, Zone: c.front().Zone, Duration: Second}
 		}
 		if c.r.IntN(5) == 0 {
-			x.Apart = []string{c.front().Name}
+			x.ConflictsWith = []string{c.front().Name}
 		}
 		if c.r.IntN(6) == 0 {
-			x.Latest = Micros(1+c.r.IntN(60)) * Second
+			x.StartWithin = Micros(1+c.r.IntN(60)) * Second
 		}
 		c.day.Asked++
 		for i := range 1 + c.r.IntN(2) {
-			x.Why = fmt.Sprintf("asking %d.%d", c.day.Asked, i)
-			w.Ask(c.front(), x, func(statemachine.Word, error) {})
+			x.Reason = fmt.Sprintf("asking %d.%d", c.day.Asked, i)
+			w.Ask(c.front(), x, func(statemachine.Result, error) {})
 		}
 		if c.r.IntN(5) == 0 {
 			what := []string{statemachine.Cancel, statemachine.Finish, statemachine.Lost, statemachine.Hold, statemachine.Resume}[c.r.IntN(5)]
-			w.Order(c.front(), statemachine.Order{What: what, Work: uint64(1 + c.r.IntN(c.day.Asked))}, func(statemachine.Word, error) {})
+			w.Order(c.front(), statemachine.Order{Action: what, Operation: uint64(1 + c.r.IntN(c.day.Asked))}, func(statemachine.Result, error) {})
 		}
 		c.tend()
 		c.asking(until)
@@ -177,19 +177,19 @@
 		case 2:
 			text = "turned down " + c.front().Name
 		}
-		v := rollout.Version{Why: fmt.Sprintf("proposal %d", c.day.Proposed), Digest: rollout.Hash([]byte(text)), Pieces: []string{rollout.Hash([]byte(text))},
+		v := rollout.Version{Reason: fmt.Sprintf("proposal %d", c.day.Proposed), Digest: rollout.Hash([]byte(text)), Pieces: []string{rollout.Hash([]byte(text))},
 			Watch: Micros(c.r.IntN(3)) * Second, Steps: [][]int{{0, 10, 100}, {100}, {0, 50}}[c.r.IntN(3)]}
-		if c.r.IntN(2) == 0 && w.spec.Rules.Alone > 0 {
-			v.Bar = Micros(1+c.r.IntN(5)) * Second
+		if c.r.IntN(2) == 0 && w.spec.Rules.LeaseSpan > 0 {
+			v.Gate = Micros(1+c.r.IntN(5)) * Second
 		}
 		if text[0] == 'g' && c.r.IntN(4) == 0 {
 			v.Urgent = true
 		}
 		if at.node != nil && !at.paused {
-			v.Base = at.node.Replica().State().Versions.Good
-			w.order(at, statemachine.Command{Piece: []byte(text)}, func(word statemachine.Word, err error) {
+			v.Base = at.node.Replica().State().Rollout.Stable
+			w.order(at, statemachine.Command{Piece: []byte(text)}, func(word statemachine.Result, err error) {
 				if err == nil && word.Err == "" {
-					w.After(Milli, func() { w.order(at, statemachine.Command{Propose: &v}, func(statemachine.Word, error) {}) })
+					w.After(Milli, func() { w.order(at, statemachine.Command{Propose: &v}, func(statemachine.Result, error) {}) })
 				}
 			})
 		}
@@ -205,11 +205,11 @@
 	}
 	c.wet = c.w.now + Second
 	s := l.node.Replica().State()
-	for _, x := range s.Work.Items {
-		if x.Phase != maintenance.Out || s.Now-x.Since < min(x.Span, 5*Second) {
+	for _, x := range s.Maintenance.Operations {
+		if x.Phase != maintenance.Out || s.Now-x.Since < min(x.Duration, 5*Second) {
 			continue
 		}
-		if f := c.w.byName[x.Machine]; x.Restart && f != nil {
+		if f := c.w.byName[x.Machine]; x.EndsOnRestart && f != nil {
 			if f.Up() && !f.paused && (c.begun[x.Permit] == 0 || c.w.now-c.begun[x.Permit] > 20*Second) {
 				c.begun[x.Permit] = c.w.now
 				f.Crash()
@@ -217,7 +217,7 @@
 			}
 			continue
 		}
-		c.w.Order(l, statemachine.Order{What: statemachine.Finish, Work: x.ID}, func(statemachine.Word, error) {})
+		c.w.Order(l, statemachine.Order{Action: statemachine.Finish, Operation: x.ID}, func(statemachine.Result, error) {})
 	}
 }
 
@@ -316,7 +316,7 @@
 	}
 	whole := 0
 	for _, o := range c.w.Fronts {
-		if own := s.Council.Find(o.Name); own != nil && s.Seats.Has(own.ID) && o != f && len(o.disk) > 0 && own.ID == o.incarnation() {
+		if own := s.Members.Find(o.Name); own != nil && s.Seats.Has(own.ID) && o != f && len(o.disk) > 0 && own.ID == o.incarnation() {
 			whole++
 		}
 	}
@@ -355,12 +355,12 @@
 			f.Pause(false)
 			f.Start()
 		}
-		w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
+		w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 	})
 	w.After(20*Second, func() {
 		w.Part()
 		if l := w.Leader(); l != nil {
-			w.Order(l, statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
+			w.Order(l, statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 		}
 	})
 }
@@ -372,11 +372,11 @@
 		return false
 	}
 	s := l.node.Replica().State()
-	if s.Versions.Candidate() != nil || len(s.Work.Items) > 0 {
+	if s.Rollout.Candidate() != nil || len(s.Maintenance.Operations) > 0 {
 		return false
 	}
 	for _, f := range c.w.Fronts { // the last version has come to all
-		if f.node != nil && f.taker.Acts() != s.Versions.Good && f.taker.Report().Crashed != s.Versions.Good && f.taker.Report().Refused != s.Versions.Good {
+		if f.node != nil && f.taker.Active() != s.Rollout.Stable && f.taker.Report().Crashed != s.Rollout.Stable && f.taker.Report().Refused != s.Rollout.Stable {
 			return false
 		}
 	}
@@ -401,7 +401,7 @@
 }
 
 // Days plays so many random days, of fleets of different sizes, until one breaks a promise.
-func Days(from uint64, days int, without statemachine.Rule, progress func(done int)) (res Result) {
+func Days(from uint64, days int, without statemachine.Mutation, progress func(done int)) (res Result) {
 	for i := range days {
 		seed := from + uint64(i)
 		d, w := Chaos(Random(seed, without), 60*Second, nil)
@@ -418,7 +418,7 @@
 }
 
 // Random is a random day's fleet.
-func Random(seed uint64, without statemachine.Rule) Spec {
+func Random(seed uint64, without statemachine.Mutation) Spec {
 	r := rand.New(rand.NewPCG(seed, 0x51fe))
 	return Spec{Fronts: []int{3, 3, 4, 5, 5, 7, 9, 12}[r.IntN(8)], Zones: 1 + r.IntN(4), Seed: seed, FanOut: 2 + r.IntN(6), Without: without}
 }
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -27,15 +27,15 @@
 
 // whole is a day on which what one rule forbids would happen.
 type whole struct {
-	rule statemachine.Rule
-	play func(t *testing.T, without statemachine.Rule) *World
+	rule statemachine.Mutation
+	play func(t *testing.T, without statemachine.Mutation) *World
 }
 
 // Each rule that is left out is found, on a day that needs just that rule; with it
 // the day is whole. `ramplab fleet work --virtual --without` finds them on random days.
 func TestRulesLeftOutAreFound(t *testing.T) {
-	for _, x := range []whole{{statemachine.NoFence, late}, {statemachine.NoLostOut, lost}, {statemachine.NoMajority, majority}, {statemachine.NoOnce, twice},
-		{statemachine.NoDrift, alone}, {statemachine.NoLook, alone}} {
+	for _, x := range []whole{{statemachine.DisableFence, late}, {statemachine.DisableLostCount, lost}, {statemachine.DisableMajority, majority}, {statemachine.DisableDedup, twice},
+		{statemachine.DisableDrift, alone}, {statemachine.DisableLeaseCheck, alone}} {
 		t.Run(string(x.rule), func(t *testing.T) {
 			if w := x.play(t, ""); w.Checks.Failed() {
 				w.Dump(t.Output(), 60)
@@ -52,7 +52,7 @@
 }
 
 func asks(t *testing.T, w *World, at, f *Front, why string) {
-	w.Ask(at, maintenance.Item{Machine: f.Name, Span: Second, Why: why}, func(word statemachine.Word, err error) {
+	w.Ask(at, maintenance.Operation{Machine: f.Name, Duration: Second, Reason: why}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -71,9 +71,9 @@
 }
 
 // lost: a front dies, and another one may not go out beside it.
-func lost(t *testing.T, without statemachine.Rule) *World {
+func lost(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
-	r.Hurt = 100
+	r.UnhealthyPercent = 100
 	return besideDead(t, Spec{Fronts: 5, Zones: 5, Seed: 5, Rules: r, Without: without})
 }
 
@@ -92,9 +92,9 @@
 // alone: a front with the slowest clock that may be is cut off while a box is asked
 // for, and all others have the fastest. It acts up to the end of its lease, and the
 // box is not said to be left before that; then it is, though it was never heard.
-func alone(t *testing.T, without statemachine.Rule) *World {
+func alone(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent, r.Alone = 3, 3, 100, 60*Second
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.LeaseSpan = 3, 3, 100, 60*Second
 	w := up(t, Spec{Fronts: 5, Zones: 5, Seed: 9, Rules: r, Without: without})
 	cut := others(w)[0]
 	for _, f := range w.Fronts {
@@ -111,7 +111,7 @@
 		w.Cut(f.Name, cut.Name, true)
 	}
 	w.Run(w.Now() + 5*Second)
-	w.Ask(w.Leader(), maintenance.Item{Machine: "box", Kind: maintenance.ABox, Zone: "z", Span: 300 * Second, Urgent: true}, func(word statemachine.Word, err error) {
+	w.Ask(w.Leader(), maintenance.Operation{Machine: "box", Kind: maintenance.Box, Zone: "z", Duration: 300 * Second, Urgent: true}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -121,7 +121,7 @@
 		t.Error("the front that is cut off lost its lease before its time")
 	}
 	left := func() bool {
-		x := w.Leader().node.Replica().State().Work.On("box")
+		x := w.Leader().node.Replica().State().Maintenance.ForMachine("box")
 		return x != nil && x.Phase == maintenance.Out
 	}
 	if !w.RunUntil(60*Second, left) && without == "" {
@@ -132,14 +132,14 @@
 }
 
 // majority: with one of three voters dead, another one may not go.
-func majority(t *testing.T, without statemachine.Rule) *World {
+func majority(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent, r.Hurt = 3, 3, 100, 100
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.UnhealthyPercent = 3, 3, 100, 100
 	return besideDead(t, Spec{Fronts: 3, Zones: 3, Seed: 6, Rules: r, Without: without})
 }
 
 // twice: what was asked for comes again, long after the work was done.
-func twice(t *testing.T, without statemachine.Rule) *World {
+func twice(t *testing.T, without statemachine.Mutation) *World {
 	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Without: without})
 	o := others(w)
 	var seen []consensus.Send
@@ -149,13 +149,13 @@
 		}
 	}
 	asks(t, w, o[0], o[1], "asked for once")
-	if !w.RunUntil(30*Second, func() bool { return o[1].node.Replica().State().Work.On(o[1].Name) != nil && o[1].out }) {
+	if !w.RunUntil(30*Second, func() bool { return o[1].node.Replica().State().Maintenance.ForMachine(o[1].Name) != nil && o[1].out }) {
 		t.Fatal("it does not go out")
 	}
 	w.tap = nil
 	w.RunUntil(10*Second, func() bool {
-		w.Order(w.Leader(), statemachine.Order{What: statemachine.Finish, Work: 1}, func(statemachine.Word, error) {})
-		return o[1].node.Replica().State().Work.On(o[1].Name) == nil
+		w.Order(w.Leader(), statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
+		return o[1].node.Replica().State().Maintenance.ForMachine(o[1].Name) == nil
 	})
 	for _, s := range seen {
 		if err := w.Leader().node.Receive(o[0].Name, s.Kind, s.Payload); err != nil {
@@ -168,7 +168,7 @@
 
 // late plays an acceptance that comes after the leave was taken back and given to
 // another: a front that is stopped, or not heard, with leave in hand.
-func late(t *testing.T, without statemachine.Rule) *World {
+func late(t *testing.T, without statemachine.Mutation) *World {
 	w := up(t, Spec{Fronts: 5, Zones: 3, Seed: 3, Without: without})
 	leader := w.Leader()
 	var a, b *Front
@@ -177,7 +177,7 @@
 			a, b = b, f
 		}
 	}
-	w.Checks.onLeave = func(x maintenance.Item) {
+	w.Checks.onLeave = func(x maintenance.Operation) {
 		if x.Machine == a.Name && x.Permit == 1 {
 			w.lag[a.Name] = 7 * Second // its acceptance is on its way
 		}
--- a/lab/fleet/check.go
+++ b/lab/fleet/check.go
@@ -25,11 +25,11 @@
 	ledSince Micros
 	boxes    map[string]uint64 // boxes that are out: the entry at which that was seen first
 	barred   uint64
-	life     map[string]uint64      // in which a front took a version up
-	lived    map[string]bool        // it went on with it
-	Bars     int                    // that have passed
-	onLeave  func(maintenance.Item) // is told of each leave as soon as any front has applied it
-	Most     int                    // out at once
+	life     map[string]uint64           // in which a front took a version up
+	lived    map[string]bool             // it went on with it
+	Bars     int                         // that have passed
+	onLeave  func(maintenance.Operation) // is told of each leave as soon as any front has applied it
+	Most     int                         // out at once
 	Checked  int
 }
 
@@ -100,7 +100,7 @@
 
 // works holds the works that a front knows against what was seen of them before.
 func (c *Checker) works(s *statemachine.State) {
-	for _, x := range s.Work.Items {
+	for _, x := range s.Maintenance.Operations {
 		c.permit(x)
 		c.once(x)
 		if x.Phase == maintenance.Permitted && x.Permit > c.told {
@@ -111,13 +111,13 @@
 			}
 		}
 	}
-	if e := s.Work.Ended; len(e) > 0 {
+	if e := s.Maintenance.Ended; len(e) > 0 {
 		c.once(e[len(e)-1])
 	}
 }
 
 // permit: no number for two machines.
-func (c *Checker) permit(x maintenance.Item) {
+func (c *Checker) permit(x maintenance.Operation) {
 	if x.Permit == 0 {
 		return
 	}
@@ -128,14 +128,14 @@
 }
 
 // once: what was asked for once is one work, however often the asking came.
-func (c *Checker) once(x maintenance.Item) {
-	if x.Why == "" {
+func (c *Checker) once(x maintenance.Operation) {
+	if x.Reason == "" {
 		return
 	}
-	if id, ok := c.asked[x.Why]; ok && id != x.ID {
-		c.fail("%s was asked for once and is works %d and %d", x.Why, id, x.ID)
+	if id, ok := c.asked[x.Reason]; ok && id != x.ID {
+		c.fail("%s was asked for once and is works %d and %d", x.Reason, id, x.ID)
 	}
-	c.asked[x.Why] = x.ID
+	c.asked[x.Reason] = x.ID
 }
 
 // host counts who is truly out under a permit.
@@ -152,22 +152,22 @@
 	}
 	r := c.w.spec.Rules
 	c.Most = max(c.Most, len(c.out))
-	if len(c.out) > r.Out {
-		c.fail("%d fronts are out under a permit, %d may be: %v", len(c.out), r.Out, c.out)
+	if len(c.out) > r.MaxOut {
+		c.fail("%d fronts are out under a permit, %d may be: %v", len(c.out), r.MaxOut, c.out)
 	}
-	if zones[f.Zone] > r.Zone {
-		c.fail("%d fronts of zone %s are out under a permit, %d may be", zones[f.Zone], f.Zone, r.Zone)
+	if zones[f.Zone] > r.MaxZoneOut {
+		c.fail("%d fronts of zone %s are out under a permit, %d may be", zones[f.Zone], f.Zone, r.MaxZoneOut)
 	}
-	if most := max(1, len(c.w.Fronts)*r.Percent/100); len(c.out) > most {
-		c.fail("%d fronts are out under a permit, %d%% of %d may be", len(c.out), r.Percent, len(c.w.Fronts))
+	if most := max(1, len(c.w.Fronts)*r.MaxFrontsPercent/100); len(c.out) > most {
+		c.fail("%d fronts are out under a permit, %d%% of %d may be", len(c.out), r.MaxFrontsPercent, len(c.w.Fronts))
 	}
 }
 
 // box: while a box is out no front that may act has it among those it sends to.
 func (c *Checker) box(f *Front, barred []string) {
 	at := f.node.Applied()
-	for _, x := range f.node.Replica().State().Work.Items {
-		if x.Kind != maintenance.ABox {
+	for _, x := range f.node.Replica().State().Maintenance.Operations {
+		if x.Kind != maintenance.Box {
 			continue
 		}
 		if x.Phase == maintenance.Out {
@@ -179,7 +179,7 @@
 		}
 	}
 	for b, since := range c.boxes {
-		if at > since && f.node.Replica().State().Work.On(b) == nil {
+		if at > since && f.node.Replica().State().Maintenance.ForMachine(b) == nil {
 			delete(c.boxes, b)
 		}
 	}
@@ -196,9 +196,9 @@
 
 // version: once a bar is said to have passed, nobody acts on an older version.
 func (c *Checker) version(f *Front) {
-	s := &f.node.Replica().State().Versions
-	if s.Barred > c.barred {
-		c.barred, c.Bars = s.Barred, c.Bars+1
+	s := &f.node.Replica().State().Rollout
+	if s.EnforcedMin > c.barred {
+		c.barred, c.Bars = s.EnforcedMin, c.Bars+1
 		for _, o := range c.w.Fronts { // at that very moment, whoever may
 			if o.node != nil && !o.paused {
 				c.older(o)
@@ -209,7 +209,7 @@
 }
 
 func (c *Checker) older(f *Front) {
-	if acts := f.taker.Acts(); acts < c.barred && !f.out && f.acts() {
+	if acts := f.taker.Active(); acts < c.barred && !f.out && f.acts() {
 		c.fail("%s acts on version %d, and the bar of %d is said to have passed", f.Name, acts, c.barred)
 	}
 }
@@ -217,13 +217,13 @@
 // took: nobody takes up a version that the fleet has said is void, as far as that
 // front knows, nor one that ended its process.
 func (c *Checker) took(f *Front, n uint64) {
-	s := &f.node.Replica().State().Versions
-	if v := s.Find(n); v != nil && v.Phase.Void() {
+	s := &f.node.Replica().State().Rollout
+	if v := s.Find(n); v != nil && v.Phase.Withdrawn() {
 		c.fail("%s takes up version %d, which is %s", f.Name, n, v.Phase)
 	}
 	key := fmt.Sprintf("%s %d %d", f.Name, n, f.node.ID())
-	c.lived[key] = c.lived[key] || f.notes.Trying == n && f.notes.Survived
-	if v := s.Candidate(); c.life[key] != 0 && c.life[key] != f.life && !c.lived[key] && v != nil && v.N == n {
+	c.lived[key] = c.lived[key] || f.notes.Version == n && f.notes.Survived
+	if v := s.Candidate(); c.life[key] != 0 && c.life[key] != f.life && !c.lived[key] && v != nil && v.Number == n {
 		c.fail("%s takes up version %d again, which ended its process", f.Name, n)
 	}
 	c.life[key] = f.life
@@ -236,28 +236,28 @@
 // leave holds a leave, at the moment at which it is first seen, against who is dead
 // or out in truth: what is lost counts as out, and a voter goes only where a
 // majority stays.
-func (c *Checker) leave(x maintenance.Item, s *statemachine.State) {
+func (c *Checker) leave(x maintenance.Operation, s *statemachine.State) {
 	l := c.w.Leader()
-	if l == nil || c.w.now-c.ledSince < surely || x.Kind != maintenance.AFront {
+	if l == nil || c.w.now-c.ledSince < surely || x.Kind != maintenance.Front {
 		return
 	}
 	gone := map[string]bool{x.Machine: true}
 	for _, f := range c.w.Fronts {
-		known := s.Council.Find(f.Name)
+		known := s.Members.Find(f.Name)
 		if f.out || f.node == nil && c.w.now-f.diedAt > surely && known != nil && known.ID == f.lastID && c.w.now-known.Since > surely {
 			gone[f.Name] = true
 		}
 	}
-	if len(gone) > c.w.spec.Rules.Out {
-		c.fail("leave %d makes %d fronts out or dead, %d may be: %v", x.Permit, len(gone), c.w.spec.Rules.Out, gone)
+	if len(gone) > c.w.spec.Rules.MaxOut {
+		c.fail("leave %d makes %d fronts out or dead, %d may be: %v", x.Permit, len(gone), c.w.spec.Rules.MaxOut, gone)
 	}
-	own, stay := s.Council.Find(x.Machine), 0
+	own, stay := s.Members.Find(x.Machine), 0
 	for _, id := range s.Seats.Voters {
-		if f := s.Council.ByID(id); f != nil && !gone[f.Name] {
+		if f := s.Members.ByID(id); f != nil && !gone[f.Name] {
 			stay++
 		}
 	}
-	if y := s.Work.Find(x.ID); y == nil || y.Phase != maintenance.Permitted {
+	if y := s.Maintenance.Find(x.ID); y == nil || y.Phase != maintenance.Permitted {
 		return // taken back already, by what came with it
 	}
 	if own != nil && s.Seats.Has(own.ID) && len(s.Seats.Voters) > 1 && stay < len(s.Seats.Voters)/2+1 {
@@ -286,15 +286,15 @@
 		if f.node == nil {
 			continue
 		}
-		if at := f.taker.Acts(); at != s.Versions.Good && f.taker.Report().Crashed != s.Versions.Good && f.taker.Report().Refused != s.Versions.Good {
-			c.fail("%s acts on version %d, and %d stands, with contact back", f.Name, at, s.Versions.Good)
+		if at := f.taker.Active(); at != s.Rollout.Stable && f.taker.Report().Crashed != s.Rollout.Stable && f.taker.Report().Refused != s.Rollout.Stable {
+			c.fail("%s acts on version %d, and %d stands, with contact back", f.Name, at, s.Rollout.Stable)
 		}
-		if !f.acts() && f.taker.Acts() == s.Versions.Good {
+		if !f.acts() && f.taker.Active() == s.Rollout.Stable {
 			c.fail("%s may not act, with contact back: its lease holds %v until %d, now %d, its version lets it %v; lives by %d; fed by %q, leader %q, stand %+v", f.Name,
-				f.node.Holds(f.clock()), f.node.LeaseEnd(), f.clock(), f.taker.May(f.clock()), f.node.Lives(), f.node.Feeder(), f.node.LeaderName(), s.Versions.Stand(f.Name))
+				f.node.Holds(f.clock()), f.node.LeaseEnd(), f.clock(), f.taker.MayAct(f.clock()), f.node.Lives(), f.node.Feeder(), f.node.LeaderName(), s.Rollout.Status(f.Name))
 		}
 	}
-	for _, x := range s.Work.Items {
-		c.fail("work %d on %s has not ended: %s", x.ID, x.Machine, s.Work.Why(x.Machine, last.node.Replica().Fleet(), s.Now))
+	for _, x := range s.Maintenance.Operations {
+		c.fail("work %d on %s has not ended: %s", x.ID, x.Machine, s.Maintenance.Explain(x.Machine, last.node.Replica().Fleet(), s.Now))
 	}
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -237,8 +237,8 @@
 	switch x.What {
 	case "ask":
 		p.out.Asked++
-		a := fleet.Ask{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.ABox, Zone: x.Work.Zone, SpanS: float64(x.Work.Span) / 1e6, Urgent: x.Work.Urgent,
-			Restart: x.Work.Restart}
+		a := fleet.Ask{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.Box, Zone: x.Work.Zone, SpanS: float64(x.Work.Duration) / 1e6, Urgent: x.Work.Urgent,
+			Restart: x.Work.EndsOnRestart}
 		at := p.front()
 		go func() { _, _ = at.Ask(a) }()
 	case "hold":
--- a/lab/fleet/script.go
+++ b/lab/fleet/script.go
@@ -60,7 +60,7 @@
 	Others  []string
 	Span    Micros
 	Share   float64
-	Work    *maintenance.Item
+	Work    *maintenance.Operation
 	where   lexer.Position
 }
 
@@ -77,7 +77,7 @@
 		}
 	}
 	switch {
-	case s.Work != nil && s.Work.Kind == maintenance.ABox:
+	case s.Work != nil && s.Work.Kind == maintenance.Box:
 		text += fmt.Sprintf(" box %q", s.Work.Machine)
 	case s.Work != nil:
 		text += fmt.Sprintf(" %q", s.Work.Machine)
@@ -104,7 +104,7 @@
 	if s.Work != nil && s.Work.Urgent {
 		text += " urgent"
 	}
-	if s.Work != nil && s.Work.Restart {
+	if s.Work != nil && s.Work.EndsOnRestart {
 		text += " until restart"
 	}
 	return text
@@ -265,9 +265,9 @@
 	}
 	switch {
 	case x.Ask != nil:
-		s.What, s.Work = "ask", &maintenance.Item{Machine: x.Ask.Name, Span: max(Second, s.For), Urgent: x.Urgent, Restart: x.Until}
+		s.What, s.Work = "ask", &maintenance.Operation{Machine: x.Ask.Name, Duration: max(Second, s.For), Urgent: x.Urgent, EndsOnRestart: x.Until}
 		if x.Ask.Box {
-			s.Work.Kind, s.Work.Zone = maintenance.ABox, "z0"
+			s.Work.Kind, s.Work.Zone = maintenance.Box, "z0"
 		}
 	case x.Part != nil:
 		s.What, s.Names, s.Others = "part", x.Part.One, x.Part.Other
@@ -304,7 +304,7 @@
 			return fmt.Errorf("there is no %q among %d fronts, n0 on, in %d zones, z0 on", n, s.Fronts, s.Zones)
 		}
 	}
-	if x.Work != nil && x.Work.Kind == maintenance.AFront && !known(x.Work.Machine) {
+	if x.Work != nil && x.Work.Kind == maintenance.Front && !known(x.Work.Machine) {
 		return fmt.Errorf("there is no front %q", x.Work.Machine)
 	}
 	switch {
@@ -321,9 +321,9 @@
 }
 
 // Virtual plays the script in virtual time.
-func (s *Script) Virtual(without statemachine.Rule, verbose func(string)) (Day, *World) {
+func (s *Script) Virtual(without statemachine.Mutation, verbose func(string)) (Day, *World) {
 	r := ShortRules()
-	r.Alone, r.Hurt = s.Alone, 60
+	r.LeaseSpan, r.UnhealthyPercent = s.Alone, 60
 	w := NewWorld(Spec{Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, Rules: r, Without: without})
 	w.Verbose = verbose
 	c := &chaos{w: w, r: w.r, day: Day{Seed: s.Seed, Fronts: s.Fronts}, begun: map[uint64]Micros{}}
@@ -362,12 +362,12 @@
 	case "ask":
 		c.day.Asked++
 		item := *x.Work
-		item.Why = fmt.Sprintf("step %d", i)
+		item.Reason = fmt.Sprintf("step %d", i)
 		at := w.Leader()
 		if at == nil {
 			at = w.Fronts[0]
 		}
-		w.Ask(at, item, func(statemachine.Word, error) {})
+		w.Ask(at, item, func(statemachine.Result, error) {})
 	case "part":
 		w.Part(x.Names, x.Others)
 		after(func() { w.Part() })
@@ -378,9 +378,9 @@
 		w.double = x.Share
 		after(func() { w.double = 0 })
 	case "hold":
-		w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Hold}, func(statemachine.Word, error) {})
+		w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Hold}, func(statemachine.Result, error) {})
 		after(func() {
-			w.Order(w.Fronts[0], statemachine.Order{What: statemachine.Resume}, func(statemachine.Word, error) {})
+			w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 		})
 	case "restart all", "lose zone":
 		for _, f := range w.Fronts {
@@ -444,7 +444,7 @@
 
 // Shortest drops steps of a script that breaks a promise in virtual time, as long as
 // it still does.
-func (s *Script) Shortest(without statemachine.Rule) (*Script, Day, *World) {
+func (s *Script) Shortest(without statemachine.Mutation) (*Script, Day, *World) {
 	best := *s
 	d, w := best.Virtual(without, nil)
 	for size := max(1, len(best.Steps)/2); size >= 1 && len(d.Broken) > 0; {
--- a/lab/fleet/script_test.go
+++ b/lab/fleet/script_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, d, _ := s.Shortest(statemachine.NoLostOut)
+	short, d, _ := s.Shortest(statemachine.DisableLostCount)
 	if len(d.Broken) == 0 || len(short.Steps) > 3 {
 		t.Errorf("%v\n%s", d.Broken, short)
 	}
@@ -96,7 +96,7 @@
 // flapping plays a fleet of which so many fronts crash and come back all the time.
 func flapping(t testing.TB, fronts, flap int, span Micros) Day {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent, r.Hurt, r.Alone = fronts, fronts, 100, 60, 5*Second
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.UnhealthyPercent, r.LeaseSpan = fronts, fronts, 100, 60, 5*Second
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: 11, Rules: r, FanOut: 16})
 	c := &chaos{w: w, r: w.r, day: Day{Seed: 11, Fronts: fronts}, begun: map[uint64]Micros{}}
 	for _, f := range w.Fronts {
@@ -123,7 +123,7 @@
 		target := w.Fronts[asked%(fronts-flap)]
 		if l := w.Leader(); l != nil {
 			c.day.Asked++
-			w.order(l, statemachine.Command{Ask: &statemachine.Ask{Work: maintenance.Item{Machine: target.Name, Span: Second}}}, func(statemachine.Word, error) {})
+			w.order(l, statemachine.Command{Request: &statemachine.Request{Operation: maintenance.Operation{Machine: target.Name, Duration: Second}}}, func(statemachine.Result, error) {})
 		}
 		c.tend()
 	}
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -15,7 +15,7 @@
 func together(b *testing.B, fronts int, seed uint64) *World {
 	b.Helper()
 	r := ShortRules()
-	r.Alone, r.Hurt, r.Empty = 10*Second, 90, Second
+	r.LeaseSpan, r.UnhealthyPercent, r.DrainTimeout = 10*Second, 90, Second
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: seed, Rules: r, FanOut: 16})
 	for _, f := range w.Fronts {
 		f.Start()
@@ -30,13 +30,13 @@
 func (w *World) proposes(b *testing.B, size int, v rollout.Version) uint64 {
 	b.Helper()
 	data := []byte(strings.Repeat(fmt.Sprintf("%016d", w.now), size/16+1))[:size]
-	v.Digest, v.Base = rollout.Hash(data), w.Leader().node.Replica().State().Versions.Good
+	v.Digest, v.Base = rollout.Hash(data), w.Leader().node.Replica().State().Rollout.Stable
 	left := 0
 	for len(data) > 0 {
-		n := min(len(data), rollout.MostPiece)
+		n := min(len(data), rollout.MaxPieceSize)
 		v.Pieces = append(v.Pieces, rollout.Hash(data[:n]))
 		left++
-		w.order(w.Leader(), statemachine.Command{Piece: data[:n]}, func(word statemachine.Word, err error) {
+		w.order(w.Leader(), statemachine.Command{Piece: data[:n]}, func(word statemachine.Result, err error) {
 			if err != nil || word.Err != "" {
 				b.Errorf("%v %v", word, err)
 			}
@@ -46,8 +46,8 @@
 	}
 	w.RunUntil(20*Second, func() bool { return left == 0 })
 	n := uint64(0)
-	w.order(w.Leader(), statemachine.Command{Propose: &v}, func(word statemachine.Word, err error) {
-		if n = word.Work; err != nil || word.Err != "" {
+	w.order(w.Leader(), statemachine.Command{Propose: &v}, func(word statemachine.Result, err error) {
+		if n = word.Number; err != nil || word.Err != "" {
 			b.Errorf("%v %v", word, err)
 		}
 	})
@@ -57,7 +57,7 @@
 
 func (w *World) allAct(n uint64) bool {
 	for _, f := range w.Fronts {
-		if f.node == nil || f.taker.Acts() != n {
+		if f.node == nil || f.taker.Active() != n {
 			return false
 		}
 	}
@@ -100,12 +100,12 @@
 			w.Cut(f.Name, cut.Name, true)
 		}
 		began, stopped := w.now, Micros(0)
-		n := w.proposes(b, 4096, rollout.Version{Urgent: true, Bar: 2 * Second})
+		n := w.proposes(b, 4096, rollout.Version{Urgent: true, Gate: 2 * Second})
 		if !w.RunUntil(120*Second, func() bool {
 			if stopped == 0 && !cut.acts() {
 				stopped = w.now
 			}
-			return w.Leader().node.Replica().State().Versions.Barred >= n
+			return w.Leader().node.Replica().State().Rollout.EnforcedMin >= n
 		}) || w.Checks.Failed() {
 			b.Fatal("the bar does not pass", w.Checks.Broken())
 		}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -62,7 +62,7 @@
 	First   int // named first members; 0: three, or as many as there are
 	Seed    uint64
 	Rules   maintenance.Rules // zero: the defaults, with short spans
-	Without statemachine.Rule
+	Without statemachine.Mutation
 	FanOut  int
 }
 
@@ -113,10 +113,10 @@
 	outAs    uint64
 	emptyAt  Micros
 	hurt     bool // it says that it is in trouble
-	taker    *rollout.Taker
-	notes    rollout.Notes // on its disk
-	opened   bool          // all that the state wants was carried out since its lease held
-	seq      uint64        // of its audit
+	taker    *rollout.Applier
+	notes    rollout.ActivationRecord // on its disk
+	opened   bool                     // all that the state wants was carried out since its lease held
+	seq      uint64                   // of its audit
 	Restarts int
 	diedAt   Micros
 	lastID   uint64 // incarnation of its disk
@@ -183,8 +183,8 @@
 
 // ShortRules are the defaults with spans that fit a short day.
 func ShortRules() maintenance.Rules {
-	r := maintenance.Defaults()
-	r.Accept, r.Empty, r.Back, r.Cold = 5*Second, 10*Second, 10*Second, 2*Second
+	r := maintenance.DefaultRules()
+	r.AcceptTimeout, r.DrainTimeout, r.ReturnTimeout, r.WarmUp = 5*Second, 10*Second, 10*Second, 2*Second
 	return r
 }
 
@@ -263,8 +263,8 @@
 		f.w.log("%s can't start: %v", f.Name, err)
 		return
 	}
-	n.Replica().Without(f.w.spec.Without)
-	f.taker, f.opened = rollout.NewTaker(f.notes), false
+	n.Replica().SetMutation(f.w.spec.Without)
+	f.taker, f.opened = rollout.NewApplier(f.notes), false
 	f.node, f.out, f.open, f.paused, f.held = n, false, f.w.r.IntN(5), false, nil
 	f.w.log("%s starts (incarnation %x)", f.Name, r.Identity.ID)
 	f.tick(f.life)
@@ -325,21 +325,21 @@
 // acts tells whether the front may act now, as its program sees it before each act.
 func (f *Front) acts() bool {
 	now := f.clock()
-	if f.node.Rep(statemachine.NoLook) {
+	if f.node.Rep(statemachine.DisableLeaseCheck) {
 		return true
 	}
-	return f.opened && f.node.Holds(now) && f.taker.May(now) && f.node.Stale() == nil
+	return f.opened && f.node.Holds(now) && f.taker.MayAct(now) && f.node.Stale() == nil
 }
 
 // version is what the program does for versions: the taker's actions, with the disk's
 // delays and what a version does to whoever takes it up.
 func (f *Front) version(life uint64) {
-	s := &f.node.Replica().State().Versions
+	s := &f.node.Replica().State().Rollout
 	target, candidate := s.Target(f.Name), uint64(0)
 	if c := s.Candidate(); c != nil {
-		candidate = c.N
+		candidate = c.Number
 	}
-	f.taker.Measure(s, f.Name, f.clock())
+	f.taker.Evaluate(s, f.Name, f.clock())
 	later := func(do func()) {
 		f.w.After(f.slow+Milli, func() { f.do(life, do) })
 	}
@@ -357,35 +357,35 @@
 			}
 			f.taker.Checked(n, err)
 		})
-	case rollout.Note, rollout.Survive:
-		notes := f.taker.Noting(do, n)
+	case rollout.RecordActivation, rollout.RecordSurvival:
+		notes := f.taker.Record(do, n)
 		later(func() {
 			if !f.full {
 				f.notes = notes
 			}
-			f.taker.Noted(notes, !f.full, f.clock())
+			f.taker.Recorded(notes, !f.full, f.clock())
 		})
-	case rollout.Take:
+	case rollout.Activate:
 		f.w.log("%s acts on version %d (%q), noted %+v, said %+v, candidate %d", f.Name, n, bad, f.notes, f.taker.Report(), candidate)
-		f.taker.Took(n, nil, s.Watch(n), f.clock())
+		f.taker.Activated(n, nil, s.Watch(n), f.clock())
 		f.w.Checks.took(f, n)
 		if bad == "crashes" {
 			f.w.After(Second, func() {
-				if f.life == life && f.node != nil && f.taker.Acts() == n {
+				if f.life == life && f.node != nil && f.taker.Active() == n {
 					f.Crash()
 					f.w.After(2*Second, f.Start)
 				}
 			})
 		}
 	}
-	f.taker.Measure(s, f.Name, f.clock())
+	f.taker.Evaluate(s, f.Name, f.clock())
 	x := f.taker.Report()
 	f.seq++
-	x.Seq, x.Head = f.seq, "virtual"
-	if bad := string(s.Content(x.Acts)); bad == "fails" {
-		x.Bad = 50
+	x.AuditSeq, x.AuditHead = f.seq, "virtual"
+	if bad := string(s.Content(x.Active)); bad == "fails" {
+		x.FailedPercent = 50
 	}
-	x.Seen = true
+	x.HasSample = true
 	f.node.SetStand(x)
 }
 
@@ -497,7 +497,7 @@
 // Wipe crashes a front and empties its disk.
 func (f *Front) Wipe() {
 	f.Crash()
-	f.disk, f.lastID, f.notes = nil, 0, rollout.Notes{}
+	f.disk, f.lastID, f.notes = nil, 0, rollout.ActivationRecord{}
 	f.w.log("%s's disk is wiped", f.Name)
 }
 
@@ -566,20 +566,20 @@
 }
 
 // Ask has a front asked for a work, and tells its word.
-func (w *World) Ask(at *Front, x maintenance.Item, done func(statemachine.Word, error)) {
-	w.order(at, statemachine.Command{Ask: &statemachine.Ask{Work: x}}, done)
+func (w *World) Ask(at *Front, x maintenance.Operation, done func(statemachine.Result, error)) {
+	w.order(at, statemachine.Command{Request: &statemachine.Request{Operation: x}}, done)
 }
 
 // Order has a front told a person's word.
-func (w *World) Order(at *Front, o statemachine.Order, done func(statemachine.Word, error)) {
+func (w *World) Order(at *Front, o statemachine.Order, done func(statemachine.Result, error)) {
 	w.order(at, statemachine.Command{Order: &o}, done)
 }
 
 var errDown = errors.New("the front is down")
 
-func (w *World) order(at *Front, c statemachine.Command, done func(statemachine.Word, error)) {
+func (w *World) order(at *Front, c statemachine.Command, done func(statemachine.Result, error)) {
 	if at.node == nil || at.paused {
-		done(statemachine.Word{}, errDown)
+		done(statemachine.Result{}, errDown)
 		return
 	}
 	defer w.library()()
@@ -599,12 +599,12 @@
 		if f.node == nil {
 			continue
 		}
-		own := s.Council.Find(f.Name)
+		own := s.Members.Find(f.Name)
 		if own == nil || own.ID != f.node.ID() || own.Lost || f.node.Applied() != l.node.Applied() {
 			return false
 		}
 	}
-	return len(s.Seats.Voters) == s.Council.Target() && !s.Seats.Joint
+	return len(s.Seats.Voters) == s.Members.TargetVoters() && !s.Seats.Joint
 }
 
 // Digest is over what all fronts hold, for a comparison of two runs.
--- a/lab/fleet/virtual_test.go
+++ b/lab/fleet/virtual_test.go
@@ -50,7 +50,7 @@
 	if target == leader {
 		target = w.Fronts[1]
 	}
-	w.Ask(target, maintenance.Item{Machine: target.Name, Span: 60 * Second}, func(word statemachine.Word, err error) {
+	w.Ask(target, maintenance.Operation{Machine: target.Name, Duration: 60 * Second}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -63,14 +63,14 @@
 	w.Run(w.Now() + 5*Second)
 	leader.Start()
 	if !w.RunUntil(30*Second, func() bool {
-		x := target.node.Replica().State().Work.On(target.Name)
+		x := target.node.Replica().State().Maintenance.ForMachine(target.Name)
 		return x != nil && x.Phase == maintenance.Out
 	}) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come empty")
 	}
-	w.Order(target, statemachine.Order{What: statemachine.Finish, Work: 1}, func(statemachine.Word, error) {})
-	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Work.On(target.Name) == nil }) {
+	w.Order(target, statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
+	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Maintenance.ForMachine(target.Name) == nil }) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come back")
 	}
@@ -87,10 +87,10 @@
 	asks(t, w, w.Leader(), o[1], "")
 	w.Run(w.Now() + 10*Second)
 	s := w.Leader().node.Replica().State()
-	if x := s.Work.On(o[1].Name); x == nil || x.Phase != maintenance.Asked {
+	if x := s.Maintenance.ForMachine(o[1].Name); x == nil || x.Phase != maintenance.Requested {
 		t.Fatalf("it has leave: %+v", x)
 	}
-	if why := s.Work.Why(o[1].Name, w.Leader().node.Replica().Fleet(), s.Now); !strings.Contains(why, "1 in trouble") {
+	if why := s.Maintenance.Explain(o[1].Name, w.Leader().node.Replica().Fleet(), s.Now); !strings.Contains(why, "1 in trouble") {
 		t.Error(why)
 	}
 	o[0].hurt = false
