--- a/internal/config/customers_test.go
+++ b/internal/config/customers_test.go
@@ -86,19 +86,19 @@
 	l := loop.NewOn(clock, func() {})
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g, err := gateway.New(gateway.Config{Settings: c.Settings, Zones: c.Zones, Kinds: c.Kinds, Seed: c.Seed,
-		Copies: gateway.Copies{Bytes: 1 << 20, Flow: c.Flow, Link: c.Link}}, l, quiet)
+		LocalCache: gateway.LocalCacheLimits{Bytes: 1 << 20, Flow: c.Flow, Link: c.Link}}, l, quiet)
 	if err != nil {
 		return err
 	}
 	n := &ends{g: g}
-	g.Use(n)
+	g.SetUpstream(n)
 	born := l.Now() - 1_000_000
 	var list []gateway.Member
 	for i, kind := range c.Kinds {
 		for k := range 3 {
 			for _, zone := range c.Zones {
 				list = append(list, gateway.Member{Name: fmt.Sprint("s-", i, k, zone), Addr: "127.0.0.1:1", Zone: zone, Kind: kind,
-					State: rules.Ready, Weight: float64(k) * 8, Born: born * int64(k%2)})
+					State: rules.Ready, Weight: float64(k) * 8, StartedAt: born * int64(k%2)})
 			}
 		}
 	}
@@ -111,18 +111,18 @@
 		call := &gateway.Call{ID: fmt.Sprintf("%016x", i), Class: class, Object: fmt.Sprint("o", i%7), Group: i % 5, Size: float64(i % 400),
 			Deadline: l.Now() + min(c.Settings.Classes[class].GiveUp, 60_000_000), Caller: a}
 		g.Submit(call)
-		g.Settle()
+		g.ProcessEvents()
 		if i%11 == 0 {
 			g.Leave(call)
 		} else {
 			open = append(open, a)
 		}
 		n.end(i)
-		g.Settle()
+		g.ProcessEvents()
 	}
 	for range 100 { // whatever is started ends
 		n.end(0)
-		g.Settle()
+		g.ProcessEvents()
 	}
 	for i, a := range open {
 		if a.got != 1 {
@@ -143,19 +143,19 @@
 	open []*gateway.Attempt
 }
 
-func (n *ends) Start(a *gateway.Attempt)   { n.open = append(n.open, a) }
-func (n *ends) Stop(*gateway.Attempt) bool { return true }
-func (n *ends) Follow(*gateway.Server)     {}
+func (n *ends) Start(a *gateway.Attempt)      { n.open = append(n.open, a) }
+func (n *ends) Stop(*gateway.Attempt) bool    { return true }
+func (n *ends) ServerChanged(*gateway.Server) {}
 func (n *ends) end(i int) {
 	open := n.open
 	n.open = nil
 	for _, a := range open {
-		if _, ok := n.g.Clear(a); !ok {
-			n.g.End(a, gateway.End{Code: rules.Moot})
+		if _, ok := n.g.PrepareSend(a); !ok {
+			n.g.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 			continue
 		}
 		code := []rules.Code{rules.OK, rules.Miss, rules.Full, rules.Reset, rules.ServerError, rules.OK}[i%6]
-		n.g.End(a, gateway.End{Code: code, Note: rules.Note(i % 11), Waited: int64(i)})
+		n.g.EndAttempt(a, gateway.AttemptResult{Code: code, Note: rules.Note(i % 11), SourceWait: int64(i)})
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -49,7 +49,7 @@
 type Sink interface {
 	Members(full bool, list []gateway.Member)
 	Purge(p gateway.Purge)
-	Heard()
+	BoardAnswered()
 }
 
 // Board is a client of the notice board.
@@ -268,7 +268,7 @@
 	k.good = true
 	b.answered = true
 	b.take(news)
-	b.sink.Heard()
+	b.sink.BoardAnswered()
 	if r.Close {
 		k.fail()
 		return
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 	}
 }
 func (told) Purge(gateway.Purge) {}
-func (told) Heard()              {}
+func (told) BoardAnswered()      {}
 
 // follow begins to follow a board at an address, on a running loop.
 func follow(t *testing.T, address string) (*Board, told, func(func())) {
--- a/internal/discovery/news.go
+++ b/internal/discovery/news.go
@@ -68,7 +68,7 @@
 		return gateway.Member{}, fmt.Errorf("member %q: phase %q: not known", w.ID, w.Phase)
 	}
 	return gateway.Member{Name: w.ID, Addr: w.HostPort, Zone: w.Locality, Kind: w.Flavor, Cell: w.Cell,
-		State: state, Weight: w.Size, Born: w.UpSinceMS * 1000}, nil
+		State: state, Weight: w.Size, StartedAt: w.UpSinceMS * 1000}, nil
 }
 
 // ParseMember reads one member in the same words, under a name that is told
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("got %+v, %v", n, err)
 	}
 	m := n.Events[0].List.Members[0]
-	if n.Events[0].List.Full || m.State != rules.Draining || m.Born != 5000 || m.Addr != "127.0.0.9:8080" {
+	if n.Events[0].List.Full || m.State != rules.Draining || m.StartedAt != 5000 || m.Addr != "127.0.0.9:8080" {
 		t.Errorf("member: %+v", m)
 	}
 	if p := n.Events[1].Purge; p.Object != "7f3a" || p.At != 1764576000123000 {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -25,7 +25,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name  string
-	Place int // by which the gateway knows it
+	Index int // by which the gateway knows it
 	Write bool
 	Keyed bool // repeats are dropped by their key, which every request has
 }
@@ -91,7 +91,7 @@
 	case r.Method == "GET" && len(r.Body) > 0:
 		return nil, bad("a read has no body")
 	}
-	c := &gateway.Call{ID: id, Class: f.classes[class].Place, Object: object, Body: r.Body,
+	c := &gateway.Call{ID: id, Class: f.classes[class].Index, Object: object, Body: r.Body,
 		Repeat: r.Header.Get("Req-Retry") == "1"}
 	wait, err := strconv.ParseUint(r.Header.Get("Req-Wait-Ms"), 10, 32)
 	if err != nil || wait == 0 || wait > longestWait {
@@ -135,11 +135,11 @@
 	switch {
 	case a.Kind == gateway.Served:
 		r.Status, r.Body = 200, a.Body
-	case a.Kind == gateway.Current:
+	case a.Kind == gateway.NotModified:
 		r.Status = 304
 	case a.Kind == gateway.Refused:
-		return f.Full(a.Await)
-	case a.Late:
+		return f.Full(a.RetryAfter)
+	case a.TimedOut:
 		r.Status = 504
 	}
 	return r
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -18,7 +18,7 @@
 // size pass on as they came, a key that is missing and a size that is none are turned
 // down with the field at fault, and other classes take no key.
 func TestKeysAndSizes(t *testing.T) {
-	f := New([]Class{{Name: "part", Place: 0}, {Name: "save", Place: 1, Write: true, Keyed: true}}, takes, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f := New([]Class{{Name: "part", Index: 0}, {Name: "save", Index: 1, Write: true, Keyed: true}}, takes, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	read := func(method, target string, more ...httpwire.Field) (*gateway.Call, string) {
 		r := &httpwire.Request{Method: method, Target: target, Header: append(httpwire.Header{{Name: "Req-Id", Value: "9b1f03aa5c7e2d41"},
 			{Name: "Req-Wait-Ms", Value: "1500"}, {Name: "X-Bucket", Value: "17"}}, more...)}
--- a/internal/front/session/queue.go
+++ b/internal/front/session/queue.go
@@ -53,7 +53,7 @@
 // turnDown refuses a call that has reached nothing, so that it is harmless.
 func (c *conn) turnDown(away loop.Micros) {
 	c.ticket = nil
-	c.answer(gateway.Answer{Kind: gateway.Refused, Await: away})
+	c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: away})
 }
 
 // done gives back what a connection's open call holds: its place, or its turn.
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -520,7 +520,7 @@
 		a.Came(call)
 	}
 	if c.refuse {
-		c.answer(gateway.Answer{Kind: gateway.Refused, Await: c.server.cfg.Away})
+		c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: c.server.cfg.Away})
 		return
 	}
 	if q := c.server.cfg.Admission; q != nil {
@@ -536,7 +536,7 @@
 // Answer words and writes the final answer of the open call.
 func (c *conn) Answer(a gateway.Answer) {
 	if c.ticket != nil {
-		c.server.cfg.Admission.done(c, a.Kind == gateway.Served || a.Kind == gateway.Current)
+		c.server.cfg.Admission.done(c, a.Kind == gateway.Served || a.Kind == gateway.NotModified)
 	}
 	c.answer(a)
 }
@@ -598,7 +598,7 @@
 }
 
 // outcome is what the figures count an answer as.
-func outcome(k gateway.Kind) counters.Outcome {
+func outcome(k gateway.AnswerKind) counters.Outcome {
 	switch k {
 	case gateway.Refused:
 		return counters.Dropped
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -32,8 +32,8 @@
 	f.release(v, a.Kind == gateway.Refused)
 	switch {
 	case a.Kind == gateway.Refused:
-		return f.worded(v, f.Full(a.Await))
-	case a.Kind == gateway.Failed && a.Late:
+		return f.worded(v, f.Full(a.RetryAfter))
+	case a.Kind == gateway.Failed && a.TimedOut:
 		return f.worded(v, &httpwire.Response{Status: 504})
 	case a.Kind == gateway.Failed:
 		return f.worded(v, &httpwire.Response{Status: 502})
@@ -93,7 +93,7 @@
 		plan = v.ask.Plan(len(a.Body), a.Tag)
 	}
 	if plan.Status == 200 && v.ask.Encoding != "" && len(a.Body) >= encoding.Smallest {
-		of := encoding.Of{Object: v.call.Object, Part: v.call.Part, Tag: a.Tag, Born: a.Born, Encoding: v.ask.Encoding}
+		of := encoding.Of{Object: v.call.Object, Part: v.call.Part, Tag: a.Tag, Born: a.CreatedAt, Encoding: v.ask.Encoding}
 		body, known := f.variants.Find(of)
 		if known || !f.encode(v, a, c, of) {
 			return f.word(v, a, plan, c, body)
@@ -162,8 +162,8 @@
 	if plan.Status != 416 {
 		add(r, "Accept-Ranges", "bytes")
 		add(r, "Cache-Control", f.cacheControl(v, a))
-		if a.Born > 0 {
-			add(r, "Age", strconv.FormatInt(max(0, (f.now()-a.Born)/1_000_000), 10))
+		if a.CreatedAt > 0 {
+			add(r, "Age", strconv.FormatInt(max(0, (f.now()-a.CreatedAt)/1_000_000), 10))
 		}
 	}
 	if tag != "" {
@@ -184,7 +184,7 @@
 		left = min(left, v.grant.Expires-f.wall())
 	}
 	if v.class.Fresh > 0 {
-		left = min(left, a.Born+v.class.Fresh-now)
+		left = min(left, a.CreatedAt+v.class.Fresh-now)
 	}
 	if left < 1_000_000 {
 		return "private, no-cache"
--- a/internal/gateway/bars.go
+++ b/internal/gateway/bars.go
@@ -5,19 +5,19 @@
 // Bars stands before a gateway's list of servers and has nothing new go to some of
 // them, as to ones that drain, whatever the list says: servers in work that the
 // whole fleet leaves.
-type Bars struct {
+type DrainOverride struct {
 	*Gateway
 	told   map[string]Member // as the list has them
 	barred map[string]bool
 }
 
 // NewBars makes bars before a gateway, none of which are down.
-func NewBars(g *Gateway) *Bars {
-	return &Bars{Gateway: g, told: map[string]Member{}, barred: map[string]bool{}}
+func NewDrainOverride(g *Gateway) *DrainOverride {
+	return &DrainOverride{Gateway: g, told: map[string]Member{}, barred: map[string]bool{}}
 }
 
 // Members passes the list on, with those barred as draining.
-func (b *Bars) Members(full bool, list []Member) {
+func (b *DrainOverride) Members(full bool, list []Member) {
 	if full {
 		clear(b.told)
 	}
@@ -33,7 +33,7 @@
 	b.Gateway.Members(full, out)
 }
 
-func (b *Bars) seen(m Member) Member {
+func (b *DrainOverride) seen(m Member) Member {
 	if b.barred[m.Name] && m.State == rules.Ready {
 		m.State = rules.Draining
 	}
@@ -42,7 +42,7 @@
 
 // Share tells where a server stands, and which part of the pace of its kind there it
 // has by the list's weights, in percent; of what is listed as ready.
-func (b *Bars) Share(name string) (zone string, percent int, ok bool) {
+func (b *DrainOverride) CapacityShare(name string) (zone string, percent int, ok bool) {
 	m, ok := b.told[name]
 	if !ok {
 		return "", 0, false
@@ -60,13 +60,13 @@
 }
 
 // Place tells where a listed server stands, and of what kind it is.
-func (b *Bars) Place(name string) (zone, kind string, known bool) {
+func (b *DrainOverride) ZoneAndKind(name string) (zone, kind string, known bool) {
 	m, known := b.told[name]
 	return m.Zone, m.Kind, known
 }
 
 // Count counts the listed servers of a kind in a zone.
-func (b *Bars) Count(zone, kind string) (n int) {
+func (b *DrainOverride) Count(zone, kind string) (n int) {
 	for _, m := range b.told {
 		if m.Zone == zone && m.Kind == kind {
 			n++
@@ -76,7 +76,7 @@
 }
 
 // Hubs counts the listed servers by zone and kind, as ZONE/KIND.
-func (b *Bars) Hubs() map[string]int {
+func (b *DrainOverride) CountByZoneAndKind() map[string]int {
 	out := map[string]int{}
 	for _, m := range b.told {
 		out[m.Zone+"/"+m.Kind]++
@@ -85,11 +85,11 @@
 }
 
 // Listed counts the servers of the list.
-func (b *Bars) Listed() int { return len(b.told) }
+func (b *DrainOverride) Listed() int { return len(b.told) }
 
 // Set bars the servers named and no others. It tells of each whether anything is
 // still open there.
-func (b *Bars) Set(names []string) (open map[string]bool) {
+func (b *DrainOverride) SetDrained(names []string) (open map[string]bool) {
 	open = map[string]bool{}
 	if len(names) == 0 && len(b.barred) == 0 {
 		return open
@@ -98,7 +98,7 @@
 	b.barred = map[string]bool{}
 	for _, n := range names {
 		b.barred[n] = true
-		open[n] = b.OpenAt(n)
+		open[n] = b.HasOpenAttempts(n)
 	}
 	var changed []Member
 	for n, m := range b.told {
@@ -113,7 +113,7 @@
 }
 
 // OpenAt tells whether an attempt at a server has not ended.
-func (g *Gateway) OpenAt(name string) bool {
+func (g *Gateway) HasOpenAttempts(name string) bool {
 	for _, c := range g.calls {
 		for _, a := range c.attempts {
 			if !a.done && a.Server != nil && a.Server.Name == name {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -16,11 +16,11 @@
 const linkWait = 20_000 // us
 
 // Copies bounds the gateway's own copies. Zero bytes: none are kept.
-type Copies struct {
-	Bytes int     // held at most
-	Flow  float64 // bytes a second of one transfer
-	Link  float64 // bytes a second of all together
-	Heed  Micros  // time to heed a purge; 0: heardWithin
+type LocalCacheLimits struct {
+	Bytes         int     // held at most
+	Flow          float64 // bytes a second of one transfer
+	Link          float64 // bytes a second of all together
+	MaxPurgeDelay Micros  // time to heed a purge; 0: heardWithin
 }
 
 // copyKey names a part of an object.
@@ -43,7 +43,7 @@
 // time of a transfer: connections are the first thing that a busy front runs out
 // of. Purges drop copies, and none is used past its class's fresh time.
 type copies struct {
-	limit  Copies
+	limit  LocalCacheLimits
 	byKey  map[copyKey]*list.Element
 	order  *list.List // of *ownCopy, the latest used first
 	bytes  int
@@ -51,12 +51,12 @@
 	heard  Micros // when the notice board last answered
 }
 
-func newCopies(limit Copies) *copies {
+func newCopies(limit LocalCacheLimits) *copies {
 	return &copies{limit: limit, byKey: map[copyKey]*list.Element{}, order: list.New()}
 }
 
 // bound sets the limits anew and drops what they no longer hold.
-func (s *copies) bound(limit Copies) {
+func (s *copies) bound(limit LocalCacheLimits) {
 	s.limit = limit
 	s.shrink()
 }
@@ -71,7 +71,7 @@
 // fresh, in a moment when the link is all but free and no purge can have been missed.
 func (s *copies) find(c *Call, class *rules.Class, now Micros) *ownCopy {
 	e := s.byKey[copyKey{c.Object, c.Part}]
-	if e == nil || s.limit.Bytes == 0 || class.Write || now-s.heard > cmp.Or(s.limit.Heed, heardWithin) || s.freeAt > now+linkWait {
+	if e == nil || s.limit.Bytes == 0 || class.Write || now-s.heard > cmp.Or(s.limit.MaxPurgeDelay, heardWithin) || s.freeAt > now+linkWait {
 		return nil
 	}
 	x := e.Value.(*ownCopy)
@@ -90,7 +90,7 @@
 
 // keep takes an answer in; purged tells whether it may be older than a purge.
 func (s *copies) keep(c *Call, class *rules.Class, a *Answer, purged bool) {
-	if s.limit.Bytes == 0 || class.Write || a.Kind != Served || a.Born == 0 || purged ||
+	if s.limit.Bytes == 0 || class.Write || a.Kind != Served || a.CreatedAt == 0 || purged ||
 		len(a.Body) > s.limit.Bytes/16 {
 		return
 	}
@@ -99,7 +99,7 @@
 		s.drop(e)
 	}
 	s.byKey[k] = s.order.PushFront(&ownCopy{key: k, class: c.Class, group: c.Group, body: a.Body,
-		tag: a.Tag, born: a.Born})
+		tag: a.Tag, born: a.CreatedAt})
 	s.bytes += len(a.Body)
 	s.shrink()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,24 +23,24 @@
 type Micros = rules.Micros
 
 // Kind says how a call was answered.
-type Kind uint8
+type AnswerKind uint8
 
 // The final answers.
 const (
-	Served  Kind = iota // with the object's bytes
-	Current             // the client's own copy is the one
-	Refused             // surely not done: trying again is harmless
+	Served      AnswerKind = iota // with the object's bytes
+	NotModified                   // the client's own copy is the one
+	Refused                       // surely not done: trying again is harmless
 	Failed
 )
 
 // Answer is the one final answer to a call.
 type Answer struct {
-	Kind  Kind
-	Body  []byte
-	Tag   string // names the copy, for the client's next time
-	Born  Micros // with Served: when the origin gave the copy out; 0 if untold
-	Await Micros // with Refused: how long to stay away; 0 is no advice
-	Late  bool   // with Failed: time ran out
+	Kind       AnswerKind
+	Body       []byte
+	Tag        string // names the copy, for the client's next time
+	CreatedAt  Micros // with Served: when the origin gave the copy out; 0 if untold
+	RetryAfter Micros // with Refused: how long to stay away; 0 is no advice
+	TimedOut   bool   // with Failed: time ran out
 }
 
 // Caller gets the answer to a call, once, on the loop. One that also has a method
@@ -78,11 +78,11 @@
 
 // Server is a listed server.
 type Server struct {
-	ID    rules.ServerID
-	Name  string
-	Addr  string
-	State rules.MemberState
-	Born  Micros // when it last started, not in the future
+	ID        rules.ServerID
+	Name      string
+	Addr      string
+	State     rules.MemberState
+	StartedAt Micros // when it last started, not in the future
 
 	announced Micros // Born as discovery tells it
 }
@@ -95,15 +95,15 @@
 
 // Attempt is one send of a call to a server.
 type Attempt struct {
-	Call     *Call
-	Server   *Server
-	Source   *Server // nil: no fill
-	Deadline Micros
-	Keep     int
-	Join     bool
-	Held     bool
-	Pass     bool
-	Renew    bool
+	Call        *Call
+	Server      *Server
+	Source      *Server // nil: no fill
+	Deadline    Micros
+	KeepRank    int
+	Join        bool
+	HeldOnly    bool
+	PassThrough bool
+	Revalidate  bool
 
 	number  int
 	started Micros
@@ -115,15 +115,15 @@
 }
 
 // End says how an attempt ended.
-type End struct {
-	Code   rules.Code
-	Note   rules.Note
-	Waited Micros
-	Answer Answer // with OK
+type AttemptResult struct {
+	Code       rules.Code
+	Note       rules.Note
+	SourceWait Micros
+	Answer     Answer // with OK
 }
 
 // Nodes carries attempts to servers.
-type Nodes interface {
+type Upstream interface {
 	// Start sends an attempt once a connection takes it. Before its first byte
 	// it asks Gateway.Clear; how the attempt ends it tells Gateway.End.
 	Start(a *Attempt)
@@ -131,7 +131,7 @@
 	// whole; nothing more is told of it.
 	Stop(a *Attempt) (sent bool)
 	// Follow tells of a server that is new, has started anew or has gone.
-	Follow(s *Server)
+	ServerChanged(s *Server)
 }
 
 // Member is a line of the list of servers, in the operators' words.
@@ -140,7 +140,7 @@
 	Cell                   int
 	State                  rules.MemberState
 	Weight                 float64
-	Born                   Micros
+	StartedAt              Micros
 }
 
 // Purge names an object or, where Object is empty, a group.
@@ -152,12 +152,12 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Settings rules.Settings
-	Zones    []string
-	Kinds    []string
-	Seed     uint64
-	Copies   Copies
-	Figures  *counters.Counters // where attempts that leave are counted; nil: a gateway's own
+	Settings   rules.Settings
+	Zones      []string
+	Kinds      []string
+	Seed       uint64
+	LocalCache LocalCacheLimits
+	Counters   *counters.Counters // where attempts that leave are counted; nil: a gateway's own
 }
 
 // Gateway owns the router and the calls it holds.
@@ -165,7 +165,7 @@
 	cfg     Config
 	loop    *loop.Loop
 	router  *rules.Router
-	nodes   Nodes
+	nodes   Upstream
 	events  []rules.Event
 	calls   map[rules.RequestID]*Call
 	open    map[string]struct{} // the clients' ids of the calls
@@ -175,7 +175,7 @@
 	swept   Micros
 	copies  *copies
 	guard   func() (ok bool, away Micros) // nil: the gateway may always act
-	bounds  Bounds                        // nil: none
+	bounds  FleetPolicy                   // nil: none
 	log     *slog.Logger
 
 	refusals refusals
@@ -187,38 +187,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	if cfg.Figures == nil {
-		cfg.Figures = counters.New(make([]string, len(cfg.Settings.Classes)))
+	if cfg.Counters == nil {
+		cfg.Counters = counters.New(make([]string, len(cfg.Settings.Classes)))
 	}
 	return &Gateway{cfg: cfg, loop: l, router: router, log: log, calls: map[rules.RequestID]*Call{},
 		open: map[string]struct{}{}, servers: map[rules.ServerID]*Server{}, purges: map[uint64]purge{},
-		copies: newCopies(cfg.Copies)}, nil
+		copies: newCopies(cfg.LocalCache)}, nil
 }
 
 // Use gives the gateway its nodes; it must come before anything else.
-func (g *Gateway) Use(nodes Nodes) { g.nodes = nodes }
+func (g *Gateway) SetUpstream(nodes Upstream) { g.nodes = nodes }
 
 // Guard has the gateway ask before each act whether it may: before it takes a call,
 // and before any byte of an attempt leaves. Where it may not, a call of which nothing
 // has left is refused at once, with away as the time to come back; others end by the
 // rules, with nothing new sent.
-func (g *Gateway) Guard(may func() (ok bool, away Micros)) { g.guard = may }
+func (g *Gateway) SetGuard(may func() (ok bool, away Micros)) { g.guard = may }
 
 // Bounds are what the whole fleet holds of copies, beside the notice board's purges.
-type Bounds interface {
+type FleetPolicy interface {
 	// Since is the moment up to which a copy of an object counts as purged; ok is false
 	// where none does.
-	Since(object string, group int) (at Micros, ok bool)
+	PurgedUntil(object string, group int) (at Micros, ok bool)
 	// Tagged is the same of copies under a tag, which only an answer tells.
-	Tagged(tag string) (at Micros, ok bool)
+	TagPurgedUntil(tag string) (at Micros, ok bool)
 	// Ended tells how an attempt ended, and after what time.
-	Ended(a *Attempt, code rules.Code, took Micros)
+	AttemptEnded(a *Attempt, code rules.Code, took Micros)
 	// Away is how long a refused client is told to stay away, of what the module says.
-	Away(base Micros) Micros
+	RetryAfter(base Micros) Micros
 }
 
 // Bound has the gateway keep to bounds.
-func (g *Gateway) Bound(b Bounds) { g.bounds = b }
+func (g *Gateway) SetFleetPolicy(b FleetPolicy) { g.bounds = b }
 
 // since is the moment up to which a copy that a call is answered with counts as purged
 // by the whole fleet; 0: none does.
@@ -226,9 +226,9 @@
 	if g.bounds == nil {
 		return 0
 	}
-	at, _ := g.bounds.Since(c.Object, c.Group)
+	at, _ := g.bounds.PurgedUntil(c.Object, c.Group)
 	if tag != "" {
-		if t, ok := g.bounds.Tagged(tag); ok {
+		if t, ok := g.bounds.TagPurgedUntil(tag); ok {
 			at = max(at, t)
 		}
 	}
@@ -238,8 +238,8 @@
 // Renew takes settings for the calls that come from now on; open ones keep what
 // they came under. The classes of the settings must keep those known so far in
 // their places; else, or where the settings can't be used, nothing changes.
-func (g *Gateway) Renew(s rules.Settings) error {
-	if err := g.router.Renew(s); err != nil {
+func (g *Gateway) UpdateSettings(s rules.Settings) error {
+	if err := g.router.UpdateSettings(s); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.cfg.Settings = s
@@ -261,10 +261,10 @@
 }
 
 // Kept is the bytes of the own copies.
-func (g *Gateway) Kept() int { return g.copies.bytes }
+func (g *Gateway) CachedBytes() int { return g.copies.bytes }
 
 // Limit bounds the own copies anew.
-func (g *Gateway) Limit(c Copies) { g.copies.bound(c) }
+func (g *Gateway) SetCacheLimits(c LocalCacheLimits) { g.copies.bound(c) }
 
 // Abandon fails every open call, for a program that has to end.
 func (g *Gateway) Abandon() {
@@ -284,7 +284,7 @@
 func groupKey(group int) uint64 { return key(fmt.Sprintf("group %d", group)) }
 
 // Heard tells that the notice board has just answered.
-func (g *Gateway) Heard() { g.copies.heard = g.loop.Now() }
+func (g *Gateway) BoardAnswered() { g.copies.heard = g.loop.Now() }
 
 // Submit takes a call; exactly one answer follows, unless the call is left.
 // A call under the id of one that is open has failed: to the nodes they would be one.
@@ -297,15 +297,15 @@
 	if g.guard != nil {
 		if ok, away := g.guard(); !ok {
 			c.over = true
-			c.Caller.Answer(Answer{Kind: Refused, Await: away})
+			c.Caller.Answer(Answer{Kind: Refused, RetryAfter: away})
 			return
 		}
 	}
 	if x := g.copies.find(c, &g.cfg.Settings.Classes[c.Class], g.loop.Now()); x != nil && x.born > g.since(c, x.tag) {
 		c.over = true
-		a := Answer{Kind: Served, Body: x.body, Tag: x.tag, Born: x.born}
+		a := Answer{Kind: Served, Body: x.body, Tag: x.tag, CreatedAt: x.born}
 		if c.Tag != "" && c.Tag == x.tag {
-			a = Answer{Kind: Current, Tag: x.tag, Born: x.born}
+			a = Answer{Kind: NotModified, Tag: x.tag, CreatedAt: x.born}
 		}
 		c.Caller.Answer(a)
 		return
@@ -334,11 +334,11 @@
 		if a.done {
 			continue
 		}
-		code := rules.Moot
+		code := rules.NotSent
 		if g.nodes.Stop(a) {
 			code = rules.Cancelled
 		}
-		g.end(a, End{Code: code})
+		g.end(a, AttemptResult{Code: code})
 	}
 	delete(g.calls, c.id)
 	delete(g.open, c.ID)
@@ -357,9 +357,9 @@
 		}
 		id := rules.ServerID(key(m.Name))
 		seen[id] = true
-		announced := m.Born
-		m.Born = g.started(id, announced)
-		e.List = append(e.List, rules.Member{ID: id, Kind: kind, Born: m.Born, State: m.State,
+		announced := m.StartedAt
+		m.StartedAt = g.started(id, announced)
+		e.List = append(e.List, rules.Member{ID: id, Kind: kind, StartedAt: m.StartedAt, State: m.State,
 			Cell: m.Cell, Zone: zone, Weight: m.Weight})
 		g.follow(id, m, announced)
 	}
@@ -368,7 +368,7 @@
 			if s := g.servers[id]; !seen[id] {
 				s.State = rules.Gone
 				g.log.Info("server changed", "server", s.Name, "state", stateName(s.State))
-				g.nodes.Follow(s)
+				g.nodes.ServerChanged(s)
 				delete(g.servers, id)
 			}
 		}
@@ -380,7 +380,7 @@
 // is of a clock that differs from ours: the server has started by now.
 func (g *Gateway) started(id rules.ServerID, announced Micros) Micros {
 	if s := g.servers[id]; s != nil && s.announced == announced {
-		return s.Born
+		return s.StartedAt
 	}
 	return min(announced, g.loop.Now())
 }
@@ -392,15 +392,15 @@
 	if s == nil {
 		s = &Server{ID: id, Name: m.Name}
 		g.servers[id] = s
-	} else if s.State != m.State || s.Born != m.Born {
+	} else if s.State != m.State || s.StartedAt != m.StartedAt {
 		g.log.Info("server changed", "server", m.Name, "kind", m.Kind, "state", stateName(m.State),
-			"started_us", m.Born)
+			"started_us", m.StartedAt)
 	}
-	s.State, s.Born, s.announced = m.State, m.Born, announced
+	s.State, s.StartedAt, s.announced = m.State, m.StartedAt, announced
 	if m.Addr != "" {
 		s.Addr = m.Addr
 	}
-	g.nodes.Follow(s)
+	g.nodes.ServerChanged(s)
 	if s.State == rules.Gone {
 		delete(g.servers, id)
 	}
@@ -448,7 +448,7 @@
 }
 
 // Settle runs the router until nothing new has come of what it asked for.
-func (g *Gateway) Settle() {
+func (g *Gateway) ProcessEvents() {
 	for len(g.events) > 0 {
 		events := g.events
 		g.events = nil
@@ -470,7 +470,7 @@
 		if c := g.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) && !c.attempts[a.Attempt].done {
 			x := c.attempts[a.Attempt]
 			g.nodes.Stop(x)
-			g.end(x, End{Code: rules.Cancelled})
+			g.end(x, AttemptResult{Code: rules.Cancelled})
 		}
 	case rules.Wake:
 		g.loop.At(g.loop.Now()+a.In, func() { g.events = append(g.events, rules.Timer{Tag: a.Tag}) })
@@ -486,9 +486,9 @@
 	}
 	c.over = true
 	if a.Kind == Refused && g.bounds != nil {
-		a.Await = g.bounds.Away(a.Await)
+		a.RetryAfter = g.bounds.RetryAfter(a.RetryAfter)
 	}
-	a.Late = g.loop.Now() >= c.Deadline
+	a.TimedOut = g.loop.Now() >= c.Deadline
 	g.giveUp(c)
 	c.Caller.Answer(a)
 }
@@ -500,35 +500,35 @@
 		// Its client went in the moment in which the module chose. The module books every attempt on
 		// its request and server until it has ended, so it is told that this one never left.
 		g.events = append(g.events, rules.Outcome{ID: x.ID, Attempt: x.Attempt, Server: x.Server,
-			Code: rules.Moot, Closed: true})
+			Code: rules.NotSent, Closed: true})
 		return
 	}
 	if g.guard != nil && !c.left {
 		if ok, away := g.guard(); !ok {
 			g.events = append(g.events, rules.Expired{ID: c.id}, rules.Outcome{ID: x.ID, Attempt: x.Attempt,
-				Server: x.Server, Code: rules.Moot, Closed: true})
-			g.finish(c.id, Answer{Kind: Refused, Await: away})
+				Server: x.Server, Code: rules.NotSent, Closed: true})
+			g.finish(c.id, Answer{Kind: Refused, RetryAfter: away})
 			return
 		}
 	}
-	a := &Attempt{Call: c, Server: g.servers[x.Server], Deadline: c.Deadline, Keep: x.Keep,
-		Join: x.Join, Held: x.Held, Pass: x.Pass, Renew: x.Renew, number: len(c.attempts),
+	a := &Attempt{Call: c, Server: g.servers[x.Server], Deadline: c.Deadline, KeepRank: x.KeepRank,
+		Join: x.Join, HeldOnly: x.HeldOnly, PassThrough: x.PassThrough, Revalidate: x.Revalidate, number: len(c.attempts),
 		started: now, maxAge: x.MaxAge}
 	c.attempts = append(c.attempts, a)
 	c.out++
-	if x.Within > 0 {
-		a.Deadline = min(a.Deadline, now+x.Within)
+	if x.Timeout > 0 {
+		a.Deadline = min(a.Deadline, now+x.Timeout)
 	}
 	if a.Server != nil {
-		a.born = a.Server.Born
+		a.born = a.Server.StartedAt
 	}
 	if x.Source != x.Server {
 		if a.Source = g.servers[x.Source]; a.Source != nil {
-			a.srcBorn = a.Source.Born
+			a.srcBorn = a.Source.StartedAt
 		}
 	}
 	if a.Server == nil || x.Source != x.Server && a.Source == nil || a.Deadline <= now {
-		g.end(a, End{Code: rules.Moot})
+		g.end(a, AttemptResult{Code: rules.NotSent})
 		return
 	}
 	a.due = g.loop.At(a.Deadline, func() { g.expire(a) })
@@ -540,19 +540,19 @@
 	if a.done {
 		return
 	}
-	code := rules.Moot
+	code := rules.NotSent
 	if g.nodes.Stop(a) {
 		code = rules.Timeout
 	}
-	g.end(a, End{Code: code})
+	g.end(a, AttemptResult{Code: code})
 }
 
 // May tells whether an attempt that waits for a connection or a full socket may
 // still leave. It may have been overtaken by its deadline, or by a drain or restart of
 // the server or the source.
-func (g *Gateway) May(a *Attempt) bool {
-	if a.done || g.loop.Now() >= a.Deadline || a.Server.State != rules.Ready || a.Server.Born != a.born ||
-		a.Source != nil && (a.Source.State != rules.Ready || a.Source.Born != a.srcBorn) {
+func (g *Gateway) CanSend(a *Attempt) bool {
+	if a.done || g.loop.Now() >= a.Deadline || a.Server.State != rules.Ready || a.Server.StartedAt != a.born ||
+		a.Source != nil && (a.Source.State != rules.Ready || a.Source.StartedAt != a.srcBorn) {
 		return false
 	}
 	if g.guard != nil {
@@ -578,8 +578,8 @@
 // Clear tells, just before an attempt's first byte leaves, whether it still may (see
 // May), and the oldest copy that will do, by what was purged meanwhile (0: the
 // class's default). An attempt that may not leave must be ended as never sent.
-func (g *Gateway) Clear(a *Attempt) (maxAge Micros, ok bool) {
-	if !g.May(a) {
+func (g *Gateway) PrepareSend(a *Attempt) (maxAge Micros, ok bool) {
+	if !g.CanSend(a) {
 		return 0, false
 	}
 	now := g.loop.Now()
@@ -606,43 +606,43 @@
 			maxAge = min(maxAge, fresh)
 		}
 	}
-	g.cfg.Figures.CountAttempt(a.Call.Class)
+	g.cfg.Counters.CountAttempt(a.Call.Class)
 	return maxAge, true
 }
 
 // End tells how an attempt ended.
-func (g *Gateway) End(a *Attempt, e End) {
+func (g *Gateway) EndAttempt(a *Attempt, e AttemptResult) {
 	if !a.done {
 		if e.Code == rules.OK && g.bounds != nil && !g.cfg.Settings.Classes[a.Call.Class].Write {
-			if at := g.since(a.Call, e.Answer.Tag); at > 0 && e.Answer.Born <= at {
+			if at := g.since(a.Call, e.Answer.Tag); at > 0 && e.Answer.CreatedAt <= at {
 				// From before a purge that came meanwhile, or of a tag that only the answer
 				// tells: as if nothing suitable had been held. It goes again for a newer one.
 				g.purged(key(a.Call.Object), purge{stamp: at, at: at})
 				g.events = append(g.events, rules.Purge{Object: key(a.Call.Object), Age: max(0, g.loop.Now()-at)})
-				e = End{Code: rules.Miss, Waited: e.Waited}
+				e = AttemptResult{Code: rules.Miss, SourceWait: e.SourceWait}
 			}
 		}
 		g.end(a, e)
 	}
 }
 
-func (g *Gateway) end(a *Attempt, e End) {
+func (g *Gateway) end(a *Attempt, e AttemptResult) {
 	c := a.Call
 	a.done = true
 	c.out--
 	g.loop.Stop(a.due)
 	if g.bounds != nil && a.Server != nil {
-		g.bounds.Ended(a, e.Code, g.loop.Now()-a.started)
+		g.bounds.AttemptEnded(a, e.Code, g.loop.Now()-a.started)
 	}
 	serves := e.Code == rules.OK && !c.over
 	g.events = append(g.events, rules.Outcome{ID: c.id, Attempt: a.number, Server: serverID(a.Server),
-		Code: e.Code, Spent: g.loop.Now() - a.started, Closed: c.over || serves, Note: e.Note,
-		Waited: e.Waited})
+		Code: e.Code, Elapsed: g.loop.Now() - a.started, Closed: c.over || serves, Note: e.Note,
+		SourceWait: e.SourceWait})
 	if serves {
 		c.over = true
 		g.giveUp(c)
-		if aheadOf := e.Answer.Born - g.loop.Now(); aheadOf <= clockSlack { // else its age can't be known
-			g.copies.keep(c, &g.cfg.Settings.Classes[c.Class], &e.Answer, g.purgedSince(c, e.Answer.Born))
+		if aheadOf := e.Answer.CreatedAt - g.loop.Now(); aheadOf <= clockSlack { // else its age can't be known
+			g.copies.keep(c, &g.cfg.Settings.Classes[c.Class], &e.Answer, g.purgedSince(c, e.Answer.CreatedAt))
 		}
 		c.Caller.Answer(e.Answer)
 	}
@@ -661,7 +661,7 @@
 }
 
 // Before compares calls by the order in which they came.
-func (c *Call) Before(o *Call) int { return cmp.Compare(c.id, o.id) }
+func (c *Call) Compare(o *Call) int { return cmp.Compare(c.id, o.id) }
 
 const longestName = 128
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,9 +16,9 @@
 	sent             bool // what Stop says
 }
 
-func (n *nodes) Start(a *Attempt)     { n.started = append(n.started, a) }
-func (n *nodes) Stop(a *Attempt) bool { n.stopped = append(n.stopped, a); return n.sent }
-func (n *nodes) Follow(*Server)       {}
+func (n *nodes) Start(a *Attempt)      { n.started = append(n.started, a) }
+func (n *nodes) Stop(a *Attempt) bool  { n.stopped = append(n.stopped, a); return n.sent }
+func (n *nodes) ServerChanged(*Server) {}
 
 // caller counts answers.
 type caller struct{ got []Answer }
@@ -48,16 +48,16 @@
 	change(&settings)
 	g, err := New(Config{Settings: settings,
 		Zones: []string{"edge"}, Kinds: []string{"box", "parent", "origin"}, Seed: 1,
-		Copies: Copies{Bytes: 1 << 20, Flow: 1 << 20, Link: 1 << 24},
+		LocalCache: LocalCacheLimits{Bytes: 1 << 20, Flow: 1 << 20, Link: 1 << 24},
 	}, loop.New(func() {}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &nodes{sent: true}
-	g.Use(n)
+	g.SetUpstream(n)
 	g.Members(true, []Member{member("s-1", "box", rules.Ready), member("s-2", "box", rules.Ready),
 		member("s-p", "parent", rules.Ready), member("s-o", "origin", rules.Ready)})
-	g.Settle()
+	g.ProcessEvents()
 	return g, n
 }
 
@@ -69,7 +69,7 @@
 	a := &caller{}
 	c := &Call{ID: "1", Class: class, Object: object, Group: 17, Deadline: g.loop.Now() + 4*second, Caller: a}
 	g.Submit(c)
-	g.Settle()
+	g.ProcessEvents()
 	return c, a
 }
 
@@ -83,18 +83,18 @@
 			g.Members(false, []Member{member(a.Source.Name, "parent", rules.Draining)})
 		},
 		"source is gone":  func(g *Gateway, a *Attempt) { g.Members(false, []Member{member(a.Source.Name, "parent", rules.Gone)}) },
-		"server restarts": func(g *Gateway, a *Attempt) { a.Server.Born++ },
+		"server restarts": func(g *Gateway, a *Attempt) { a.Server.StartedAt++ },
 		"client has left": func(g *Gateway, a *Attempt) { g.Leave(a.Call) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, n := newGateway(t)
 			submit(g, 0, "a")
 			a := n.started[0]
-			if _, ok := g.Clear(a); !ok || a.Source == nil {
+			if _, ok := g.PrepareSend(a); !ok || a.Source == nil {
 				t.Fatalf("not cleared at first: %+v", a)
 			}
 			change(g, a)
-			if _, ok := g.Clear(a); ok {
+			if _, ok := g.PrepareSend(a); ok {
 				t.Error("cleared all the same")
 			}
 		})
@@ -109,7 +109,7 @@
 		submit(g, 0, "a")
 		p.At = g.loop.Now() - second
 		g.Purge(p)
-		age, ok := g.Clear(n.started[0])
+		age, ok := g.PrepareSend(n.started[0])
 		if !ok || age < second || age > 2*second {
 			t.Errorf("%+v: age %d, %v", p, age, ok)
 		}
@@ -120,22 +120,22 @@
 func TestOneAnswer(t *testing.T) {
 	g, n := newGateway(t)
 	_, got := submit(g, 0, "a")
-	g.End(n.started[0], End{Code: rules.OK})
-	g.End(n.started[0], End{Code: rules.OK})
-	g.Settle()
+	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
+	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
+	g.ProcessEvents()
 	if len(got.got) != 1 || got.got[0].Kind != Served || g.Open() != 0 {
 		t.Errorf("answers %v, %d open", got.got, g.Open())
 	}
 	c, got := submit(g, 2, "b")
-	g.End(n.started[1], End{Code: rules.Reset}) // it may have run: failed, and not tried again
-	g.Settle()
+	g.EndAttempt(n.started[1], AttemptResult{Code: rules.Reset}) // it may have run: failed, and not tried again
+	g.ProcessEvents()
 	if len(got.got) != 1 || got.got[0].Kind != Failed || len(n.started) != 2 {
 		t.Errorf("unsafe: answers %v, %d attempts", got.got, len(n.started))
 	}
 	g.Leave(c)
 	c, got = submit(g, 0, "c")
 	g.Leave(c)
-	g.Settle()
+	g.ProcessEvents()
 	if len(got.got) != 0 || len(n.stopped) != 1 || g.Open() != 0 {
 		t.Errorf("left: answers %v, stopped %d, open %d", got.got, len(n.stopped), g.Open())
 	}
@@ -154,8 +154,8 @@
 		{"object purged", 0, func(g *Gateway) { g.Purge(Purge{Object: "a", At: g.loop.Now()}) }, false},
 		{"group purged", 0, func(g *Gateway) { g.Purge(Purge{Group: 17, At: g.loop.Now()}) }, false},
 		{"other group purged", 0, func(g *Gateway) { g.Purge(Purge{Group: 18, At: g.loop.Now()}) }, true},
-		{"purges must be heeded sooner", 0, func(g *Gateway) { g.copies.limit.Heed = second / 10; g.copies.heard -= second / 5 }, false},
-		{"purges may be heeded later", 0, func(g *Gateway) { g.copies.limit.Heed = 2 * second; g.copies.heard -= second }, true},
+		{"purges must be heeded sooner", 0, func(g *Gateway) { g.copies.limit.MaxPurgeDelay = second / 10; g.copies.heard -= second / 5 }, false},
+		{"purges may be heeded later", 0, func(g *Gateway) { g.copies.limit.MaxPurgeDelay = 2 * second; g.copies.heard -= second }, true},
 		{"board silent", 0, func(g *Gateway) { g.copies.heard -= second }, false},
 		{"link busy", 0, func(g *Gateway) { g.copies.freeAt = g.loop.Now() + second }, false},
 		{"fresh", 1, func(*Gateway) {}, true},
@@ -165,9 +165,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			g, n := newGateway(t)
-			g.Heard()
+			g.BoardAnswered()
 			submit(g, x.class, "a")
-			g.End(n.started[0], End{Code: rules.OK, Answer: Answer{Body: []byte("abc"), Tag: "t", Born: g.loop.Now()}})
+			g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc"), Tag: "t", CreatedAt: g.loop.Now()}})
 			x.between(g)
 			_, got := submit(g, x.class, "a")
 			if served := len(got.got) == 1 && string(got.got[0].Body) == "abc"; served != x.served {
@@ -177,11 +177,11 @@
 	}
 	// An answer that was under way when the purge came is passed on, but not kept.
 	g, n := newGateway(t)
-	g.Heard()
+	g.BoardAnswered()
 	submit(g, 0, "a")
 	born := g.loop.Now()
 	g.Purge(Purge{Object: "a", At: born + 1})
-	g.End(n.started[0], End{Code: rules.OK, Answer: Answer{Body: []byte("abc"), Born: born}})
+	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc"), CreatedAt: born}})
 	if len(g.copies.byKey) > 0 {
 		t.Error("a copy from before a purge was kept")
 	}
@@ -199,8 +199,8 @@
 	for i := range 200 {
 		submit(g, 0, string(rune('a'+i%26))+string(rune('a'+i/26)))
 		a := n.started[len(n.started)-1]
-		g.End(a, End{Code: rules.OK, Answer: Answer{Body: make([]byte, 60_000), Born: g.loop.Now()}})
-		g.Settle()
+		g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Body: make([]byte, 60_000), CreatedAt: g.loop.Now()}})
+		g.ProcessEvents()
 	}
 	if g.copies.bytes > 1<<20 || g.copies.order.Len() != len(g.copies.byKey) || g.copies.bytes == 0 {
 		t.Errorf("%d bytes in %d copies", g.copies.bytes, g.copies.order.Len())
@@ -216,22 +216,22 @@
 			c := &Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: &caller{}}
 			g.Submit(c)
 			g.Leave(c)
-			g.Settle()
+			g.ProcessEvents()
 		},
 		"between two attempts": func(g *Gateway, n *nodes) {
 			c, _ := submit(g, 0, "a")
-			g.End(n.started[len(n.started)-1], End{Code: rules.Reset})
+			g.EndAttempt(n.started[len(n.started)-1], AttemptResult{Code: rules.Reset})
 			g.Leave(c)
-			g.Settle()
+			g.ProcessEvents()
 		},
 		"while a guard shuts the front out": func(g *Gateway, _ *nodes) {
 			shut := false
-			g.Guard(func() (bool, Micros) { return !shut, 0 })
+			g.SetGuard(func() (bool, Micros) { return !shut, 0 })
 			c := &Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: &caller{}}
 			g.Submit(c)
 			shut = true
-			g.Settle()
-			g.Guard(nil)
+			g.ProcessEvents()
+			g.SetGuard(nil)
 		},
 	}
 	for name, one := range leave {
@@ -254,21 +254,23 @@
 // Guards against two answers, or none, where an answer and its deadline, or the client's end,
 // fall into one turn of the loop: whichever comes first counts, and the other changes nothing.
 func TestOneTurnOneEnd(t *testing.T) {
-	answer := func(g *Gateway, a *Attempt) { g.End(a, End{Code: rules.OK, Answer: Answer{Body: []byte("abc")}}) }
+	answer := func(g *Gateway, a *Attempt) {
+		g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc")}})
+	}
 	late := func(g *Gateway, a *Attempt) { a.Deadline = a.Call.Deadline; g.expire(a) }
 	gone := func(g *Gateway, a *Attempt) { g.Leave(a.Call) }
 	for name, x := range map[string]struct {
 		first, second func(*Gateway, *Attempt)
 		class         int
-		want          []Kind
+		want          []AnswerKind
 	}{
-		"answer, deadline":        {answer, late, 0, []Kind{Served}},
-		"deadline, answer":        {late, answer, 2, []Kind{Failed}},
-		"answer, client gone":     {answer, gone, 0, []Kind{Served}},
+		"answer, deadline":        {answer, late, 0, []AnswerKind{Served}},
+		"deadline, answer":        {late, answer, 2, []AnswerKind{Failed}},
+		"answer, client gone":     {answer, gone, 0, []AnswerKind{Served}},
 		"client gone, answer":     {gone, answer, 0, nil},
 		"client gone, deadline":   {gone, late, 0, nil},
 		"deadline, client gone":   {late, gone, 2, nil},
-		"answer, answer":          {answer, answer, 0, []Kind{Served}},
+		"answer, answer":          {answer, answer, 0, []AnswerKind{Served}},
 		"client gone, then again": {gone, gone, 0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -277,8 +279,8 @@
 			a := n.started[0]
 			x.first(g, a)
 			x.second(g, a)
-			g.Settle()
-			var kinds []Kind
+			g.ProcessEvents()
+			var kinds []AnswerKind
 			for _, k := range got.got {
 				kinds = append(kinds, k.Kind)
 			}
@@ -305,8 +307,8 @@
 func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
 	for name, wait := range map[string]func(g *Gateway, n *nodes) *Attempt{
 		"a further attempt": func(g *Gateway, n *nodes) *Attempt {
-			g.End(n.started[0], End{Code: rules.Reset})
-			g.Settle()
+			g.EndAttempt(n.started[0], AttemptResult{Code: rules.Reset})
+			g.ProcessEvents()
 			return n.started[1]
 		},
 		"one that waited": func(_ *Gateway, n *nodes) *Attempt {
@@ -317,13 +319,13 @@
 		g, n := newGateway(t)
 		l := &leaver{}
 		g.Submit(&Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: l})
-		g.Settle()
+		g.ProcessEvents()
 		a := wait(g, n)
-		if _, ok := g.Clear(a); !ok {
+		if _, ok := g.PrepareSend(a); !ok {
 			t.Errorf("%s: not cleared while its client waits", name)
 		}
 		l.gone = true
-		if _, ok := g.Clear(a); ok {
+		if _, ok := g.PrepareSend(a); ok {
 			t.Errorf("%s: cleared for a client that has gone", name)
 		}
 	}
@@ -336,28 +338,28 @@
 	g, n := newGateway(t)
 	ahead := g.loop.Now() + hour
 	starting := member("s-1", "box", rules.Ready)
-	starting.Born = ahead
+	starting.StartedAt = ahead
 	for range 2 { // a list that comes again changes nothing
 		g.Members(false, []Member{starting})
-		g.Settle()
+		g.ProcessEvents()
 	}
 	id := rules.ServerID(key("s-1"))
-	if s := g.servers[id]; s.Born > g.loop.Now() || s.Born < g.loop.Now()-second {
-		t.Errorf("started %d us from now", s.Born-g.loop.Now())
+	if s := g.servers[id]; s.StartedAt > g.loop.Now() || s.StartedAt < g.loop.Now()-second {
+		t.Errorf("started %d us from now", s.StartedAt-g.loop.Now())
 	}
 	g.Purge(Purge{Object: "9f3a", At: ahead})
 	submit(g, 0, "9f3a")
 	a := n.started[0]
-	if age, ok := g.Clear(a); !ok || age > second {
+	if age, ok := g.PrepareSend(a); !ok || age > second {
 		t.Errorf("the oldest copy that will do: %d us, %v", age, ok)
 	}
 	if !g.settled(g.purges[key("9f3a")].at, g.loop.Now()+g.cfg.Settings.PurgeSettle+2*second) {
 		t.Error("the purge is never over")
 	}
-	g.End(a, End{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("old"), Tag: "t", Born: ahead - second}})
+	g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("old"), Tag: "t", CreatedAt: ahead - second}})
 	submit(g, 0, "9f3b")
-	g.End(n.started[1], End{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("x"), Tag: "t", Born: ahead}})
-	if g.Kept() != 0 {
-		t.Errorf("%d bytes of copies of unknown age are kept", g.Kept())
+	g.EndAttempt(n.started[1], AttemptResult{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("x"), Tag: "t", CreatedAt: ahead}})
+	if g.CachedBytes() != 0 {
+		t.Errorf("%d bytes of copies of unknown age are kept", g.CachedBytes())
 	}
 }
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -7,7 +7,7 @@
 
 // refusals counts the requests that the module refused, by reason, and says when one of them is told.
 // It holds a fixed number of counts.
-type refusals [rules.Reasons]struct {
+type refusals [rules.NumReasons]struct {
 	total  uint64
 	logged Micros // when a line last told of it; 0: never
 }
@@ -28,7 +28,7 @@
 	if c := g.calls[a.ID]; c != nil && !c.over {
 		g.logRefusal(c, a.Cause)
 	}
-	g.finish(a.ID, Answer{Kind: Refused, Await: a.Await})
+	g.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 }
 
 func (g *Gateway) logRefusal(c *Call, cause rules.Cause) {
@@ -42,5 +42,5 @@
 	}
 	g.log.Info("request refused", "reason", cause.Reason, "refused", total, "id", c.ID, "class", c.Class,
 		"attempts", len(c.attempts), "open", len(g.calls)-1, "server", server, "in_flight", cause.InFlight,
-		"expected_us", cause.Expected, "left_us", cause.Left, "slow", cause.Slow)
+		"expected_us", cause.Expected, "left_us", cause.Remaining, "slow", cause.Slowdown)
 }
--- a/internal/gateway/refusals_test.go
+++ b/internal/gateway/refusals_test.go
@@ -22,7 +22,7 @@
 	if total, _ := r.count(rules.ReasonServerSlow, now); total != 51 || lines != 10 {
 		t.Errorf("%d refusals and %d lines, want 51 and 10", total, lines)
 	}
-	for reason := range rules.Reason(rules.Reasons) {
+	for reason := range rules.Reason(rules.NumReasons) {
 		if reason.String() == "" {
 			t.Errorf("reason %d has no name", reason)
 		}
--- a/internal/program/balance.go
+++ b/internal/program/balance.go
@@ -80,7 +80,7 @@
 	held[resources.PendingOutput] = max(held[resources.PendingOutput], b.pace.PendingBytes())
 	held[resources.ConnRecords] = int64(records) * recordBytes
 	held[resources.NodeResponses] = b.tcp.Held()
-	held[resources.CachedCopies] = int64(p.gate.Kept())
+	held[resources.CachedCopies] = int64(p.gate.CachedBytes())
 	give := b.budget.Observe(held)
 	if mark := b.budget.Level(); mark != b.mark {
 		b.mark = mark
@@ -91,7 +91,7 @@
 	if b.mark != resources.Easy {
 		limit.Bytes = min(limit.Bytes, int(held[resources.CachedCopies]-give[resources.CachedCopies]))
 	}
-	p.gate.Limit(limit)
+	p.gate.SetCacheLimits(limit)
 	for _, f := range p.fronts {
 		others := files + records // of the other fronts too
 		_, _, own := f.Held()
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -89,7 +89,7 @@
 	if part, ok := p.fleet.(ExchangePart); ok && p.shared != nil {
 		p.shared.part = part
 	}
-	p.gate.Guard(p.fleet.Holds)
+	p.gate.SetGuard(p.fleet.Holds)
 	return nil
 }
 
@@ -138,7 +138,9 @@
 }
 
 // Leave is part of FleetHost.
-func (h fleetHost) Leave(boxes []string) (open map[string]bool) { return h.p.bars.Set(h.p.away(boxes)) }
+func (h fleetHost) Leave(boxes []string) (open map[string]bool) {
+	return h.p.bars.SetDrained(h.p.away(boxes))
+}
 
 // away is the boxes that nothing new goes to: those in work, those that the version in
 // force names, and those that the fleet has found to fail.
@@ -154,7 +156,7 @@
 
 // Share is part of FleetHost.
 func (h fleetHost) Share(box string) (zone string, percent int, known bool) {
-	zone, percent, known = h.p.bars.Share(box)
+	zone, percent, known = h.p.bars.CapacityShare(box)
 	return zone, percent, known || h.p.bars.Listed() == 0
 }
 
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -50,7 +50,7 @@
 	if p.cfg.Board != "" {
 		p.news.Move(p.cfg.Board)
 	}
-	p.gate.Limit(copies(p.cfg))
+	p.gate.SetCacheLimits(copies(p.cfg))
 	if p.shared != nil && operator.Exchange != nil {
 		p.shared.renew(operator.Exchange)
 	}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -129,9 +129,9 @@
 	figures        *counters.Counters
 	ready          *readiness.State
 	drain          *drain
-	fleet          FleetPart       // nil: the front acts alone
-	bars           *gateway.Bars   // nil without fleet
-	watched        health.Detector // of what the fleet must know of this front
+	fleet          FleetPart              // nil: the front acts alone
+	bars           *gateway.DrainOverride // nil without fleet
+	watched        health.Detector        // of what the fleet must know of this front
 	hurt           bool
 	drainedByFleet bool // it takes no clients, as the fleet wants
 	drainedByHand  bool // nor did it before, as a person wanted
@@ -149,11 +149,11 @@
 	p.figures = counters.New(lanes(cfg.Settings.Classes))
 	p.held = newBalance(cfg, operator.Clients)
 	p.loop = loop.New(func() {
-		p.gate.Settle()
+		p.gate.ProcessEvents()
 		p.balance()
 	})
 	p.gate, err = gateway.New(gateway.Config{Settings: cfg.Settings, Zones: cfg.Zones, Kinds: cfg.Kinds,
-		Seed: cfg.Seed, Copies: copies(cfg), Figures: p.figures}, p.loop, log)
+		Seed: cfg.Seed, LocalCache: copies(cfg), Counters: p.figures}, p.loop, log)
 	if err != nil {
 		return nil, err
 	}
@@ -171,14 +171,14 @@
 	to.Connections = max(1, min(poolMost, int(poolShare*float64(cfg.Sockets))/nodes))
 	to.Total = nodesRoom(cfg, operator)
 	p.pools = upstream.New(to, tcp, p.loop, p.gate, log)
-	p.gate.Use(p.pools)
+	p.gate.SetUpstream(p.pools)
 	if p.held != nil {
 		p.held.nodes, p.held.tcp = p.pools, tcp
 	}
 	var sink discovery.Sink = p.gate
 	var members ephemeral.Sink = p.gate
 	if operator.Fleet != nil {
-		p.bars = gateway.NewBars(p.gate)
+		p.bars = gateway.NewDrainOverride(p.gate)
 		sink, members = p.bars, p.bars
 	}
 	if e := operator.Ephemeral; e != nil {
@@ -203,7 +203,7 @@
 	p.fronts = append(p.fronts, session.New(limits, p.loop, p.platform, p.gate, log))
 	if operator.Exchange != nil {
 		p.shared = newShared(p, operator.Exchange)
-		p.gate.Bound(p.shared)
+		p.gate.SetFleetPolicy(p.shared)
 	}
 	if operator.Signed != nil {
 		o := operator.Signed
@@ -338,12 +338,12 @@
 
 // copies bounds the gateway's own copies; without the figures of the link, or a
 // notice board to tell of purges, there are none.
-func copies(cfg *config.Config) gateway.Copies {
+func copies(cfg *config.Config) gateway.LocalCacheLimits {
 	if cfg.Flow == 0 || cfg.Link == 0 || cfg.Board == "" {
-		return gateway.Copies{}
+		return gateway.LocalCacheLimits{}
 	}
-	return gateway.Copies{Bytes: int(copyShare * float64(cfg.MemoryMB) * (1 << 20)), Flow: cfg.Flow,
-		Link: cfg.Link, Heed: cfg.Settings.PurgeGrace}
+	return gateway.LocalCacheLimits{Bytes: int(copyShare * float64(cfg.MemoryMB) * (1 << 20)), Flow: cfg.Flow,
+		Link: cfg.Link, MaxPurgeDelay: cfg.Settings.PurgeGrace}
 }
 
 // signedPolicy is what the operator's file says of signed links.
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -32,7 +32,7 @@
 	classes := table.Classes()
 	s := cfg.Settings
 	s.Classes = classes
-	if err := p.gate.Renew(s); err != nil {
+	if err := p.gate.UpdateSettings(s); err != nil {
 		return err
 	}
 	p.table = table
@@ -49,7 +49,7 @@
 func (p *program) named() (out []platform.Class) {
 	for _, place := range p.table.InForce() {
 		c := &p.table.Classes()[place]
-		out = append(out, platform.Class{Name: c.Name, Place: place, Write: c.Write, Keyed: c.Effect == rules.Keyed})
+		out = append(out, platform.Class{Name: c.Name, Index: place, Write: c.Write, Keyed: c.Effect == rules.Keyed})
 	}
 	return out
 }
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -125,13 +125,13 @@
 	}
 }
 
-// Since is part of gateway.Bounds.
-func (s *shared) Since(object string, group int) (at gateway.Micros, ok bool) {
+// PurgedUntil is part of gateway.FleetPolicy.
+func (s *shared) PurgedUntil(object string, group int) (at gateway.Micros, ok bool) {
 	return s.index.Since(object, group)
 }
 
-// Tagged is part of gateway.Bounds.
-func (s *shared) Tagged(tag string) (at gateway.Micros, ok bool) { return s.index.Tagged(tag) }
+// TagPurgedUntil is part of gateway.FleetPolicy.
+func (s *shared) TagPurgedUntil(tag string) (at gateway.Micros, ok bool) { return s.index.Tagged(tag) }
 
 // Mono is the clock by which the fleet's part leases what is shared.
 func (h fleetHost) Mono() int64 { return mono() }
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// Ended is part of gateway.Bounds.
-func (s *shared) Ended(a *gateway.Attempt, code rules.Code, took gateway.Micros) {
+// AttemptEnded is part of gateway.FleetPolicy.
+func (s *shared) AttemptEnded(a *gateway.Attempt, code rules.Code, took gateway.Micros) {
 	if s.seen == nil && !s.paths || s.p.bars == nil {
 		return
 	}
-	zone, kind, known := s.p.bars.Place(a.Server.Name)
+	zone, kind, known := s.p.bars.ZoneAndKind(a.Server.Name)
 	if !known {
 		return
 	}
@@ -53,7 +53,7 @@
 		if s.paths && code == rules.OK && len(s.samples) < mostSamples {
 			s.samples = append(s.samples, sample{s.region(a.Call.Peer), zone, took})
 		}
-	case rules.ServerError, rules.Timeout, rules.Reset, rules.Spoilt, rules.ConnectFailed:
+	case rules.ServerError, rules.Timeout, rules.Reset, rules.ConnectionBroken, rules.ConnectFailed:
 		if s.seen != nil {
 			s.seen.Answered(a.Server.Name, zone+"/"+kind, false, took, mono())
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// Away is part of gateway.Bounds: return times grow while this front's hub is overloaded.
-func (s *shared) Away(base gateway.Micros) gateway.Micros {
+// RetryAfter is part of gateway.FleetPolicy: return times grow while this front's hub is overloaded.
+func (s *shared) RetryAfter(base gateway.Micros) gateway.Micros {
 	if s.watch || base <= 0 {
 		return base
 	}
@@ -146,7 +146,7 @@
 	slices.Sort(add)
 	kept := add[:0]
 	for _, name := range add {
-		zone, kind, known := s.p.bars.Place(name)
+		zone, kind, known := s.p.bars.ZoneAndKind(name)
 		if !known {
 			continue
 		}
@@ -183,7 +183,7 @@
 	h := s.holds[name]
 	s.p.log.Info("fleet: a verdict on a box", "box", name, "acts", on, "number", h.Number, "witnesses", h.Count, "sites", h.Sites)
 	if s.part != nil && h.Number != 0 {
-		zone, kind, _ := s.p.bars.Place(name)
+		zone, kind, _ := s.p.bars.ZoneAndKind(name)
 		all := s.p.bars.Count(zone, kind)
 		s.part.Acted(h, on, all, all-hubs[zone+"/"+kind])
 	}
@@ -195,7 +195,7 @@
 	if s.seen == nil {
 		return nil, nil
 	}
-	return s.seen.Opinions(front, site, mono()), h.p.bars.Hubs()
+	return s.seen.Opinions(front, site, mono()), h.p.bars.CountByZoneAndKind()
 }
 
 // Judged is part of exchange.Witness.
@@ -213,13 +213,13 @@
 // Room is which part of each edge's boxes no verdict takes away.
 func (h fleetHost) Room() map[string]float64 {
 	s, out, now := h.p.shared, map[string]float64{}, mono()
-	for hub, n := range h.p.bars.Hubs() {
+	for hub, n := range h.p.bars.CountByZoneAndKind() {
 		zone, bad := hub, 0
 		if i := strings.LastIndexByte(hub, '/'); i >= 0 {
 			zone = hub[:i]
 		}
 		for name, v := range s.holds {
-			if z, _, known := h.p.bars.Place(name); known && z == zone && now < v.Until {
+			if z, _, known := h.p.bars.ZoneAndKind(name); known && z == zone && now < v.Until {
 				bad++
 			}
 		}
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -77,7 +77,7 @@
 		errs = append(errs, fmt.Errorf("%s: a restart is needed for that", strings.Join(fixed, ", ")))
 	}
 	for _, name := range x.version.Drain {
-		if _, _, known := p.bars.Share(name); !known && p.bars.Listed() > 0 {
+		if _, _, known := p.bars.CapacityShare(name); !known && p.bars.Listed() > 0 {
 			errs = append(errs, fmt.Errorf("drain: no server %s is listed", name))
 		}
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -141,7 +141,7 @@
 			if ans.end.Code != rules.OK { // else its call is over
 				c.remember(a, true)
 			}
-			c.pool.all.gate.End(a, ans.end)
+			c.pool.all.gate.EndAttempt(a, ans.end)
 		}
 	}
 	c.rest()
@@ -167,7 +167,7 @@
 	c.pool.all.log.Warn("answer can't be read", "server", c.pool.name, "error", err, "open", len(c.open))
 	c.draining = true
 	c.cut()
-	c.drop(rules.Spoilt, rules.Spoilt)
+	c.drop(rules.ConnectionBroken, rules.ConnectionBroken)
 	c.tc.Close()
 }
 
@@ -188,10 +188,10 @@
 	x.conns = slices.DeleteFunc(x.conns, func(o *conn) bool { return o == c })
 	first := rules.Reset
 	if c.whole != nil {
-		first = rules.Spoilt
+		first = rules.ConnectionBroken
 	}
 	c.await(false)
-	c.drop(first, rules.Spoilt)
+	c.drop(first, rules.ConnectionBroken)
 	x.flush()
 }
 
@@ -202,7 +202,7 @@
 	for _, a := range c.open {
 		open = append(open, a)
 	}
-	slices.SortFunc(open, func(a, b *gateway.Attempt) int { return a.Call.Before(b.Call) })
+	slices.SortFunc(open, func(a, b *gateway.Attempt) int { return a.Call.Compare(b.Call) })
 	partial := c.partial
 	for _, a := range open {
 		c.forget(a)
@@ -212,6 +212,6 @@
 		} else {
 			first = rest
 		}
-		c.pool.all.gate.End(a, gateway.End{Code: code})
+		c.pool.all.gate.EndAttempt(a, gateway.AttemptResult{Code: code})
 	}
 }
--- a/internal/upstream/lines.go
+++ b/internal/upstream/lines.go
@@ -26,12 +26,12 @@
 // answer is one answer of a cache node.
 type answer struct {
 	id  string
-	end gateway.End
+	end gateway.AttemptResult
 }
 
 // codes are the words that end an attempt.
 var codes = map[string]rules.Code{"ok": rules.OK, "current": rules.OK, "nothing": rules.Miss,
-	"refused": rules.Full, "error": rules.ServerError, "stale": rules.Moot}
+	"refused": rules.Full, "error": rules.ServerError, "stale": rules.NotSent}
 
 // notes are the words of the field why, in the order of the module's notes.
 var notes = []string{"", "warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking",
@@ -68,7 +68,7 @@
 		return answer{}, 0, err
 	}
 	if words[1] == "current" {
-		a.end.Answer.Kind = gateway.Current
+		a.end.Answer.Kind = gateway.NotModified
 	}
 	a.end.Answer.Body = bytes.Clone(b[end+2 : whole-2])
 	return a, whole, nil
@@ -79,7 +79,7 @@
 // only the copy that was asked about can be current, and only the client that asked
 // may be told so.
 func (a *answer) fits(tag string) bool {
-	return a.end.Answer.Kind != gateway.Current || tag != "" && (a.end.Answer.Tag == "" || a.end.Answer.Tag == tag)
+	return a.end.Answer.Kind != gateway.NotModified || tag != "" && (a.end.Answer.Tag == "" || a.end.Answer.Tag == tag)
 }
 
 func (a *answer) fields(text string) error {
@@ -103,13 +103,13 @@
 			if err != nil || !(ms >= 0 && ms < 1e9) {
 				return errLine
 			}
-			a.end.Waited = gateway.Micros(ms * 1000)
+			a.end.SourceWait = gateway.Micros(ms * 1000)
 		case "t0":
 			ms, err := strconv.ParseInt(value, 10, 50)
 			if err != nil || ms < 0 {
 				return errLine
 			}
-			a.end.Answer.Born = ms * 1000
+			a.end.Answer.CreatedAt = ms * 1000
 		case "sum":
 			if !gateway.IsName(value) {
 				return errLine
@@ -145,8 +145,8 @@
 		dst = append(dst, ",next="...)
 		dst = append(dst, a.Source.Name...)
 	}
-	if a.Keep > 0 {
-		number(",admit=", int64(a.Keep))
+	if a.KeepRank > 0 {
+		number(",admit=", int64(a.KeepRank))
 	}
 	if maxAge > 0 {
 		number(",agelim=", max(1, maxAge/1000))
@@ -155,7 +155,7 @@
 	for _, way := range []struct {
 		set  bool
 		word string
-	}{{a.Join, "ride"}, {a.Held, "have-only"}, {a.Pass, "through"}, {a.Renew, "update"}} {
+	}{{a.Join, "ride"}, {a.HeldOnly, "have-only"}, {a.PassThrough, "through"}, {a.Revalidate, "update"}} {
 		if way.set {
 			dst = append(dst, sep...)
 			dst = append(dst, way.word...)
--- a/internal/upstream/lines_test.go
+++ b/internal/upstream/lines_test.go
@@ -15,18 +15,18 @@
 func TestParseAnswer(t *testing.T) {
 	for _, x := range []struct {
 		text string
-		want gateway.End
+		want gateway.AttemptResult
 	}{
-		{"a ok sum=t,t0=5,why=fill,slow=12.5 3\r\nxyz\r\n", gateway.End{Code: rules.OK,
-			Note: rules.NoteFilled, Waited: 12500,
-			Answer: gateway.Answer{Body: []byte("xyz"), Tag: "t", Born: 5000}}},
-		{"a current sum=t 0\r\n\r\n", gateway.End{Code: rules.OK,
-			Answer: gateway.Answer{Kind: gateway.Current, Body: []byte{}, Tag: "t"}}},
-		{"a nothing why=lacking 0\r\n\r\n", gateway.End{Code: rules.Miss, Note: rules.NoteSourceLacks,
+		{"a ok sum=t,t0=5,why=fill,slow=12.5 3\r\nxyz\r\n", gateway.AttemptResult{Code: rules.OK,
+			Note: rules.NoteFilled, SourceWait: 12500,
+			Answer: gateway.Answer{Body: []byte("xyz"), Tag: "t", CreatedAt: 5000}}},
+		{"a current sum=t 0\r\n\r\n", gateway.AttemptResult{Code: rules.OK,
+			Answer: gateway.Answer{Kind: gateway.NotModified, Body: []byte{}, Tag: "t"}}},
+		{"a nothing why=lacking 0\r\n\r\n", gateway.AttemptResult{Code: rules.Miss, Note: rules.NoteSourceMiss,
 			Answer: gateway.Answer{Body: []byte{}}}},
-		{"a refused - 0\r\n\r\n", gateway.End{Code: rules.Full, Answer: gateway.Answer{Body: []byte{}}}},
-		{"a error rep=util:0.5 0\r\n\r\n", gateway.End{Code: rules.ServerError, Answer: gateway.Answer{Body: []byte{}}}},
-		{"a stale - 0\r\n\r\n", gateway.End{Code: rules.Moot, Answer: gateway.Answer{Body: []byte{}}}},
+		{"a refused - 0\r\n\r\n", gateway.AttemptResult{Code: rules.Full, Answer: gateway.Answer{Body: []byte{}}}},
+		{"a error rep=util:0.5 0\r\n\r\n", gateway.AttemptResult{Code: rules.ServerError, Answer: gateway.Answer{Body: []byte{}}}},
+		{"a stale - 0\r\n\r\n", gateway.AttemptResult{Code: rules.NotSent, Answer: gateway.Answer{Body: []byte{}}}},
 	} {
 		got, n, err := parseAnswer([]byte(x.text))
 		if err != nil || n != len(x.text) || got.id != "a" || !reflect.DeepEqual(got.end, x.want) {
@@ -72,8 +72,8 @@
 
 func TestAppendServe(t *testing.T) {
 	a := &gateway.Attempt{Call: &gateway.Call{ID: "00ff", Object: "9f", Part: 3, HasPart: true, Tag: "t", Token: "5c0f",
-		Body: []byte("xy")}, Source: &gateway.Server{Name: "s-1"}, Deadline: 1_500_000, Keep: 2, Held: true,
-		Renew: true}
+		Body: []byte("xy")}, Source: &gateway.Server{Name: "s-1"}, Deadline: 1_500_000, KeepRank: 2, HeldOnly: true,
+		Revalidate: true}
 	got := string(appendServe(nil, a, "video", 1_000_000, 2_500_000))
 	want := "serve 00ff lane=video,name=9f,piece=3,ttl=500,dedupe=5c0f,next=s-1,admit=2,agelim=2500," +
 		"ways=have-only+update,cached=t 2\r\nxy\r\n"
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,8 +25,8 @@
 
 // release ends what waits and may no longer leave, so that it can go elsewhere in time.
 func (x *pool) release() {
-	for _, a := range x.take(func(a *gateway.Attempt) bool { return !x.all.gate.May(a) }) {
-		x.all.gate.End(a, gateway.End{Code: rules.Moot})
+	for _, a := range x.take(func(a *gateway.Attempt) bool { return !x.all.gate.CanSend(a) }) {
+		x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 	}
 }
 
@@ -62,7 +62,7 @@
 		switch {
 		case c == nil && !x.room() && x.dialing == 0: // its id has been on all that there may be
 			x.waiting = slices.Delete(x.waiting, i, i+1)
-			x.all.gate.End(a, gateway.End{Code: rules.Moot})
+			x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 			continue
 		case c == nil:
 			more++
@@ -86,7 +86,7 @@
 			x.all.evictIdle(x)
 			if len(x.conns)+x.dialing == 0 { // nothing would come to take them; the server is not to blame
 				for _, a := range x.take(func(*gateway.Attempt) bool { return true }) {
-					x.all.gate.End(a, gateway.End{Code: rules.Moot})
+					x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 				}
 			}
 			return
@@ -160,9 +160,9 @@
 
 func (x *pool) send(c *conn, a *gateway.Attempt) {
 	p := x.all
-	maxAge, ok := p.gate.Clear(a)
+	maxAge, ok := p.gate.PrepareSend(a)
 	if !ok {
-		p.gate.End(a, gateway.End{Code: rules.Moot})
+		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 		return
 	}
 	p.buf = appendServe(p.buf[:0], a, p.cfg.Lanes[a.Call.Class], p.loop.Now(), maxAge)
@@ -170,7 +170,7 @@
 	if err != nil { // nothing of it can have come whole
 		c.draining = true
 		c.tc.Close()
-		p.gate.End(a, gateway.End{Code: rules.ConnectFailed})
+		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 		return
 	}
 	p.loop.Stop(c.idle)
@@ -227,7 +227,7 @@
 	p.log.Warn("connection can't be opened here", "server", x.name, "error", err, "waiting", len(x.waiting))
 	if x.shortages >= mostShortages && len(x.conns)+x.dialing == 0 {
 		for _, a := range x.take(func(*gateway.Attempt) bool { return true }) {
-			p.gate.End(a, gateway.End{Code: rules.Moot})
+			p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 		}
 	}
 	p.loop.At(p.loop.Now()+redialAfter, func() {
@@ -246,6 +246,6 @@
 	waiting := x.waiting
 	x.waiting = nil
 	for _, a := range waiting {
-		x.all.gate.End(a, gateway.End{Code: rules.ConnectFailed})
+		x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -51,10 +51,10 @@
 // Clearer is what the pools ask of the gateway.
 type Clearer interface {
 	// May tells whether an attempt that waits may still leave.
-	May(a *gateway.Attempt) bool
+	CanSend(a *gateway.Attempt) bool
 	// Clear is May just before the first byte, and the oldest copy that will do.
-	Clear(a *gateway.Attempt) (maxAge gateway.Micros, ok bool)
-	End(a *gateway.Attempt, e gateway.End)
+	PrepareSend(a *gateway.Attempt) (maxAge gateway.Micros, ok bool)
+	EndAttempt(a *gateway.Attempt, e gateway.AttemptResult)
 }
 
 // Pools holds the connections to all servers.
@@ -70,7 +70,7 @@
 	buf   []byte
 }
 
-var _ gateway.Nodes = (*Pools)(nil)
+var _ gateway.Upstream = (*Pools)(nil)
 
 // New makes pools without connections.
 func New(cfg Config, n Network, l *loop.Loop, gate Clearer, log *slog.Logger) *Pools {
@@ -110,7 +110,7 @@
 
 // Follow tells of a server's state. What was connected before its last start
 // speaks to a process that is no more.
-func (p *Pools) Follow(s *gateway.Server) {
+func (p *Pools) ServerChanged(s *gateway.Server) {
 	x := p.pools[s.ID]
 	if x == nil {
 		if s.State == rules.Gone {
@@ -119,12 +119,12 @@
 		x = &pool{all: p, name: s.Name}
 		p.pools[s.ID] = x
 	}
-	if x.addr != s.Addr || x.born != s.Born || s.State == rules.Gone {
+	if x.addr != s.Addr || x.born != s.StartedAt || s.State == rules.Gone {
 		for _, c := range slices.Clone(x.conns) {
 			c.drain()
 		}
 	}
-	x.addr, x.born, x.gone = s.Addr, s.Born, s.State == rules.Gone
+	x.addr, x.born, x.gone = s.Addr, s.StartedAt, s.State == rules.Gone
 	if x.gone { // what it still has open ends on its own
 		delete(p.pools, s.ID)
 	}
@@ -137,7 +137,7 @@
 func (p *Pools) Start(a *gateway.Attempt) {
 	x := p.pools[a.Server.ID]
 	if x == nil {
-		p.gate.End(a, gateway.End{Code: rules.ConnectFailed})
+		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 		return
 	}
 	x.waiting = append(x.waiting, a)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -37,12 +37,14 @@
 
 type ended struct {
 	id  string
-	end gateway.End
+	end gateway.AttemptResult
 }
 
-func (g *gate) May(*gateway.Attempt) bool                     { return g.clear }
-func (g *gate) Clear(*gateway.Attempt) (gateway.Micros, bool) { return 0, g.clear }
-func (g *gate) End(a *gateway.Attempt, e gateway.End)         { g.ended <- ended{a.Call.ID, e} }
+func (g *gate) CanSend(*gateway.Attempt) bool                       { return g.clear }
+func (g *gate) PrepareSend(*gateway.Attempt) (gateway.Micros, bool) { return 0, g.clear }
+func (g *gate) EndAttempt(a *gateway.Attempt, e gateway.AttemptResult) {
+	g.ended <- ended{a.Call.ID, e}
+}
 
 // rig is one server's pool on a running loop.
 type rig struct {
@@ -68,7 +70,7 @@
 	done := make(chan struct{})
 	go func() { r.loop.Run(); close(done) }()
 	t.Cleanup(func() { _ = ln.Close(); r.loop.Post(r.loop.Quit); <-done })
-	r.on(func() { r.pools.Follow(r.srv) })
+	r.on(func() { r.pools.ServerChanged(r.srv) })
 	return r
 }
 
@@ -100,7 +102,7 @@
 	return c
 }
 
-func (r *rig) await(id string) gateway.End {
+func (r *rig) await(id string) gateway.AttemptResult {
 	r.t.Helper()
 	select {
 	case e := <-r.gate.ended:
@@ -110,7 +112,7 @@
 		return e.end
 	case <-time.After(patience):
 		r.t.Fatalf("%s did not end", id)
-		return gateway.End{}
+		return gateway.AttemptResult{}
 	}
 }
 
@@ -163,7 +165,7 @@
 		}
 		rest <- strings.Join(ids, " ")
 	}()
-	if e := r.await(waiting.Call.ID); e.Code != rules.Moot {
+	if e := r.await(waiting.Call.ID); e.Code != rules.NotSent {
 		t.Errorf("ended as %d, want never sent", e.Code)
 	}
 	if ids := <-rest; strings.Contains(ids, waiting.Call.ID) || strings.Count(ids, " ") != r.next-2 {
@@ -189,7 +191,7 @@
 			t.Fatalf("%d of %d ended", len(codes), r.next)
 		}
 	}
-	if c := codes[first.Call.ID]; c != rules.Reset && c != rules.Spoilt || codes[cut.Call.ID] != rules.ConnectFailed {
+	if c := codes[first.Call.ID]; c != rules.Reset && c != rules.ConnectionBroken || codes[cut.Call.ID] != rules.ConnectFailed {
 		t.Errorf("whole: %d, cut short: %d", codes[first.Call.ID], codes[cut.Call.ID])
 	}
 }
@@ -213,7 +215,7 @@
 	if _, err := bufio.NewReader(old).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	r.on(func() { r.srv.Born = 1; r.pools.Follow(r.srv) })
+	r.on(func() { r.srv.StartedAt = 1; r.pools.ServerChanged(r.srv) })
 	b := r.start(10)
 	fresh := r.accept()
 	if line, err := bufio.NewReader(fresh).ReadString('\n'); err != nil || !strings.Contains(line, b.Call.ID) {
@@ -270,7 +272,7 @@
 			for range 2 {
 				select {
 				case e := <-r.gate.ended:
-					if e.end.Code != rules.Spoilt {
+					if e.end.Code != rules.ConnectionBroken {
 						t.Errorf("%s ended as %d", e.id, e.end.Code)
 					}
 				case <-time.After(patience):
@@ -427,7 +429,7 @@
 	// Where its id was on all that there may be, it is ended as never sent, so that it can go elsewhere.
 	r.on(func() { r.pools.Stop(b) })
 	r.again(b)
-	if e := r.await(b.Call.ID); e.Code != rules.Moot {
+	if e := r.await(b.Call.ID); e.Code != rules.NotSent {
 		t.Errorf("ended as %+v", e)
 	}
 }
@@ -445,9 +447,9 @@
 		r.on(func() {
 			r.gate.clear = false
 			r.srv.State = state
-			r.pools.Follow(r.srv)
+			r.pools.ServerChanged(r.srv)
 		})
-		if e := r.await(a.Call.ID); e.Code != rules.Moot {
+		if e := r.await(a.Call.ID); e.Code != rules.NotSent {
 			t.Errorf("ended as %+v", e)
 		}
 		r.on(up)
@@ -509,7 +511,7 @@
 			if !spoilt {
 				continue
 			}
-			want := rules.Spoilt
+			want := rules.ConnectionBroken
 			if waits {
 				want = rules.ConnectFailed
 			}
@@ -598,7 +600,7 @@
 		if i > 0 {
 			r.on(func() {
 				r.srv = &gateway.Server{ID: rules.ServerID(i + 1), Name: fmt.Sprint("s-", i+1), Addr: r.srv.Addr, State: rules.Ready}
-				r.pools.Follow(r.srv)
+				r.pools.ServerChanged(r.srv)
 			})
 		}
 		a := r.start(10)
@@ -611,10 +613,10 @@
 	}
 	r.on(func() {
 		r.srv = &gateway.Server{ID: 3, Name: "s-3", Addr: r.srv.Addr, State: rules.Ready}
-		r.pools.Follow(r.srv)
+		r.pools.ServerChanged(r.srv)
 	})
 	a := r.start(10)
-	if e := r.await(a.Call.ID); e.Code != rules.Moot {
+	if e := r.await(a.Call.ID); e.Code != rules.NotSent {
 		t.Errorf("ended as %+v", e)
 	}
 	if _, err := io.Copy(io.Discard, first); os.IsTimeout(err) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -198,10 +198,10 @@
 	case evOutcome:
 		o := rules.Outcome{ID: rules.RequestID(c.u32()), Attempt: int(c.u16()), Server: c.server()}
 		o.Code = rules.Code(c.u16())
-		o.Spent = c.micros()
+		o.Elapsed = c.micros()
 		o.Closed = c.u8() != 0
 		o.Note = rules.Note(min(c.u32(), 255))
-		o.Waited = c.micros()
+		o.SourceWait = c.micros()
 		c.load()
 		e.Event = o
 	case evMemo:
@@ -231,7 +231,7 @@
 		s.Attempt = int(c.u16())
 		e.Event = s
 	case evReport:
-		r := rules.Report{Server: c.server(), Spent: c.micros(), Code: rules.Code(c.u16())}
+		r := rules.Report{Server: c.server(), Elapsed: c.micros(), Code: rules.Code(c.u16())}
 		r.Load = c.load()
 		e.Event = r
 	default:
@@ -254,7 +254,7 @@
 	m := rules.Members{Full: scope == 1 || scope == 2, Failed: scope == scopeFailed}
 	m.List = make([]rules.Member, 0, n)
 	for range n {
-		x := rules.Member{ID: c.server(), Kind: int(c.u16()), Born: int64(c.u64())}
+		x := rules.Member{ID: c.server(), Kind: int(c.u16()), StartedAt: int64(c.u64())}
 		state := c.u8()
 		if state > uint8(rules.Draining) {
 			return e, fmt.Errorf("unknown status %d", state)
@@ -325,12 +325,12 @@
 		r.begin(acGet, gateway)
 		r.u32(uint32(a.ID))
 		r.server(a.Server)
-		r.micros(a.Within)
+		r.micros(a.Timeout)
 		r.server(a.Source)
-		r.buf = append(r.buf, uint8(a.Keep))
+		r.buf = append(r.buf, uint8(a.KeepRank))
 		r.micros(a.MaxAge)
 		var how uint8
-		for bit, set := range []bool{a.Join, a.Held, a.Pass, a.Renew} {
+		for bit, set := range []bool{a.Join, a.HeldOnly, a.PassThrough, a.Revalidate} {
 			if set {
 				how |= 1 << bit
 			}
@@ -343,7 +343,7 @@
 	case rules.Refuse:
 		r.begin(acRefuse, gateway)
 		r.u32(uint32(a.ID))
-		r.micros(a.Await)
+		r.micros(a.RetryAfter)
 	case rules.Fail:
 		r.begin(acFail, gateway)
 		r.u32(uint32(a.ID))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -82,9 +82,9 @@
 func TestReply(t *testing.T) {
 	var r Reply
 	r.Reset(12)
-	r.Add(3, rules.Get{ID: 0x5d3a91c4, Server: 0x0a124a07232b, Within: 900000, Source: 0x0a9011f22354,
-		Keep: 2, MaxAge: 1500000, Join: true, Renew: true})
-	r.Add(3, rules.Refuse{ID: 0x0e6f2b19, Await: 250000})
+	r.Add(3, rules.Get{ID: 0x5d3a91c4, Server: 0x0a124a07232b, Timeout: 900000, Source: 0x0a9011f22354,
+		KeepRank: 2, MaxAge: 1500000, Join: true, Revalidate: true})
+	r.Add(3, rules.Refuse{ID: 0x0e6f2b19, RetryAfter: 250000})
 	want := unhex(t, `00000037 00000002 0000000c
 		59 0003 5d3a91c4 0a124a07 232b 000dbba0 0a9011f2 2354 02 0016e360 09
 		50 0003 0e6f2b19 0003d090`)
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -203,16 +203,16 @@
 	}
 	w.note(a, x)
 	switch x.Kind {
-	case gateway.Served, gateway.Current:
+	case gateway.Served, gateway.NotModified:
 		o.over = true
 		w.of(o).Served[o.class]++
-		if want := content(item{o.object, uint16(o.part)}, x.Born); !spec.Write && string(x.Body) != want {
+		if want := content(item{o.object, uint16(o.part)}, x.CreatedAt); !spec.Write && string(x.Body) != want {
 			w.broken(Content, a.front, fmt.Sprintf("%s: got %q, want %q", a.id, x.Body, want))
 		}
-		if spec.Fresh > 0 && now-x.Born > spec.Fresh+spec.Grace+a.until-o.began {
-			w.broken(Content, a.front, fmt.Sprintf("%s: a copy of %d ms", a.id, (now-x.Born)/milli))
+		if spec.Fresh > 0 && now-x.CreatedAt > spec.Fresh+spec.Grace+a.until-o.began {
+			w.broken(Content, a.front, fmt.Sprintf("%s: a copy of %d ms", a.id, (now-x.CreatedAt)/milli))
 		}
-		w.earn(o, now, x.Born)
+		w.earn(o, now, x.CreatedAt)
 	case gateway.Refused:
 		w.of(o).Refused[o.class]++
 		w.of(o).Reasons["refused: "+a.reason()]++
@@ -220,7 +220,7 @@
 		if spec.Write && spec.Window == 0 && a.left > a.proven { // a keyed one may come again: Once tells whether too late
 			w.broken(Refusal, a.front, fmt.Sprintf("%s was refused, and may have run", a.id))
 		}
-		w.again(o, x.Await)
+		w.again(o, x.RetryAfter)
 	default:
 		w.of(o).Failed[o.class]++
 		w.of(o).Reasons["failed: "+a.reason()]++
--- a/lab/world/front.go
+++ b/lab/world/front.go
@@ -109,7 +109,7 @@
 	if f.w.Mutation == WarmStart {
 		born = 0
 	}
-	return gateway.Member{Name: s.name, Addr: s.addr, Zone: f.w.spec.zones()[s.zone], Kind: kinds[s.kind], State: s.state, Weight: s.size, Born: born}
+	return gateway.Member{Name: s.name, Addr: s.addr, Zone: f.w.spec.zones()[s.zone], Kind: kinds[s.kind], State: s.state, Weight: s.size, StartedAt: born}
 }
 
 // knows tells whether a front was told of a server's last start.
@@ -144,8 +144,8 @@
 	}
 	m := f.member(s)
 	m.State = state
-	if m.Born != 0 {
-		m.Born = born
+	if m.StartedAt != 0 {
+		m.StartedAt = born
 	}
 	f.prog.member(m)
 }
--- a/lab/world/inside.go
+++ b/lab/world/inside.go
@@ -43,7 +43,7 @@
 func (x *inside) begin(known []gateway.Member, purges []gateway.Purge, serving func()) {
 	f, w := x.f, x.f.w
 	cfg := gateway.Config{Settings: w.spec.settings(f.zone), Zones: w.spec.zones(), Kinds: kinds, Seed: f.seed(),
-		Copies: gateway.Copies{Bytes: ownCopies, Flow: w.spec.Flow, Link: w.spec.Flow * 4}}
+		LocalCache: gateway.LocalCacheLimits{Bytes: ownCopies, Flow: w.spec.Flow, Link: w.spec.Flow * 4}}
 	var err error
 	if x.gate, err = gateway.New(cfg, w.loop, quiet); err != nil {
 		panic(err) // the settings are the world's own, and New has tried them
@@ -53,7 +53,7 @@
 	for _, c := range w.spec.Classes {
 		lanes, alone, repeat = append(lanes, c.Name), append(alone, c.Write), append(repeat, !c.Write)
 	}
-	x.gate.Use(upstream.New(upstream.Config{Lanes: lanes, Alone: alone, Streams: streams, Connections: 8, ConnectTime: connectTime,
+	x.gate.SetUpstream(upstream.New(upstream.Config{Lanes: lanes, Alone: alone, Streams: streams, Connections: 8, ConnectTime: connectTime,
 		IdleTime: connIdle, Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges, Repeat: repeat}, x, w.loop, x.gate, quiet))
 	x.gate.Members(true, known)
 	for _, p := range purges {
@@ -79,9 +79,9 @@
 func (x *inside) leave(a *ask)            { x.gate.Leave(a.call) }
 func (x *inside) member(m gateway.Member) { x.gate.Members(false, []gateway.Member{m}) }
 func (x *inside) purge(p gateway.Purge)   { x.gate.Purge(p) }
-func (x *inside) heard()                  { x.gate.Heard() }
+func (x *inside) heard()                  { x.gate.BoardAnswered() }
 func (x *inside) mute(bool)               {}
-func (x *inside) settle()                 { x.gate.Settle() }
+func (x *inside) settle()                 { x.gate.ProcessEvents() }
 func (x *inside) held() (int, int, int)   { return x.gate.Open(), 0, 0 }
 func (x *inside) reload()                 {}
 
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -281,7 +281,7 @@
 func (x *outside) wireMember(m gateway.Member) wireMember {
 	s := x.f.w.by[m.Name]
 	return wireMember{ID: m.Name, HostPort: x.f.doors[s].address, Locality: m.Zone, Flavor: m.Kind, Phase: phases[m.State], Size: m.Weight,
-		UpSince: m.Born / milli}
+		UpSince: m.StartedAt / milli}
 }
 
 func (x *outside) notice(n wireNotice) json.RawMessage {
@@ -585,7 +585,7 @@
 			case err != nil:
 				a.lost(err)
 			default:
-				answer.Body, answer.Born = w.shrink(answer.Body)
+				answer.Body, answer.CreatedAt = w.shrink(answer.Body)
 				a.Answer(answer)
 			}
 		})
@@ -606,9 +606,9 @@
 		return gateway.Answer{Kind: gateway.Served, Body: body}, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		away, _ := strconv.ParseInt(resp.Header.Get("Srv-Wait-Ms"), 10, 64)
-		return gateway.Answer{Kind: gateway.Refused, Await: away * milli}, nil
+		return gateway.Answer{Kind: gateway.Refused, RetryAfter: away * milli}, nil
 	}
-	return gateway.Answer{Kind: gateway.Failed, Late: resp.StatusCode == http.StatusGatewayTimeout}, nil
+	return gateway.Answer{Kind: gateway.Failed, TimedOut: resp.StatusCode == http.StatusGatewayTimeout}, nil
 }
 
 func (x *outside) leave(a *ask) { a.cancel() }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -352,7 +352,7 @@
 func (w *World) note(a *ask, x gateway.Answer) {
 	var b [33]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(w.loop.Now()))
-	binary.LittleEndian.PutUint64(b[8:], uint64(x.Born))
+	binary.LittleEndian.PutUint64(b[8:], uint64(x.CreatedAt))
 	copy(b[16:], a.id)
 	b[32] = byte(x.Kind)
 	_, _ = w.digest.Write(b[:])
--- a/rules/api.go
+++ b/rules/api.go
@@ -156,13 +156,13 @@
 
 // Member is one line of the list of servers.
 type Member struct {
-	ID     ServerID
-	Kind   int
-	Born   Micros // time of its last start; 0 is long ago
-	State  MemberState
-	Cell   int
-	Zone   int
-	Weight float64
+	ID        ServerID
+	Kind      int
+	StartedAt Micros // time of its last start; 0 is long ago
+	State     MemberState
+	Cell      int
+	Zone      int
+	Weight    float64
 }
 
 // Members brings news of the list.
@@ -189,16 +189,16 @@
 
 // The ends of an attempt.
 const (
-	OK            Code = 200
-	Miss          Code = 404 // nothing suitable held; never ran
-	Moot          Code = 410 // never sent
-	Cancelled     Code = 499 // may have run
-	ServerError   Code = 500 // may have run
-	ConnectFailed Code = 502 // never ran
-	Full          Code = 503 // not taken, never ran
-	Timeout       Code = 504 // may have run, may still
-	Reset         Code = 598 // may have run
-	Spoilt        Code = 599 // may have run; its connection went for no fault of its server's
+	OK               Code = 200
+	Miss             Code = 404 // nothing suitable held; never ran
+	NotSent          Code = 410 // never sent
+	Cancelled        Code = 499 // may have run
+	ServerError      Code = 500 // may have run
+	ConnectFailed    Code = 502 // never ran
+	Full             Code = 503 // not taken, never ran
+	Timeout          Code = 504 // may have run, may still
+	Reset            Code = 598 // may have run
+	ConnectionBroken Code = 599 // may have run; its connection went for no fault of its server's
 )
 
 // Note is the remark on an outcome.
@@ -209,26 +209,26 @@
 	NoteNone Note = iota
 	NoteHit
 	NoteFilled
-	NoteOriginAsked
+	NoteOriginFetched
 	NoteJoined
-	NoteOld
+	NoteStale
 	NoteSourceRefused
-	NoteSourceBroken
-	NoteSourceLacks
-	NoteNoPlace
+	NoteSourceFailed
+	NoteSourceMiss
+	NoteNoSlot
 	NoteOriginFailed
 )
 
 // Outcome ends one attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // counted from 0
-	Server  ServerID
-	Code    Code
-	Spent   Micros
-	Closed  bool // the request is over
-	Note    Note
-	Waited  Micros // until the source's first byte or failure; 0 if untold
+	ID         RequestID
+	Attempt    int // counted from 0
+	Server     ServerID
+	Code       Code
+	Elapsed    Micros
+	Closed     bool // the request is over
+	Note       Note
+	SourceWait Micros // until the source's first byte or failure; 0 if untold
 }
 
 // Started tells that a stream has begun; it has no deadline from here on.
@@ -242,10 +242,10 @@
 
 // Report is the result of a probe.
 type Report struct {
-	Server ServerID
-	Spent  Micros
-	Code   Code
-	Load   []float64
+	Server  ServerID
+	Elapsed Micros
+	Code    Code
+	Load    []float64
 }
 
 // Purge tells that an object, or with Object 0 a whole group, was purged.
@@ -272,17 +272,17 @@
 
 // Get sends a request to a server.
 type Get struct {
-	ID      RequestID
-	Attempt int // its number among the request's, from 0
-	Server  ServerID
-	Within  Micros   // time-out; 0 is until the client stops waiting
-	Source  ServerID // who supplies a miss; the server itself for no fill
-	Keep    int      // rank of the copy, 1 to 3; 0 keeps none
-	MaxAge  Micros   // oldest copy that will do; 0 is the class's fresh time
-	Join    bool     // join a fill under way
-	Held    bool     // the source gives only what it holds
-	Pass    bool     // the parent keeps no copy
-	Renew   bool     // an ageing copy is served and fetched anew behind
+	ID          RequestID
+	Attempt     int // its number among the request's, from 0
+	Server      ServerID
+	Timeout     Micros   // time-out; 0 is until the client stops waiting
+	Source      ServerID // who supplies a miss; the server itself for no fill
+	KeepRank    int      // rank of the copy, 1 to 3; 0 keeps none
+	MaxAge      Micros   // oldest copy that will do; 0 is the class's fresh time
+	Join        bool     // join a fill under way
+	HeldOnly    bool     // the source gives only what it holds
+	PassThrough bool     // the parent keeps no copy
+	Revalidate  bool     // an ageing copy is served and fetched anew behind
 }
 
 // Cancel stops one attempt.
@@ -293,9 +293,9 @@
 
 // Refuse is a final answer: not done, a new try does no harm.
 type Refuse struct {
-	ID    RequestID
-	Await Micros // how long the client should stay away; 0 is no advice
-	Cause Cause
+	ID         RequestID
+	RetryAfter Micros // how long the client should stay away; 0 is no advice
+	Cause      Cause
 }
 
 // Reason says why the module ended a request itself.
@@ -311,24 +311,24 @@
 	ReasonServerSlow                // the server is expected to answer past the aim
 	ReasonFillSlow                  // a hit is unlikely, and every fill is expected to end past the aim
 	ReasonOutcome                   // its last attempt ended in a way after which it may not go again
-	Reasons           int    = iota
+	NumReasons        int    = iota
 )
 
 // String is the reason as logs have it.
 func (r Reason) String() string {
-	return [Reasons]string{"deadline", "attempts", "retry budget", "crowded", "no server", "server slow",
+	return [NumReasons]string{"deadline", "attempts", "retry budget", "crowded", "no server", "server slow",
 		"fill slow", "outcome"}[r]
 }
 
 // Cause is why a request was refused, with the estimate that decided: it is 0 but for the reason where
 // none did.
 type Cause struct {
-	Reason   Reason
-	Server   ServerID // whose time was estimated: the server's, or the source's of a fill
-	Expected Micros   // until the answer
-	Left     Micros   // of the aim
-	Slow     float64  // excess of the server's time over what is expected of it idle, as believed
-	InFlight int      // attempts of this gateway at the server
+	Reason    Reason
+	Server    ServerID // whose time was estimated: the server's, or the source's of a fill
+	Expected  Micros   // until the answer
+	Remaining Micros   // of the aim
+	Slowdown  float64  // excess of the server's time over what is expected of it idle, as believed
+	InFlight  int      // attempts of this gateway at the server
 }
 
 // Fail is a final answer that promises nothing.
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -44,7 +44,7 @@
 		panic(err) // the settings are the test's own
 	}
 	list := testMembers()
-	list.List[coldID-1].Born = f.born
+	list.List[coldID-1].StartedAt = f.born
 	r.Step(now, []Event{list})
 	return r
 }
@@ -66,7 +66,7 @@
 			f.sent = append(f.sent, now)
 		}
 		e := Outcome{ID: get.ID, Attempt: get.Attempt, Server: get.Server, Code: OK, Note: NoteHit,
-			Spent: 250 * milli, Closed: true}
+			Elapsed: 250 * milli, Closed: true}
 		if f.chance(5) == 0 {
 			e.Code, e.Note, e.Closed = ServerError, NoteNone, false
 		}
--- a/rules/guards_test.go
+++ b/rules/guards_test.go
@@ -39,8 +39,8 @@
 		code  Code
 		again bool // it may be sent again or refused; otherwise only failed
 	}{
-		{Full, true}, {ConnectFailed, true}, {Moot, true}, {Miss, true},
-		{ServerError, false}, {Reset, false}, {Spoilt, false}, {Timeout, false}, {Cancelled, false},
+		{Full, true}, {ConnectFailed, true}, {NotSent, true}, {Miss, true},
+		{ServerError, false}, {Reset, false}, {ConnectionBroken, false}, {Timeout, false}, {Cancelled, false},
 	}
 	for _, tt := range tests {
 		g := newRig(t, nil)
@@ -205,8 +205,8 @@
 		g := newRig(t, func(s *Settings) { s.Weights = weights })
 		born := g.now
 		g.step(Members{List: []Member{
-			{ID: 2, State: Ready, Zone: 1, Weight: 8, Born: born},
-			{ID: 102, Kind: 7, State: Ready, Weight: 16, Born: born}}})
+			{ID: 2, State: Ready, Zone: 1, Weight: 8, StartedAt: born},
+			{ID: 102, Kind: 7, State: Ready, Weight: 16, StartedAt: born}}})
 		s := g.r.cfg
 		type load struct {
 			at   Micros
@@ -268,7 +268,7 @@
 	if g.r.mean[0] > prior/2 {
 		t.Fatalf("the mean is %.0f of %.0f: nothing is tested", g.r.mean[0], prior)
 	}
-	g.step(Members{List: []Member{{ID: 2, State: Ready, Zone: 1, Weight: 8, Born: born}}})
+	g.step(Members{List: []Member{{ID: 2, State: Ready, Zone: 1, Weight: 8, StartedAt: born}}})
 	var sent []Micros
 	for g.now < born+2*second {
 		get, _ := g.ask(Request{Object: mix(uint64(g.now))})
@@ -369,7 +369,7 @@
 		miss, _ := g.ask(Request{Object: uint64(1000 + i), Size: 500})
 		if miss.ID != 0 {
 			g.step(Outcome{ID: miss.ID, Server: miss.Server, Code: OK, Closed: true, Note: NoteFilled,
-				Spent: 4 * second, Waited: 3900 * milli})
+				Elapsed: 4 * second, SourceWait: 3900 * milli})
 		}
 		g.now += 10 * milli
 	}
@@ -455,7 +455,7 @@
 	if back.Server != old.ID || back.Source != next.Server {
 		t.Fatalf("back home: %+v, want a fill from %d", back, next.Server)
 	}
-	again := gets(g.answer(back, 0, Miss, NoteSourceLacks))
+	again := gets(g.answer(back, 0, Miss, NoteSourceMiss))
 	if len(again) != 1 || again[0].Server != old.ID || again[0].Source < 100 {
 		t.Errorf("the sibling lacks it: %+v, want the same cache filled by a parent", again)
 	}
@@ -528,7 +528,7 @@
 // Guards against a cache that is left out for answers spoilt on their way: they
 // tell nothing of it, while a reset does.
 func TestSpoiltAnswersCountForNoHealth(t *testing.T) {
-	for code, samples := range map[Code]int{Spoilt: 0, Reset: 1} {
+	for code, samples := range map[Code]int{ConnectionBroken: 0, Reset: 1} {
 		g := newRig(t, nil)
 		get, _ := g.ask(Request{Object: 5})
 		m := g.r.members[get.Server]
--- a/rules/large_test.go
+++ b/rules/large_test.go
@@ -49,7 +49,8 @@
 		}
 		now := 100 * second
 		r.Step(now, []Event{testMembers()})
-		r.Step(now, []Event{Members{List: []Member{{ID: 2, State: Ready, Zone: 1, Weight: 8, Born: now}}}})
+		r.Step(now, []Event{Members{List: []Member{
+			{ID: 2, State: Ready, Zone: 1, Weight: 8, StartedAt: now}}}})
 		most = s.FallMultiple * s.ColdFrom * 8 * float64(4*second)
 		for id := RequestID(1); id < 400; id++ {
 			q := Request{ID: id, Object: mix(uint64(id) + seed*1000), Size: 2500, Expires: second}
@@ -58,7 +59,7 @@
 					work += r.mean[0]
 				}
 				r.Step(now, []Event{Outcome{ID: id, Server: get.Server, Code: OK, Note: NoteHit,
-					Spent: 250 * milli, Closed: true}})
+					Elapsed: 250 * milli, Closed: true}})
 			}
 			now += 10 * milli
 		}
@@ -89,7 +90,7 @@
 	g := newRig(t, nil)
 	held := func() (n int) {
 		for range 200 {
-			if get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100}); get.Held {
+			if get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100}); get.HeldOnly {
 				n++
 			}
 		}
@@ -117,7 +118,7 @@
 	g := newRig(t, nil)
 	get, _ := g.ask(Request{Object: 77, Size: 100})
 	again := gets(g.answer(get, 0, Full, NoteOriginFailed))
-	if len(again) != 1 || !again[0].Held {
+	if len(again) != 1 || !again[0].HeldOnly {
 		t.Errorf("after the origin failed it: %+v, want one attempt that asks for what is held", again)
 	}
 }
@@ -152,24 +153,24 @@
 // second one at the same cache, which has the copy.
 func TestLostAnswersGetATimeoutAndASecondTry(t *testing.T) {
 	g := newRig(t, nil)
-	if get, _ := g.ask(Request{Object: 9, Size: 1000}); get.Within != 0 {
-		t.Fatalf("no answers lost: time-out %d", get.Within)
+	if get, _ := g.ask(Request{Object: 9, Size: 1000}); get.Timeout != 0 {
+		t.Fatalf("no answers lost: time-out %d", get.Timeout)
 	}
 	for i := range 60 {
 		get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
 		if i%3 == 0 {
-			g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Spent: 5 * second, Closed: true})
+			g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Elapsed: 5 * second, Closed: true})
 		} else {
 			g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit,
-				Spent: 100 * milli, Closed: true})
+				Elapsed: 100 * milli, Closed: true})
 		}
 	}
 	get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
-	if get.Within < 150*milli || get.Within > 700*milli {
-		t.Fatalf("answers lost: time-out %d us, want it to leave time within the aim", get.Within)
+	if get.Timeout < 150*milli || get.Timeout > 700*milli {
+		t.Fatalf("answers lost: time-out %d us, want it to leave time within the aim", get.Timeout)
 	}
-	g.now += get.Within
-	again := gets(g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Spent: get.Within}))
+	g.now += get.Timeout
+	again := gets(g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Elapsed: get.Timeout}))
 	if len(again) != 1 || again[0].Server != get.Server {
 		t.Errorf("after the time-out: %+v, want the same cache once more", again)
 	}
@@ -239,7 +240,7 @@
 		g := newRig(t, nil)
 		get, _ := g.ask(Request{Object: 77, Size: 2000, Expires: 6 * second})
 		g.now += spent
-		g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Spent: spent, Closed: true})
+		g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Elapsed: spent, Closed: true})
 		return g.r.paceOf(g.r.origin).slow
 	}
 	if fresh, old := slow(second), slow(6*second); fresh <= 0 || old >= fresh {
@@ -261,10 +262,10 @@
 	}
 	for range 200 {
 		get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100})
-		if get.Held || get.Source == get.Server {
+		if get.HeldOnly || get.Source == get.Server {
 			t.Fatalf("a fill may not ask the origin: %+v", get)
 		}
-		g.answer(get, 0, OK, NoteOriginAsked)
+		g.answer(get, 0, OK, NoteOriginFetched)
 	}
 }
 
@@ -281,17 +282,18 @@
 			if i%3 == 0 {
 				code, note = Timeout, NoteNone
 			}
-			g.step(Outcome{ID: get.ID, Server: get.Server, Code: code, Note: note, Spent: 100 * milli,
+			g.step(Outcome{ID: get.ID, Server: get.Server, Code: code, Note: note, Elapsed: 100 * milli,
 				Closed: true})
 		}
-		if get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second}); (get.Within > 0) != x.early {
-			t.Errorf("%+v: time-out %d where answers get lost", x, get.Within)
+		if get, _ := g.ask(Request{Object: 9, Size: 1000,
+			Expires: 5 * second}); (get.Timeout > 0) != x.early {
+			t.Errorf("%+v: time-out %d where answers get lost", x, get.Timeout)
 		}
 		m := g.r.members[home.Server]
 		m.ejected, m.backoff, m.trial, g.r.lost = 1, second, false, 0 // it comes back
 		get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
-		if (get.Within > 0) != x.early || get.Server != m.ID {
-			t.Errorf("%+v: time-out %d of a trial at %d", x, get.Within, get.Server)
+		if (get.Timeout > 0) != x.early || get.Server != m.ID {
+			t.Errorf("%+v: time-out %d of a trial at %d", x, get.Timeout, get.Server)
 		}
 	}
 }
@@ -313,10 +315,10 @@
 		}
 		for range 200 {
 			get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100})
-			if get.Held {
+			if get.HeldOnly {
 				n++
 			}
-			g.answer(get, 0, Miss, NoteSourceLacks)
+			g.answer(get, 0, Miss, NoteSourceMiss)
 		}
 		return n
 	}
--- a/rules/pace.go
+++ b/rules/pace.go
@@ -57,8 +57,8 @@
 		return true
 	}
 	if !q.hopeless { // else its cause is known
-		q.cause = Cause{Reason: reason, Server: m.ID, Expected: Micros(expected), Left: Micros(left),
-			Slow: p.slow, InFlight: m.inFlight}
+		q.cause = Cause{Reason: reason, Server: m.ID, Expected: Micros(expected), Remaining: Micros(left),
+			Slowdown: p.slow, InFlight: m.inFlight}
 	}
 	return false
 }
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -184,14 +184,16 @@
 		t := &q.tries[i]
 		t.done = true
 		q.inFlight--
-		codes := []Code{OK, OK, OK, Miss, Moot, Cancelled, ServerError, ConnectFailed, Full, Timeout, Reset}
+		codes := []Code{OK, OK, OK, Miss, NotSent, Cancelled, ServerError, ConnectFailed, Full,
+			Timeout, Reset}
 		o := Outcome{ID: id, Attempt: i, Server: t.server, Code: codes[w.rnd.IntN(len(codes))],
-			Note: Note(w.rnd.IntN(11)), Spent: w.now - t.at, Waited: Micros(w.rnd.IntN(1 << w.rnd.IntN(32)))}
+			Note: Note(w.rnd.IntN(11)), Elapsed: w.now - t.at,
+			SourceWait: Micros(w.rnd.IntN(1 << w.rnd.IntN(32)))}
 		switch o.Code {
 		case OK:
 			o.Closed = true
 			delete(w.open, id)
-		case Miss, Moot, ConnectFailed, Full:
+		case Miss, NotSent, ConnectFailed, Full:
 		default:
 			if !q.ran {
 				q.ran, q.ranAt = true, t.at
@@ -234,7 +236,7 @@
 		x := list[w.rnd.IntN(len(list)-1)] // the origin stays
 		x.State = MemberState(w.rnd.IntN(3))
 		if w.rnd.IntN(2) == 0 {
-			x.Born = w.now
+			x.StartedAt = w.now
 		}
 		if m := w.members[x.ID]; m.State != x.State {
 			w.members[x.ID] = &seenMember{x, w.now}
@@ -354,7 +356,7 @@
 		for _, a := range r.Step(now, events) {
 			if g, ok := a.(Get); ok {
 				events[0] = Outcome{ID: g.ID, Server: g.Server, Code: OK, Note: NoteHit, Closed: true,
-					Spent: milli}
+					Elapsed: milli}
 				r.Step(now, events)
 			}
 		}
--- a/rules/refusal_test.go
+++ b/rules/refusal_test.go
@@ -46,7 +46,7 @@
 	for _, spent := range []Micros{20 * milli, 300 * milli} {
 		get, _ := g.ask(Request{Object: 5})
 		g.now += spent
-		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Spent: spent, Closed: true})
+		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Elapsed: spent, Closed: true})
 		g.now += 10 * second
 	}
 	g.now -= 10 * second
@@ -92,8 +92,8 @@
 			spent := Micros(rapid.IntRange(1, 2000).Draw(rt, "spent, ms")) * milli
 			g.now += spent
 			g.step(Outcome{ID: get.ID, Server: get.Server, Code: rapid.SampledFrom(outcomes).Draw(rt, "code"),
-				Note:  Note(rapid.IntRange(0, int(NoteOriginFailed)).Draw(rt, "note")),
-				Spent: spent, Closed: true})
+				Note:    Note(rapid.IntRange(0, int(NoteOriginFailed)).Draw(rt, "note")),
+				Elapsed: spent, Closed: true})
 		}
 	})
 }
@@ -112,7 +112,7 @@
 			spent = 450 * milli
 		}
 		g.now += spent
-		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Spent: spent, Closed: true})
+		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Elapsed: spent, Closed: true})
 	}
 	var out []Get
 	for i := range 20 {
@@ -150,7 +150,7 @@
 		g.now += 10 * second
 		get, _ = g.ask(Request{Object: 5})
 		g.now += 300 * milli
-		g.step(Outcome{ID: get.ID, Server: get.Server, Code: code, Note: NoteHit, Spent: 300 * milli,
+		g.step(Outcome{ID: get.ID, Server: get.Server, Code: code, Note: NoteHit, Elapsed: 300 * milli,
 			Closed: true})
 		for i := range 40 {
 			_, out := g.ask(Request{Object: uint64(1000 + i)})
@@ -176,7 +176,7 @@
 	for i := range 10 {
 		get, _ := g.ask(Request{Object: uint64(i)})
 		g.now += 5 * milli
-		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Spent: 5 * milli,
+		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Elapsed: 5 * milli,
 			Closed: true})
 	}
 	for i := range 4 { // at once, so that none is alone
--- a/rules/renew_test.go
+++ b/rules/renew_test.go
@@ -30,16 +30,16 @@
 	unsafe.Effect = Unsafe
 	next := r.cfg
 	next.Classes, next.MaxAttempts = []Class{read, unsafe}, 1
-	if err := r.Renew(next); err != nil || r.mean[1] != 12345 {
+	if err := r.UpdateSettings(next); err != nil || r.mean[1] != 12345 {
 		t.Fatalf("%v, learnt %v", err, r.mean)
 	}
 	wrong := next
 	wrong.Classes = []Class{unsafe}
-	if r.Renew(wrong) == nil || r.Renew(Settings{}) == nil {
+	if r.UpdateSettings(wrong) == nil || r.UpdateSettings(Settings{}) == nil {
 		t.Error("settings that move a class were taken")
 	}
 	fail := func(id RequestID, by ServerID) Outcome {
-		return Outcome{ID: id, Server: by, Code: ServerError, Spent: milli}
+		return Outcome{ID: id, Server: by, Code: ServerError, Elapsed: milli}
 	}
 	first := r.reqs[1].tries[0].server.ID
 	if gets(2, fail(1, first)) != 1 {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -196,7 +196,7 @@
 
 // Renew takes settings for the requests that come from now on; open ones keep their class and number
 // of attempts. Classes may only have been added: what was learnt of one holds for its namesakes.
-func (r *Router) Renew(s Settings) error {
+func (r *Router) UpdateSettings(s Settings) error {
 	if err := cmp.Or(s.check(), s.extends(&r.cfg)); err != nil {
 		return err
 	}
@@ -260,7 +260,8 @@
 	}
 	for _, x := range e.List {
 		m := r.members[x.ID]
-		if m == nil || x.Born != m.Born { // a restart under the same id: empty, cold, and without a past
+		if m == nil || x.StartedAt != m.StartedAt {
+			// It restarted under the same id: empty, cold, and without a past.
 			m = cmp.Or(m, &member{})
 			r.members[x.ID] = m
 			u := unit(r.rng+uint64(r.now), x.ID, 3) // started together, they do not ask together
@@ -424,7 +425,7 @@
 		return
 	}
 	t := attempt{server: server, source: source, sent: r.now, bucket: q.bucket}
-	t.expect, t.held = r.expect(server, q), g.Held
+	t.expect, t.held = r.expect(server, q), g.HeldOnly
 	t.trial = r.take(server, q)
 	if source != nil && source != server {
 		t.srcTry = r.take(source, q)
@@ -433,9 +434,9 @@
 	g.Server, g.Source = server.ID, cmp.Or(source, server).ID
 	ends := r.cfg.Cancel || r.cfg.Hedges // else what runs out is still out beside the next attempt
 	if ends && (t.trial || t.srcTry) {   // a trial must not cost the request its life
-		g.Within = max(left/2, r.cfg.Tick)
+		g.Timeout = max(left/2, r.cfg.Tick)
 	} else if ends && server.tier == tierCache && r.lost > lostLeast && r.retries >= 1 {
-		g.Within, t.early = r.patience(q, &t, lostSlack, 1), true
+		g.Timeout, t.early = r.patience(q, &t, lostSlack, 1), true
 	} else if in := r.patience(q, &t, 1, secondRoom); !again && server.tier == tierCache && r.cfg.Hedges &&
 		q.class.Effect == Safe && r.spoilt > 0 && r.now-r.spoilt < spoiltSpan &&
 		in+Micros(r.hitTime(&t)) <= q.came+q.aim()-r.now {
@@ -487,7 +488,7 @@
 	}
 	supplier := source
 	if source != nil {
-		source, g.Held = r.fill(q, server, source)
+		source, g.HeldOnly = r.fill(q, server, source)
 	}
 	if missLikely := r.hitBy[q.bucket] < lookLeast && q.class.Grace == 0; source == nil && missLikely {
 		if !r.probeFill(supplier, q) {
@@ -496,18 +497,18 @@
 		}
 		source = supplier
 	}
-	if source == nil || g.Held { // an old copy in time is worth more than none
+	if source == nil || g.HeldOnly { // an old copy in time is worth more than none
 		g.MaxAge = r.ageBound(q, q.class.Fresh+q.class.Grace)
 	}
 	p, _ := r.parts.at(q.part, tableCap, r.now, tableAge)
 	// A part whose cache changed is taken from the cache that had it: it spares link and parent.
 	if m := p.on; m != nil && m != server && m != q.skipSrc && r.cfg.Siblings != SiblingsNone &&
 		r.members[m.ID] == m && r.usable(m, q, 0) && r.fits(m, q) {
-		source, g.Held = m, false
+		source, g.HeldOnly = m, false
 	}
-	g.Keep = 1
+	g.KeepRank = 1
 	if p.seen != 0 {
-		g.Keep, g.Renew = 2, q.class.Fresh > 0 && g.MaxAge == 0
+		g.KeepRank, g.Revalidate = 2, q.class.Fresh > 0 && g.MaxAge == 0
 	}
 	p.seen = max(r.now, 1)
 	g.Join = r.cfg.Joins && g.MaxAge == 0
@@ -691,7 +692,7 @@
 		a := Refuse{ID: q.ID, Cause: q.cause}
 		if r.cfg.RetryAfter {
 			r.rng++ // spread, so that those refused together don't come back together
-			a.Await = r.cfg.MaxAway/4 + Micros(mix(r.rng)%uint64(r.cfg.MaxAway/2+1))
+			a.RetryAfter = r.cfg.MaxAway/4 + Micros(mix(r.rng)%uint64(r.cfg.MaxAway/2+1))
 		}
 		r.do(a)
 	} else {
@@ -726,21 +727,22 @@
 	t := &q.tries[e.Attempt]
 	t.done, q.inFlight = true, q.inFlight-1
 	r.endProbes(t.probes)
-	if e.Code == Spoilt {
+	if e.Code == ConnectionBroken {
 		r.spoilt = r.now
-	} else if !slices.Contains([]Code{Timeout, Cancelled, ConnectFailed, Moot}, e.Code) {
+	} else if !slices.Contains([]Code{Timeout, Cancelled, ConnectFailed, NotSent}, e.Code) {
 		t.server.heard = r.now
 	}
 	r.hold(t.server, -1)
 	r.learn(q, t, e)
 	// A cache that was only looked at may still fill; one that fails now and then, many at once,
 	// still has the copy, and elsewhere it would be a miss and a fill.
-	if e.Code == Miss && (t.source == nil || e.Note == NoteSourceLacks) {
+	if e.Code == Miss && (t.source == nil || e.Note == NoteSourceMiss) {
 		t.again, q.bucket = true, len(r.hitBy)-1
-	} else if e.Code == ServerError || e.Code == Reset || e.Code == Spoilt || e.Code == Timeout && t.early {
+	} else if e.Code == ServerError || e.Code == Reset || e.Code == ConnectionBroken ||
+		e.Code == Timeout && t.early {
 		t.again = t.server.ejected == 0 && len(q.tries) <= 3
 	}
-	if !slices.Contains([]Code{Full, ConnectFailed, Moot, Miss}, e.Code) && !q.ran { // else it never ran
+	if !slices.Contains([]Code{Full, ConnectFailed, NotSent, Miss}, e.Code) && !q.ran { // else it never ran
 		q.ran, q.ranAt = true, t.sent
 	}
 	switch {
@@ -762,7 +764,7 @@
 		src = nil
 	}
 	cache, p, hit, likely := t.server.tier == tierCache, r.parts.get(q.part), 0.0, r.hitBy[t.bucket]
-	if e.Note == NoteHit || e.Note == NoteOld {
+	if e.Note == NoteHit || e.Note == NoteStale {
 		hit = 1
 	}
 	if cache && (e.Code == Miss || e.Code == OK && e.Note != NoteNone) {
@@ -771,7 +773,7 @@
 	if cache && e.Code == OK && p != nil && e.Note != NoteNone {
 		p.on = t.server
 	}
-	if spent := float64(e.Spent); cache && e.Code == OK && hit == 1 {
+	if spent := float64(e.Elapsed); cache && e.Code == OK && hit == 1 {
 		if q.Size == 0 { // sizes are not told: the quickest hit tells most
 			r.learnWork(q.Class, spent)
 		}
@@ -794,25 +796,25 @@
 	// origin where it had to be asked, and where nothing came as far as it can tell.
 	if src != nil && t.expect > 0 {
 		far := src
-		if r.origin != nil && src.tier == tierParent && (e.Note == NoteOriginAsked ||
+		if r.origin != nil && src.tier == tierParent && (e.Note == NoteOriginFetched ||
 			e.Code == Timeout && e.Note == NoteNone && !t.held &&
 				r.paceOf(src).slow <= r.paceOf(r.origin).slow) {
 			far = r.origin
 		}
 		switch {
-		case e.Code == OK && (e.Note == NoteFilled || e.Note == NoteOriginAsked):
-			r.gauge(far, float64(e.Waited), float64(e.Spent-e.Waited)/t.expect-1, 1)
-		case e.Code == Timeout && !t.early && float64(e.Spent) > t.expect:
-			r.gauge(far, far.wait, float64(e.Spent)/t.expect-1, (1-likely)*fade(e.Spent, easeHalf))
-		case e.Note == NoteSourceBroken:
-			r.gauge(far, float64(e.Waited), far.slow, 1)
+		case e.Code == OK && (e.Note == NoteFilled || e.Note == NoteOriginFetched):
+			r.gauge(far, float64(e.SourceWait), float64(e.Elapsed-e.SourceWait)/t.expect-1, 1)
+		case e.Code == Timeout && !t.early && float64(e.Elapsed) > t.expect:
+			r.gauge(far, far.wait, float64(e.Elapsed)/t.expect-1, (1-likely)*fade(e.Elapsed, easeHalf))
+		case e.Note == NoteSourceFailed:
+			r.gauge(far, float64(e.SourceWait), far.slow, 1)
 		}
 	}
-	filled := e.Code == OK && src != nil && (e.Note == NoteFilled || e.Note == NoteOriginAsked)
+	filled := e.Code == OK && src != nil && (e.Note == NoteFilled || e.Note == NoteOriginFetched)
 	switch full := src; {
 	case e.Code == OK:
 		r.judge(t.server, t.trial, 0)
-	case e.Code == Moot || e.Code == Cancelled || e.Code == Spoilt:
+	case e.Code == NotSent || e.Code == Cancelled || e.Code == ConnectionBroken:
 	case e.Code == Full && q.class.Write && t.server == r.origin && r.shareOf(r.origin) > shareCut:
 		// A limit that fills do not meet: where they do, both tell of the same want.
 	case e.Note < NoteSourceRefused && e.Code == Full: // not sick, but with all that it can hold
@@ -825,7 +827,7 @@
 			full = r.origin
 		}
 		q.skipSrc = full
-		if e.Note == NoteSourceBroken {
+		if e.Note == NoteSourceFailed {
 			r.judge(src, t.srcTry, 1)
 		} else if e.Note == NoteSourceRefused || e.Note == NoteOriginFailed {
 			r.cut(full)
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -81,7 +81,7 @@
 // answer ends the attempt of a Get.
 func (g *rig) answer(get Get, attempt int, code Code, note Note) []Action {
 	return g.step(Outcome{ID: get.ID, Attempt: attempt, Server: get.Server, Code: code, Note: note,
-		Spent: 10 * milli, Closed: code == OK})
+		Elapsed: 10 * milli, Closed: code == OK})
 }
 
 func TestFirstParentIsTheTopScoreWhateverTheHealth(t *testing.T) {
@@ -92,7 +92,7 @@
 		if get.Source != first.ID || first == second {
 			t.Fatalf("object %d: source %d, first parent %d", object, get.Source, first.ID)
 		}
-		g.answer(get, 0, OK, NoteOriginAsked)
+		g.answer(get, 0, OK, NoteOriginFetched)
 	}
 	before := map[uint64][2]*member{}
 	for object := uint64(1); object < 200; object++ {
@@ -152,7 +152,7 @@
 		get, out := g.ask(Request{Object: uint64(i), Size: size})
 		if get.ID != 0 {
 			taken[size]++
-		} else if refuse, ok := out[0].(Refuse); ok && refuse.Await > 0 {
+		} else if refuse, ok := out[0].(Refuse); ok && refuse.RetryAfter > 0 {
 			refused[size]++
 		}
 	}
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -13,10 +13,10 @@
 	if m.tier == tierParent {
 		from, span = r.cfg.ParentColdFrom, r.cfg.ParentWarmUp
 	}
-	if m.tier == tierOrigin || m.Born == 0 || span <= 0 || r.now-m.Born >= span {
+	if m.tier == tierOrigin || m.StartedAt == 0 || span <= 0 || r.now-m.StartedAt >= span {
 		return 1
 	}
-	return from + (1-from)*float64(max(0, r.now-m.Born))/float64(span)
+	return from + (1-from)*float64(max(0, r.now-m.StartedAt))/float64(span)
 }
 
 // budget tells whether a cold member can take the request. It bears N calls within FallTime from all
@@ -36,7 +36,7 @@
 	}
 	draw := m.draw
 	if r.cfg.Rank > 0 {
-		_, draw = math.Modf(unit(uint64(m.Born), m.ID, 3) + float64(r.cfg.Rank)*math.Phi)
+		_, draw = math.Modf(unit(uint64(m.StartedAt), m.ID, 3) + float64(r.cfg.Rank)*math.Phi)
 	}
 	calls, weight := math.Floor(able*coldPart/r.gates(m)/usual+draw), r.weigh(m, q)
 	most := max(1, calls/2) * usual // and as much earned in a span
