--- a/cmd/cherryramp-fleet/exchange.go
+++ b/cmd/cherryramp-fleet/exchange.go
@@ -50,17 +50,17 @@
 			_, _ = fmt.Fprintf(w, "\n%s, attached to %s\nLIMIT\tOF\tPART\tTAKEN\tREFUSED\tFROM\n", t.Front, t.To)
 			for _, s := range t.Own {
 				var from []string
-				for _, p := range s.Parts {
-					from = append(from, fmt.Sprintf("/%s#%d part %d: %.4g", p.From.Site, p.From.Keeper, p.Number, p.Amount))
+				for _, p := range s.Allocations {
+					from = append(from, fmt.Sprintf("/%s#%d part %d: %.4g", p.From.Site, p.From.Owner, p.Number, p.Amount))
 				}
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%.4g\t%d\t%d\t%s\n", s.Key.Limit, s.Key.Who, s.Amount, s.Taken, s.Refuse, strings.Join(from, "; "))
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%.4g\t%d\t%d\t%s\n", s.Key.Limit, s.Key.Who, s.Amount, s.Taken, s.Refused, strings.Join(from, "; "))
 			}
 			if len(t.Sites) > 0 {
 				_, _ = fmt.Fprintln(w, "\nSITE\tLIMIT\tOF\tHAS\tOUT\tDEMAND\tROLES\tSILENT\tWAITS")
 			}
 			for _, site := range slices.Sorted(maps.Keys(t.Sites)) {
 				for _, l := range t.Sites[site] {
-					_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%d\t%d\t%.1f s\n", site, l.Key.Limit, l.Key.Who, l.Has, l.Out, l.Demand, l.Roles, l.Silent, l.Waits)
+					_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%d\t%d\t%.1f s\n", site, l.Key.Limit, l.Key.Who, l.Available, l.Outstanding, l.Demand, l.Roles, l.Silent, l.WaitSeconds)
 				}
 			}
 		})
@@ -71,7 +71,7 @@
 	root := &cobra.Command{Use: "purge", Args: cobra.NoArgs, RunE: help, Short: "Purges that go through the whole fleet, tracked until acknowledged"}
 	root.AddCommand(c.purgeAskCommand(),
 		&cobra.Command{Use: "list", Short: "Purges held, the newest first", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			var list []invalidation.Line
+			var list []invalidation.PurgeStatus
 			return c.show("PURGE LIST", &list, func(w io.Writer) {
 				if len(list) == 0 {
 					_, _ = fmt.Fprintln(w, "no purge")
@@ -79,7 +79,7 @@
 				}
 				_, _ = fmt.Fprintln(w, "PURGE\tOF\tAGE\tKEPT HERE\tCOMPLETE\tASKED AS\tREASON")
 				for _, p := range list {
-					_, _ = fmt.Fprintf(w, "%s\t%s\t%.1f s\t%t\t%t\t%s\t%s\n", p.ID, p.Scope, p.AgeS, p.Kept, p.Complete, p.Asked, p.Why)
+					_, _ = fmt.Fprintf(w, "%s\t%s\t%.1f s\t%t\t%t\t%s\t%s\n", p.ID, p.Scope, p.AgeS, p.Stored, p.Complete, p.RequestKey, p.Reason)
 				}
 			})
 		}},
@@ -88,7 +88,7 @@
 			return c.show("PURGE WHY "+args[0], &p, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "purge %s of %s: %s\n", p.ID, p.Scope, p.Told)
 				for _, l := range p.Late {
-					_, _ = fmt.Fprintf(w, "  %s: %s\n", l.Front, l.Why)
+					_, _ = fmt.Fprintf(w, "  %s: %s\n", l.Front, l.Reason)
 				}
 			})
 		}})
@@ -148,7 +148,7 @@
 		} else {
 			line = p.Told
 			for _, l := range p.Late {
-				line += fmt.Sprintf("; %s: %s", l.Front, l.Why)
+				line += fmt.Sprintf("; %s: %s", l.Front, l.Reason)
 			}
 		}
 		if line != told {
@@ -189,7 +189,7 @@
 		return c.show("STEER "+args[0], &t, func(w io.Writer) {
 			_, _ = fmt.Fprintf(w, "%s: by %s; holds for %.1f s more, stale by %.1f s at most\nEDGE\tSHARE\tTAKES\tREQUESTS\tROOM\n", t.Region, t.By, t.HoldsS, t.StaleS)
 			for _, e := range t.Edges {
-				_, _ = fmt.Fprintf(w, "%s\t%.0f%%\t%.1f ms\t%.0f\t%.0f%%\n", e.Edge, 100*e.Share, e.Took/1000, e.Weight, 100*e.Room)
+				_, _ = fmt.Fprintf(w, "%s\t%.0f%%\t%.1f ms\t%.0f\t%.0f%%\n", e.Edge, 100*e.Share, e.Median/1000, e.Weight, 100*e.Capacity)
 			}
 		})
 	}}
--- a/internal/config/exchange.go
+++ b/internal/config/exchange.go
@@ -169,7 +169,7 @@
 		if l.Of == "" {
 			key.addf("of", "missing: a name, or * for each")
 		}
-		kind, err := quotalease.KindOf(l.Kind)
+		kind, err := quotalease.ParseKind(l.Kind)
 		key.add("kind", err)
 		if kind == quotalease.Rate && err == nil {
 			l.Burst = cmp.Or(l.Burst, max(1, l.Amount))
@@ -185,14 +185,14 @@
 }
 
 func (l *SharedLimit) allowance() quotalease.Limit {
-	kind, _ := quotalease.KindOf(l.Kind) // it was checked
-	return quotalease.Limit{Name: l.Name, For: l.For, Of: l.Of, Kind: kind, Amount: l.Amount, Burst: l.Burst, Span: int64(l.SpanS * 1e6), Hard: l.Hard, Alone: l.Alone / 100}
+	kind, _ := quotalease.ParseKind(l.Kind) // it was checked
+	return quotalease.Limit{Name: l.Name, Dimension: l.For, Who: l.Of, Kind: kind, Amount: l.Amount, Burst: l.Burst, Window: int64(l.SpanS * 1e6), Hard: l.Hard, IsolatedShare: l.Alone / 100}
 }
 
 // Allowances gives the limits and what they share.
 func (x *Exchange) Allowances() (rules quotalease.Rules, list []quotalease.Limit) {
-	rules = quotalease.Rules{Part: int64(x.PartS * 1e6), Keep: int64(x.KeepS * 1e6), Clock: x.Clock / 100, Longest: int64(x.OpenS * 1e6),
-		Child: int64(x.PassMS) * 1000}
+	rules = quotalease.Rules{AllocationLease: int64(x.PartS * 1e6), OwnerLease: int64(x.KeepS * 1e6), ClockDrift: x.Clock / 100, MaxOpenTime: int64(x.OpenS * 1e6),
+		ChildTimeout: int64(x.PassMS) * 1000}
 	for i := range x.Limits {
 		list = append(list, x.Limits[i].allowance())
 	}
@@ -217,13 +217,13 @@
 	for i := range list {
 		l := &list[i]
 		b := l.Bound(rules)
-		what := map[quotalease.Kind]string{quotalease.Rate: "a second", quotalease.Open: "at once", quotalease.Uses: fmt.Sprintf("in %gs", float64(l.Span)/1e6)}[l.Kind]
+		what := map[quotalease.Kind]string{quotalease.Rate: "a second", quotalease.Open: "at once", quotalease.Uses: fmt.Sprintf("in %gs", float64(l.Window)/1e6)}[l.Kind]
 		kind := "soft"
 		if l.Hard {
 			kind = "hard"
 		}
 		say("limit %s: %s, %g %s; over: %g %s at most; up to %g fronts hold a part at once; a dead front's part is dealt anew after %.1f s, what a new root was not told of after %.1f s",
-			l.Name, kind, l.Amount, what, b.Over, what, b.Holders, float64(b.Back)/1e6, float64(b.Root)/1e6)
+			l.Name, kind, l.Amount, what, b.MaxExcess, what, b.MaxHolders, float64(b.ReclaimAfter)/1e6, float64(b.RootRecovery)/1e6)
 	}
 	round := float64(x.RoundMS) / 1000
 	if p := x.Purges; p != nil {
@@ -251,6 +251,6 @@
 
 // Rules gives what verdicts go by.
 func (v *Verdicts) Rules() outlier.Rules {
-	return outlier.Rules{Witnesses: v.Witnesses, Span: int64(v.SpanS * 1e6), Half: int64(v.HalfS * 1e6), Failing: v.Failing, Slow: v.Slow, Least: v.Least,
-		Most: v.Most / 100, Refused: v.Refused, Forged: v.Forged, Away: int64(v.Away * 1e6), Spread: v.Spread}
+	return outlier.Rules{Witnesses: v.Witnesses, Span: int64(v.SpanS * 1e6), HalfLife: int64(v.HalfS * 1e6), FailingShare: v.Failing, SlowFactor: v.Slow, MinAnswers: v.Least,
+		MaxEjectedShare: v.Most / 100, RefusedShare: v.Refused, ForgedRate: v.Forged, MaxRetryAfter: int64(v.Away * 1e6), RetrySpread: v.Spread}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -97,7 +97,7 @@
 		if err := checkFleetName(x.word); err != nil {
 			at.add(x.key, err)
 		} else if x.key == "zone" {
-			at.add(x.key, topology.Check(x.word))
+			at.add(x.key, topology.CheckPath(x.word))
 		}
 	}
 	for _, x := range []struct{ key, address string }{{"listen", f.Listen}, {"address", f.Address}} {
--- a/internal/decide/invalidation/index.go
+++ b/internal/decide/invalidation/index.go
@@ -14,14 +14,14 @@
 // cover them, as long as that pays; then all copies older than the oldest go. So memory
 // is bounded, and what was purged stays so.
 type Index struct {
-	most     int
-	floor    Micros
-	objects  map[string]Micros
-	prefixes map[string]Micros
-	groups   map[int]Micros
-	tags     map[string]Micros
-	lengths  []int // of prefixes, each once
-	Folded   int   // how often names were folded into wider ones
+	most        int
+	floor       Micros
+	objects     map[string]Micros
+	prefixes    map[string]Micros
+	groups      map[int]Micros
+	tags        map[string]Micros
+	lengths     []int // of prefixes, each once
+	Compactions int   // how often names were folded into wider ones
 }
 
 // NewIndex makes room for so many scopes.
@@ -38,7 +38,7 @@
 func (x *Index) Add(s Scope, at Micros) {
 	switch s.Kind {
 	case All:
-		x.Floor(at)
+		x.RaiseFloor(at)
 		return
 	case Object:
 		x.objects[s.Name] = later(x.objects, s.Name, at)
@@ -65,7 +65,7 @@
 
 func (x *Index) addPrefix(p string, at Micros) {
 	if p == "" {
-		x.Floor(at)
+		x.RaiseFloor(at)
 		return
 	}
 	x.prefixes[p] = later(x.prefixes, p, at)
@@ -75,7 +75,7 @@
 }
 
 // Floor has all copies from before a moment count as purged, and forgets what says no more.
-func (x *Index) Floor(at Micros) {
+func (x *Index) RaiseFloor(at Micros) {
 	if at <= x.floor {
 		return
 	}
@@ -107,7 +107,7 @@
 
 // Since is the moment from which on a copy of an object may be; ok is false where any
 // will do. A copy of that very moment will not.
-func (x *Index) Since(object string, group int) (at Micros, ok bool) {
+func (x *Index) ValidAfter(object string, group int) (at Micros, ok bool) {
 	at = x.floor
 	if a, has := x.objects[object]; has {
 		at = max(at, a)
@@ -129,7 +129,7 @@
 }
 
 // Tagged is the same for copies under a tag, which only their answers tell.
-func (x *Index) Tagged(tag string) (at Micros, ok bool) {
+func (x *Index) TagValidAfter(tag string) (at Micros, ok bool) {
 	at, ok = x.tags[tag]
 	return at, ok
 }
@@ -137,7 +137,7 @@
 // fold makes room: the older half of the names, and of the prefixes that are no better,
 // become what they share.
 func (x *Index) fold() {
-	x.Folded++
+	x.Compactions++
 	var all []Micros
 	for _, m := range []map[string]Micros{x.objects, x.prefixes} {
 		for _, a := range m {
@@ -166,7 +166,7 @@
 		all = append(all, a)
 	}
 	slices.Sort(all)
-	x.Floor(all[len(all)/2])
+	x.RaiseFloor(all[len(all)/2])
 }
 
 // shorten has names from up to a moment become prefixes of a length, where several share one.
--- a/internal/decide/invalidation/invalidation.go
+++ b/internal/decide/invalidation/invalidation.go
@@ -48,9 +48,9 @@
 
 // Bounds.
 const (
-	mostName  = 128
-	MostBatch = 200 // purges of one message
-	mostLate  = 8   // fronts named that lag behind
+	mostName = 128
+	MaxBatch = 200 // purges of one message
+	mostLate = 8   // fronts named that lag behind
 )
 
 // ErrScope tells of a purge of nothing that can be named.
@@ -70,54 +70,54 @@
 
 // Origin is where purges are numbered: a site under one keeper.
 type Origin struct {
-	Site   string `cbor:"1,keyasint"`
-	Keeper uint64 `cbor:"2,keyasint"`
+	Site  string `cbor:"1,keyasint"`
+	Owner uint64 `cbor:"2,keyasint"`
 }
 
-func (o Origin) String() string { return fmt.Sprintf("%s#%d", cmp.Or(o.Site, "/"), o.Keeper) }
+func (o Origin) String() string { return fmt.Sprintf("%s#%d", cmp.Or(o.Site, "/"), o.Owner) }
 
 func compare(a, b Origin) int {
-	return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Keeper, b.Keeper))
+	return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Owner, b.Owner))
 }
 
 // Purge is one purge on its way.
 type Purge struct {
-	Origin Origin `cbor:"1,keyasint"`
-	N      uint64 `cbor:"2,keyasint"`
-	Scope  Scope  `cbor:"3,keyasint"`
-	Asked  string `cbor:"4,keyasint"`           // names the asking: asked again it is the same purge
-	Age    Micros `cbor:"5,keyasint"`           // since it was asked, at least
-	Why    string `cbor:"6,keyasint,omitempty"` //
+	Origin     Origin `cbor:"1,keyasint"`
+	Number     uint64 `cbor:"2,keyasint"`
+	Scope      Scope  `cbor:"3,keyasint"`
+	RequestKey string `cbor:"4,keyasint"`           // names the asking: asked again it is the same purge
+	Age        Micros `cbor:"5,keyasint"`           // since it was asked, at least
+	Reason     string `cbor:"6,keyasint,omitempty"` //
 }
 
 // ID is a purge's number as a person reads it.
-func (p *Purge) ID() string { return fmt.Sprintf("%s:%d", p.Origin, p.N) }
+func (p *Purge) ID() string { return fmt.Sprintf("%s:%d", p.Origin, p.Number) }
 
 // Mark tells of an origin that all up to a number is there.
-type Mark struct {
+type Watermark struct {
 	Origin Origin `cbor:"1,keyasint"`
-	N      uint64 `cbor:"2,keyasint"`
+	Number uint64 `cbor:"2,keyasint"`
 }
 
 // Marks are ordered by origin.
-type Marks []Mark
+type Watermarks []Watermark
 
 // Of is the number of an origin; 0: nothing is there.
-func (m Marks) Of(o Origin) uint64 {
-	i, ok := slices.BinarySearchFunc(m, o, func(x Mark, o Origin) int { return compare(x.Origin, o) })
+func (m Watermarks) Of(o Origin) uint64 {
+	i, ok := slices.BinarySearchFunc(m, o, func(x Watermark, o Origin) int { return compare(x.Origin, o) })
 	if !ok {
 		return 0
 	}
-	return m[i].N
+	return m[i].Number
 }
 
 // Same tells whether both have the same of every origin.
-func (m Marks) Same(o Marks) bool { return m.covers(o) && o.covers(m) }
+func (m Watermarks) Equal(o Watermarks) bool { return m.covers(o) && o.covers(m) }
 
 // covers tells whether all that o has is there.
-func (m Marks) covers(o Marks) bool {
+func (m Watermarks) covers(o Watermarks) bool {
 	for _, x := range o {
-		if m.Of(x.Origin) < x.N {
+		if m.Of(x.Origin) < x.Number {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 }
 
 func (l *line) find(n uint64) *held {
-	i, ok := slices.BinarySearchFunc(l.list, n, func(h *held, n uint64) int { return cmp.Compare(h.N, n) })
+	i, ok := slices.BinarySearchFunc(l.list, n, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
 	if !ok {
 		return nil
 	}
@@ -150,12 +150,12 @@
 
 // Config bounds a book.
 type Config struct {
-	Most int    // purges held; complete ones go first
-	Keep Micros // for how long a purge is obeyed and told; a copy older than that is not trusted once one is forgotten
+	MaxPurges int    // purges held; complete ones go first
+	Retention Micros // for how long a purge is obeyed and told; a copy older than that is not trusted once one is forgotten
 }
 
 // Book is all purges that one process knows.
-type Book struct {
+type PurgeLog struct {
 	cfg   Config
 	lines map[Origin]*line
 	asked map[string]*held
@@ -168,11 +168,11 @@
 }
 
 // NewBook makes an empty one.
-func NewBook(cfg Config) *Book {
-	return &Book{cfg: cfg, lines: map[Origin]*line{}, asked: map[string]*held{}}
+func NewPurgeLog(cfg Config) *PurgeLog {
+	return &PurgeLog{cfg: cfg, lines: map[Origin]*line{}, asked: map[string]*held{}}
 }
 
-func (b *Book) line(o Origin) *line {
+func (b *PurgeLog) line(o Origin) *line {
 	l := b.lines[o]
 	if l == nil {
 		l = &line{}
@@ -183,12 +183,12 @@
 
 // Ask gives a purge its number at an origin of this process. One that was asked before
 // is the same.
-func (b *Book) Ask(o Origin, s Scope, asked, why string, now Micros) Purge {
+func (b *PurgeLog) Submit(o Origin, s Scope, asked, why string, now Micros) Purge {
 	if h := b.asked[asked]; h != nil {
 		return h.told(now)
 	}
 	l := b.line(o)
-	p := Purge{Origin: o, N: max(l.have, l.gone) + 1, Scope: s, Asked: asked, Why: why}
+	p := Purge{Origin: o, Number: max(l.have, l.gone) + 1, Scope: s, RequestKey: asked, Reason: why}
 	b.take(p, now)
 	return p
 }
@@ -200,7 +200,7 @@
 }
 
 // Find gives a purge by the name of its asking.
-func (b *Book) Find(asked string, now Micros) (Purge, bool) {
+func (b *PurgeLog) Find(asked string, now Micros) (Purge, bool) {
 	h := b.asked[asked]
 	if h == nil {
 		return Purge{}, false
@@ -209,24 +209,24 @@
 }
 
 // Told takes purges in that a neighbour told.
-func (b *Book) Told(list []Purge, now Micros) {
-	for _, p := range list[:min(len(list), MostBatch)] {
-		if p.N > 0 && p.Age >= 0 && len(p.Asked) <= mostName && len(p.Scope.Name) <= mostName && int(p.Scope.Kind) < len(kindNames) {
+func (b *PurgeLog) Receive(list []Purge, now Micros) {
+	for _, p := range list[:min(len(list), MaxBatch)] {
+		if p.Number > 0 && p.Age >= 0 && len(p.RequestKey) <= mostName && len(p.Scope.Name) <= mostName && int(p.Scope.Kind) < len(kindNames) {
 			b.take(p, now)
 		}
 	}
 }
 
-func (b *Book) take(p Purge, now Micros) {
+func (b *PurgeLog) take(p Purge, now Micros) {
 	l := b.line(p.Origin)
-	if p.N <= l.have || p.N <= l.gone || l.find(p.N) != nil {
+	if p.Number <= l.have || p.Number <= l.gone || l.find(p.Number) != nil {
 		return
 	}
 	h := &held{Purge: p, at: now - p.Age}
-	i, _ := slices.BinarySearchFunc(l.list, p.N, func(h *held, n uint64) int { return cmp.Compare(h.N, n) })
+	i, _ := slices.BinarySearchFunc(l.list, p.Number, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
 	l.list = slices.Insert(l.list, i, h)
-	if p.Asked != "" {
-		b.asked[p.Asked] = h
+	if p.RequestKey != "" {
+		b.asked[p.RequestKey] = h
 	}
 	b.count++
 	b.apply = append(b.apply, p)
@@ -234,7 +234,7 @@
 }
 
 // advance moves marks on over what stands without a gap.
-func (b *Book) advance(l *line) {
+func (b *PurgeLog) advance(l *line) {
 	l.have = max(l.have, l.gone)
 	for h := l.find(l.have + 1); h != nil; h = l.find(l.have + 1) {
 		l.have++
@@ -246,14 +246,14 @@
 }
 
 // Apply gives the purges that came since it was last asked, to be obeyed and kept.
-func (b *Book) Apply() []Purge {
+func (b *PurgeLog) TakePending() []Purge {
 	list := b.apply
 	b.apply = nil
 	return list
 }
 
 // Kept tells that a purge is on disk.
-func (b *Book) Kept(o Origin, n uint64) {
+func (b *PurgeLog) MarkStored(o Origin, n uint64) {
 	l := b.lines[o]
 	if l == nil {
 		return
@@ -265,42 +265,44 @@
 }
 
 // Marks is what is here, all of it.
-func (b *Book) Marks() Marks {
-	return b.marks(func(l *line) uint64 { return l.have })
+func (b *PurgeLog) Received() Watermarks {
+	return b.watermarks(func(l *line) uint64 { return l.have })
 }
 
 // Done is what is kept here, and obeyed.
-func (b *Book) Done() Marks {
-	return b.marks(func(l *line) uint64 { return min(l.have, l.kept) })
+func (b *PurgeLog) Stored() Watermarks {
+	return b.watermarks(func(l *line) uint64 { return min(l.have, l.kept) })
 }
 
 // Whole is what is known to be complete.
-func (b *Book) Whole() Marks { return b.marks(func(l *line) uint64 { return l.whole }) }
+func (b *PurgeLog) Completed() Watermarks {
+	return b.watermarks(func(l *line) uint64 { return l.whole })
+}
 
-func (b *Book) marks(of func(*line) uint64) Marks {
-	list := make(Marks, 0, len(b.lines))
+func (b *PurgeLog) watermarks(of func(*line) uint64) Watermarks {
+	list := make(Watermarks, 0, len(b.lines))
 	for o, l := range b.lines {
-		list = append(list, Mark{o, of(l)})
+		list = append(list, Watermark{o, of(l)})
 	}
-	slices.SortFunc(list, func(x, y Mark) int { return compare(x.Origin, y.Origin) })
+	slices.SortFunc(list, func(x, y Watermark) int { return compare(x.Origin, y.Origin) })
 	return list
 }
 
 // Lacks gives what a neighbour that has so much is to be told, the oldest first; gone
 // tells the numbers up to which nothing can be told any more, where it lacks those.
-func (b *Book) Lacks(has Marks, now Micros) (list []Purge, gone Marks) {
-	for _, m := range b.Marks() {
+func (b *PurgeLog) MissingFrom(has Watermarks, now Micros) (list []Purge, gone Watermarks) {
+	for _, m := range b.Received() {
 		l := b.lines[m.Origin]
 		n := has.Of(m.Origin)
 		if n < l.gone {
-			gone = append(gone, Mark{m.Origin, l.gone})
+			gone = append(gone, Watermark{m.Origin, l.gone})
 		}
-		if n >= l.have && len(l.list) > 0 && l.list[len(l.list)-1].N <= n {
+		if n >= l.have && len(l.list) > 0 && l.list[len(l.list)-1].Number <= n {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(l.list, n+1, func(h *held, n uint64) int { return cmp.Compare(h.N, n) })
+		i, _ := slices.BinarySearchFunc(l.list, n+1, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
 		for _, h := range l.list[i:] {
-			if len(list) >= MostBatch {
+			if len(list) >= MaxBatch {
 				return list, gone
 			}
 			list = append(list, h.told(now))
@@ -311,40 +313,40 @@
 
 // Gone takes in that a neighbour can't tell some purges any more. Where this process
 // lacks any of those it trusts no copy from before now.
-func (b *Book) Gone(marks Marks, now Micros) {
+func (b *PurgeLog) HandleForgotten(marks Watermarks, now Micros) {
 	for _, m := range marks {
-		if l := b.line(m.Origin); m.N > l.have {
-			l.gone = m.N
-			l.list = slices.DeleteFunc(l.list, func(h *held) bool { return b.forget(h, h.N <= m.N) })
+		if l := b.line(m.Origin); m.Number > l.have {
+			l.gone = m.Number
+			l.list = slices.DeleteFunc(l.list, func(h *held) bool { return b.forget(h, h.Number <= m.Number) })
 			b.advance(l)
-			b.Return(now)
+			b.DistrustBefore(now)
 		}
 	}
 }
 
-func (b *Book) forget(h *held, do bool) bool {
+func (b *PurgeLog) forget(h *held, do bool) bool {
 	if do {
 		b.count--
-		if b.asked[h.Asked] == h {
-			delete(b.asked, h.Asked)
+		if b.asked[h.RequestKey] == h {
+			delete(b.asked, h.RequestKey)
 		}
 	}
 	return do
 }
 
 // Return has no copy from before a moment be trusted.
-func (b *Book) Return(now Micros) {
+func (b *PurgeLog) DistrustBefore(now Micros) {
 	b.floor, b.lost = max(b.floor, now), true
 }
 
 // Floor is the moment before which no copy is trusted; ok is false where there is none.
-func (b *Book) Floor() (at Micros, ok bool) { return b.floor, b.floor != 0 }
+func (b *PurgeLog) Floor() (at Micros, ok bool) { return b.floor, b.floor != 0 }
 
 // Complete takes in up to where purges are complete.
-func (b *Book) Complete(marks Marks) {
+func (b *PurgeLog) MarkComplete(marks Watermarks) {
 	for _, m := range marks {
 		if l := b.lines[m.Origin]; l != nil {
-			l.whole = max(l.whole, min(m.N, l.have))
+			l.whole = max(l.whole, min(m.Number, l.have))
 		}
 	}
 }
@@ -352,13 +354,13 @@
 // Fold forgets what is over: purges past their span, and the oldest complete ones where
 // too many are held; then the oldest at all. Nobody is told of those any more, and no
 // copy older than the newest of them is trusted here.
-func (b *Book) Fold(now Micros) {
+func (b *PurgeLog) Compact(now Micros) {
 	for o, l := range b.lines {
 		drop := 0
-		for drop < len(l.list) && l.list[drop].N == l.gone+uint64(drop)+1 {
+		for drop < len(l.list) && l.list[drop].Number == l.gone+uint64(drop)+1 {
 			h := l.list[drop]
-			over := now-h.at > b.cfg.Keep
-			crowded := b.count-drop > b.cfg.Most && (h.N <= l.whole || b.count-drop > 2*b.cfg.Most)
+			over := now-h.at > b.cfg.Retention
+			crowded := b.count-drop > b.cfg.MaxPurges && (h.Number <= l.whole || b.count-drop > 2*b.cfg.MaxPurges)
 			if !over && !crowded {
 				break
 			}
@@ -380,41 +382,41 @@
 }
 
 // Len counts the purges held.
-func (b *Book) Len() int { return b.count }
+func (b *PurgeLog) Len() int { return b.count }
 
 // Line is one purge for a person.
-type Line struct {
-	ID       string  `json:"id"`
-	Asked    string  `json:"asked"`
-	Scope    string  `json:"scope"`
-	Why      string  `json:"why,omitempty"`
-	AgeS     float64 `json:"age_s"`
-	Kept     bool    `json:"kept"` // here
-	Complete bool    `json:"complete"`
+type PurgeStatus struct {
+	ID         string  `json:"id"`
+	RequestKey string  `json:"asked"`
+	Scope      string  `json:"scope"`
+	Reason     string  `json:"why,omitempty"`
+	AgeS       float64 `json:"age_s"`
+	Stored     bool    `json:"kept"` // here
+	Complete   bool    `json:"complete"`
 }
 
 // List gives the newest purges, at most so many.
-func (b *Book) List(most int, now Micros) (list []Line) {
+func (b *PurgeLog) List(most int, now Micros) (list []PurgeStatus) {
 	var all []*held
 	for _, l := range b.lines {
 		all = append(all, l.list...)
 	}
 	slices.SortFunc(all, func(x, y *held) int {
-		return cmp.Or(cmp.Compare(y.at, x.at), compare(x.Origin, y.Origin), cmp.Compare(y.N, x.N))
+		return cmp.Or(cmp.Compare(y.at, x.at), compare(x.Origin, y.Origin), cmp.Compare(y.Number, x.Number))
 	})
 	for _, h := range all[:min(len(all), most)] {
-		list = append(list, Line{ID: h.ID(), Asked: h.Asked, Scope: h.Scope.String(), Why: h.Why, AgeS: float64(max(0, now-h.at)/1000) / 1000,
-			Kept: h.kept, Complete: h.N <= b.lines[h.Origin].whole})
+		list = append(list, PurgeStatus{ID: h.ID(), RequestKey: h.RequestKey, Scope: h.Scope.String(), Reason: h.Reason, AgeS: float64(max(0, now-h.at)/1000) / 1000,
+			Stored: h.kept, Complete: h.Number <= b.lines[h.Origin].whole})
 	}
 	return list
 }
 
 // Snapshot gives what is to be written where the disk's file begins anew.
-func (b *Book) Snapshot(now Micros) (list []Purge, gone Marks) {
-	for _, m := range b.Marks() {
+func (b *PurgeLog) Snapshot(now Micros) (list []Purge, gone Watermarks) {
+	for _, m := range b.Received() {
 		l := b.lines[m.Origin]
 		if l.gone > 0 {
-			gone = append(gone, Mark{m.Origin, l.gone})
+			gone = append(gone, Watermark{m.Origin, l.gone})
 		}
 		for _, h := range l.list {
 			list = append(list, h.told(now))
@@ -425,18 +427,20 @@
 
 // Recovered takes in what a disk had: it is kept already. Ages were lost with the
 // process; what is here counts as asked now, which trusts less and never more.
-func (b *Book) Recovered(p Purge, now Micros) {
+func (b *PurgeLog) Recover(p Purge, now Micros) {
 	p.Age = 0
 	b.take(p, now)
-	b.Kept(p.Origin, p.N)
+	b.MarkStored(p.Origin, p.Number)
 }
 
 // RecoveredGone takes in what the disk's file had let go.
-func (b *Book) RecoveredGone(m Mark) {
+func (b *PurgeLog) RecoverForgotten(m Watermark) {
 	l := b.line(m.Origin)
-	l.gone = max(l.gone, m.N)
+	l.gone = max(l.gone, m.Number)
 	b.advance(l)
 }
 
 // Sort orders marks by origin.
-func Sort(m Marks) { slices.SortFunc(m, func(x, y Mark) int { return compare(x.Origin, y.Origin) }) }
+func SortWatermarks(m Watermarks) {
+	slices.SortFunc(m, func(x, y Watermark) int { return compare(x.Origin, y.Origin) })
+}
--- a/internal/decide/invalidation/invalidation_test.go
+++ b/internal/decide/invalidation/invalidation_test.go
@@ -18,17 +18,17 @@
 // front is one process in a day of purges: its book, and what it gathers for its sites.
 type front struct {
 	topology.Front
-	book    *Book
-	gathers map[string]*Gather
+	book    *PurgeLog
+	gathers map[string]*AckCollector
 	disk    []Purge // kept
 	paused  bool
-	closing Closing
-	has     map[string]Marks
+	closing CompletionTracker
+	has     map[string]Watermarks
 }
 
 // play plays a day in which purges are asked for while messages are lost, doubled and
 // come late and fronts crash, sleep and join; it gives what was said too early.
-func play(seed uint64, rule Rule) (early string, complete int) {
+func play(seed uint64, rule Mutation) (early string, complete int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	now, index := Micros(0), uint64(1)
 	sites := []string{"a", "b"}
@@ -50,12 +50,12 @@
 	}
 	join := func() {
 		i := len(list)
-		f := &front{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, Keep: second}, book: NewBook(Config{Most: 1000, Keep: 1e12}),
-			gathers: map[string]*Gather{}, has: map[string]Marks{}}
+		f := &front{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, OwnerLease: second}, book: NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}),
+			gathers: map[string]*AckCollector{}, has: map[string]Watermarks{}}
 		// What serves already told it all before it serves itself.
 		if i > 0 {
-			news, _ := list[0].book.Lacks(nil, now)
-			f.book.Told(news, now)
+			news, _ := list[0].book.MissingFrom(nil, now)
+			f.book.Receive(news, now)
 		}
 		list = append(list, f)
 		index++
@@ -64,7 +64,7 @@
 		join()
 	}
 	view := func(f *front) *topology.View {
-		v := &topology.View{Index: index, Self: f.Front, In: true}
+		v := &topology.View{Index: index, Self: f.Front, Registered: true}
 		for _, x := range list {
 			v.Fronts = append(v.Fronts, x.Front)
 		}
@@ -95,15 +95,15 @@
 			k := find(keepers[f.Site])
 			if !k.paused && asked < 20 {
 				asked++
-				k.book.Ask(Origin{f.Site, 1}, Scope{Object, fmt.Sprintf("o%d", asked)}, fmt.Sprint(asked), "", now)
+				k.book.Submit(Origin{f.Site, 1}, Scope{Object, fmt.Sprintf("o%d", asked)}, fmt.Sprint(asked), "", now)
 			}
 		case 1:
 			f.paused = !f.paused && r.IntN(4) == 0
 		case 2: // a crash: what was not kept is gone, and so is what was gathered; keepers' numbers are drawn anew in earnest
 			if f.Name != "f0" && f.Name != "f1" {
-				f.book, f.gathers, f.has = NewBook(Config{Most: 1000, Keep: 1e12}), map[string]*Gather{}, map[string]Marks{}
+				f.book, f.gathers, f.has = NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}), map[string]*AckCollector{}, map[string]Watermarks{}
 				for _, p := range f.disk {
-					f.book.Recovered(p, now)
+					f.book.Recover(p, now)
 				}
 				f.Start++
 				index++
@@ -117,36 +117,36 @@
 			if f.paused {
 				continue
 			}
-			for _, p := range f.book.Apply() {
+			for _, p := range f.book.TakePending() {
 				if r.IntN(3) == 0 { // the disk takes its time
-					later(func() { f.disk = append(f.disk, p); f.book.Kept(p.Origin, p.N) })
+					later(func() { f.disk = append(f.disk, p); f.book.MarkStored(p.Origin, p.Number) })
 				} else {
 					f.disk = append(f.disk, p)
-					f.book.Kept(p.Origin, p.N)
+					f.book.MarkStored(p.Origin, p.Number)
 				}
 			}
 			seq++
-			n, s := seq, Summary{Index: index, Done: f.book.Done(), Count: 1}
+			n, s := seq, Summary{Index: index, Stored: f.book.Stored(), FrontCount: 1}
 			role, k := topology.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(keepers[f.Site])
 			exchange := func(role topology.Role, k *front, site string, s Summary) {
-				news, _ := f.book.Lacks(f.has[k.Name], now)
-				marks := f.book.Marks()
+				news, _ := f.book.MissingFrom(f.has[k.Name], now)
+				marks := f.book.Received()
 				start := f.Start
 				later(func() {
 					if k.paused {
 						return
 					}
-					k.book.Told(news, now)
+					k.book.Receive(news, now)
 					if k.gathers[site] == nil {
-						k.gathers[site] = NewGather(site)
-						k.gathers[site].Without(rule)
+						k.gathers[site] = NewAckCollector(site)
+						k.gathers[site].Disable(rule)
 					}
-					k.gathers[site].Heard(role, n, s, now)
-					back, _ := k.book.Lacks(marks, now)
-					has := k.book.Marks()
+					k.gathers[site].Record(role, n, s, now)
+					back, _ := k.book.MissingFrom(marks, now)
+					has := k.book.Received()
 					later(func() {
 						if !f.paused && f.Start == start {
-							f.book.Told(back, now)
+							f.book.Receive(back, now)
 							f.has[k.Name] = has
 						}
 					})
@@ -158,20 +158,20 @@
 				if g == nil || keepers[site] != f.Name {
 					continue
 				}
-				sum := g.Sum(view(f), index, f.book.Marks(), 2*second, now)
+				sum := g.Summarize(view(f), index, f.book.Received(), 2*second, now)
 				if site != "" {
-					exchange(topology.Role{Site: site, Keeper: 1}, find(keepers[""]), "", sum)
+					exchange(topology.Role{Site: site, Owner: 1}, find(keepers[""]), "", sum)
 					continue
 				}
-				for _, m := range f.closing.Step(sum.Done, now-1, now) {
-					for i := uint64(1); i <= m.N; i++ {
-						p := Purge{Origin: m.Origin, N: i}
+				for _, m := range f.closing.Step(sum.Stored, now-1, now) {
+					for i := uint64(1); i <= m.Number; i++ {
+						p := Purge{Origin: m.Origin, Number: i}
 						if said[p.ID()] {
 							continue
 						}
 						said[p.ID()] = true
 						for _, x := range list {
-							if x.book.Done().Of(m.Origin) < i {
+							if x.book.Stored().Of(m.Origin) < i {
 								return fmt.Sprintf("seed %d: %s is complete, and %s has not kept it", seed, p.ID(), x.Name), len(said)
 							}
 						}
@@ -197,7 +197,7 @@
 // Guards the check above.
 func TestCompleteIsTrueFires(t *testing.T) {
 	for seed := range uint64(150) {
-		if early, _ := play(seed, NoAck); early != "" {
+		if early, _ := play(seed, DisableAcks); early != "" {
 			return
 		}
 	}
@@ -207,17 +207,17 @@
 // Guards the mutation: it leaves out who is late whether or not a word of it from before the
 // purge is known, of a front or of a site, and the rule as built waits for both.
 func TestLeftOutRuleHeedsNoOldWord(t *testing.T) {
-	origin := Origin{Site: "west", Keeper: 3}
-	here := Marks{{Origin: origin, N: 1}}
+	origin := Origin{Site: "west", Owner: 3}
+	here := Watermarks{{Origin: origin, Number: 1}}
 	v := &topology.View{Index: 9, Fronts: []topology.Front{
-		{Name: "a", Site: "west", Start: 1, Keep: 1}, {Name: "b", Site: "east/hub", Start: 1, Keep: 1, Lost: true}, {Name: "c", Site: "west", Start: 1, Keep: 1, Lost: true}}}
-	for rule, want := range map[Rule]uint64{"": 0, NoAck: 1} {
-		for _, late := range []topology.Role{{Site: "east", Keeper: 5}, {Site: "east/hub", Front: "b", Start: 1}, {Site: "west", Front: "c", Start: 1}} {
-			g := NewGather("")
-			g.Without(rule)
-			g.Heard(late, 1, Summary{Index: 9, Count: 1}, 0)
-			g.Heard(topology.Role{Site: "west", Front: "a", Start: 1}, 1, Summary{Index: 9, Done: here, Count: 1}, 100)
-			if got := g.Sum(v, 9, here, 50, 100).Done.Of(origin); got != want {
+		{Name: "a", Site: "west", Start: 1, OwnerLease: 1}, {Name: "b", Site: "east/hub", Start: 1, OwnerLease: 1, Lost: true}, {Name: "c", Site: "west", Start: 1, OwnerLease: 1, Lost: true}}}
+	for rule, want := range map[Mutation]uint64{"": 0, DisableAcks: 1} {
+		for _, late := range []topology.Role{{Site: "east", Owner: 5}, {Site: "east/hub", Front: "b", Start: 1}, {Site: "west", Front: "c", Start: 1}} {
+			g := NewAckCollector("")
+			g.Disable(rule)
+			g.Record(late, 1, Summary{Index: 9, FrontCount: 1}, 0)
+			g.Record(topology.Role{Site: "west", Front: "a", Start: 1}, 1, Summary{Index: 9, Stored: here, FrontCount: 1}, 100)
+			if got := g.Summarize(v, 9, here, 50, 100).Stored.Of(origin); got != want {
 				t.Errorf("without %q, %+v late: acknowledged up to %d, want %d", rule, late, got, want)
 			}
 		}
@@ -267,9 +267,9 @@
 		}
 		for i := range 50 {
 			object, group := fmt.Sprintf("o%d", i*9), i*7
-			got, some := x.Since(object, group)
+			got, some := x.ValidAfter(object, group)
 			want, must := p.since(object, group)
-			if must && (!some || got < want) || x.Folded == 0 && (some != must || must && got != want) {
+			if must && (!some || got < want) || x.Compactions == 0 && (some != must || must && got != want) {
 				t.Fatalf("%s: %d %t, %d %t wanted", object, got, some, want, must)
 			}
 		}
@@ -293,7 +293,7 @@
 	b.Run("index", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			x.Since("o7777", 17)
+			x.ValidAfter("o7777", 17)
 		}
 	})
 	b.Run("plain", func(b *testing.B) {
--- a/internal/decide/invalidation/summary.go
+++ b/internal/decide/invalidation/summary.go
@@ -9,19 +9,19 @@
 )
 
 // Late is a front that holds a purge up, and why.
-type Late struct {
-	Front string `cbor:"1,keyasint" json:"front"`
-	Why   string `cbor:"2,keyasint" json:"why"`
-	Done  Marks  `cbor:"3,keyasint,omitempty" json:"-"`
+type Laggard struct {
+	Front  string     `cbor:"1,keyasint" json:"front"`
+	Reason string     `cbor:"2,keyasint" json:"why"`
+	Stored Watermarks `cbor:"3,keyasint,omitempty" json:"-"`
 }
 
 // Summary is a role's acknowledgement: what all fronts of it keep and obey.
 type Summary struct {
-	Index uint64 `cbor:"1,keyasint"` // of the log: the fronts that it speaks of are those up to there
-	Done  Marks  `cbor:"2,keyasint,omitempty"`
-	Late  []Late `cbor:"3,keyasint,omitempty"` // who lags, at most a few of them
-	Lag   int    `cbor:"4,keyasint,omitempty"` // how many do
-	Count int    `cbor:"5,keyasint"`           // fronts it speaks of
+	Index        uint64     `cbor:"1,keyasint"` // of the log: the fronts that it speaks of are those up to there
+	Stored       Watermarks `cbor:"2,keyasint,omitempty"`
+	Laggards     []Laggard  `cbor:"3,keyasint,omitempty"` // who lags, at most a few of them
+	LaggardCount int        `cbor:"4,keyasint,omitempty"` // how many do
+	FrontCount   int        `cbor:"5,keyasint"`           // fronts it speaks of
 }
 
 // said is what a role said last.
@@ -33,24 +33,26 @@
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
-type Rule string
+type Mutation string
 
 // NoAck has a purge be complete by those heard alone: whoever is late is left out, also
 // where its last word, from before the purge, is known.
-const NoAck Rule = "ack"
+const DisableAcks Mutation = "ack"
 
 // Gather is a keeper's view of who keeps and obeys what.
-type Gather struct {
+type AckCollector struct {
 	site    string
 	said    map[string]*said
-	without Rule
+	without Mutation
 }
 
 // NewGather makes one for a site.
-func NewGather(site string) *Gather { return &Gather{site: site, said: map[string]*said{}} }
+func NewAckCollector(site string) *AckCollector {
+	return &AckCollector{site: site, said: map[string]*said{}}
+}
 
 // Without leaves a rule out.
-func (g *Gather) Without(r Rule) { g.without = r }
+func (g *AckCollector) Disable(r Mutation) { g.without = r }
 
 // name tells roles apart by whom they speak for: what a newer one says takes the place
 // of what an older one did.
@@ -62,10 +64,10 @@
 }
 
 // Heard takes a role's acknowledgement in, by number; a late one changes nothing.
-func (g *Gather) Heard(r topology.Role, seq uint64, s Summary, now Micros) {
+func (g *AckCollector) Record(r topology.Role, seq uint64, s Summary, now Micros) {
 	k := name(r)
 	old := g.said[k]
-	if old != nil && (r.Front == "" && r.Keeper < old.role.Keeper || r == old.role && seq <= old.seq) {
+	if old != nil && (r.Front == "" && r.Owner < old.role.Owner || r == old.role && seq <= old.seq) {
 		return
 	}
 	g.said[k] = &said{s: s, seq: seq, at: now, role: r}
@@ -73,22 +75,22 @@
 
 // Sum adds up what is known for all of the site's fronts, as the log has them: known is
 // the index at which they were last changed there.
-func (g *Gather) Sum(v *topology.View, changed uint64, origins Marks, stale, now Micros) Summary {
-	out := Summary{Index: v.Index, Done: slices.Clone(origins)}
-	for i := range out.Done {
-		out.Done[i].N = 1<<64 - 1
+func (g *AckCollector) Summarize(v *topology.View, changed uint64, origins Watermarks, stale, now Micros) Summary {
+	out := Summary{Index: v.Index, Stored: slices.Clone(origins)}
+	for i := range out.Stored {
+		out.Stored[i].Number = 1<<64 - 1
 	}
-	least := func(done Marks) {
-		for i := range out.Done {
-			out.Done[i].N = min(out.Done[i].N, done.Of(out.Done[i].Origin))
+	least := func(done Watermarks) {
+		for i := range out.Stored {
+			out.Stored[i].Number = min(out.Stored[i].Number, done.Of(out.Stored[i].Origin))
 		}
 	}
-	late := func(l Late) {
-		out.Lag++
-		if len(out.Late) < mostLate {
-			out.Late = append(out.Late, l)
+	late := func(l Laggard) {
+		out.LaggardCount++
+		if len(out.Laggards) < mostLate {
+			out.Laggards = append(out.Laggards, l)
 		}
-		least(l.Done)
+		least(l.Stored)
 	}
 	inside := map[string]bool{} // sites that speak for their fronts
 	for _, k := range slices.Sorted(maps.Keys(g.said)) {
@@ -104,20 +106,20 @@
 			continue
 		}
 		inside[site] = true
-		least(x.s.Done)
-		out.Lag += x.s.Lag
-		for _, l := range x.s.Late {
-			if len(out.Late) < mostLate {
-				out.Late = append(out.Late, l)
+		least(x.s.Stored)
+		out.LaggardCount += x.s.LaggardCount
+		for _, l := range x.s.Laggards {
+			if len(out.Laggards) < mostLate {
+				out.Laggards = append(out.Laggards, l)
 			}
 		}
 	}
 	for i := range v.Fronts {
 		f := &v.Fronts[i]
-		if f.Keep == 0 || f.Over || !topology.Within(f.Site, g.site) {
+		if f.OwnerLease == 0 || f.Expired || !topology.Within(f.Site, g.site) {
 			continue
 		}
-		out.Count++
+		out.FrontCount++
 		x := g.said["front "+f.Name]
 		speaks := x != nil && x.role.Start == f.Start
 		if within(f.Site, inside) && !(speaks && now-x.at <= stale) {
@@ -125,27 +127,27 @@
 		}
 		switch {
 		case speaks && x == nil: // by its site
-		case g.without == NoAck && (!speaks || now-x.at > stale):
+		case g.without == DisableAcks && (!speaks || now-x.at > stale):
 		case x == nil:
-			late(Late{Front: f.Name, Why: cmp.Or(map[bool]string{true: "lost, and may serve on"}[f.Lost], "not heard")})
+			late(Laggard{Front: f.Name, Reason: cmp.Or(map[bool]string{true: "lost, and may serve on"}[f.Lost], "not heard")})
 		case x.role.Start != f.Start:
-			late(Late{Front: f.Name, Why: "started anew, not heard since"})
+			late(Laggard{Front: f.Name, Reason: "started anew, not heard since"})
 		default:
 			for _, m := range origins {
-				if x.s.Done.Of(m.Origin) < m.N {
+				if x.s.Stored.Of(m.Origin) < m.Number {
 					why := "has not kept all"
 					if now-x.at > stale {
 						why = "not heard for a while"
 					}
-					late(Late{Front: f.Name, Why: why, Done: x.s.Done})
+					late(Laggard{Front: f.Name, Reason: why, Stored: x.s.Stored})
 					break
 				}
 			}
-			least(x.s.Done)
+			least(x.s.Stored)
 		}
 	}
-	for i := range out.Done {
-		out.Done[i].N = min(out.Done[i].N, origins[i].N)
+	for i := range out.Stored {
+		out.Stored[i].Number = min(out.Stored[i].Number, origins[i].Number)
 	}
 	return out
 }
@@ -160,7 +162,7 @@
 }
 
 // Drop forgets roles of fronts that are no longer in the fleet.
-func (g *Gather) Drop(v *topology.View) {
+func (g *AckCollector) Prune(v *topology.View) {
 	for k, x := range g.said {
 		if x.role.Front != "" && v.Find(x.role.Front) == nil {
 			delete(g.said, k)
@@ -170,34 +172,34 @@
 
 // Closing decides when a root says that purges are complete. It has a majority confirm,
 // after the last acknowledgement came, that it still knows all fronts.
-type Closing struct {
-	waits  Marks
+type CompletionTracker struct {
+	waits  Watermarks
 	since  Micros // when the acknowledgements of waits were there
-	closed Marks
+	closed Watermarks
 }
 
 // Step takes in what all fronts keep and obey, as the root has it at a moment, and the
 // stamp of the newest confirmation of its lease: a moment of the root's own clock before
 // which it was asked for. It gives what is complete.
-func (c *Closing) Step(done Marks, confirmed, now Micros) Marks {
+func (c *CompletionTracker) Step(done Watermarks, confirmed, now Micros) Watermarks {
 	if c.waits != nil && confirmed > c.since {
 		// Still so, with all fronts that were in the fleet when a majority confirmed it.
 		for _, m := range c.waits {
-			n := min(m.N, done.Of(m.Origin))
+			n := min(m.Number, done.Of(m.Origin))
 			if n > c.closed.Of(m.Origin) {
-				c.closed = c.closed.with(Mark{m.Origin, n})
+				c.closed = c.closed.with(Watermark{m.Origin, n})
 			}
 		}
 		c.waits = nil
 	}
-	if c.waits == nil && slices.ContainsFunc(done, func(m Mark) bool { return m.N > c.closed.Of(m.Origin) }) {
+	if c.waits == nil && slices.ContainsFunc(done, func(m Watermark) bool { return m.Number > c.closed.Of(m.Origin) }) {
 		c.waits, c.since = done, now
 	}
 	return c.closed
 }
 
-func (m Marks) with(x Mark) Marks {
-	i, ok := slices.BinarySearchFunc(m, x.Origin, func(y Mark, o Origin) int { return compare(y.Origin, o) })
+func (m Watermarks) with(x Watermark) Watermarks {
+	i, ok := slices.BinarySearchFunc(m, x.Origin, func(y Watermark, o Origin) int { return compare(y.Origin, o) })
 	m = slices.Clone(m)
 	if ok {
 		m[i] = x
--- a/internal/decide/latency/latency.go
+++ b/internal/decide/latency/latency.go
@@ -26,20 +26,20 @@
 
 // Rules are what paths go by.
 type Rules struct {
-	Half    Micros  // half life of what was measured
-	Stale   Micros  // after which an order is not gone by
-	Explore float64 // part of a region's requests that try edges not seen lately
-	Pace    float64 // part of a region's share that may move in a second
-	Weight  float64 // that one front's word counts at most, in requests
+	HalfLife          Micros  // half life of what was measured
+	OrderTTL          Micros  // after which an order is not gone by
+	ExploreShare      float64 // part of a region's requests that try edges not seen lately
+	MaxShiftPerSecond float64 // part of a region's share that may move in a second
+	MaxFrontWeight    float64 // that one front's word counts at most, in requests
 }
 
 // Bounds.
 const (
-	MostPairs = 4096 // regions times edges that one process knows
-	accuracy  = 0.02 // relative, of a sketch's quantiles
-	mostBins  = 512
-	shrink    = 20 // requests that what is known of the region above counts as
-	least     = 0.05
+	MaxPairs = 4096 // regions times edges that one process knows
+	accuracy = 0.02 // relative, of a sketch's quantiles
+	mostBins = 512
+	shrink   = 20 // requests that what is known of the region above counts as
+	least    = 0.05
 )
 
 // Pair is a region and an edge.
@@ -51,7 +51,7 @@
 // Sample is one request's latency between them.
 type Sample struct {
 	Pair
-	Took Micros
+	Latency Micros
 }
 
 // Summary is what is known of one pair.
@@ -89,7 +89,7 @@
 func NewModel(r Rules) *Model { return &Model{rules: r, pairs: map[Pair]*known{}} }
 
 func (m *Model) fade(k *known, now Micros) {
-	if f := math.Exp2(-float64(now-k.at) / float64(m.rules.Half)); f < 0.98 {
+	if f := math.Exp2(-float64(now-k.at) / float64(m.rules.HalfLife)); f < 0.98 {
 		_ = k.s.Reweight(f) // which only refuses what is not above 0
 		k.at = now
 	}
@@ -100,9 +100,9 @@
 	for _, x := range list {
 		k := m.pairs[x.Pair]
 		if k == nil {
-			if len(m.pairs) >= MostPairs {
-				m.Sweep(now)
-				if len(m.pairs) >= MostPairs {
+			if len(m.pairs) >= MaxPairs {
+				m.Prune(now)
+				if len(m.pairs) >= MaxPairs {
 					continue
 				}
 			}
@@ -110,12 +110,12 @@
 			m.pairs[x.Pair] = k
 		}
 		m.fade(k, now)
-		_ = k.s.Add(float64(max(1, x.Took))) // it is in range
+		_ = k.s.Add(float64(max(1, x.Latency))) // it is in range
 	}
 }
 
 // Sweep forgets what has faded.
-func (m *Model) Sweep(now Micros) {
+func (m *Model) Prune(now Micros) {
 	maps.DeleteFunc(m.pairs, func(_ Pair, k *known) bool {
 		m.fade(k, now)
 		return k.s.GetCount() < least
@@ -123,8 +123,8 @@
 }
 
 // Tell is what this front says of all pairs.
-func (m *Model) Tell(now Micros) (list []Summary) {
-	m.Sweep(now)
+func (m *Model) Summaries(now Micros) (list []Summary) {
+	m.Prune(now)
 	for p, k := range m.pairs {
 		list = append(list, summary(p, k.s))
 	}
@@ -163,7 +163,7 @@
 func Merge(r Rules, fronts, sites [][]Summary) (out []Summary) {
 	all := map[Pair]*ddsketch.DDSketch{}
 	add := func(list []Summary, most float64) {
-		for _, s := range list[:min(len(list), MostPairs)] {
+		for _, s := range list[:min(len(list), MaxPairs)] {
 			x := s.sketch()
 			if x == nil {
 				continue
@@ -173,7 +173,7 @@
 			}
 			t := all[s.Pair]
 			if t == nil {
-				if len(all) >= MostPairs {
+				if len(all) >= MaxPairs {
 					continue
 				}
 				t = newSketch()
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, list := range fronts {
-		add(list, r.Weight)
+		add(list, r.MaxFrontWeight)
 	}
 	for _, list := range sites {
 		add(list, 0)
@@ -197,26 +197,26 @@
 
 // Share is one edge in a region's order.
 type Share struct {
-	Edge   string  `cbor:"1,keyasint" json:"edge"`
-	Share  float64 `cbor:"2,keyasint" json:"share"`
-	Took   float64 `cbor:"3,keyasint" json:"took_us"` // its median, with what stands for what is not known
-	Weight float64 `cbor:"4,keyasint" json:"weight"`
-	Room   float64 `cbor:"5,keyasint" json:"room"`
+	Edge     string  `cbor:"1,keyasint" json:"edge"`
+	Share    float64 `cbor:"2,keyasint" json:"share"`
+	Median   float64 `cbor:"3,keyasint" json:"took_us"` // its median, with what stands for what is not known
+	Weight   float64 `cbor:"4,keyasint" json:"weight"`
+	Capacity float64 `cbor:"5,keyasint" json:"room"`
 }
 
 // Order is how a region's clients should go, the largest share first.
 type Order struct {
-	Region string  `cbor:"1,keyasint" json:"region"`
-	Edges  []Share `cbor:"2,keyasint" json:"edges"`
-	Left   Micros  `cbor:"3,keyasint" json:"left_us"` // from when who is told asked
+	Region    string  `cbor:"1,keyasint" json:"region"`
+	Edges     []Share `cbor:"2,keyasint" json:"edges"`
+	Remaining Micros  `cbor:"3,keyasint" json:"left_us"` // from when who is told asked
 }
 
 // Planner is the root's: it has shares follow what is known.
 type Planner struct {
-	rules  Rules
-	shares map[string]map[string]float64
-	at     Micros
-	Moved  float64 // shares that moved, added up: swings
+	rules      Rules
+	shares     map[string]map[string]float64
+	at         Micros
+	TotalShift float64 // shares that moved, added up: swings
 }
 
 // NewPlanner makes one.
@@ -254,10 +254,10 @@
 	}
 	p.at = now
 	for _, r := range slices.Sorted(maps.Keys(regions)) {
-		o := Order{Region: r, Left: p.rules.Stale}
+		o := Order{Region: r, Remaining: p.rules.OrderTTL}
 		for _, e := range slices.Sorted(maps.Keys(edges)) {
 			x := shrunk(own, above, r, e)
-			o.Edges = append(o.Edges, Share{Edge: e, Took: x.took, Weight: x.weight, Room: min(1, max(0, room(e)))})
+			o.Edges = append(o.Edges, Share{Edge: e, Median: x.took, Weight: x.weight, Capacity: min(1, max(0, room(e)))})
 		}
 		p.aim(&o)
 		p.move(&o, span)
@@ -299,18 +299,18 @@
 func (p *Planner) aim(o *Order) {
 	best := math.Inf(1)
 	for _, s := range o.Edges {
-		if s.Room > 0 && s.Took > 0 {
-			best = min(best, s.Took)
+		if s.Capacity > 0 && s.Median > 0 {
+			best = min(best, s.Median)
 		}
 	}
 	total := 0.0
 	for i := range o.Edges {
 		s := &o.Edges[i]
-		took := s.Took
+		took := s.Median
 		if took == 0 {
 			took = best * 2 // not known at all
 		}
-		s.Share = s.Room * math.Exp(-max(0, took-best)/max(2000, best*0.25))
+		s.Share = s.Capacity * math.Exp(-max(0, took-best)/max(2000, best*0.25))
 		total += s.Share
 	}
 	n := float64(len(o.Edges))
@@ -321,7 +321,7 @@
 		} else {
 			s.Share = 1 / n
 		}
-		s.Share = s.Share*(1-p.rules.Explore) + p.rules.Explore/n
+		s.Share = s.Share*(1-p.rules.ExploreShare) + p.rules.ExploreShare/n
 	}
 }
 
@@ -336,10 +336,10 @@
 		}
 		moved /= 2
 		part := 1.0
-		if most := p.rules.Pace * span; moved > most {
+		if most := p.rules.MaxShiftPerSecond * span; moved > most {
 			part = most / moved
 		}
-		p.Moved += moved * part
+		p.TotalShift += moved * part
 		for i := range o.Edges {
 			s := &o.Edges[i]
 			s.Share = was[s.Edge] + (s.Share-was[s.Edge])*part
@@ -352,33 +352,33 @@
 }
 
 // Map is the orders that one process was told. The zero value holds none.
-type Map struct {
+type OrderCache struct {
 	by   map[string]Order
 	end  Micros
 	from Micros
 }
 
 // Told takes in what a keeper told in answer to a stamp of this process's own clock.
-func (m *Map) Told(list []Order, stamp, most Micros) {
+func (m *OrderCache) Update(list []Order, stamp, most Micros) {
 	if stamp <= m.from {
 		return
 	}
 	m.from, m.by, m.end = stamp, map[string]Order{}, 0
-	for _, o := range list[:min(len(list), MostPairs)] {
+	for _, o := range list[:min(len(list), MaxPairs)] {
 		m.by[o.Region] = o
-		m.end = stamp + min(o.Left, most)
+		m.end = stamp + min(o.Remaining, most)
 	}
 }
 
 // Of is the order for a region; ok is false where there is none that holds: then by own
 // sight, and then by the static order. A region that is not known goes by the one above.
-func (m *Map) Of(region string, now Micros) (o Order, ok bool) {
+func (m *OrderCache) Lookup(region string, now Micros) (o Order, ok bool) {
 	if now >= m.end {
 		return o, false
 	}
 	for r := region; ; r = r[:max(0, strings.LastIndexByte(r, '/'))] {
 		if o, ok = m.by[r]; ok {
-			o.Left = m.end - now
+			o.Remaining = m.end - now
 			return o, true
 		}
 		if r == "" {
@@ -388,13 +388,13 @@
 }
 
 // All gives the orders that hold, to be told on.
-func (m *Map) All(now Micros) (list []Order) {
+func (m *OrderCache) All(now Micros) (list []Order) {
 	if now >= m.end {
 		return nil
 	}
 	for _, r := range slices.Sorted(maps.Keys(m.by)) {
 		o := m.by[r]
-		o.Left = m.end - now
+		o.Remaining = m.end - now
 		list = append(list, o)
 	}
 	return list
--- a/internal/decide/latency/latency_test.go
+++ b/internal/decide/latency/latency_test.go
@@ -10,7 +10,7 @@
 
 const second Micros = 1_000_000
 
-var rules = Rules{Half: 10 * second, Stale: 6 * second, Explore: 0.02, Pace: 0.1, Weight: 200}
+var rules = Rules{HalfLife: 10 * second, OrderTTL: 6 * second, ExploreShare: 0.02, MaxShiftPerSecond: 0.1, MaxFrontWeight: 200}
 
 // world has fronts measure true latencies that change.
 func measure(r *rand.Rand, m *Model, region, edge string, ms float64, n int, now Micros) {
@@ -47,23 +47,23 @@
 			for _, m := range models {
 				measure(r, m, "west/a", "near", near, 30, now)
 				measure(r, m, "west/a", "far", far, 4, now)
-				fronts = append(fronts, m.Tell(now))
+				fronts = append(fronts, m.Summaries(now))
 			}
 			last = p.Step(Merge(rules, fronts, nil), room, now)
 		}
 		return last
 	}
 	o := run(40*second, 10, 60, everywhere)
-	require.InEpsilon(t, 10_000, share(o, "west/a", "near").Took, 0.1)
+	require.InEpsilon(t, 10_000, share(o, "west/a", "near").Median, 0.1)
 	require.Greater(t, share(o, "west/a", "near").Share, 0.9)
 	before := share(o, "west/a", "near").Share
 	o = run(second, 200, 60, everywhere)
-	require.InDelta(t, before, share(o, "west/a", "near").Share, rules.Pace+1e-9, "never a jump")
+	require.InDelta(t, before, share(o, "west/a", "near").Share, rules.MaxShiftPerSecond+1e-9, "never a jump")
 	o = run(60*second, 200, 60, everywhere)
 	require.Greater(t, share(o, "west/a", "far").Share, 0.9, "it follows")
-	moved := p.Moved
+	moved := p.TotalShift
 	o = run(30*second, 200, 60, everywhere)
-	require.Less(t, p.Moved-moved, 0.05, "and comes to rest")
+	require.Less(t, p.TotalShift-moved, 0.05, "and comes to rest")
 	o = run(40*second, 200, 60, func(e string) float64 { return map[string]float64{"near": 1}[e] })
 	require.Less(t, share(o, "west/a", "far").Share, 0.05, "no room")
 }
@@ -77,22 +77,22 @@
 	for range 4 {
 		m := NewModel(rules)
 		measure(r, m, "west/a", "e", 50, 300, now)
-		fronts = append(fronts, m.Tell(now))
+		fronts = append(fronts, m.Summaries(now))
 	}
 	liar := NewModel(rules)
 	measure(r, liar, "west/a", "e", 1, 100_000, now)
-	fronts = append(fronts, liar.Tell(now))
+	fronts = append(fronts, liar.Summaries(now))
 	other := NewModel(rules)
 	measure(r, other, "west/b", "f", 20, 30, now)
-	fronts = append(fronts, other.Tell(now))
+	fronts = append(fronts, other.Summaries(now))
 	o := NewPlanner(rules).Step(Merge(rules, fronts, nil), everywhere, now)
-	require.InEpsilon(t, 50_000, share(o, "west/a", "e").Took, 0.15, "one of five says 1 ms")
-	require.InEpsilon(t, 50_000, share(o, "west/b", "e").Took, 0.15, "by the region above")
+	require.InEpsilon(t, 50_000, share(o, "west/a", "e").Median, 0.15, "one of five says 1 ms")
+	require.InEpsilon(t, 50_000, share(o, "west/b", "e").Median, 0.15, "by the region above")
 	require.Zero(t, share(o, "west/b", "e").Weight)
-	var m Map
-	m.Told(o, 10*second, 6*second)
-	_, ok := m.Of("west/b/c", 15*second)
+	var m OrderCache
+	m.Update(o, 10*second, 6*second)
+	_, ok := m.Lookup("west/b/c", 15*second)
 	require.True(t, ok)
-	_, ok = m.Of("west/b", 17*second)
+	_, ok = m.Lookup("west/b", 17*second)
 	require.False(t, ok, "stale")
 }
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -23,11 +23,11 @@
 
 // The states. Boxes are well, slow or failing; hubs overloaded; prefixes forge.
 const (
-	Well State = iota
+	Healthy State = iota
 	Slow
 	Failing
 	Overloaded
-	Forges
+	Forging
 )
 
 var stateNames = [...]string{"well", "slow", "failing", "overloaded", "forges"}
@@ -36,25 +36,25 @@
 
 // Rules are what verdicts go by.
 type Rules struct {
-	Witnesses int     // that must say the same
-	Span      Micros  // for which a verdict holds after it was last said
-	Half      Micros  // half life of evidence
-	Failing   float64 // share of bad answers
-	Slow      float64 // times what the hub takes
-	Least     float64 // answers, decayed, for an opinion
-	Most      float64 // part of a hub's boxes that verdicts may take away
-	Refused   float64 // share of refused requests of a hub
-	Forged    float64 // a second, over the fleet
-	Away      Micros  // the longest that is told
-	Spread    float64
+	Witnesses       int     // that must say the same
+	Span            Micros  // for which a verdict holds after it was last said
+	HalfLife        Micros  // half life of evidence
+	FailingShare    float64 // share of bad answers
+	SlowFactor      float64 // times what the hub takes
+	MinAnswers      float64 // answers, decayed, for an opinion
+	MaxEjectedShare float64 // part of a hub's boxes that verdicts may take away
+	RefusedShare    float64 // share of refused requests of a hub
+	ForgedRate      float64 // a second, over the fleet
+	MaxRetryAfter   Micros  // the longest that is told
+	RetrySpread     float64
 }
 
 // Longest is the longest that any verdict holds.
-func (r Rules) Longest() Micros { return mostSpans * r.Span }
+func (r Rules) MaxSpan() Micros { return mostSpans * r.Span }
 
 // Bounds.
 const (
-	MostThings   = 2048 // boxes, hubs and prefixes that one process has opinions of
+	MaxSubjects  = 2048 // boxes, hubs and prefixes that one process has opinions of
 	mostPrefixes = 256
 	mostNamed    = 6 // witnesses named of each state
 	mostSpans    = 8 // times the span, of a verdict that comes again and again
@@ -68,13 +68,13 @@
 }
 
 // Opinion is what is said of one thing, by one front or by all of a site.
-type Opinion struct {
-	Thing string    `cbor:"1,keyasint"`
-	Hub   string    `cbor:"2,keyasint,omitempty"` // of a box
-	State State     `cbor:"3,keyasint"`
-	Named []Witness `cbor:"4,keyasint"` // some of those who say so, of different sites first
-	Count int       `cbor:"5,keyasint"`
-	Rate  float64   `cbor:"6,keyasint,omitempty"` // of forged signatures, a second
+type Observation struct {
+	Subject   string    `cbor:"1,keyasint"`
+	Hub       string    `cbor:"2,keyasint,omitempty"` // of a box
+	State     State     `cbor:"3,keyasint"`
+	Witnesses []Witness `cbor:"4,keyasint"` // some of those who say so, of different sites first
+	Count     int       `cbor:"5,keyasint"`
+	Rate      float64   `cbor:"6,keyasint,omitempty"` // of forged signatures, a second
 }
 
 // key tells opinions apart.
@@ -115,7 +115,7 @@
 	if span <= 0 {
 		return 1
 	}
-	return math.Exp2(-float64(span) / float64(o.rules.Half))
+	return math.Exp2(-float64(span) / float64(o.rules.HalfLife))
 }
 
 func (o *Observer) tally(m map[string]*tally, name string, most int, now Micros) *tally {
@@ -136,8 +136,8 @@
 }
 
 // Answered notes how an attempt at a box ended, and what it took.
-func (o *Observer) Answered(box, hub string, ok bool, took, now Micros) {
-	t := o.tally(o.boxes, box, MostThings, now)
+func (o *Observer) RecordAnswer(box, hub string, ok bool, took, now Micros) {
+	t := o.tally(o.boxes, box, MaxSubjects, now)
 	if t == nil {
 		return
 	}
@@ -154,14 +154,14 @@
 }
 
 // Forged notes a forged signature from a prefix.
-func (o *Observer) Forged(prefix string, now Micros) {
+func (o *Observer) RecordForged(prefix string, now Micros) {
 	if t := o.tally(o.prefixes, prefix, mostPrefixes, now); t != nil {
 		t.bad++
 	}
 }
 
 // Ended notes a request of this front's clients, answered or refused.
-func (o *Observer) Ended(refused bool, now Micros) {
+func (o *Observer) RecordRequest(refused bool, now Micros) {
 	f := o.fade(now - o.at)
 	o.good, o.refused, o.at = o.good*f, o.refused*f, now
 	if refused {
@@ -173,16 +173,16 @@
 
 // Of is this front's own opinion of a box now; fresh is false where it has seen too
 // little lately to have one.
-func (o *Observer) Of(box string, now Micros) (s State, fresh bool) {
+func (o *Observer) State(box string, now Micros) (s State, fresh bool) {
 	t := o.boxes[box]
 	if t == nil {
-		return Well, false
+		return Healthy, false
 	}
 	f := o.fade(now - t.at)
-	if (t.good+t.bad)*f < o.rules.Least/2 {
-		return Well, false
+	if (t.good+t.bad)*f < o.rules.MinAnswers/2 {
+		return Healthy, false
 	}
-	return o.state(t, o.usual(t.hub)), true
+	return o.classify(t, o.usual(t.hub)), true
 }
 
 // usual is what good answers of a hub's boxes take, the median of their means.
@@ -200,19 +200,19 @@
 	return list[(len(list)-1)/2]
 }
 
-func (o *Observer) state(t *tally, usual float64) State {
+func (o *Observer) classify(t *tally, usual float64) State {
 	switch {
-	case t.share >= o.rules.Failing:
+	case t.share >= o.rules.FailingShare:
 		return Failing
-	case t.good > 0 && usual > 0 && t.took-usual > math.Log(o.rules.Slow):
+	case t.good > 0 && usual > 0 && t.took-usual > math.Log(o.rules.SlowFactor):
 		return Slow
 	}
-	return Well
+	return Healthy
 }
 
 // Opinions are what this front says now: of boxes that it has seen enough of, of its own
 // hub, and of prefixes.
-func (o *Observer) Opinions(front, site string, now Micros) (list []Opinion) {
+func (o *Observer) Observations(front, site string, now Micros) (list []Observation) {
 	usual := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(o.boxes)) {
 		t := o.boxes[name]
@@ -221,58 +221,58 @@
 			delete(o.boxes, name)
 			continue
 		}
-		if weight < o.rules.Least {
+		if weight < o.rules.MinAnswers {
 			continue
 		}
 		if _, ok := usual[t.hub]; !ok {
 			usual[t.hub] = o.usual(t.hub)
 		}
-		list = append(list, Opinion{Thing: name, Hub: t.hub, State: o.state(t, usual[t.hub]), Count: 1, Named: []Witness{{front, site, math.Round(weight)}}})
+		list = append(list, Observation{Subject: name, Hub: t.hub, State: o.classify(t, usual[t.hub]), Count: 1, Witnesses: []Witness{{front, site, math.Round(weight)}}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.prefixes)) {
 		t := o.prefixes[name]
-		rate := t.bad * o.fade(now-t.at) * math.Ln2 / (float64(o.rules.Half) / 1e6)
+		rate := t.bad * o.fade(now-t.at) * math.Ln2 / (float64(o.rules.HalfLife) / 1e6)
 		if rate < 0.01 {
 			delete(o.prefixes, name)
 			continue
 		}
-		list = append(list, Opinion{Thing: name, State: Forges, Count: 1, Rate: rate, Named: []Witness{{front, site, math.Round(t.bad)}}})
+		list = append(list, Observation{Subject: name, State: Forging, Count: 1, Rate: rate, Witnesses: []Witness{{front, site, math.Round(t.bad)}}})
 	}
-	if f := o.fade(now - o.at); (o.good+o.refused)*f >= o.rules.Least && o.refused/(o.good+o.refused) >= o.rules.Refused {
-		list = append(list, Opinion{Thing: site, State: Overloaded, Count: 1, Named: []Witness{{front, site, math.Round((o.good + o.refused) * f)}}})
+	if f := o.fade(now - o.at); (o.good+o.refused)*f >= o.rules.MinAnswers && o.refused/(o.good+o.refused) >= o.rules.RefusedShare {
+		list = append(list, Observation{Subject: site, State: Overloaded, Count: 1, Witnesses: []Witness{{front, site, math.Round((o.good + o.refused) * f)}}})
 	}
 	return list
 }
 
 // Merge adds up what roles say of the same things. One front counts once, whatever it
 // says; a site's word stands for its fronts.
-func Merge(lists ...[]Opinion) (out []Opinion) {
-	all := map[key]*Opinion{}
+func Merge(lists ...[]Observation) (out []Observation) {
+	all := map[key]*Observation{}
 	for _, list := range lists {
-		for _, x := range list[:min(len(list), MostThings)] {
+		for _, x := range list[:min(len(list), MaxSubjects)] {
 			if x.Count < 1 || x.Count > 1<<20 || !(x.Rate >= 0 && x.Rate < 1e9) {
 				continue
 			}
-			k := key{x.Thing, x.State}
+			k := key{x.Subject, x.State}
 			o := all[k]
 			if o == nil {
-				if len(all) >= 2*MostThings {
+				if len(all) >= 2*MaxSubjects {
 					continue
 				}
-				o = &Opinion{Thing: x.Thing, Hub: x.Hub, State: x.State}
+				o = &Observation{Subject: x.Subject, Hub: x.Hub, State: x.State}
 				all[k] = o
 			}
 			o.Count += x.Count
 			o.Rate += x.Rate
-			o.Named = append(o.Named, x.Named[:min(len(x.Named), mostNamed)]...)
+			o.Witnesses = append(o.Witnesses, x.Witnesses[:min(len(x.Witnesses), mostNamed)]...)
 		}
 	}
 	for _, o := range all {
-		o.Named = spread(o.Named)
+		o.Witnesses = spread(o.Witnesses)
 		out = append(out, *o)
 	}
-	slices.SortFunc(out, func(a, b Opinion) int {
-		return cmp.Or(cmp.Compare(a.Thing, b.Thing), cmp.Compare(a.State, b.State))
+	slices.SortFunc(out, func(a, b Observation) int {
+		return cmp.Or(cmp.Compare(a.Subject, b.Subject), cmp.Compare(a.State, b.State))
 	})
 	return out
 }
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -9,39 +9,41 @@
 
 const second Micros = 1_000_000
 
-var rules = Rules{Witnesses: 2, Span: 4 * second, Half: 5 * second, Failing: 0.5, Slow: 4, Least: 3, Most: 0.4, Refused: 0.2, Forged: 5, Away: 10 * second, Spread: 2}
+var rules = Rules{Witnesses: 2, Span: 4 * second, HalfLife: 5 * second, FailingShare: 0.5, SlowFactor: 4, MinAnswers: 3, MaxEjectedShare: 0.4, RefusedShare: 0.2, ForgedRate: 5, MaxRetryAfter: 10 * second, RetrySpread: 2}
 
-func says(front, site, box string, s State) []Opinion {
-	return []Opinion{{Thing: box, Hub: "h", State: s, Count: 1, Named: []Witness{{front, site, 9}}}}
+func says(front, site, box string, s State) []Observation {
+	return []Observation{{Subject: box, Hub: "h", State: s, Count: 1, Witnesses: []Witness{{front, site, 9}}}}
 }
 
 // Guards who a verdict rests on: not on one front, not on one site where two can tell,
 // not where more see the box well; that it is taken back, and that it ends.
 func TestWitnesses(t *testing.T) {
 	boxes := map[string]int{"h": 5}
-	step := func(b *Bench, now Micros, lists ...[]Opinion) int { return len(b.Step(Merge(lists...), boxes, now)) }
-	b := NewBench(rules, 1)
+	step := func(b *Evaluator, now Micros, lists ...[]Observation) int {
+		return len(b.Step(Merge(lists...), boxes, now))
+	}
+	b := NewEvaluator(rules, 1)
 	require.Zero(t, step(b, 0, says("a", "x", "box", Failing)), "one front")
-	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "x", "box", Failing), says("c", "y", "box", Well)), "one site of two")
-	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "y", "box", Failing), says("c", "x", "box", Well), says("d", "y", "box", Well)), "half see it well")
+	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "x", "box", Failing), says("c", "y", "box", Healthy)), "one site of two")
+	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "y", "box", Failing), says("c", "x", "box", Healthy), says("d", "y", "box", Healthy)), "half see it well")
 	require.Equal(t, 1, step(b, 0, says("a", "x", "box", Failing), says("b", "y", "box", Failing)))
 	require.Equal(t, 1, step(b, 3*second), "until its end")
 	require.Zero(t, step(b, 5*second))
 	require.Equal(t, 1, step(b, 6*second, says("a", "x", "box", Failing), says("b", "y", "box", Failing)))
-	require.Zero(t, step(b, 7*second, says("a", "x", "box", Well), says("b", "y", "box", Well), says("c", "y", "box", Well)), "they changed their minds")
-	b = NewBench(rules, 1)
-	b.Without(NoWitness)
+	require.Zero(t, step(b, 7*second, says("a", "x", "box", Healthy), says("b", "y", "box", Healthy), says("c", "y", "box", Healthy)), "they changed their minds")
+	b = NewEvaluator(rules, 1)
+	b.Disable(DisableWitnesses)
 	require.Equal(t, 1, step(b, 0, says("a", "x", "box", Failing)), "the rule left out is found")
 }
 
 // Guards that a liar that calls every box failing empties no hub, alone or with another.
 func TestNoHubIsEmptied(t *testing.T) {
 	for boxes := range 12 {
-		var lies [][]Opinion
+		var lies [][]Observation
 		for i := range boxes {
 			lies = append(lies, says("a", "x", fmt.Sprint("box", i), Failing), says("b", "y", fmt.Sprint("box", i), Failing))
 		}
-		held := len(NewBench(rules, 1).Step(Merge(lies...), map[string]int{"h": boxes}, 0))
+		held := len(NewEvaluator(rules, 1).Step(Merge(lies...), map[string]int{"h": boxes}, 0))
 		require.LessOrEqual(t, held, max(1, boxes*4/10))
 		require.True(t, held < boxes || boxes == 0, "%d of %d", held, boxes)
 	}
@@ -52,30 +54,30 @@
 func TestOpinions(t *testing.T) {
 	o := NewObserver(rules)
 	for i := range 200 {
-		o.Answered("a", "h", true, 10_000, Micros(i)*10_000)
-		o.Answered("b", "h", true, 10_000, Micros(i)*10_000)
-		o.Answered("c", "h", true, 90_000, Micros(i)*10_000)
+		o.RecordAnswer("a", "h", true, 10_000, Micros(i)*10_000)
+		o.RecordAnswer("b", "h", true, 10_000, Micros(i)*10_000)
+		o.RecordAnswer("c", "h", true, 90_000, Micros(i)*10_000)
 	}
 	for range 3 {
-		o.Answered("b", "h", false, 10_000, 2*second)
+		o.RecordAnswer("b", "h", false, 10_000, 2*second)
 	}
-	o.Forged("10.0.0.0/24", 2*second)
+	o.RecordForged("10.0.0.0/24", 2*second)
 	state := map[string]State{}
-	for _, x := range o.Opinions("f", "s", 2*second) {
-		state[x.Thing] = x.State
+	for _, x := range o.Observations("f", "s", 2*second) {
+		state[x.Subject] = x.State
 	}
-	require.Equal(t, map[string]State{"a": Well, "b": Failing, "c": Slow, "10.0.0.0/24": Forges}, state)
-	require.Empty(t, o.Opinions("f", "s", 200*second))
-	_, fresh := o.Of("a", 200*second)
+	require.Equal(t, map[string]State{"a": Healthy, "b": Failing, "c": Slow, "10.0.0.0/24": Forging}, state)
+	require.Empty(t, o.Observations("f", "s", 200*second))
+	_, fresh := o.State("a", 200*second)
 	require.False(t, fresh)
 }
 
 // Guards that what was told holds no longer than the root meant, whatever the way took.
 func TestDocket(t *testing.T) {
-	var d Docket
-	d.Told([]Verdict{{Thing: "b", Left: 3 * second}}, 10*second, 30*second)
-	require.Len(t, d.Hold(12*second), 1)
-	d.Told([]Verdict{{Thing: "b", Left: 9 * second}}, 9*second, 30*second)
-	require.Empty(t, d.Hold(13*second), "an older telling that was late changes nothing")
-	require.LessOrEqual(t, rules.StayAway(second, 64, 1, second/2), second/2, "clients follow no longer wait")
+	var d VerdictCache
+	d.Update([]Verdict{{Subject: "b", Remaining: 3 * second}}, 10*second, 30*second)
+	require.Len(t, d.Active(12*second), 1)
+	d.Update([]Verdict{{Subject: "b", Remaining: 9 * second}}, 9*second, 30*second)
+	require.Empty(t, d.Active(13*second), "an older telling that was late changes nothing")
+	require.LessOrEqual(t, rules.RetryAfter(second, 64, 1, second/2), second/2, "clients follow no longer wait")
 }
--- a/internal/decide/quotalease/dealer.go
+++ b/internal/decide/quotalease/dealer.go
@@ -90,46 +90,46 @@
 }
 
 // Dealer deals limits out, for one site under one keeper's number.
-type Dealer struct {
+type Allocator struct {
 	rules   Rules
 	limits  map[string]*Limit
 	l       Ledger
-	without Rule
+	without Mutation
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
-type Rule string
+type Mutation string
 
 // The rules that can be left out.
 const (
-	NoOver  Rule = "over"  // a part counts as free as soon as its role is not heard
-	NoTwice Rule = "twice" // what a role tells adds to what it told before
+	DisableExpiry  Mutation = "over"  // a part counts as free as soon as its role is not heard
+	DisableReplace Mutation = "twice" // what a role tells adds to what it told before
 )
 
 // NewDealer makes a dealer for a site's keeper, named at a moment of this clock. Wait
 // is the span of the lease that a root's keeper before it may still have; what a site's
 // keeper deals lies in its part, whoever kept the site before.
-func NewDealer(rules Rules, limits []Limit, site string, number uint64, wait, now Micros) *Dealer {
-	d := &Dealer{l: Ledger{Site: site, Number: number, Sheets: map[Key]*sheet{}, Members: map[string]*member{}}}
+func NewAllocator(rules Rules, limits []Limit, site string, number uint64, wait, now Micros) *Allocator {
+	d := &Allocator{l: Ledger{Site: site, Number: number, Sheets: map[Key]*sheet{}, Members: map[string]*member{}}}
 	if wait > 0 && site == "" {
 		d.l.Quiet = now + lease.ExpirySpan(wait)
 	}
-	d.Renew(rules, limits, now)
+	d.Reconfigure(rules, limits, now)
 	return d
 }
 
 // Without leaves a rule out.
-func (d *Dealer) Without(r Rule) { d.without = r }
+func (d *Allocator) Disable(r Mutation) { d.without = r }
 
 // Renew takes other limits over. What is out of a smaller one counts until it is
 // confirmed or surely over.
-func (d *Dealer) Renew(rules Rules, limits []Limit, now Micros) {
+func (d *Allocator) Reconfigure(rules Rules, limits []Limit, now Micros) {
 	d.rules, d.limits = rules, map[string]*Limit{}
 	for i := range limits {
 		l := limits[i]
 		d.limits[l.Name] = &l
-		if l.Of != "*" && d.root() {
-			d.sheet(Key{Limit: l.Name, Who: l.Of}, now)
+		if l.Who != "*" && d.root() {
+			d.sheet(Key{Limit: l.Name, Who: l.Who}, now)
 		}
 	}
 	for k := range d.l.Sheets {
@@ -140,27 +140,27 @@
 }
 
 // unknown is until when what the keeper before dealt may be spent; 0: there was none.
-func (d *Dealer) unknown(l *Limit) Micros {
+func (d *Allocator) unknown(l *Limit) Micros {
 	switch {
 	case d.l.Quiet == 0:
 		return 0
 	case l.Kind == Uses:
-		return d.l.Quiet + lease.ExpirySpan(l.Span)
+		return d.l.Quiet + lease.ExpirySpan(l.Window)
 	}
-	return d.l.Quiet + d.rules.over(l.Kind)
+	return d.l.Quiet + d.rules.allocationExpiry(l.Kind)
 }
 
-func (d *Dealer) root() bool { return d.l.Site == "" }
+func (d *Allocator) root() bool { return d.l.Site == "" }
 
 // Site and Number name the keeper.
-func (d *Dealer) Site() string { return d.l.Site }
+func (d *Allocator) Site() string { return d.l.Site }
 
 // Number is the keeper's number.
-func (d *Dealer) Number() uint64 { return d.l.Number }
+func (d *Allocator) Number() uint64 { return d.l.Number }
 
-func (d *Dealer) sheet(k Key, now Micros) *sheet {
+func (d *Allocator) sheet(k Key, now Micros) *sheet {
 	s := d.l.Sheets[k]
-	if s == nil && d.limits[k.Limit] != nil && len(d.l.Sheets) < MostNames {
+	if s == nil && d.limits[k.Limit] != nil && len(d.l.Sheets) < MaxNames {
 		s = &sheet{Children: map[string]*child{}}
 		d.l.Sheets[k] = s
 	}
@@ -169,7 +169,7 @@
 
 // Asked takes a role's ask in; it takes the place of the one before. Role names it
 // whole: another process, or another keeper's number, is another role.
-func (d *Dealer) Asked(role string, a Ask, now Micros) {
+func (d *Allocator) HandleRequest(role string, a Request, now Micros) {
 	m := d.l.Members[role]
 	if m == nil {
 		if len(d.l.Members) >= mostRoles {
@@ -182,9 +182,9 @@
 		return
 	}
 	m.Heard, m.Stamp, m.Came = now, a.Stamp, now
-	for _, w := range a.Wants {
+	for _, w := range a.Limits {
 		s := d.sheet(w.Key, now)
-		if s == nil || !(w.Demand >= 0 && w.Demand < 1e12) || !(w.Held >= 0 && w.Held < 1e12) || !(w.Before >= 0 && w.Before < 1e12) {
+		if s == nil || !(w.Demand >= 0 && w.Demand < 1e12) || !(w.Held >= 0 && w.Held < 1e12) || !(w.HeldBefore >= 0 && w.HeldBefore < 1e12) {
 			continue
 		}
 		c := s.Children[role]
@@ -192,7 +192,7 @@
 			c = &child{}
 			s.Children[role] = c
 		}
-		if d.without == NoTwice {
+		if d.without == DisableReplace {
 			c.Demand += w.Demand
 		} else {
 			c.Demand = w.Demand
@@ -202,7 +202,7 @@
 }
 
 // confirmed notes what a role goes by now. Its word that it holds less frees what it held.
-func (d *Dealer) confirmed(l *Limit, s *sheet, c *child, w Want, now Micros) {
+func (d *Allocator) confirmed(l *Limit, s *sheet, c *child, w LimitRequest, now Micros) {
 	if l.Kind == Uses && w.Epoch != s.Epoch {
 		return
 	}
@@ -221,25 +221,25 @@
 	}
 	if w.Number > 0 {
 		c.Held, c.Until = w.Held, last
-	} else if w.Before > 0 && c.Number == 0 && d.root() && now >= d.l.Quiet { // of the keeper before, which deals no more
-		c.Held, c.Until = w.Before, max(d.unknown(l), now+d.rules.over(l.Kind))
+	} else if w.HeldBefore > 0 && c.Number == 0 && d.root() && now >= d.l.Quiet { // of the keeper before, which deals no more
+		c.Held, c.Until = w.HeldBefore, max(d.unknown(l), now+d.rules.allocationExpiry(l.Kind))
 	}
 }
 
 // Given takes in what a keeper above grants this site. Newest is the newest keeper of
 // that one's site: one before it has no say.
-func (d *Dealer) Given(g Grant, newest uint64, now Micros) {
-	if g.Keeper < newest || d.root() {
+func (d *Allocator) ApplyGrant(g Grant, newest uint64, now Micros) {
+	if g.Owner < newest || d.root() {
 		return
 	}
-	from := Source{g.Site, g.Keeper}
-	for _, x := range g.Parts {
+	from := Source{g.Site, g.Owner}
+	for _, x := range g.Allocations {
 		s := d.sheet(x.Key, now)
 		if s == nil {
 			continue
 		}
 		l := d.limits[x.Key.Limit]
-		end := g.Stamp + min(x.Span, max(d.rules.Part, l.Span))
+		end := g.Stamp + min(x.Span, max(d.rules.AllocationLease, l.Window))
 		if l.Kind == Uses && x.Epoch != s.Epoch {
 			if x.Epoch < s.Epoch {
 				continue
@@ -247,7 +247,7 @@
 			s.Epoch, s.Children, s.Own = x.Epoch, map[string]*child{}, nil
 		}
 		s.EpochEnd = end
-		s.Own = slices.DeleteFunc(s.Own, func(o own) bool { return now >= o.End || o.From.Site == g.Site && o.From.Keeper < g.Keeper })
+		s.Own = slices.DeleteFunc(s.Own, func(o own) bool { return now >= o.End || o.From.Site == g.Site && o.From.Owner < g.Owner })
 		i := slices.IndexFunc(s.Own, func(o own) bool { return o.From == from })
 		switch {
 		case i < 0 && now < end && len(s.Own) < mostParts:
@@ -263,12 +263,12 @@
 
 // has is what a sheet may deal out, and until when: of a site the part of the keeper
 // that it is attached to, or the one that lasts longest.
-func (d *Dealer) has(l *Limit, s *sheet, up Source, now Micros) (amount float64, span Micros) {
+func (d *Allocator) has(l *Limit, s *sheet, up Source, now Micros) (amount float64, span Micros) {
 	if d.root() {
 		if l.Kind == Uses {
-			return l.Dealt(d.rules), max(0, (s.EpochEnd-now)*(100-lease.Drift)/(100+lease.Drift))
+			return l.Allocatable(d.rules), max(0, (s.EpochEnd-now)*(100-lease.Drift)/(100+lease.Drift))
 		}
-		return l.Dealt(d.rules), d.rules.Part
+		return l.Allocatable(d.rules), d.rules.AllocationLease
 	}
 	var best *own
 	for i := range s.Own {
@@ -281,30 +281,30 @@
 	}
 	span = best.End - now
 	if l.Kind != Uses {
-		span = min(span, d.rules.Part)
+		span = min(span, d.rules.AllocationLease)
 	}
 	return best.Amount, span
 }
 
 // Deal deals out, and gives each role that is heard its parts. Up is the keeper above
 // that this site is attached to.
-func (d *Dealer) Deal(up Source, now Micros) map[string]Grant {
+func (d *Allocator) Allocate(up Source, now Micros) map[string]Grant {
 	out := map[string]Grant{}
 	maps.DeleteFunc(d.l.Members, func(role string, m *member) bool {
-		return now-m.Heard > 4*d.rules.over(Rate)+d.rules.Child
+		return now-m.Heard > 4*d.rules.allocationExpiry(Rate)+d.rules.ChildTimeout
 	})
 	if now < d.l.Quiet {
 		return out
 	}
 	for role, m := range d.l.Members {
-		if now-m.Heard <= d.rules.Child {
-			out[role] = Grant{Site: d.l.Site, Keeper: d.l.Number, Stamp: m.Stamp}
+		if now-m.Heard <= d.rules.ChildTimeout {
+			out[role] = Grant{Site: d.l.Site, Owner: d.l.Number, Stamp: m.Stamp}
 		}
 	}
 	for _, key := range d.Keys() {
 		s, l := d.l.Sheets[key], d.limits[key.Limit]
-		d.deal(key, l, s, up, now, out)
-		if l.Of == "*" && len(s.Children) == 0 {
+		d.allocateLimit(key, l, s, up, now, out)
+		if l.Who == "*" && len(s.Children) == 0 {
 			delete(d.l.Sheets, key)
 		}
 	}
@@ -312,18 +312,18 @@
 }
 
 // Keys are the limits dealt out, in order.
-func (d *Dealer) Keys() []Key {
+func (d *Allocator) Keys() []Key {
 	return slices.SortedFunc(maps.Keys(d.l.Sheets), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Who, b.Who))
 	})
 }
 
-func (d *Dealer) deal(key Key, l *Limit, s *sheet, up Source, now Micros, grants map[string]Grant) {
+func (d *Allocator) allocateLimit(key Key, l *Limit, s *sheet, up Source, now Micros, grants map[string]Grant) {
 	if l.Kind == Uses && d.root() && now >= s.EpochEnd {
 		if now < d.unknown(l) {
 			return // the span that the root before dealt out is not surely over
 		}
-		s.Epoch, s.EpochEnd, s.Children = max(s.Epoch+1, d.l.Number<<20), now+l.Span, keepDemand(s.Children)
+		s.Epoch, s.EpochEnd, s.Children = max(s.Epoch+1, d.l.Number<<20), now+l.Window, keepDemand(s.Children)
 	}
 	amount, span := d.has(l, s, up, now)
 	var roles []string
@@ -332,8 +332,8 @@
 		c := s.Children[role]
 		m := d.l.Members[role]
 		was := c.out(now)
-		alive := m != nil && now-m.Heard <= d.rules.Child
-		if !alive && d.without == NoOver {
+		alive := m != nil && now-m.Heard <= d.rules.ChildTimeout
+		if !alive && d.without == DisableExpiry {
 			was = 0
 		}
 		if !alive && was == 0 && l.Kind != Uses {
@@ -360,7 +360,7 @@
 	for i := range demands {
 		demands[i] *= room
 	}
-	shares := whole(able, l.least(), Fair(able, demands), s.Turn)
+	shares := whole(able, l.minAllocation(), MaxMinFair(able, demands), s.Turn)
 	if now < d.unknown(l) && d.root() { // nothing is free until all that the root before dealt is known or over
 		total = max(total, amount)
 		for i, role := range roles {
@@ -388,7 +388,7 @@
 		if l.Kind != Rate {
 			goal = math.Floor(goal)
 		}
-		if goal < l.least() && l.Kind == Rate {
+		if goal < l.minAllocation() && l.Kind == Rate {
 			goal = 0
 		}
 		grants[role] = d.give(l, key, c, goal, span, s.Epoch, grants[role], d.l.Members[role].Came)
@@ -397,7 +397,7 @@
 
 // give adds a role's part to its grant: changed where it is worth it, or leased anew.
 // The lease is from the ask's stamp, which lies before the moment that it came.
-func (d *Dealer) give(l *Limit, key Key, c *child, goal float64, span Micros, epoch uint64, g Grant, came Micros) Grant {
+func (d *Allocator) give(l *Limit, key Key, c *child, goal float64, span Micros, epoch uint64, g Grant, came Micros) Grant {
 	changed := math.Abs(goal-c.Latest) > settleFrom*c.Latest || c.Latest > goal && len(c.Given) == 0 || c.Number == 0
 	if changed && goal != c.Latest || c.Number == 0 && goal > 0 {
 		if len(c.Given) >= mostGiven && goal > c.Latest {
@@ -424,7 +424,7 @@
 	over := came + lease.ExpirySpan(span)
 	switch l.Kind {
 	case Open:
-		over = came + lease.ExpirySpan(span+d.rules.Longest)
+		over = came + lease.ExpirySpan(span+d.rules.MaxOpenTime)
 	case Uses:
 		over = math.MaxInt64 / 2
 	}
@@ -437,7 +437,7 @@
 	if !found { // it was over, and is leased anew
 		c.Given = append(c.Given, given{c.Number, c.Latest, over})
 	}
-	g.Parts = append(g.Parts, Part{Key: key, Number: c.Number, Amount: c.Latest, Span: span, Epoch: epoch})
+	g.Allocations = append(g.Allocations, Allocation{Key: key, Number: c.Number, Amount: c.Latest, Span: span, Epoch: epoch})
 	return g
 }
 
--- a/internal/decide/quotalease/fair.go
+++ b/internal/decide/quotalease/fair.go
@@ -7,7 +7,7 @@
 // is left over goes out in proportion to demand, half of it, and evenly, the other half,
 // so that whoever's demand grows has something to begin with. The result is in the
 // order of the demands and sums to no more than the amount.
-func Fair(amount float64, demands []float64) []float64 {
+func MaxMinFair(amount float64, demands []float64) []float64 {
 	out := make([]float64, len(demands))
 	if len(demands) == 0 || amount <= 0 {
 		return out
--- a/internal/decide/quotalease/ledger.go
+++ b/internal/decide/quotalease/ledger.go
@@ -1,16 +1,16 @@
 package quotalease
 
 // Wants is what this site asks the keeper above for, which is attached as up.
-func (d *Dealer) Wants(up Source, now Micros) (list []Want) {
+func (d *Allocator) LimitRequests(up Source, now Micros) (list []LimitRequest) {
 	if d.root() {
 		return nil
 	}
 	for _, key := range d.Keys() {
 		s := d.l.Sheets[key]
-		w := Want{Key: key, Epoch: s.Epoch}
+		w := LimitRequest{Key: key, Epoch: s.Epoch}
 		out, others := 0.0, 0.0
 		for role, c := range s.Children {
-			if m := d.l.Members[role]; m != nil && now-m.Heard <= d.rules.Child {
+			if m := d.l.Members[role]; m != nil && now-m.Heard <= d.rules.ChildTimeout {
 				w.Demand += c.Demand
 			}
 			out += c.out(now)
@@ -22,7 +22,7 @@
 			case now < o.End:
 				others += o.Amount
 				if o.From.Site == up.Site {
-					w.Before += o.Amount
+					w.HeldBefore += o.Amount
 				}
 			}
 		}
@@ -35,32 +35,32 @@
 }
 
 // Line is what a dealer tells of one limit, for a person.
-type Line struct {
-	Key     Key     `json:"key"`
-	Has     float64 `json:"has"`     // what the keeper may deal out
-	Out     float64 `json:"out"`     // the most that may be spent below it now
-	Demand  float64 `json:"demand"`  //
-	Roles   int     `json:"roles"`   // that it deals to
-	Silent  int     `json:"silent"`  // of them, that are not heard
-	Waits   float64 `json:"waits_s"` // until all that an earlier root dealt is surely over
-	Holders int     `json:"holders"`
+type LimitStatus struct {
+	Key         Key     `json:"key"`
+	Available   float64 `json:"has"`     // what the keeper may deal out
+	Outstanding float64 `json:"out"`     // the most that may be spent below it now
+	Demand      float64 `json:"demand"`  //
+	Roles       int     `json:"roles"`   // that it deals to
+	Silent      int     `json:"silent"`  // of them, that are not heard
+	WaitSeconds float64 `json:"waits_s"` // until all that an earlier root dealt is surely over
+	Holders     int     `json:"holders"`
 }
 
 // Lines tells all.
-func (d *Dealer) Lines(up Source, now Micros) (list []Line) {
+func (d *Allocator) Status(up Source, now Micros) (list []LimitStatus) {
 	for _, key := range d.Keys() {
 		s := d.l.Sheets[key]
-		x := Line{Key: key, Waits: float64(max(0, d.unknown(d.limits[key.Limit])-now)) / 1e6}
-		x.Has, _ = d.has(d.limits[key.Limit], s, up, now)
+		x := LimitStatus{Key: key, WaitSeconds: float64(max(0, d.unknown(d.limits[key.Limit])-now)) / 1e6}
+		x.Available, _ = d.has(d.limits[key.Limit], s, up, now)
 		for role, c := range s.Children {
 			x.Roles++
-			if m := d.l.Members[role]; m == nil || now-m.Heard > d.rules.Child {
+			if m := d.l.Members[role]; m == nil || now-m.Heard > d.rules.ChildTimeout {
 				x.Silent++
 			} else {
 				x.Demand += c.Demand
 			}
 			if o := c.out(now); o > 0 {
-				x.Out += o
+				x.Outstanding += o
 				x.Holders++
 			}
 		}
@@ -71,7 +71,7 @@
 
 // Ledger is all that a dealer knows, to be written out; it must be kept before what it
 // deals leaves. It is the dealer's own until it has been written.
-func (d *Dealer) Ledger() *Ledger {
+func (d *Allocator) Ledger() *Ledger {
 	d.l.List = d.l.List[:0]
 	for _, k := range d.Keys() {
 		d.l.List = append(d.l.List, named{k, d.l.Sheets[k]})
@@ -80,7 +80,7 @@
 }
 
 // Restore takes a ledger in that was written out.
-func (d *Dealer) Restore(l Ledger) {
+func (d *Allocator) Restore(l Ledger) {
 	l.Sheets = map[Key]*sheet{}
 	for _, x := range l.List {
 		if x.Sheet.Children == nil {
--- a/internal/decide/quotalease/purse.go
+++ b/internal/decide/quotalease/purse.go
@@ -12,12 +12,12 @@
 const mostParts = 4
 
 // MostNames bounds the names of each limit that counts each by itself.
-const MostNames = 4096
+const MaxNames = 4096
 
 // Source names a keeper that a part came from.
 type Source struct {
-	Site   string
-	Keeper uint64
+	Site  string
+	Owner uint64 `cbor:"Keeper" json:"Keeper"`
 }
 
 // held is a part as its front spends it.
@@ -58,7 +58,7 @@
 
 // Purse is what a front may spend of all limits. Before each request it is asked by name;
 // that allocates nothing.
-type Purse struct {
+type Limiter struct {
 	rules   Rules
 	limits  map[string]*Limit
 	by      map[claim][]*Bucket // exact ones
@@ -73,24 +73,24 @@
 type claim struct{ what, who string }
 
 // NewPurse makes a purse without parts.
-func NewPurse(rules Rules, limits []Limit, now Micros) *Purse {
-	p := &Purse{fronts: 1}
-	p.Renew(rules, limits, now)
+func NewLimiter(rules Rules, limits []Limit, now Micros) *Limiter {
+	p := &Limiter{fronts: 1}
+	p.Reconfigure(rules, limits, now)
 	return p
 }
 
 // Renew takes other limits over. What is held of those that stay is kept: a smaller
 // amount comes down as smaller parts.
-func (p *Purse) Renew(rules Rules, limits []Limit, now Micros) {
+func (p *Limiter) Reconfigure(rules Rules, limits []Limit, now Micros) {
 	old := p.buckets
 	p.rules, p.limits, p.by, p.each, p.buckets, p.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
 	for i := range limits {
 		l := limits[i]
 		p.limits[l.Name] = &l
-		if l.Of == "*" {
-			p.each[l.For] = append(p.each[l.For], &l)
+		if l.Who == "*" {
+			p.each[l.Dimension] = append(p.each[l.Dimension], &l)
 		} else {
-			p.add(&l, l.Of, now)
+			p.add(&l, l.Who, now)
 		}
 	}
 	for _, b := range old {
@@ -99,11 +99,11 @@
 			continue
 		}
 		b.limit, b.rules = l, &p.rules
-		c := claim{l.For, b.Key.Who}
+		c := claim{l.Dimension, b.Key.Who}
 		if x := p.byKey[b.Key]; x != nil {
 			p.buckets[slices.Index(p.buckets, x)] = b
 			p.by[c][slices.Index(p.by[c], x)] = b
-		} else if l.Of == "*" {
+		} else if l.Who == "*" {
 			p.buckets = append(p.buckets, b)
 			p.by[c] = append(p.by[c], b)
 		} else {
@@ -111,39 +111,39 @@
 		}
 		p.byKey[b.Key] = b
 	}
-	p.Fronts(p.fronts)
+	p.SetFronts(p.fronts)
 }
 
-func (p *Purse) add(l *Limit, who string, now Micros) *Bucket {
+func (p *Limiter) add(l *Limit, who string, now Micros) *Bucket {
 	b := &Bucket{Key: Key{Limit: l.Name, Who: who}, limit: l, rules: &p.rules, at: now, seen: now}
 	b.lone(p.fronts)
 	p.buckets, p.byKey[b.Key] = append(p.buckets, b), b
-	c := claim{l.For, who}
+	c := claim{l.Dimension, who}
 	p.by[c] = append(p.by[c], b)
 	return b
 }
 
 // Fronts tells how many fronts the fleet has, by which what may be spent alone is shared.
-func (p *Purse) Fronts(n int) {
+func (p *Limiter) SetFronts(n int) {
 	p.fronts = max(1, n)
 	for _, b := range p.buckets {
 		b.lone(p.fronts)
 	}
 }
 
-func (b *Bucket) lone(fronts int) { b.alone = b.limit.Amount * b.limit.Alone / float64(fronts) }
+func (b *Bucket) lone(fronts int) { b.alone = b.limit.Amount * b.limit.IsolatedShare / float64(fronts) }
 
 // Find gives the buckets that requests of a name count against; none: no limit is for it.
-func (p *Purse) Find(what, who string, now Micros) []*Bucket {
+func (p *Limiter) Find(what, who string, now Micros) []*Bucket {
 	list := p.by[claim{what, who}]
 	if len(list) > 0 || len(p.each[what]) == 0 {
 		return list
 	}
-	if len(p.buckets) >= MostNames {
+	if len(p.buckets) >= MaxNames {
 		p.sweep(now)
 	}
 	for _, l := range p.each[what] {
-		if len(p.buckets) < MostNames {
+		if len(p.buckets) < MaxNames {
 			p.add(l, who, now)
 			p.fresh = true
 		}
@@ -158,12 +158,12 @@
 var noRoom = [1]*Bucket{{limit: &Limit{Name: "no room", Amount: 1, Burst: 1, Hard: true}, rules: &Rules{}}}
 
 // sweep lets names go that nothing is held of and nobody has asked for lately.
-func (p *Purse) sweep(now Micros) {
+func (p *Limiter) sweep(now Micros) {
 	p.buckets = slices.DeleteFunc(p.buckets, func(b *Bucket) bool {
-		if b.limit.Of != "*" || b.open > 0 || b.n > 0 && now < b.last() || now-b.seen < p.rules.Part {
+		if b.limit.Who != "*" || b.open > 0 || b.n > 0 && now < b.last() || now-b.seen < p.rules.AllocationLease {
 			return false
 		}
-		delete(p.by, claim{b.limit.For, b.Key.Who})
+		delete(p.by, claim{b.limit.Dimension, b.Key.Who})
 		delete(p.byKey, b.Key)
 		return true
 	})
@@ -177,7 +177,7 @@
 }
 
 // Fresh tells whether names came since it was last asked: they need a first part at once.
-func (p *Purse) Fresh() bool {
+func (p *Limiter) TakeNewNames() bool {
 	was := p.fresh
 	p.fresh = false
 	return was
@@ -221,7 +221,7 @@
 // fade has a soft limit's part go over to what may be spent alone, within the span
 // for which nobody else is given it, so that there is no jump.
 func (b *Bucket) fade(now Micros) {
-	gap := max(1, lease.ExpirySpan(b.rules.Part)-b.rules.Part)
+	gap := max(1, lease.ExpirySpan(b.rules.AllocationLease)-b.rules.AllocationLease)
 	left := max(0, 1-float64(now-b.fades)/float64(gap))
 	b.amount = b.alone + max(0, b.faded-b.alone)*left
 	b.until = now + gap/16 + 1
@@ -304,14 +304,14 @@
 }
 
 // Done ends a request that Take let through.
-func (b *Bucket) Done() {
+func (b *Bucket) Release() {
 	if b.limit.Kind == Open && b.open > 0 {
 		b.open--
 	}
 }
 
 // Part gives the number of the part spent from, for histories, and the amount of all.
-func (b *Bucket) Part() (from Source, number uint64, amount float64) {
+func (b *Bucket) Allocation() (from Source, number uint64, amount float64) {
 	if b.n == 0 {
 		return Source{}, 0, b.amount
 	}
@@ -321,20 +321,20 @@
 
 // Give takes a grant in; parts of limits that are not known are passed over. Newest is
 // the newest keeper of the site that this front knows of: one before it has no say.
-func (p *Purse) Give(g Grant, newest uint64, now Micros) {
-	if g.Keeper < newest {
+func (p *Limiter) ApplyGrant(g Grant, newest uint64, now Micros) {
+	if g.Owner < newest {
 		return
 	}
-	from := Source{Site: g.Site, Keeper: g.Keeper}
-	for _, x := range g.Parts {
+	from := Source{Site: g.Site, Owner: g.Owner}
+	for _, x := range g.Allocations {
 		if b := p.byKey[x.Key]; b != nil {
-			b.give(from, g.Stamp, x, now)
+			b.applyAllocation(from, g.Stamp, x, now)
 		}
 	}
 }
 
-func (b *Bucket) give(from Source, stamp Micros, x Part, now Micros) {
-	end := stamp + min(x.Span, max(b.rules.Part, b.limit.Span))
+func (b *Bucket) applyAllocation(from Source, stamp Micros, x Allocation, now Micros) {
+	end := stamp + min(x.Span, max(b.rules.AllocationLease, b.limit.Window))
 	if b.limit.Kind == Uses && x.Epoch != b.epoch {
 		if x.Epoch < b.epoch {
 			return
@@ -362,7 +362,7 @@
 		// Of one site the newest keeper's alone.
 		kept := 0
 		for j := range b.n {
-			if y := b.parts[j]; y.from.Site != from.Site || y.from.Keeper > from.Keeper {
+			if y := b.parts[j]; y.from.Site != from.Site || y.from.Owner > from.Owner {
 				b.parts[kept] = y
 				kept++
 			}
@@ -379,20 +379,20 @@
 }
 
 // Say is what one bucket has to tell, for a keeper.
-type Say struct {
-	Key    Key
-	Asked  uint64  // since the last look
-	Open   float64 // most at once since then
-	Spent  float64
-	Epoch  uint64
-	Parts  []Stood
-	Taken  uint64
-	Refuse uint64
-	Amount float64
+type BucketReport struct {
+	Key         Key
+	Requests    uint64  `json:"Asked"` // since the last look
+	MaxOpen     float64 `json:"Open"`  // most at once since then
+	Spent       float64
+	Epoch       uint64
+	Allocations []AllocationReport `json:"Parts"`
+	Taken       uint64
+	Refused     uint64 `json:"Refuse"`
+	Amount      float64
 }
 
 // Stood is one part as it stands.
-type Stood struct {
+type AllocationReport struct {
 	From   Source
 	Number uint64
 	Amount float64
@@ -402,22 +402,22 @@
 
 // Tell gives what all buckets have to tell since it was last asked. What it says of parts
 // is in force from now on: no request goes by an older one.
-func (p *Purse) Tell(now Micros) []Say {
-	list := make([]Say, 0, len(p.buckets))
+func (p *Limiter) Report(now Micros) []BucketReport {
+	list := make([]BucketReport, 0, len(p.buckets))
 	for _, b := range p.buckets {
 		b.look(now)
-		s := Say{Key: b.Key, Asked: b.asked, Open: max(b.most, b.open), Spent: b.spent, Epoch: b.epoch, Taken: b.Taken, Refuse: b.Refused, Amount: b.amount}
+		s := BucketReport{Key: b.Key, Requests: b.asked, MaxOpen: max(b.most, b.open), Spent: b.spent, Epoch: b.epoch, Taken: b.Taken, Refused: b.Refused, Amount: b.amount}
 		rest := b.open
 		if b.limit.Kind == Uses {
 			rest = b.spent
 		}
 		for i := range b.n {
 			x := b.parts[i]
-			y := Stood{From: x.from, Number: x.number, Amount: x.amount, Held: x.amount, End: x.end}
+			y := AllocationReport{From: x.from, Number: x.number, Amount: x.amount, Held: x.amount, End: x.end}
 			if b.limit.Kind != Rate && b.amount > 0 { // what is open, or spent, lies on the parts by their size
 				y.Held = max(y.Held, rest*x.amount/b.amount)
 			}
-			s.Parts = append(s.Parts, y)
+			s.Allocations = append(s.Allocations, y)
 		}
 		b.asked, b.most = 0, b.open
 		list = append(list, s)
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -16,17 +16,17 @@
 
 const second Micros = 1_000_000
 
-var testRules = Rules{Part: 4 * second, Keep: 2 * second, Longest: 3 * second, Child: second}
+var testRules = Rules{AllocationLease: 4 * second, OwnerLease: 2 * second, MaxOpenTime: 3 * second, ChildTimeout: second}
 
 // Guards max-min fairness: the sum holds, nobody small starves, and what a liar asks
 // for takes nothing from those below their share.
 func TestFair(t *testing.T) {
-	require.Equal(t, []float64{10, 45, 45}, Fair(100, []float64{10, 1e9, 1e9}))
+	require.Equal(t, []float64{10, 45, 45}, MaxMinFair(100, []float64{10, 1e9, 1e9}))
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		amount := rapid.Float64Range(0, 1000).Draw(t, "amount")
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 500), n, n).Draw(t, "demands")
-		got, sum := Fair(amount, demands), 0.0
+		got, sum := MaxMinFair(amount, demands), 0.0
 		for i, x := range got {
 			sum += x
 			if x < min(demands[i], amount/float64(n))-1e-6 {
@@ -63,7 +63,7 @@
 	uses   map[uint64]int
 	open   int
 	most   int
-	rule   Rule
+	rule   Mutation
 }
 
 type packet struct {
@@ -77,8 +77,8 @@
 	name   string
 	site   string
 	start  int
-	purse  *Purse
-	kept   map[string]*Dealer
+	purse  *Limiter
+	kept   map[string]*Allocator
 	seen   map[string]uint64 // the newest keeper that it knows of each site
 	paused Micros
 	demand float64
@@ -111,8 +111,8 @@
 func (w *world) name(keepers map[string]keeperOf, site string, n *node, wait Micros) {
 	w.number++
 	keepers[site] = keeperOf{n, w.number}
-	d := NewDealer(w.rules, []Limit{w.limit}, site, w.number, wait, n.clock())
-	d.Without(w.rule)
+	d := NewAllocator(w.rules, []Limit{w.limit}, site, w.number, wait, n.clock())
+	d.Disable(w.rule)
 	n.kept[site] = d
 	for _, x := range w.nodes { // those in contact hear of it by and by
 		w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(2_000_000)), func() { x.seen[site] = max(x.seen[site], w.number) }})
@@ -120,14 +120,14 @@
 }
 
 // play plays a day, and gives what was let through.
-func play(seed uint64, limit Limit, rule Rule, span Micros) *world {
+func play(seed uint64, limit Limit, rule Mutation, span Micros) *world {
 	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, rule: rule, uses: map[uint64]int{}}
-	w.rules.Clock = 0.1
+	w.rules.ClockDrift = 0.1
 	sites := []string{"a", "b"}
 	for i := range 6 {
-		n := &node{w: w, name: fmt.Sprintf("f%d", i), site: sites[i%2], kept: map[string]*Dealer{}, seen: map[string]uint64{}, rate: 0.9 + 0.2*w.r.Float64(),
+		n := &node{w: w, name: fmt.Sprintf("f%d", i), site: sites[i%2], kept: map[string]*Allocator{}, seen: map[string]uint64{}, rate: 0.9 + 0.2*w.r.Float64(),
 			off: Micros(w.r.IntN(1e9)), demand: float64(w.r.IntN(60))}
-		n.purse = NewPurse(w.rules, []Limit{limit}, n.clock())
+		n.purse = NewLimiter(w.rules, []Limit{limit}, n.clock())
 		w.nodes = append(w.nodes, n)
 	}
 	keepers := map[string]keeperOf{}
@@ -167,10 +167,10 @@
 			switch w.r.IntN(4) {
 			case 0: // another process: what the one before held it may not spend
 				n.start++
-				n.purse = NewPurse(w.rules, []Limit{limit}, n.clock())
+				n.purse = NewLimiter(w.rules, []Limit{limit}, n.clock())
 				for _, site := range slices.Sorted(maps.Keys(n.kept)) {
 					if keepers[site].n == n {
-						w.name(keepers, site, w.nodes[w.r.IntN(6)], w.rules.Keep)
+						w.name(keepers, site, w.nodes[w.r.IntN(6)], w.rules.OwnerLease)
 						if keepers[site].n != n {
 							delete(n.kept, site)
 						}
@@ -185,8 +185,8 @@
 				old := keepers[site].n
 				next := w.nodes[w.r.IntN(6)]
 				if next != old {
-					w.name(keepers, site, next, w.rules.Keep)
-					ends = append(ends, later{w.now + w.rules.Keep, site, old})
+					w.name(keepers, site, next, w.rules.OwnerLease)
+					ends = append(ends, later{w.now + w.rules.OwnerLease, site, old})
 				}
 			}
 		}
@@ -212,10 +212,10 @@
 						w.open++
 						w.most = max(w.most, w.open)
 						start := n.start
-						w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(int(w.rules.Longest))), func() {
+						w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(int(w.rules.MaxOpenTime))), func() {
 							w.open--
 							if n.start == start {
-								b.Done()
+								b.Release()
 							}
 						}})
 					}
@@ -231,46 +231,46 @@
 		site = "" // passed over
 	}
 	k := keepers[site]
-	ask := Ask{Stamp: now}
-	for _, s := range n.purse.Tell(now) {
-		want := Want{Key: s.Key, Demand: float64(s.Asked) * 10, Epoch: s.Epoch}
-		for _, p := range s.Parts {
+	ask := Request{Stamp: now}
+	for _, s := range n.purse.Report(now) {
+		want := LimitRequest{Key: s.Key, Demand: float64(s.Requests) * 10, Epoch: s.Epoch}
+		for _, p := range s.Allocations {
 			if p.From == (Source{site, k.number}) {
 				want.Number, want.Held = p.Number, p.Held
 			} else if p.From.Site == site {
-				want.Before += p.Held
+				want.HeldBefore += p.Held
 			}
 		}
-		ask.Wants = append(ask.Wants, want)
+		ask.Limits = append(ask.Limits, want)
 	}
 	n.seen[site] = max(n.seen[site], k.number)
 	role := n.role()
 	w.send(func() {
 		if d := k.n.kept[site]; d != nil && d.Number() == k.number && k.n.paused <= w.now {
-			d.Asked(role, ask, k.n.clock())
+			d.HandleRequest(role, ask, k.n.clock())
 		}
 	})
 	for _, site := range slices.Sorted(maps.Keys(n.kept)) {
 		d := n.kept[site]
 		up := Source{"", keepers[""].number}
 		if site != "" {
-			ask, root := Ask{Stamp: now, Wants: d.Wants(up, now)}, keepers[""]
+			ask, root := Request{Stamp: now, Limits: d.LimitRequests(up, now)}, keepers[""]
 			role := fmt.Sprintf("site %s %d", site, d.Number())
 			n.seen[""] = max(n.seen[""], root.number)
 			w.send(func() {
 				if r := root.n.kept[""]; r != nil && r.Number() == root.number && root.n.paused <= w.now {
-					r.Asked(role, ask, root.n.clock())
+					r.HandleRequest(role, ask, root.n.clock())
 				}
 			})
 		}
-		grants := d.Deal(up, now)
+		grants := d.Allocate(up, now)
 		for _, role := range slices.Sorted(maps.Keys(grants)) {
 			w.send(func() { w.deliver(role, grants[role]) })
 		}
 		if w.r.IntN(50) > 0 {
 			continue
 		}
-		back := NewDealer(d.rules, []Limit{w.limit}, d.Site(), d.Number(), 0, now)
+		back := NewAllocator(d.rules, []Limit{w.limit}, d.Site(), d.Number(), 0, now)
 		var l Ledger
 		b, err := cbor.Marshal(d.Ledger())
 		if err == nil {
@@ -290,11 +290,11 @@
 			continue
 		}
 		if n.role() == role {
-			n.purse.Give(g, n.seen[g.Site], n.clock())
+			n.purse.ApplyGrant(g, n.seen[g.Site], n.clock())
 		}
 		for site, d := range n.kept {
 			if fmt.Sprintf("site %s %d", site, d.Number()) == role {
-				d.Given(g, n.seen[g.Site], n.clock())
+				d.ApplyGrant(g, n.seen[g.Site], n.clock())
 			}
 		}
 	}
@@ -320,10 +320,10 @@
 func TestNeverOver(t *testing.T) {
 	passed, most := 0, 0
 	for seed := range uint64(40) {
-		w := play(seed, Limit{Name: "l", For: "tenant", Of: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, "", 60*second)
+		w := play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, "", 60*second)
 		require.LessOrEqual(t, w.worst(), 0.0, "seed %d", seed)
 		passed += len(w.passed)
-		w = play(seed, Limit{Name: "l", For: "tenant", Of: "t", Kind: Open, Amount: 30, Hard: true}, "", 40*second)
+		w = play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Open, Amount: 30, Hard: true}, "", 40*second)
 		require.LessOrEqual(t, w.most, 30, "seed %d", seed)
 		most += w.most
 	}
@@ -334,7 +334,7 @@
 // Guards the check above: with a rule left out it fires.
 func TestNeverOverFires(t *testing.T) {
 	for seed := range uint64(40) {
-		if play(seed, Limit{Name: "l", For: "tenant", Of: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, NoOver, 60*second).worst() > 0 {
+		if play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, DisableExpiry, 60*second).worst() > 0 {
 			return
 		}
 	}
@@ -344,8 +344,8 @@
 // The cost of a limit in a request's way: go test -bench Take ./internal/decide/quotalease
 func BenchmarkTake(b *testing.B) {
 	now := second
-	p := NewPurse(testRules, []Limit{{Name: "l", For: "tenant", Of: "padma", Kind: Rate, Amount: 1e8, Burst: 1e8, Hard: true}}, now)
-	p.Give(Grant{Keeper: 1, Stamp: now, Parts: []Part{{Key: Key{"l", "padma"}, Number: 1, Amount: 1e8, Span: 1e9}}}, 0, now)
+	p := NewLimiter(testRules, []Limit{{Name: "l", Dimension: "tenant", Who: "padma", Kind: Rate, Amount: 1e8, Burst: 1e8, Hard: true}}, now)
+	p.ApplyGrant(Grant{Owner: 1, Stamp: now, Allocations: []Allocation{{Key: Key{"l", "padma"}, Number: 1, Amount: 1e8, Span: 1e9}}}, 0, now)
 	b.ReportAllocs()
 	for b.Loop() {
 		now++
--- a/internal/decide/quotalease/steady_test.go
+++ b/internal/decide/quotalease/steady_test.go
@@ -9,15 +9,15 @@
 // Guards that a limit is used in steady state with skewed demand, and again soon after
 // demand has moved; and that a dead front's part comes back in the stated span.
 func TestSteady(t *testing.T) {
-	limit := Limit{Name: "l", For: "tenant", Of: "t", Kind: Rate, Amount: 1000, Burst: 100, Hard: true}
+	limit := Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 1000, Burst: 100, Hard: true}
 	rules := testRules
 	now := second
-	d := NewDealer(rules, []Limit{limit}, "", 1, 0, now)
+	d := NewAllocator(rules, []Limit{limit}, "", 1, 0, now)
 	const n = 12
-	var fronts [n]*Purse
+	var fronts [n]*Limiter
 	names := "abcdefghijkl"
 	for i := range fronts {
-		fronts[i] = NewPurse(rules, []Limit{limit}, now)
+		fronts[i] = NewLimiter(rules, []Limit{limit}, now)
 	}
 	dead := -1
 	demand := func(i int, moved bool) float64 {
@@ -52,15 +52,15 @@
 				if i == dead {
 					continue
 				}
-				s := p.Tell(now)[0]
-				w := Want{Key: s.Key, Demand: float64(s.Asked) * 10}
-				if len(s.Parts) > 0 {
-					w.Number, w.Held = s.Parts[0].Number, s.Parts[0].Held
+				s := p.Report(now)[0]
+				w := LimitRequest{Key: s.Key, Demand: float64(s.Requests) * 10}
+				if len(s.Allocations) > 0 {
+					w.Number, w.Held = s.Allocations[0].Number, s.Allocations[0].Held
 				}
-				d.Asked(names[i:i+1], Ask{Stamp: now, Wants: []Want{w}}, now)
+				d.HandleRequest(names[i:i+1], Request{Stamp: now, Limits: []LimitRequest{w}}, now)
 			}
-			for role, g := range d.Deal(Source{}, now) {
-				fronts[role[0]-'a'].Give(g, 0, now)
+			for role, g := range d.Allocate(Source{}, now) {
+				fronts[role[0]-'a'].ApplyGrant(g, 0, now)
 			}
 		}
 		return passed
@@ -77,7 +77,7 @@
 	require.GreaterOrEqual(t, sum(moved[10:]), 900, "back after demand has moved")
 	run(2*second, true)
 	dead = 7
-	run(rules.over(Rate)+second, false)
+	run(rules.allocationExpiry(Rate)+second, false)
 	require.GreaterOrEqual(t, sum(run(2*second, false)), 1900, "a dead front's part comes back")
-	require.Len(t, d.Lines(Source{}, now), 1)
+	require.Len(t, d.Status(Source{}, now), 1)
 }
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -51,12 +51,12 @@
 
 // The refusals.
 const (
-	TooFast  Refusal = "too many requests a second"
-	TooMany  Refusal = "too many requests at once"
-	NoRoom   Refusal = "no room to count requests"
-	UsedUp   Refusal = "token is used up"
-	InUse    Refusal = "token is in use"
-	UsesFull Refusal = "no room to count uses"
+	RateExceeded   Refusal = "too many requests a second"
+	OpenExceeded   Refusal = "too many requests at once"
+	RatesTableFull Refusal = "no room to count requests"
+	TokenUsedUp    Refusal = "token is used up"
+	TokenInUse     Refusal = "token is in use"
+	UsesTableFull  Refusal = "no room to count uses"
 )
 
 // bucket is what is known of one name.
@@ -106,10 +106,10 @@
 			continue
 		}
 		if c.Limit.Open > 0 && int(b.Open) >= c.Limit.Open && refusal == "" {
-			wait, refusal = max(wait, openWait), TooMany
+			wait, refusal = max(wait, openWait), OpenExceeded
 		}
 		if w := c.Limit.wait(b.TAT, now); w > 0 {
-			wait, refusal = max(wait, w), TooFast
+			wait, refusal = max(wait, w), RateExceeded
 		}
 	}
 	if refusal != "" {
@@ -124,7 +124,7 @@
 		if b == nil {
 			if b = r.add(r.names[i], now); b == nil {
 				r.undo(claims[:i])
-				return fullWait, NoRoom
+				return fullWait, RatesTableFull
 			}
 		}
 		b.Open++ // from here on no sweep takes the entry, though nothing else is in it
@@ -173,7 +173,7 @@
 }
 
 // Done ends a request that Take let go on.
-func (r *Rates) Done(claims []Claim) {
+func (r *Rates) Release(claims []Claim) {
 	for i := range claims {
 		if claims[i].Limit.none() {
 			continue
@@ -205,11 +205,11 @@
 
 // Token is one token's use.
 type Token struct {
-	Name   [16]byte
-	Until  Micros // when nothing can be let in by it any more
-	Most   int    // uses
-	Object string // what is asked for
-	Retry  Micros // how long asking for the same again is the same use
+	Name        [16]byte
+	ExpiresAt   Micros // when nothing can be let in by it any more
+	MaxUses     int    // uses
+	Object      string // what is asked for
+	RetryWindow Micros // how long asking for the same again is the same use
 }
 
 // Take uses a token. A client's own retry, for the same object within the span
@@ -226,28 +226,28 @@
 			u.table.Sweep(sweepFull, dead)
 		}
 		if x = u.table.Add(t.Name, use{}); x == nil {
-			return fullWait, UsesFull
+			return fullWait, UsesTableFull
 		}
 	}
-	again := x.Count > 0 && x.Object == object && now-x.Last <= t.Retry
+	again := x.Count > 0 && x.Object == object && now-x.Last <= t.RetryWindow
 	switch {
 	case again && x.Open > 0:
-		return openWait, InUse
+		return openWait, TokenInUse
 	case again:
-	case int(x.Count) >= t.Most:
-		return 0, UsedUp
+	case int(x.Count) >= t.MaxUses:
+		return 0, TokenUsedUp
 	default:
 		x.Count++
 		x.Last, x.Object = now, object
 	}
-	x.Until = max(x.Until, t.Until)
+	x.Until = max(x.Until, t.ExpiresAt)
 	x.Open++
 	return 0, ""
 }
 
 // Done ends a request that Take let go on. One that was refused before anything
 // was done for it is no use.
-func (u *Uses) Done(name [16]byte, harmless bool) {
+func (u *Uses) Release(name [16]byte, harmless bool) {
 	x := u.table.Find(name)
 	if x == nil || x.Open == 0 {
 		return
--- a/internal/decide/ratelimit/ratelimit_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -31,7 +31,7 @@
 				now += wait
 			}
 			in = append(in, now)
-			r.Done(claims)
+			r.Release(claims)
 		}
 		for i := range in {
 			for j := i + 1; j < len(in); j++ {
@@ -51,16 +51,16 @@
 		t.Fatal(refusal)
 	}
 	for range 5 {
-		if wait, refusal := r.Take(both, 2); refusal != TooMany || wait == 0 {
+		if wait, refusal := r.Take(both, 2); refusal != OpenExceeded || wait == 0 {
 			t.Fatal(refusal)
 		}
 	}
-	r.Done(both)
+	r.Release(both)
 	if _, refusal := r.Take(both, 3); refusal != "" {
 		t.Error("the refused ones were counted:", refusal)
 	}
-	r.Done(both)
-	if wait, refusal := r.Take(both, 4); refusal != TooFast || wait < 900_000 {
+	r.Release(both)
+	if wait, refusal := r.Take(both, 4); refusal != RateExceeded || wait < 900_000 {
 		t.Error(wait, refusal)
 	}
 }
@@ -74,12 +74,12 @@
 		if _, refusal := r.Take(claim(i), 1_000_000); refusal != "" {
 			t.Fatal(refusal)
 		}
-		r.Done(claim(i))
+		r.Release(claim(i))
 	}
-	if wait, refusal := r.Take(claim(100), 1_000_001); refusal != NoRoom || wait == 0 {
+	if wait, refusal := r.Take(claim(100), 1_000_001); refusal != RatesTableFull || wait == 0 {
 		t.Fatal(refusal)
 	}
-	if _, refusal := r.Take(claim(5), 1_000_001); refusal != TooFast {
+	if _, refusal := r.Take(claim(5), 1_000_001); refusal != RateExceeded {
 		t.Error("forgot one that binds:", refusal)
 	}
 	if _, refusal := r.Take(claim(100), 2_000_000); refusal != "" {
@@ -87,19 +87,19 @@
 	}
 	u := NewUses(10)
 	token := func(i int, until Micros) Token {
-		x := Token{Until: until, Most: 1, Object: "o", Retry: 5}
+		x := Token{ExpiresAt: until, MaxUses: 1, Object: "o", RetryWindow: 5}
 		sum := sha256.Sum256([]byte{byte(i)})
 		copy(x.Name[:], sum[:])
 		return x
 	}
 	for i := range 10 {
 		u.Take(token(i, 100), 1)
-		u.Done(token(i, 0).Name, false)
+		u.Release(token(i, 0).Name, false)
 	}
-	if wait, refusal := u.Take(token(11, 200), 50); refusal != UsesFull || wait == 0 {
+	if wait, refusal := u.Take(token(11, 200), 50); refusal != UsesTableFull || wait == 0 {
 		t.Error(refusal)
 	}
-	if _, refusal := u.Take(token(3, 100), 50); refusal != UsedUp {
+	if _, refusal := u.Take(token(3, 100), 50); refusal != TokenUsedUp {
 		t.Error("forgot a use:", refusal)
 	}
 	if _, refusal := u.Take(token(11, 200), 101); refusal != "" {
@@ -117,7 +117,7 @@
 		for range 300 {
 			now += int64(rapid.IntRange(0, 400_000).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "done") && len(open) > 0 {
-				r.Done(open[0])
+				r.Release(open[0])
 				open = open[1:]
 				continue
 			}
@@ -146,7 +146,7 @@
 // Single uses: together, retried, for another object, lost, refused, restarted.
 func TestUses(t *testing.T) {
 	u := NewUses(10)
-	x := Token{Name: [16]byte{1}, Until: 1000, Most: 1, Object: "a", Retry: 100}
+	x := Token{Name: [16]byte{1}, ExpiresAt: 1000, MaxUses: 1, Object: "a", RetryWindow: 100}
 	other := x
 	other.Object = "b"
 	for _, s := range []struct {
@@ -157,21 +157,21 @@
 		want Refusal
 	}{
 		{"first", x, 10, false, ""},
-		{"together with it", x, 11, false, InUse},
-		{"another object", other, 12, true, UsedUp},
+		{"together with it", x, 11, false, TokenInUse},
+		{"another object", other, 12, true, TokenUsedUp},
 		{"its answer was lost: the same again", x, 60, true, ""},
 		{"and again, in the span of the first", x, 110, true, ""},
-		{"past the span", x, 111, false, UsedUp},
+		{"past the span", x, 111, false, TokenUsedUp},
 	} {
 		if s.what == "its answer was lost: the same again" {
-			u.Done(x.Name, false)
+			u.Release(x.Name, false)
 		}
 		_, refusal := u.Take(s.t, s.at)
 		if refusal != s.want {
 			t.Errorf("%s: %q, want %q", s.what, refusal, s.want)
 		}
 		if s.done && refusal == "" {
-			u.Done(x.Name, false)
+			u.Release(x.Name, false)
 		}
 	}
 	b, err := u.Append(nil)
@@ -182,16 +182,16 @@
 	if _, err := v.Read(b); err != nil {
 		t.Fatal(err)
 	}
-	if _, refusal := v.Take(other, 200); refusal != UsedUp {
+	if _, refusal := v.Take(other, 200); refusal != TokenUsedUp {
 		t.Error("a restart forgot a use:", refusal)
 	}
-	y := Token{Name: [16]byte{2}, Until: 1000, Most: 2, Object: "a"}
+	y := Token{Name: [16]byte{2}, ExpiresAt: 1000, MaxUses: 2, Object: "a"}
 	u.Take(y, 1)
-	u.Done(y.Name, true) // refused harmlessly: no use
+	u.Release(y.Name, true) // refused harmlessly: no use
 	for i := range 3 {
 		_, refusal := u.Take(y, Micros(10+i))
-		u.Done(y.Name, false)
-		if want := map[bool]Refusal{true: UsedUp}[i == 2]; refusal != want {
+		u.Release(y.Name, false)
+		if want := map[bool]Refusal{true: TokenUsedUp}[i == 2]; refusal != want {
 			t.Errorf("use %d of two: %q", i, refusal)
 		}
 	}
@@ -203,6 +203,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		r.Take(claims, int64(i))
-		r.Done(claims)
+		r.Release(claims)
 	}
 }
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -359,8 +359,8 @@
 	list := make([]topology.Front, 0, len(fleet))
 	for i, f := range r.s.Members.Fronts {
 		m := fleet[i]
-		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, Keep: f.OwnerLease,
-			Over: f.Lost && m.LeaseExpiry > 0 && r.s.Now >= m.LeaseExpiry})
+		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, OwnerLease: f.OwnerLease,
+			Expired: f.Lost && m.LeaseExpiry > 0 && r.s.Now >= m.LeaseExpiry})
 	}
 	return list
 }
--- a/internal/decide/topology/topology.go
+++ b/internal/decide/topology/topology.go
@@ -23,15 +23,15 @@
 
 // Bounds.
 const (
-	MostDepth = 6  // sites one within the other, below the root
-	Root      = "" // the site that holds all
+	MaxDepth = 6  // sites one within the other, below the root
+	Root     = "" // the site that holds all
 )
 
 // Check tells what is wrong with a site's path: names parted by slashes, none empty.
-func Check(path string) error {
+func CheckPath(path string) error {
 	parts := strings.Split(path, "/")
-	if len(parts) > MostDepth {
-		return fmt.Errorf("%q: %d sites one within the other, %d at most", path, len(parts), MostDepth)
+	if len(parts) > MaxDepth {
+		return fmt.Errorf("%q: %d sites one within the other, %d at most", path, len(parts), MaxDepth)
 	}
 	if slices.Contains(parts, "") {
 		return fmt.Errorf("%q: a part of the path is empty", path)
@@ -49,7 +49,7 @@
 }
 
 // Up is a site and those that it stands in, itself first, the root last.
-func Up(path string) (list []string) {
+func PathToRoot(path string) (list []string) {
 	for ok := true; ok; path, ok = Parent(path) {
 		list = append(list, path)
 	}
@@ -63,45 +63,45 @@
 
 // Front is a front as the log has it.
 type Front struct {
-	Name      string
-	Site      string // path
-	ID, Start uint64 // incarnation and process
-	Lost      bool
-	Leaving   bool
-	Over      bool   // lost, and surely serves no more: its lease to act is over
-	Keep      Micros // the span of its lease as a keeper; 0: it takes no part in what is exchanged
-	Address   string // where the others reach it
+	Name       string
+	Site       string // path
+	ID, Start  uint64 // incarnation and process
+	Lost       bool
+	Leaving    bool
+	Expired    bool   // lost, and surely serves no more: its lease to act is over
+	OwnerLease Micros // the span of its lease as a keeper; 0: it takes no part in what is exchanged
+	Address    string // where the others reach it
 }
 
 // Keeper speaks for a site.
-type Keeper struct {
-	Site   string `cbor:"1,keyasint"`
-	Name   string `cbor:"2,keyasint"`
-	ID     uint64 `cbor:"3,keyasint"`
-	Start  uint64 `cbor:"4,keyasint"`
-	Number uint64 `cbor:"5,keyasint"`           // its fencing token: higher than that of any named before
-	Wait   Micros `cbor:"6,keyasint,omitempty"` // the span of the lease that one before it may still have
-	Since  Micros `cbor:"7,keyasint"`           // fleet time at which it was named
+type Owner struct {
+	Site       string `cbor:"1,keyasint"`
+	Name       string `cbor:"2,keyasint"`
+	ID         uint64 `cbor:"3,keyasint"`
+	Start      uint64 `cbor:"4,keyasint"`
+	Number     uint64 `cbor:"5,keyasint"`           // its fencing token: higher than that of any named before
+	PriorLease Micros `cbor:"6,keyasint,omitempty"` // the span of the lease that one before it may still have
+	Since      Micros `cbor:"7,keyasint"`           // fleet time at which it was named
 }
 
 // Is tells whether a process of a front is the keeper.
-func (k *Keeper) Is(name string, id, start uint64) bool {
+func (k *Owner) Is(name string, id, start uint64) bool {
 	return k.Name == name && k.ID == id && k.Start == start
 }
 
 // State is who keeps which site, ordered by site; a part of what all replicas hold.
 type State struct {
-	Keepers []Keeper `cbor:"1,keyasint,omitempty"`
-	Last    uint64   `cbor:"2,keyasint,omitempty"` // the highest number given
+	Owners     []Owner `cbor:"1,keyasint,omitempty"`
+	LastNumber uint64  `cbor:"2,keyasint,omitempty"` // the highest number given
 }
 
 // Keeper gives the keeper of a site; nil: it has none.
-func (s *State) Keeper(site string) *Keeper {
-	i, ok := slices.BinarySearchFunc(s.Keepers, site, func(k Keeper, site string) int { return cmp.Compare(k.Site, site) })
+func (s *State) Owner(site string) *Owner {
+	i, ok := slices.BinarySearchFunc(s.Owners, site, func(k Owner, site string) int { return cmp.Compare(k.Site, site) })
 	if !ok {
 		return nil
 	}
-	return &s.Keepers[i]
+	return &s.Owners[i]
 }
 
 // Step names keepers for sites that have none, or whose keeper is lost, leaves or has
@@ -109,17 +109,17 @@
 func (s *State) Step(fronts []Front, now Micros) (told []string) {
 	able := map[string][]*Front{}
 	for i := range fronts {
-		if f := &fronts[i]; f.Keep > 0 && !f.Lost && !f.Leaving {
-			for _, site := range Up(f.Site) {
+		if f := &fronts[i]; f.OwnerLease > 0 && !f.Lost && !f.Leaving {
+			for _, site := range PathToRoot(f.Site) {
 				able[site] = append(able[site], f)
 			}
 		}
 	}
-	at := func(k Keeper) int {
+	at := func(k Owner) int {
 		return slices.IndexFunc(fronts, func(f Front) bool { return f.Name == k.Name })
 	}
-	s.Keepers = slices.DeleteFunc(s.Keepers, func(k Keeper) bool { // of sites that no front is in any more
-		return !slices.ContainsFunc(fronts, func(f Front) bool { return f.Keep > 0 && Within(f.Site, k.Site) })
+	s.Owners = slices.DeleteFunc(s.Owners, func(k Owner) bool { // of sites that no front is in any more
+		return !slices.ContainsFunc(fronts, func(f Front) bool { return f.OwnerLease > 0 && Within(f.Site, k.Site) })
 	})
 	sites := make([]string, 0, len(able))
 	for site := range able {
@@ -127,32 +127,32 @@
 	}
 	slices.Sort(sites)
 	for _, site := range sites {
-		old := s.Keeper(site)
+		old := s.Owner(site)
 		wait := Micros(0)
 		if old != nil {
-			wait = old.Wait
+			wait = old.PriorLease
 			if i := at(*old); i >= 0 {
 				f := &fronts[i]
-				if old.Is(f.Name, f.ID, f.Start) && !f.Lost && !f.Leaving && f.Keep > 0 && Within(f.Site, site) {
+				if old.Is(f.Name, f.ID, f.Start) && !f.Lost && !f.Leaving && f.OwnerLease > 0 && Within(f.Site, site) {
 					continue
 				}
-				wait = max(wait, f.Keep)
+				wait = max(wait, f.OwnerLease)
 			}
-		} else if s.Last > 0 {
+		} else if s.LastNumber > 0 {
 			for i := range fronts { // one may have been named and forgotten
-				wait = max(wait, fronts[i].Keep)
+				wait = max(wait, fronts[i].OwnerLease)
 			}
 		}
 		best := slices.MinFunc(able[site], func(a, b *Front) int {
 			return cmp.Or(cmp.Compare(rank(site, a.Name), rank(site, b.Name)), cmp.Compare(a.Name, b.Name))
 		})
-		s.Last++
-		k := Keeper{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.Last, Wait: wait, Since: now}
+		s.LastNumber++
+		k := Owner{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.LastNumber, PriorLease: wait, Since: now}
 		if old != nil {
 			*old = k
 		} else {
-			s.Keepers = append(s.Keepers, k)
-			slices.SortFunc(s.Keepers, func(a, b Keeper) int { return cmp.Compare(a.Site, b.Site) })
+			s.Owners = append(s.Owners, k)
+			slices.SortFunc(s.Owners, func(a, b Owner) int { return cmp.Compare(a.Site, b.Site) })
 		}
 		told = append(told, fmt.Sprintf("site %q: %s keeps it, number %d", site, k.Name, k.Number))
 	}
--- a/internal/decide/topology/topology_test.go
+++ b/internal/decide/topology/topology_test.go
@@ -19,7 +19,7 @@
 		last := map[string]uint64{}
 		fronts := []Front{}
 		for i := range 6 {
-			fronts = append(fronts, Front{Name: fmt.Sprint("f", i), Site: []string{"w/a", "w/b", "e/c"}[i%3], ID: uint64(i + 1), Start: 1, Keep: second})
+			fronts = append(fronts, Front{Name: fmt.Sprint("f", i), Site: []string{"w/a", "w/b", "e/c"}[i%3], ID: uint64(i + 1), Start: 1, OwnerLease: second})
 		}
 		for range 30 {
 			f := &fronts[rapid.IntRange(0, 5).Draw(t, "front")]
@@ -29,9 +29,9 @@
 			case 1:
 				f.Start++
 			}
-			before := slices.Clone(s.Keepers)
+			before := slices.Clone(s.Owners)
 			s.Step(fronts, 0)
-			for _, k := range s.Keepers {
+			for _, k := range s.Owners {
 				i := slices.IndexFunc(fronts, func(f Front) bool { return k.Is(f.Name, f.ID, f.Start) })
 				able := slices.ContainsFunc(fronts, func(f Front) bool { return !f.Lost && Within(f.Site, k.Site) })
 				if able && (i < 0 || fronts[i].Lost || !Within(fronts[i].Site, k.Site)) {
@@ -44,7 +44,7 @@
 			}
 			for _, old := range before {
 				i := slices.IndexFunc(fronts, func(f Front) bool { return old.Is(f.Name, f.ID, f.Start) && !f.Lost })
-				if k := s.Keeper(old.Site); i >= 0 && k.Number != old.Number {
+				if k := s.Owner(old.Site); i >= 0 && k.Number != old.Number {
 					t.Fatalf("%q was given to another though %s is heard", old.Site, old.Name)
 				}
 			}
@@ -55,28 +55,28 @@
 // Guards attaching: to the nearest that answers, past one that does not, and back only
 // once that one has answered for a while.
 func TestAttachment(t *testing.T) {
-	c := Config{Over: second, Back: 2 * second}
-	above := []Keeper{{Site: "w/a", Number: 3}, {Site: "w", Number: 2}, {Site: "", Number: 1}}
+	c := Config{FailoverAfter: second, FailbackAfter: 2 * second}
+	above := []Owner{{Site: "w/a", Number: 3}, {Site: "w", Number: 2}, {Site: "", Number: 1}}
 	var a Attachment
 	to := func(now Micros) uint64 {
 		a.Step(above, now, c)
-		k, _ := a.To()
+		k, _ := a.Owner()
 		return k.Number
 	}
 	require.Equal(t, uint64(3), to(0), "the nearest, until it has had its span")
 	require.Equal(t, uint64(2), to(2*second), "past it")
 	for now := 2 * second; now < 4*second; now += second / 2 {
-		a.Heard(2, now, c)
+		a.Answered(2, now, c)
 		require.Equal(t, uint64(2), to(now))
 	}
 	for now := 4 * second; now < 6*second; now += second / 2 {
-		a.Heard(2, now, c)
-		a.Heard(3, now, c)
+		a.Answered(2, now, c)
+		a.Answered(3, now, c)
 		require.Equal(t, uint64(2), to(now), "not at once")
 	}
-	a.Heard(3, 6*second, c)
+	a.Answered(3, 6*second, c)
 	require.Equal(t, uint64(3), to(6*second), "back")
-	require.Equal(t, []string{"w/hub/x", "w/hub", "w", ""}, Up("w/hub/x"))
-	require.Error(t, Check("w//x"))
-	require.Error(t, Check("a/b/c/d/e/f/g"))
+	require.Equal(t, []string{"w/hub/x", "w/hub", "w", ""}, PathToRoot("w/hub/x"))
+	require.Error(t, CheckPath("w//x"))
+	require.Error(t, CheckPath("a/b/c/d/e/f/g"))
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -38,7 +38,7 @@
 // Limiter is what spends parts of limits, on the loop.
 type Limiter interface {
 	Give(g quotalease.Grant, newest uint64)
-	Tell() []quotalease.Say
+	Tell() []quotalease.BucketReport
 	Fronts(n int)
 }
 
@@ -107,8 +107,8 @@
 
 // links is who is attached where now.
 type links struct {
-	up       map[topology.Role]topology.Keeper // of each role of this process
-	children map[tie]Micros                    // roles attached to keepers that this process is, and when they were heard
+	up       map[topology.Role]topology.Owner // of each role of this process
+	children map[tie]Micros                   // roles attached to keepers that this process is, and when they were heard
 }
 
 // tie is a role that is attached to a keeper, by its number.
@@ -186,7 +186,7 @@
 
 func (x *Exchange) fleetID() uint64 {
 	if s := x.standing.Load(); s != nil {
-		return s.View.Fleet
+		return s.View.FleetID
 	}
 	return 0
 }
@@ -198,7 +198,7 @@
 
 func (x *Exchange) spans() topology.Config {
 	s := x.section.Load()
-	return topology.Config{Over: Micros(s.PassMS) * 1000, Back: Micros(s.BackMS) * 1000}
+	return topology.Config{FailoverAfter: Micros(s.PassMS) * 1000, FailbackAfter: Micros(s.BackMS) * 1000}
 }
 
 // May tells whether this process may act as a keeper now.
@@ -230,7 +230,7 @@
 }
 
 // down sends what a keeper of this process has to say to a role below it.
-func (t teller) down(subject Subject, r topology.Role, k topology.Keeper, what any) {
+func (t teller) down(subject Subject, r topology.Role, k topology.Owner, what any) {
 	if t.ctx.Err() == nil {
 		t.x.hub.put(goes{Envelope{Subject: subject, Role: r, Site: k.Site, Keeper: k.Number, Body: encode(what)}})
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -25,17 +25,17 @@
 type host struct {
 	t     *testing.T
 	todo  chan func()
-	purse *quotalease.Purse
+	purse *quotalease.Limiter
 	now   func() Micros
 	mu    sync.Mutex
 	obeys []string
 }
 
 func (h *host) Post(do func())                         { h.todo <- do }
-func (h *host) Give(g quotalease.Grant, newest uint64) { h.purse.Give(g, newest, h.now()) }
-func (h *host) Tell() []quotalease.Say                 { return h.purse.Tell(h.now()) }
-func (h *host) Fronts(n int)                           { h.purse.Fronts(n) }
-func (h *host) Judged([]outlier.Held)                  {}
+func (h *host) Give(g quotalease.Grant, newest uint64) { h.purse.ApplyGrant(g, newest, h.now()) }
+func (h *host) Tell() []quotalease.BucketReport        { return h.purse.Report(h.now()) }
+func (h *host) Fronts(n int)                           { h.purse.SetFronts(n) }
+func (h *host) Judged([]outlier.HeldVerdict)           {}
 func (h *host) Sights(func(string, string, int64))     {}
 func (h *host) Room() map[string]float64               { return nil }
 func (h *host) Obey(s invalidation.Scope, _ Micros) {
@@ -43,7 +43,7 @@
 	defer h.mu.Unlock()
 	h.obeys = append(h.obeys, s.String())
 }
-func (h *host) Opinions(string, string) ([]outlier.Opinion, map[string]int) { return nil, nil }
+func (h *host) Opinions(string, string) ([]outlier.Observation, map[string]int) { return nil, nil }
 
 // alone plays one front that keeps every site itself, in virtual time.
 func alone(t *testing.T, fault func(task string, m any), play func(x *Exchange, h *host)) {
@@ -67,14 +67,14 @@
 			"exchange":{"limits":[{"name":"l","for":"tenant","of":"t","kind":"rate","amount":100,"burst":10,"hard":true}],"purges":{"return_s":1}}}`), ".")
 		require.NoError(t, err)
 		rules, list := o.Exchange.Allowances()
-		h.purse = quotalease.NewPurse(rules, list, h.now())
+		h.purse = quotalease.NewLimiter(rules, list, h.now())
 		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Obeyer: h, Witness: h, Surveyor: h, fault: fault,
 			Address: func(*topology.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
-		me := topology.Front{Name: "a", Site: "west/hub", ID: 1, Start: 2, Keep: 2_000_000}
-		v := &topology.View{Index: 5, Fleet: 9, Fronts: []topology.Front{me}, Self: me, In: true}
+		me := topology.Front{Name: "a", Site: "west/hub", ID: 1, Start: 2, OwnerLease: 2_000_000}
+		v := &topology.View{Index: 5, FleetID: 9, Fronts: []topology.Front{me}, Self: me, Registered: true}
 		for i, site := range []string{"", "west", "west/hub"} {
-			v.Keepers = append(v.Keepers, topology.Keeper{Site: site, Name: "a", ID: 1, Start: 2, Number: uint64(i + 1)})
+			v.Owners = append(v.Owners, topology.Owner{Site: site, Name: "a", ID: 1, Start: 2, Number: uint64(i + 1)})
 		}
 		know := func() {
 			x.Know(&Standing{View: v, Changed: 1, Keep: h.now() + 2_000_000, Asked: h.now()})
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -85,10 +85,10 @@
 
 // roles are those of this process: itself, and the sites that it keeps.
 func roles(v *topology.View) []topology.Role {
-	list := []topology.Role{v.Own()}
-	for _, k := range v.Keeps() {
+	list := []topology.Role{v.SelfRole()}
+	for _, k := range v.OwnedBySelf() {
 		if k.Site != topology.Root {
-			list = append(list, topology.Of(k))
+			list = append(list, topology.SiteRole(k))
 		}
 	}
 	return list
@@ -102,27 +102,27 @@
 
 func (h *hub) round() {
 	s := h.x.standing.Load()
-	if s == nil || s.View.Fleet == 0 {
+	if s == nil || s.View.FleetID == 0 {
 		return
 	}
 	now, v := h.x.cfg.Now(), s.View
 	wanted := map[string]bool{}
 	own := roles(v)
-	up := map[topology.Role]topology.Keeper{}
+	up := map[topology.Role]topology.Owner{}
 	for _, r := range own {
 		a := h.attached[r]
 		if a == nil {
 			a = &topology.Attachment{}
 			h.attached[r] = a
 		}
-		was, _ := a.To()
-		ask := a.Step(v.Above(r), now, h.x.spans())
-		to, _ := a.To()
+		was, _ := a.Owner()
+		ask := a.Step(v.OwnersAbove(r), now, h.x.spans())
+		to, _ := a.Owner()
 		for _, k := range ask {
 			wanted[k.Name] = true
 			h.send(Envelope{Subject: Tree, Up: true, Role: r, Site: k.Site, Keeper: k.Number, Seq: h.x.sequence.Add(1), Body: encode(greet{k.Number == to.Number})})
 		}
-		if k, ok := a.To(); ok {
+		if k, ok := a.Owner(); ok {
 			up[r] = k
 			if k.Number != was.Number {
 				h.x.history.write("attach", map[string]any{"role": roleName(r), "to": k.Site, "keeper": k.Number, "front": k.Name})
@@ -131,7 +131,7 @@
 	}
 	maps.DeleteFunc(h.attached, func(r topology.Role, _ *topology.Attachment) bool { return !slices.Contains(own, r) })
 	maps.DeleteFunc(h.children, func(_ tie, at Micros) bool {
-		return now-at > childRounds*h.x.round().Microseconds()+h.x.spans().Over
+		return now-at > childRounds*h.x.round().Microseconds()+h.x.spans().FailoverAfter
 	})
 	h.connect(wanted, v.Self.Name)
 	h.x.links.Store(&links{up: up, children: maps.Clone(h.children)})
@@ -182,14 +182,14 @@
 	}
 	name := e.Role.Front
 	if e.Up {
-		k := s.View.Keeper(e.Site)
+		k := s.View.Owner(e.Site)
 		if k == nil || k.Number != e.Keeper {
 			return
 		}
 		name = k.Name
 	} else if name == "" {
-		k := s.View.Keeper(e.Role.Site)
-		if k == nil || k.Number != e.Role.Keeper {
+		k := s.View.Owner(e.Role.Site)
+		if k == nil || k.Number != e.Role.Owner {
 			return
 		}
 		name = k.Name
@@ -213,14 +213,14 @@
 		return
 	}
 	v, now := s.View, h.x.cfg.Now()
-	k := v.Keeper(e.Site)
+	k := v.Owner(e.Site)
 	if k == nil || k.Number != e.Keeper {
 		return // of a keeper before, or one that this front does not know yet
 	}
 	speaker := e.Role.Front // who may say what comes up for a role
 	if e.Role.Front == "" {
-		c := v.Keeper(e.Role.Site)
-		if c == nil || c.Number != e.Role.Keeper {
+		c := v.Owner(e.Role.Site)
+		if c == nil || c.Number != e.Role.Owner {
 			return
 		}
 		speaker = c.Name
@@ -248,7 +248,7 @@
 			}
 			h.send(Envelope{Subject: Tree, Role: e.Role, Site: e.Site, Keeper: e.Keeper, Seq: h.x.sequence.Add(1), Body: e.Body})
 		} else if a := h.attached[e.Role]; a != nil {
-			a.Heard(e.Keeper, now, h.x.spans())
+			a.Answered(e.Keeper, now, h.x.spans())
 		}
 	case Limits:
 		h.x.limits.put(e)
@@ -262,7 +262,7 @@
 }
 
 // below are the roles that ask a keeper, in order.
-func (l *links) below(k topology.Keeper, now, within Micros) (list []topology.Role) {
+func (l *links) below(k topology.Owner, now, within Micros) (list []topology.Role) {
 	for t, at := range l.children {
 		if t.keeper == k.Number && now-at <= within {
 			list = append(list, t.role)
@@ -284,5 +284,5 @@
 	if r.Front != "" {
 		return fmt.Sprintf("%s %016x", r.Front, r.Start)
 	}
-	return fmt.Sprintf("site %s#%d", r.Site, r.Keeper)
+	return fmt.Sprintf("site %s#%d", r.Site, r.Owner)
 }
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -12,8 +12,8 @@
 
 // Messages to the task of limits, beside envelopes.
 type (
-	says      struct{ list []quotalease.Say } // what the loop has to tell of its purse
-	newcomer  struct{}                        // a name came that was not known
+	says      struct{ list []quotalease.BucketReport } // what the loop has to tell of its purse
+	newcomer  struct{}                                 // a name came that was not known
 	limitsAsk struct{ answer func(LimitsTold) }
 )
 
@@ -29,8 +29,8 @@
 	rules   quotalease.Rules
 	list    []quotalease.Limit
 	demand  map[quotalease.Key]float64
-	said    []quotalease.Say
-	dealers map[string]*quotalease.Dealer
+	said    []quotalease.BucketReport
+	dealers map[string]*quotalease.Allocator
 	snaps   *atomic.Pointer[kept] // that outlives this life of the task
 	told    Micros
 	fronts  int
@@ -48,7 +48,7 @@
 	snaps := &atomic.Pointer[kept]{}
 	snaps.Store(&kept{})
 	return func(ctx context.Context) body {
-		return &limits{teller: teller{x, ctx}, demand: map[quotalease.Key]float64{}, dealers: map[string]*quotalease.Dealer{}, snaps: snaps}
+		return &limits{teller: teller{x, ctx}, demand: map[quotalease.Key]float64{}, dealers: map[string]*quotalease.Allocator{}, snaps: snaps}
 	}
 }
 
@@ -58,7 +58,7 @@
 		l.section = s
 		l.rules, l.list = s.Allowances()
 		for _, d := range l.dealers {
-			d.Renew(l.rules, l.list, now)
+			d.Reconfigure(l.rules, l.list, now)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	x := l.x
 	fronts := 0
 	for i := range s.View.Fronts {
-		if s.View.Fronts[i].Keep > 0 {
+		if s.View.Fronts[i].OwnerLease > 0 {
 			fronts++
 		}
 	}
@@ -89,63 +89,63 @@
 
 // keeps has a dealer for each site that this process keeps.
 func (l *limits) keeps(s *Standing, now Micros) {
-	own := s.View.Keeps()
+	own := s.View.OwnedBySelf()
 	for site, d := range l.dealers {
-		if !slices.ContainsFunc(own, func(k topology.Keeper) bool { return k.Site == site && k.Number == d.Number() }) {
+		if !slices.ContainsFunc(own, func(k topology.Owner) bool { return k.Site == site && k.Number == d.Number() }) {
 			delete(l.dealers, site)
 		}
 	}
 	for _, k := range own {
 		if l.dealers[k.Site] == nil {
-			d := quotalease.NewDealer(l.rules, l.list, k.Site, k.Number, k.Wait, now)
+			d := quotalease.NewAllocator(l.rules, l.list, k.Site, k.Number, k.PriorLease, now)
 			if old, ok := (*l.snaps.Load())[k.Site]; ok && old.number == k.Number {
 				var ledger quotalease.Ledger
 				if err := decoder.Unmarshal(old.b, &ledger); err == nil {
 					d.Restore(ledger)
 				} else {
 					l.x.log.Error("exchange: limits: a snapshot can't be read", "error", err)
-					d = quotalease.NewDealer(l.rules, l.list, k.Site, k.Number, max(k.Wait, l.rules.Keep), now)
+					d = quotalease.NewAllocator(l.rules, l.list, k.Site, k.Number, max(k.PriorLease, l.rules.OwnerLease), now)
 				}
-				d.Renew(l.rules, l.list, now)
+				d.Reconfigure(l.rules, l.list, now)
 			}
-			d.Without(quotalease.Rule(without))
+			d.Disable(quotalease.Mutation(without))
 			l.dealers[k.Site] = d
 		}
 	}
 }
 
-func source(k topology.Keeper) quotalease.Source {
-	return quotalease.Source{Site: k.Site, Keeper: k.Number}
+func source(k topology.Owner) quotalease.Source {
+	return quotalease.Source{Site: k.Site, Owner: k.Number}
 }
 
 // deal has each site's parts dealt out, and asked for above.
 func (l *limits) deal(s *Standing, now Micros) {
 	links := l.x.links.Load()
-	for _, k := range s.View.Keeps() {
+	for _, k := range s.View.OwnedBySelf() {
 		d := l.dealers[k.Site]
 		if d == nil {
 			continue
 		}
-		above := links.up[topology.Of(k)]
+		above := links.up[topology.SiteRole(k)]
 		if k.Site == topology.Root && !s.May(now) {
 			continue
 		}
-		grants := d.Deal(source(above), now)
+		grants := d.Allocate(source(above), now)
 		l.keep(k, d) // before anything of it leaves
-		for _, r := range links.below(k, now, l.x.spans().Over) {
+		for _, r := range links.below(k, now, l.x.spans().FailoverAfter) {
 			if g, ok := grants[roleName(r)]; ok {
 				l.down(Limits, r, k, g)
 			}
 		}
 		if k.Site != topology.Root {
-			l.up(Limits, topology.Of(k), quotalease.Ask{Stamp: now, Wants: d.Wants(source(above), now)})
+			l.up(Limits, topology.SiteRole(k), quotalease.Request{Stamp: now, Limits: d.LimitRequests(source(above), now)})
 		}
 	}
 	l.told = now
 }
 
 // keep puts what a dealer knows where the task's next life finds it.
-func (l *limits) keep(k topology.Keeper, d *quotalease.Dealer) {
+func (l *limits) keep(k topology.Owner, d *quotalease.Allocator) {
 	if l.ctx.Err() != nil {
 		return
 	}
@@ -160,23 +160,23 @@
 
 // ask asks for this front's own parts.
 func (l *limits) ask(s *Standing, now Micros) {
-	r := s.View.Own()
+	r := s.View.SelfRole()
 	k, ok := l.x.links.Load().up[r]
 	if !ok {
 		return
 	}
-	a := quotalease.Ask{Stamp: now}
+	a := quotalease.Request{Stamp: now}
 	for _, y := range l.said {
-		w := quotalease.Want{Key: y.Key, Demand: l.demand[y.Key], Epoch: y.Epoch}
-		for _, p := range y.Parts {
+		w := quotalease.LimitRequest{Key: y.Key, Demand: l.demand[y.Key], Epoch: y.Epoch}
+		for _, p := range y.Allocations {
 			switch {
 			case p.From == source(k):
 				w.Number, w.Held = p.Number, p.Held
 			case p.From.Site == k.Site:
-				w.Before += p.Held
+				w.HeldBefore += p.Held
 			}
 		}
-		a.Wants = append(a.Wants, w)
+		a.Limits = append(a.Limits, w)
 	}
 	l.up(Limits, r, a)
 }
@@ -196,12 +196,12 @@
 			kinds[x.Name] = x
 		}
 		for _, y := range m.list {
-			want := float64(y.Asked) * per
+			want := float64(y.Requests) * per
 			switch x := kinds[y.Key.Limit]; x.Kind {
 			case quotalease.Open:
-				want = y.Open
+				want = y.MaxOpen
 			case quotalease.Uses:
-				l.demand[y.Key] = y.Spent + math.Max(l.demand[y.Key]-y.Spent, float64(y.Asked)*20)*demandKeep
+				l.demand[y.Key] = y.Spent + math.Max(l.demand[y.Key]-y.Spent, float64(y.Requests)*20)*demandKeep
 				continue
 			}
 			old := l.demand[y.Key]
@@ -231,7 +231,7 @@
 
 func (l *limits) came(s *Standing, e Envelope, now Micros) {
 	if e.Up {
-		var a quotalease.Ask
+		var a quotalease.Request
 		if decoder.Unmarshal(e.Body, &a) != nil || l.dealers[e.Site] == nil {
 			return
 		}
@@ -239,26 +239,26 @@
 		if d.Number() != e.Keeper {
 			return
 		}
-		d.Asked(roleName(e.Role), a, now)
-		first := slices.ContainsFunc(a.Wants, func(w quotalease.Want) bool { return w.Number == 0 && w.Demand > 0 })
+		d.HandleRequest(roleName(e.Role), a, now)
+		first := slices.ContainsFunc(a.Limits, func(w quotalease.LimitRequest) bool { return w.Number == 0 && w.Demand > 0 })
 		if first && now-l.told > l.x.round().Microseconds()/4 { // it has nothing: it need not wait for the round
 			l.deal(s, now)
 		}
 		return
 	}
 	var g quotalease.Grant
-	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Keeper != e.Keeper {
+	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Owner != e.Keeper {
 		return
 	}
 	newest := uint64(0)
-	if k := s.View.Keeper(g.Site); k != nil {
+	if k := s.View.Owner(g.Site); k != nil {
 		newest = k.Number
 	}
-	if e.Role == s.View.Own() {
+	if e.Role == s.View.SelfRole() {
 		x := l.x
 		x.cfg.Loop.Post(func() { x.cfg.Limiter.Give(g, newest) })
-	} else if d := l.dealers[e.Role.Site]; d != nil && d.Number() == e.Role.Keeper {
-		d.Given(g, newest, now)
+	} else if d := l.dealers[e.Role.Site]; d != nil && d.Number() == e.Role.Owner {
+		d.ApplyGrant(g, newest, now)
 	}
 }
 
@@ -267,28 +267,28 @@
 
 // LimitsTold is what a front tells of limits.
 type LimitsTold struct {
-	Front string             `json:"front"`
-	To    string             `json:"attached_to"`
-	Own   []quotalease.Say   `json:"own"`
-	Sites map[string][]Sheet `json:"sites,omitempty"`
-	Rules []string           `json:"bounds"`
+	Front string                    `json:"front"`
+	To    string                    `json:"attached_to"`
+	Own   []quotalease.BucketReport `json:"own"`
+	Sites map[string][]Sheet        `json:"sites,omitempty"`
+	Rules []string                  `json:"bounds"`
 }
 
 // Sheet is one limit as a site's keeper deals it out.
-type Sheet = quotalease.Line
+type Sheet = quotalease.LimitStatus
 
 func (l *limits) tell(s *Standing, now Micros) LimitsTold {
 	links := l.x.links.Load()
 	t := LimitsTold{Front: s.View.Self.Name, Own: l.said, Rules: l.x.section.Load().Bounds(), Sites: map[string][]Sheet{}}
-	if k, ok := links.up[s.View.Own()]; ok {
+	if k, ok := links.up[s.View.SelfRole()]; ok {
 		t.To = k.Name
 	}
 	for site, d := range l.dealers {
 		up := quotalease.Source{}
-		if k := s.View.Keeper(site); k != nil {
-			up = source(links.up[topology.Of(*k)])
+		if k := s.View.Owner(site); k != nil {
+			up = source(links.up[topology.SiteRole(*k)])
 		}
-		t.Sites["/"+site] = d.Lines(up, now)
+		t.Sites["/"+site] = d.Status(up, now)
 	}
 	return t
 }
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -47,9 +47,9 @@
 	rules   latency.Rules
 	model   *latency.Model
 	room    map[string]float64
-	said    map[string]*topology.Said[pathsUp]
+	said    map[string]*topology.Reports[pathsUp]
 	stamps  map[tie]Micros
-	maps    map[topology.Role]*latency.Map
+	maps    map[topology.Role]*latency.OrderCache
 	planner *latency.Planner
 	root    uint64
 	rounds  int
@@ -62,8 +62,8 @@
 func (x *Exchange) newPaths() func(context.Context) body {
 	return func(ctx context.Context) body {
 		p := x.section.Load().Paths
-		r := latency.Rules{Half: Micros(p.HalfS * 1e6), Stale: Micros(p.StaleS * 1e6), Explore: p.Explore / 100, Pace: p.Pace / 100, Weight: p.Weight}
-		return &pathTask{teller: teller{x, ctx}, rules: r, model: latency.NewModel(r), said: map[string]*topology.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*latency.Map{}}
+		r := latency.Rules{HalfLife: Micros(p.HalfS * 1e6), OrderTTL: Micros(p.StaleS * 1e6), ExploreShare: p.Explore / 100, MaxShiftPerSecond: p.Pace / 100, MaxFrontWeight: p.Weight}
+		return &pathTask{teller: teller{x, ctx}, rules: r, model: latency.NewModel(r), said: map[string]*topology.Reports[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*latency.OrderCache{}}
 	}
 }
 
@@ -75,7 +75,7 @@
 	x.cfg.Loop.Post(func() {
 		var list []latency.Sample
 		x.cfg.Surveyor.Sights(func(region, edge string, took int64) {
-			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Took: took})
+			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Latency: took})
 		})
 		x.paths.offer(samples{list, x.cfg.Surveyor.Room()})
 	})
@@ -83,10 +83,10 @@
 
 func (t *pathTask) tell(s *Standing, now Micros) {
 	links := t.x.links.Load()
-	t.up(Paths, s.View.Own(), pathsUp{now, t.model.Tell(now), t.room})
-	keeps := s.View.Keeps()
+	t.up(Paths, s.View.SelfRole(), pathsUp{now, t.model.Summaries(now), t.room})
+	keeps := s.View.OwnedBySelf()
 	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k topology.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(keeps, func(k topology.Owner) bool { return k.Site == site }) {
 			delete(t.said, site)
 		}
 	}
@@ -94,14 +94,14 @@
 		var fronts, sites [][]latency.Summary
 		room := map[string]float64{}
 		if said := t.said[k.Site]; said != nil {
-			for r, u := range said.All(now, t.x.spans().Over) {
+			for r, u := range said.All(now, t.x.spans().FailoverAfter) {
 				if r.Front != "" {
 					fronts = append(fronts, u.List)
 				} else {
 					sites = append(sites, u.List)
 				}
 				for e, x := range u.Room {
-					if old, ok := room[e]; (!ok || x < old) && len(room) < latency.MostPairs {
+					if old, ok := room[e]; (!ok || x < old) && len(room) < latency.MaxPairs {
 						room[e] = min(1, max(0, x))
 					}
 				}
@@ -122,12 +122,12 @@
 				}, now)
 			}
 		} else {
-			t.up(Paths, topology.Of(k), pathsUp{now, merged, room})
-			if m := t.maps[topology.Of(k)]; m != nil {
+			t.up(Paths, topology.SiteRole(k), pathsUp{now, merged, room})
+			if m := t.maps[topology.SiteRole(k)]; m != nil {
 				list = m.All(now)
 			}
 		}
-		for _, r := range links.below(k, now, t.x.spans().Over) {
+		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
 			if stamp := t.stamps[tie{r, k.Number}]; stamp != 0 {
 				t.down(Paths, r, k, pathsDown{stamp, list})
 			}
@@ -159,7 +159,7 @@
 				return
 			}
 			if t.said[m.Site] == nil {
-				t.said[m.Site] = &topology.Said[pathsUp]{}
+				t.said[m.Site] = &topology.Reports[pathsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
 			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
@@ -170,18 +170,18 @@
 			return
 		}
 		if t.maps[m.Role] == nil {
-			t.maps[m.Role] = &latency.Map{}
+			t.maps[m.Role] = &latency.OrderCache{}
 		}
-		t.maps[m.Role].Told(d.List, d.Stamp, t.rules.Stale)
+		t.maps[m.Role].Update(d.List, d.Stamp, t.rules.OrderTTL)
 		for r := range t.maps {
 			if !slices.Contains(roles(s.View), r) {
 				delete(t.maps, r)
 			}
 		}
-		if m.Role == s.View.Own() && t.x.history.on() && now-t.told > 200_000 {
+		if m.Role == s.View.SelfRole() && t.x.history.on() && now-t.told > 200_000 {
 			t.told = now
 			for _, o := range t.maps[m.Role].All(now) {
-				t.x.history.write("order", map[string]any{"region": o.Region, "age_ms": float64(t.rules.Stale-o.Left) / 1000, "bound_ms": float64(t.rules.Stale) / 1000})
+				t.x.history.write("order", map[string]any{"region": o.Region, "age_ms": float64(t.rules.OrderTTL-o.Remaining) / 1000, "bound_ms": float64(t.rules.OrderTTL) / 1000})
 			}
 		}
 	}
@@ -199,14 +199,14 @@
 // steer falls back in steps: the fleet's order until its end, then this front's own
 // sight, then the static order, which is none: evenly.
 func (t *pathTask) steer(s *Standing, region string, now Micros) Steered {
-	out := Steered{Region: region, StaleS: float64(t.rules.Stale) / 1e6}
-	if m := t.maps[s.View.Own()]; m != nil {
-		if o, ok := m.Of(region, now); ok {
-			out.By, out.Edges, out.HoldsS = "the fleet's order", o.Edges, float64(o.Left)/1e6
+	out := Steered{Region: region, StaleS: float64(t.rules.OrderTTL) / 1e6}
+	if m := t.maps[s.View.SelfRole()]; m != nil {
+		if o, ok := m.Lookup(region, now); ok {
+			out.By, out.Edges, out.HoldsS = "the fleet's order", o.Edges, float64(o.Remaining)/1e6
 			return out
 		}
 	}
-	own := latency.NewPlanner(t.rules).Step(t.model.Tell(now), func(e string) float64 {
+	own := latency.NewPlanner(t.rules).Step(t.model.Summaries(now), func(e string) float64 {
 		if x, ok := t.room[e]; ok {
 			return x
 		}
--- a/internal/exchange/purgedisk.go
+++ b/internal/exchange/purgedisk.go
@@ -12,7 +12,7 @@
 type disk struct {
 	j       *journal.Journal
 	purges  []invalidation.Purge
-	gone    invalidation.Marks
+	gone    invalidation.Watermarks
 	rewrote int64
 }
 
--- a/internal/exchange/purgelook.go
+++ b/internal/exchange/purgelook.go
@@ -10,13 +10,13 @@
 
 // Purged is what a front tells of one purge.
 type Purged struct {
-	ID       string              `json:"id"`
-	Asked    string              `json:"asked"`
-	Scope    string              `json:"scope"`
-	Complete bool                `json:"complete"`
-	Late     []invalidation.Late `json:"late,omitempty"`
-	Lag      int                 `json:"lag,omitempty"`
-	Told     string              `json:"told"`
+	ID       string                 `json:"id"`
+	Asked    string                 `json:"asked"`
+	Scope    string                 `json:"scope"`
+	Complete bool                   `json:"complete"`
+	Late     []invalidation.Laggard `json:"late,omitempty"`
+	Lag      int                    `json:"lag,omitempty"`
+	Told     string                 `json:"told"`
 }
 
 // look answers what a person asks.
@@ -26,24 +26,24 @@
 		return
 	}
 	for _, l := range t.book.List(1<<30, now) {
-		if l.ID != m.what && l.Asked != m.what {
+		if l.ID != m.what && l.RequestKey != m.what {
 			continue
 		}
-		p := Purged{ID: l.ID, Asked: l.Asked, Scope: l.Scope, Complete: l.Complete}
+		p := Purged{ID: l.ID, Asked: l.RequestKey, Scope: l.Scope, Complete: l.Complete}
 		switch {
 		case l.Complete:
 			p.Told = "complete: every front of the fleet keeps and obeys it, or surely serves no more"
 		case s != nil && t.keepsRoot(s):
-			p.Late, p.Lag = t.sum.Late, t.sum.Lag
-			p.Told = fmt.Sprintf("%d of %d fronts have not acknowledged", p.Lag, t.sum.Count)
+			p.Late, p.Lag = t.sum.Laggards, t.sum.LaggardCount
+			p.Told = fmt.Sprintf("%d of %d fronts have not acknowledged", p.Lag, t.sum.FrontCount)
 		case s != nil:
 			g := t.gathers
 			for site, x := range g {
-				sum := x.Sum(s.View, s.Changed, t.book.Marks(), staleSpans*t.x.spans().Over, now)
-				p.Late, p.Lag = append(p.Late, sum.Late...), p.Lag+sum.Lag
-				p.Told += fmt.Sprintf("of site %q %d of %d fronts have not acknowledged; ", site, sum.Lag, sum.Count)
+				sum := x.Summarize(s.View, s.Changed, t.book.Received(), staleSpans*t.x.spans().FailoverAfter, now)
+				p.Late, p.Lag = append(p.Late, sum.Laggards...), p.Lag+sum.LaggardCount
+				p.Told += fmt.Sprintf("of site %q %d of %d fronts have not acknowledged; ", site, sum.LaggardCount, sum.FrontCount)
 			}
-			if k := s.View.Keeper(topology.Root); k != nil {
+			if k := s.View.Owner(topology.Root); k != nil {
 				p.Told += "ask " + k.Name + ", which keeps the root"
 			}
 		}
@@ -54,7 +54,7 @@
 }
 
 func (t *purgeTask) keepsRoot(s *Standing) bool {
-	k := s.View.Keeper(topology.Root)
+	k := s.View.Owner(topology.Root)
 	return k != nil && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start)
 }
 
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -22,21 +22,21 @@
 
 // purgeUp is what a role tells the keeper above it.
 type purgeUp struct {
-	Marks   invalidation.Marks   `cbor:"1,keyasint,omitempty"` // what is there
-	News    []invalidation.Purge `cbor:"2,keyasint,omitempty"` // that the keeper lacks
-	Gone    invalidation.Marks   `cbor:"3,keyasint,omitempty"`
-	Summary invalidation.Summary `cbor:"4,keyasint"`
-	Asks    []asking             `cbor:"5,keyasint,omitempty"`
-	Synced  bool                 `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
+	Marks   invalidation.Watermarks `cbor:"1,keyasint,omitempty"` // what is there
+	News    []invalidation.Purge    `cbor:"2,keyasint,omitempty"` // that the keeper lacks
+	Gone    invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
+	Summary invalidation.Summary    `cbor:"4,keyasint"`
+	Asks    []asking                `cbor:"5,keyasint,omitempty"`
+	Synced  bool                    `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
 }
 
 // purgeDown is what a keeper tells a role below it.
 type purgeDown struct {
-	Marks  invalidation.Marks   `cbor:"1,keyasint,omitempty"`
-	News   []invalidation.Purge `cbor:"2,keyasint,omitempty"`
-	Gone   invalidation.Marks   `cbor:"3,keyasint,omitempty"`
-	Whole  invalidation.Marks   `cbor:"4,keyasint,omitempty"` // up to where complete
-	Synced bool                 `cbor:"5,keyasint,omitempty"`
+	Marks  invalidation.Watermarks `cbor:"1,keyasint,omitempty"`
+	News   []invalidation.Purge    `cbor:"2,keyasint,omitempty"`
+	Gone   invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
+	Whole  invalidation.Watermarks `cbor:"4,keyasint,omitempty"` // up to where complete
+	Synced bool                    `cbor:"5,keyasint,omitempty"`
 }
 
 // Messages to the task, beside envelopes.
@@ -69,12 +69,12 @@
 	teller
 	flight  *atomic.Pointer[[]invalidation.Purge] // on their way to the disk; that outlives this life of the task
 	disk    *disk
-	book    *invalidation.Book
-	gathers map[string]*invalidation.Gather
-	has     map[tie]invalidation.Marks // what roles below, and keepers above, have
-	above   map[uint64]invalidation.Marks
+	book    *invalidation.PurgeLog
+	gathers map[string]*invalidation.AckCollector
+	has     map[tie]invalidation.Watermarks // what roles below, and keepers above, have
+	above   map[uint64]invalidation.Watermarks
 	synced  map[tie]bool
-	closing *invalidation.Closing
+	closing *invalidation.CompletionTracker
 	root    uint64 // the number under which this process closes
 	asks    []pendingAsk
 	waits   map[string]int // purges that are not yet both kept and obeyed: 2 and down
@@ -101,8 +101,8 @@
 	flight.Store(&[]invalidation.Purge{})
 	return func(ctx context.Context) body {
 		s := x.section.Load().Purges
-		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewBook(invalidation.Config{Most: s.Most, Keep: Micros(s.KeepS * 1e6)}), gathers: map[string]*invalidation.Gather{},
-			has: map[tie]invalidation.Marks{}, above: map[uint64]invalidation.Marks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
+		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: s.Most, Retention: Micros(s.KeepS * 1e6)}), gathers: map[string]*invalidation.AckCollector{},
+			has: map[tie]invalidation.Watermarks{}, above: map[uint64]invalidation.Watermarks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
 		if !first { // what the disk has says all that counted as kept
 			d.purges, d.gone = nil, nil
 			if err := journal.Scan(filepath.Join(x.cfg.Folder, "purges"), func(rec []byte) error {
@@ -120,17 +120,17 @@
 			}
 		}
 		for _, m := range d.gone {
-			t.book.RecoveredGone(m)
+			t.book.RecoverForgotten(m)
 		}
 		for _, p := range d.purges {
-			t.book.Recovered(p, t.began)
+			t.book.Recover(p, t.began)
 		}
 		if first {
 			x.history.write("recovered", map[string]any{"purges": len(d.purges)})
 		}
 		first = false
-		for list := *flight.Load(); len(list) > 0; list = list[min(len(list), invalidation.MostBatch):] {
-			t.book.Told(list, t.began)
+		for list := *flight.Load(); len(list) > 0; list = list[min(len(list), invalidation.MaxBatch):] {
+			t.book.Receive(list, t.began)
 		}
 		t.obey()
 		return t
@@ -139,7 +139,7 @@
 
 // obey has what came obeyed on the loop at once, and kept on disk.
 func (t *purgeTask) obey() {
-	list := t.book.Apply()
+	list := t.book.TakePending()
 	if len(list) == 0 {
 		return
 	}
@@ -147,11 +147,11 @@
 	now, x := t.x.cfg.Now(), t.x
 	if t.ctx.Err() == nil {
 		next := append(slices.Clone(*t.flight.Load()), list...)
-		next = slices.DeleteFunc(next, func(p invalidation.Purge) bool { return p.N <= t.book.Done().Of(p.Origin) })
+		next = slices.DeleteFunc(next, func(p invalidation.Purge) bool { return p.Number <= t.book.Stored().Of(p.Origin) })
 		t.flight.Store(&next)
 	}
 	for _, p := range list {
-		if k := t.book.Done().Of(p.Origin); p.N <= k { // recovered: it is on disk
+		if k := t.book.Stored().Of(p.Origin); p.Number <= k { // recovered: it is on disk
 			continue
 		}
 		t.waits[p.ID()] = 2
@@ -168,7 +168,7 @@
 	x.cfg.Loop.Post(func() {
 		for _, p := range list {
 			x.cfg.Obeyer.Obey(p.Scope, p.Age+max(0, x.cfg.Now()-now))
-			x.history.write("obey", map[string]any{"purge": p.ID(), "scope": p.Scope.String(), "asked": p.Asked})
+			x.history.write("obey", map[string]any{"purge": p.ID(), "scope": p.Scope.String(), "asked": p.RequestKey})
 		}
 		x.purges.put(obeyed{list})
 	})
@@ -184,7 +184,7 @@
 		return
 	}
 	delete(t.waits, id)
-	t.book.Kept(p.Origin, p.N)
+	t.book.MarkStored(p.Origin, p.Number)
 	t.dirty = true
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	now := t.x.cfg.Now()
-	t.book.Fold(now)
+	t.book.Compact(now)
 	if floor, ok := t.book.Floor(); ok {
 		t.floor(floor, now)
 	}
@@ -228,7 +228,7 @@
 // returns opens the front once it has what it missed: as much as a keeper has that is
 // open itself, or, after a while, by trusting no copy from before.
 func (t *purgeTask) returns(s *Standing, now Micros) {
-	if t.x.open.Load() || t.opened || !s.View.In {
+	if t.x.open.Load() || t.opened || !s.View.Registered {
 		return
 	}
 	if !t.seen {
@@ -237,7 +237,7 @@
 	if now-t.since < Micros(t.x.section.Load().Purges.ReturnS*1e6) {
 		return
 	}
-	t.book.Return(now)
+	t.book.DistrustBefore(now)
 	t.floor(now, now)
 	t.opens("by copies from now on", now)
 }
@@ -251,8 +251,8 @@
 }
 
 // keeperFor is who numbers a purge asked here: the keeper that this front is attached to.
-func (t *purgeTask) keeperFor(s *Standing) (k topology.Keeper, own, ok bool) {
-	k, ok = t.x.links.Load().up[s.View.Own()]
+func (t *purgeTask) keeperFor(s *Standing) (k topology.Owner, own, ok bool) {
+	k, ok = t.x.links.Load().up[s.View.SelfRole()]
 	return k, ok && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start), ok
 }
 
@@ -274,56 +274,56 @@
 	}
 }
 
-func (t *purgeTask) ask(k topology.Keeper, a asking, now Micros) {
-	t.book.Ask(invalidation.Origin{Site: k.Site, Keeper: k.Number}, a.Scope, a.Asked, a.Why, now)
+func (t *purgeTask) ask(k topology.Owner, a asking, now Micros) {
+	t.book.Submit(invalidation.Origin{Site: k.Site, Owner: k.Number}, a.Scope, a.Asked, a.Why, now)
 	t.obey()
 }
 
 // own is this front's own acknowledgement.
 func (t *purgeTask) own(s *Standing) invalidation.Summary {
-	return invalidation.Summary{Index: s.View.Index, Done: t.book.Done(), Count: 1}
+	return invalidation.Summary{Index: s.View.Index, Stored: t.book.Stored(), FrontCount: 1}
 }
 
 // tell tells neighbours what they lack, and what is acknowledged.
 func (t *purgeTask) tell(s *Standing, now Micros) {
 	t.rounds, t.dirty, t.toldAt = 0, false, now
 	links := t.x.links.Load()
-	stale := staleSpans * t.x.spans().Over
-	own := s.View.Keeps()
-	marks := t.book.Marks()
+	stale := staleSpans * t.x.spans().FailoverAfter
+	own := s.View.OwnedBySelf()
+	marks := t.book.Received()
 	for site := range t.gathers {
-		if !slices.ContainsFunc(own, func(k topology.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(own, func(k topology.Owner) bool { return k.Site == site }) {
 			delete(t.gathers, site)
 		}
 	}
 	for _, k := range own { // the deepest first, so that what is acknowledged goes up at once
 		g := t.gather(k)
-		g.Drop(s.View)
-		sum := g.Sum(s.View, s.Changed, marks, stale, now)
+		g.Prune(s.View)
+		sum := g.Summarize(s.View, s.Changed, marks, stale, now)
 		if k.Site == topology.Root {
 			t.sum = sum
 			if t.closing == nil || t.root != k.Number {
-				t.closing, t.root = &invalidation.Closing{}, k.Number
+				t.closing, t.root = &invalidation.CompletionTracker{}, k.Number
 			}
 			if s.May(now) {
-				before := t.book.Whole()
-				t.book.Complete(t.closing.Step(sum.Done, s.Asked, now))
+				before := t.book.Completed()
+				t.book.MarkComplete(t.closing.Step(sum.Stored, s.Asked, now))
 				t.completed(before)
 			}
 		} else {
-			t.up(topology.Of(k), links.up[topology.Of(k)], sum, now)
+			t.up(topology.SiteRole(k), links.up[topology.SiteRole(k)], sum, now)
 		}
-		whole := t.book.Whole()
-		for _, r := range links.below(k, now, t.x.spans().Over) {
-			if r == s.View.Own() { // it is this process
-				g.Heard(r, uint64(now), t.own(s), now)
+		whole := t.book.Completed()
+		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
+			if r == s.View.SelfRole() { // it is this process
+				g.Record(r, uint64(now), t.own(s), now)
 				continue
 			}
-			if c := s.View.Keeper(r.Site); r.Front == "" && c != nil && c.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start) {
+			if c := s.View.Owner(r.Site); r.Front == "" && c != nil && c.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start) {
 				continue // it has the same book; its acknowledgement comes by up
 			}
 			x := tie{r, k.Number}
-			news, gone := t.book.Lacks(t.has[x], now)
+			news, gone := t.book.MissingFrom(t.has[x], now)
 			t.down(Purges, r, k, purgeDown{Marks: marks, News: news, Gone: gone, Whole: whole, Synced: t.x.open.Load()})
 			if len(news) > 0 {
 				t.has[x] = with(t.has[x], news) // told once; what it says next counts again
@@ -331,7 +331,7 @@
 		}
 	}
 	if k, self, ok := t.keeperFor(s); ok && !self {
-		t.up(s.View.Own(), k, t.own(s), now)
+		t.up(s.View.SelfRole(), k, t.own(s), now)
 	}
 	for x := range t.has {
 		if _, ok := links.children[x]; !ok {
@@ -342,34 +342,34 @@
 }
 
 // with is marks after news that follow them without a gap.
-func with(m invalidation.Marks, news []invalidation.Purge) invalidation.Marks {
+func with(m invalidation.Watermarks, news []invalidation.Purge) invalidation.Watermarks {
 	m = slices.Clone(m)
 	for _, p := range news {
-		i := slices.IndexFunc(m, func(x invalidation.Mark) bool { return x.Origin == p.Origin })
+		i := slices.IndexFunc(m, func(x invalidation.Watermark) bool { return x.Origin == p.Origin })
 		switch {
-		case i >= 0 && m[i].N+1 == p.N:
-			m[i].N++
-		case i < 0 && p.N == 1:
-			m = append(m, invalidation.Mark{Origin: p.Origin, N: 1})
-			invalidation.Sort(m)
+		case i >= 0 && m[i].Number+1 == p.Number:
+			m[i].Number++
+		case i < 0 && p.Number == 1:
+			m = append(m, invalidation.Watermark{Origin: p.Origin, Number: 1})
+			invalidation.SortWatermarks(m)
 		}
 	}
 	return m
 }
 
-func (t *purgeTask) gather(k topology.Keeper) *invalidation.Gather {
+func (t *purgeTask) gather(k topology.Owner) *invalidation.AckCollector {
 	g := t.gathers[k.Site]
 	if g == nil {
-		g = invalidation.NewGather(k.Site)
-		g.Without(invalidation.Rule(without))
+		g = invalidation.NewAckCollector(k.Site)
+		g.Disable(invalidation.Mutation(without))
 		t.gathers[k.Site] = g
 	}
 	return g
 }
 
-func (t *purgeTask) up(r topology.Role, k topology.Keeper, sum invalidation.Summary, now Micros) {
-	u := purgeUp{Marks: t.book.Marks(), Summary: sum, Synced: t.x.open.Load()}
-	u.News, u.Gone = t.book.Lacks(t.above[k.Number], now)
+func (t *purgeTask) up(r topology.Role, k topology.Owner, sum invalidation.Summary, now Micros) {
+	u := purgeUp{Marks: t.book.Received(), Summary: sum, Synced: t.x.open.Load()}
+	u.News, u.Gone = t.book.MissingFrom(t.above[k.Number], now)
 	if len(u.News) > 0 {
 		t.above[k.Number] = with(t.above[k.Number], u.News)
 	}
@@ -382,13 +382,13 @@
 }
 
 // completed writes which purges have become complete.
-func (t *purgeTask) completed(before invalidation.Marks) {
+func (t *purgeTask) completed(before invalidation.Watermarks) {
 	if !t.x.history.on() {
 		return
 	}
-	for _, m := range t.book.Whole() {
-		for n := before.Of(m.Origin) + 1; n <= m.N; n++ {
-			p := invalidation.Purge{Origin: m.Origin, N: n}
+	for _, m := range t.book.Completed() {
+		for n := before.Of(m.Origin) + 1; n <= m.Number; n++ {
+			p := invalidation.Purge{Origin: m.Origin, Number: n}
 			t.x.history.write("complete", map[string]any{"purge": p.ID()})
 		}
 	}
@@ -442,25 +442,25 @@
 
 func (t *purgeTask) came(s *Standing, e Envelope, now Micros) {
 	x := tie{e.Role, e.Keeper}
-	before := t.book.Whole()
+	before := t.book.Completed()
 	if e.Up {
 		var u purgeUp
 		if decoder.Unmarshal(e.Body, &u) != nil {
 			return
 		}
-		k := s.View.Keeper(e.Site)
-		t.book.Told(u.News, now)
-		t.book.Gone(u.Gone, now)
+		k := s.View.Owner(e.Site)
+		t.book.Receive(u.News, now)
+		t.book.HandleForgotten(u.Gone, now)
 		t.has[x], t.synced[x] = u.Marks, u.Synced
-		t.gather(*k).Heard(e.Role, e.Seq, u.Summary, now)
+		t.gather(*k).Record(e.Role, e.Seq, u.Summary, now)
 		for _, a := range u.Asks[:min(len(u.Asks), mostAsks)] {
 			if sc, err := invalidation.ParseScope(a.Scope.Kind.String(), a.Scope.Name); err == nil {
-				t.book.Ask(invalidation.Origin{Site: k.Site, Keeper: k.Number}, sc, a.Asked, a.Why, now)
+				t.book.Submit(invalidation.Origin{Site: k.Site, Owner: k.Number}, sc, a.Asked, a.Why, now)
 			}
 		}
 		t.obey()
 		t.syncedBy(s, u.Marks, u.Synced, now)
-		if _, gone := t.book.Lacks(u.Marks, now); len(gone) > 0 || !t.book.Marks().Same(u.Marks) {
+		if _, gone := t.book.MissingFrom(u.Marks, now); len(gone) > 0 || !t.book.Received().Equal(u.Marks) {
 			t.dirty = true
 		}
 		return
@@ -469,14 +469,14 @@
 	if decoder.Unmarshal(e.Body, &d) != nil {
 		return
 	}
-	t.book.Told(d.News, now)
-	t.book.Gone(d.Gone, now)
+	t.book.Receive(d.News, now)
+	t.book.HandleForgotten(d.Gone, now)
 	t.above[e.Keeper] = d.Marks
 	if len(t.above) > 64 {
 		clear(t.above)
 	}
 	t.obey()
-	t.book.Complete(d.Whole)
+	t.book.MarkComplete(d.Whole)
 	t.completed(before)
 	t.syncedBy(s, d.Marks, d.Synced, now)
 	if len(d.News) > 0 {
@@ -486,13 +486,13 @@
 
 // syncedBy opens the front once all is here that one has who serves already. Every
 // purge that is complete is among that.
-func (t *purgeTask) syncedBy(s *Standing, marks invalidation.Marks, serves bool, now Micros) {
-	if t.x.open.Load() || t.opened || !serves || !s.View.In {
+func (t *purgeTask) syncedBy(s *Standing, marks invalidation.Watermarks, serves bool, now Micros) {
+	if t.x.open.Load() || t.opened || !serves || !s.View.Registered {
 		return
 	}
-	have := t.book.Marks()
+	have := t.book.Received()
 	for _, m := range marks {
-		if have.Of(m.Origin) < m.N {
+		if have.Of(m.Origin) < m.Number {
 			return
 		}
 	}
--- a/internal/exchange/tell.go
+++ b/internal/exchange/tell.go
@@ -12,8 +12,8 @@
 		return
 	}
 	at := Mono()
-	from, number, amount := b.Part()
-	x.history.writeAt(at, "take", map[string]any{"limit": b.Key.Limit, "who": b.Key.Who, "ok": ok, "site": from.Site, "keeper": from.Keeper, "part": number, "amount": amount})
+	from, number, amount := b.Allocation()
+	x.history.writeAt(at, "take", map[string]any{"limit": b.Key.Limit, "who": b.Key.Who, "ok": ok, "site": from.Site, "keeper": from.Owner, "part": number, "amount": amount})
 }
 
 // TreeTold is what a front tells of the tree.
@@ -53,22 +53,22 @@
 	if s == nil {
 		return t
 	}
-	for _, k := range s.View.Keepers {
+	for _, k := range s.View.Owners {
 		t.Sites = append(t.Sites, SiteTold{"/" + k.Site, k.Name, k.Number})
 	}
 	links, now := x.links.Load(), x.cfg.Now()
 	for _, r := range append(roles(s.View), topology.Role{}) {
 		told := RoleTold{Role: roleName(r)}
 		if r == (topology.Role{}) {
-			k := s.View.Keeper(topology.Root)
+			k := s.View.Owner(topology.Root)
 			if k == nil || !k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start) {
 				continue
 			}
 			told.Role = "root"
-			r = topology.Of(*k)
+			r = topology.SiteRole(*k)
 		} else if k, ok := links.up[r]; ok {
 			told.To, told.Site = k.Name, "/"+k.Site
-			for _, a := range s.View.Above(r) {
+			for _, a := range s.View.OwnersAbove(r) {
 				if a.Number == k.Number {
 					break
 				}
@@ -76,7 +76,7 @@
 			}
 		}
 		if r.Front == "" {
-			for _, c := range links.below(topology.Keeper{Number: r.Keeper}, now, x.spans().Over) {
+			for _, c := range links.below(topology.Owner{Number: r.Owner}, now, x.spans().FailoverAfter) {
 				told.Below = append(told.Below, roleName(c))
 			}
 		}
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -11,17 +11,17 @@
 // Witness is what sees boxes, clients and its own hub, on the loop.
 type Witness interface {
 	// Opinions are this front's own, and how many boxes each hub has.
-	Opinions(front, site string) (list []outlier.Opinion, boxes map[string]int)
+	Opinions(front, site string) (list []outlier.Observation, boxes map[string]int)
 	// Judged takes the verdicts that hold now.
-	Judged(list []outlier.Held)
+	Judged(list []outlier.HeldVerdict)
 }
 
 // verdictsUp is what a role says, and verdictsDown what it is told.
 type (
 	verdictsUp struct {
-		Stamp Micros            `cbor:"1,keyasint"`
-		List  []outlier.Opinion `cbor:"2,keyasint,omitempty"`
-		Boxes map[string]int    `cbor:"3,keyasint,omitempty"`
+		Stamp Micros                `cbor:"1,keyasint"`
+		List  []outlier.Observation `cbor:"2,keyasint,omitempty"`
+		Boxes map[string]int        `cbor:"3,keyasint,omitempty"`
 	}
 	verdictsDown struct {
 		Stamp Micros            `cbor:"1,keyasint"`
@@ -32,7 +32,7 @@
 // Messages to the task, beside envelopes.
 type (
 	opinions struct {
-		list  []outlier.Opinion
+		list  []outlier.Observation
 		boxes map[string]int
 	}
 	verdictsAsk struct{ answer func(any) }
@@ -45,10 +45,10 @@
 	teller
 	rules  outlier.Rules
 	own    opinions
-	said   map[string]*topology.Said[verdictsUp] // by site
+	said   map[string]*topology.Reports[verdictsUp] // by site
 	stamps map[tie]Micros
-	docket map[topology.Role]*outlier.Docket
-	bench  *outlier.Bench
+	docket map[topology.Role]*outlier.VerdictCache
+	bench  *outlier.Evaluator
 	root   uint64
 	rounds int
 }
@@ -58,8 +58,8 @@
 
 func (x *Exchange) newVerdicts() func(context.Context) body {
 	return func(ctx context.Context) body {
-		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*topology.Said[verdictsUp]{}, stamps: map[tie]Micros{},
-			docket: map[topology.Role]*outlier.Docket{}}
+		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*topology.Reports[verdictsUp]{}, stamps: map[tie]Micros{},
+			docket: map[topology.Role]*outlier.VerdictCache{}}
 	}
 }
 
@@ -78,22 +78,22 @@
 // tell merges what is said below, sends it up, and tells verdicts down.
 func (t *verdictTask) tell(s *Standing, now Micros) {
 	links := t.x.links.Load()
-	own := s.View.Own()
+	own := s.View.SelfRole()
 	t.up(Verdicts, own, verdictsUp{now, t.own.list, t.own.boxes})
-	keeps := s.View.Keeps()
+	keeps := s.View.OwnedBySelf()
 	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k topology.Keeper) bool { return k.Site == site }) {
+		if !slices.ContainsFunc(keeps, func(k topology.Owner) bool { return k.Site == site }) {
 			delete(t.said, site)
 		}
 	}
 	for _, k := range keeps {
-		var lists [][]outlier.Opinion
+		var lists [][]outlier.Observation
 		boxes := map[string]int{}
 		if said := t.said[k.Site]; said != nil {
-			for _, u := range said.All(now, t.x.spans().Over) {
+			for _, u := range said.All(now, t.x.spans().FailoverAfter) {
 				lists = append(lists, u.List)
 				for hub, n := range u.Boxes {
-					if len(boxes) < outlier.MostThings {
+					if len(boxes) < outlier.MaxSubjects {
 						boxes[hub] = max(boxes[hub], min(n, 1<<16))
 					}
 				}
@@ -103,20 +103,20 @@
 		var list []outlier.Verdict
 		if k.Site == topology.Root {
 			if t.bench == nil || t.root != k.Number {
-				t.bench, t.root = outlier.NewBench(t.rules, k.Number), k.Number
-				t.bench.Without(outlier.Rule(without))
+				t.bench, t.root = outlier.NewEvaluator(t.rules, k.Number), k.Number
+				t.bench.Disable(outlier.Mutation(without))
 			}
 			list = t.bench.Step(merged, boxes, now)
 			if !s.May(now) { // another one may judge by now
 				list = nil
 			}
 		} else {
-			t.up(Verdicts, topology.Of(k), verdictsUp{now, merged, boxes})
-			if d := t.docket[topology.Of(k)]; d != nil {
-				list = d.Hold(now)
+			t.up(Verdicts, topology.SiteRole(k), verdictsUp{now, merged, boxes})
+			if d := t.docket[topology.SiteRole(k)]; d != nil {
+				list = d.Active(now)
 			}
 		}
-		for _, r := range links.below(k, now, t.x.spans().Over) {
+		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
 			if stamp := t.stamps[tie{r, k.Number}]; stamp != 0 {
 				t.down(Verdicts, r, k, verdictsDown{stamp, list})
 			}
@@ -149,12 +149,12 @@
 			if m.Role.Front != "" { // it speaks for itself alone, whatever it says
 				for i := range u.List {
 					u.List[i].Count = 1
-					u.List[i].Named = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(u.List[i])}}
-					u.List[i].Rate = min(u.List[i].Rate, t.rules.Forged/float64(t.rules.Witnesses)*2)
+					u.List[i].Witnesses = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(u.List[i])}}
+					u.List[i].Rate = min(u.List[i].Rate, t.rules.ForgedRate/float64(t.rules.Witnesses)*2)
 				}
 			}
 			if t.said[m.Site] == nil {
-				t.said[m.Site] = &topology.Said[verdictsUp]{}
+				t.said[m.Site] = &topology.Reports[verdictsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
 			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
@@ -165,13 +165,13 @@
 			return
 		}
 		if t.docket[m.Role] == nil {
-			t.docket[m.Role] = &outlier.Docket{}
+			t.docket[m.Role] = &outlier.VerdictCache{}
 		}
-		t.docket[m.Role].Told(d.List, d.Stamp, t.rules.Longest())
-		if m.Role == s.View.Own() {
-			var held []outlier.Held
-			for _, v := range t.docket[m.Role].Hold(now) {
-				held = append(held, outlier.Held{Verdict: v, Until: now + v.Left})
+		t.docket[m.Role].Update(d.List, d.Stamp, t.rules.MaxSpan())
+		if m.Role == s.View.SelfRole() {
+			var held []outlier.HeldVerdict
+			for _, v := range t.docket[m.Role].Active(now) {
+				held = append(held, outlier.HeldVerdict{Verdict: v, Until: now + v.Remaining})
 			}
 			x := t.x
 			x.cfg.Loop.Post(func() { x.cfg.Witness.Judged(held) })
@@ -184,11 +184,11 @@
 	}
 }
 
-func evidence(o outlier.Opinion) float64 {
-	if len(o.Named) == 0 {
+func evidence(o outlier.Observation) float64 {
+	if len(o.Witnesses) == 0 {
 		return 0
 	}
-	return min(max(0, o.Named[0].Evidence), 1e6)
+	return min(max(0, o.Witnesses[0].Evidence), 1e6)
 }
 
 // VerdictTold is one verdict, or an opinion of this front's own, for a person.
@@ -214,13 +214,13 @@
 
 func (t *verdictTask) tells(s *Standing, now Micros) VerdictsTold {
 	out := VerdictsTold{Front: s.View.Self.Name}
-	if d := t.docket[s.View.Own()]; d != nil {
-		for _, v := range d.Hold(now) {
-			out.Holds = append(out.Holds, VerdictTold{v.Thing, v.State.String(), v.Number, v.Named, v.Count, v.Sites, v.Possible, float64(v.Left) / 1e6, float64(v.Span) / 1e6, v.Factor})
+	if d := t.docket[s.View.SelfRole()]; d != nil {
+		for _, v := range d.Active(now) {
+			out.Holds = append(out.Holds, VerdictTold{v.Subject, v.State.String(), v.Number, v.Witnesses, v.Count, v.Sites, v.PossibleSites, float64(v.Remaining) / 1e6, float64(v.Span) / 1e6, v.Factor})
 		}
 	}
 	for _, o := range t.own.list {
-		out.Own = append(out.Own, VerdictTold{Thing: o.Thing, State: o.State.String(), Witnesses: o.Named, Count: o.Count})
+		out.Own = append(out.Own, VerdictTold{Thing: o.Subject, State: o.State.String(), Witnesses: o.Witnesses, Count: o.Count})
 	}
 	return out
 }
@@ -233,15 +233,15 @@
 // Acted notes for the laboratory that this front acts on a verdict, or does so no more.
 // Boxes is how many its hub has, and ready how many of them are left. It is called on the
 // loop.
-func (x *Exchange) Acted(v outlier.Held, on bool, boxes, ready int) {
+func (x *Exchange) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
 	if !x.history.on() {
 		return
 	}
 	var names []string
-	for _, w := range v.Named {
+	for _, w := range v.Witnesses {
 		names = append(names, w.Front)
 	}
 	left := v.Until - x.cfg.Now()
-	x.history.write("verdict", map[string]any{"box": v.Thing, "state": v.State.String(), "ok": on, "witnesses": names, "sites": v.Sites, "possible": v.Possible,
+	x.history.write("verdict", map[string]any{"box": v.Subject, "state": v.State.String(), "ok": on, "witnesses": names, "sites": v.Sites, "possible": v.PossibleSites,
 		"age_ms": float64(v.Span-left) / 1000, "bound_ms": float64(v.Span) / 1000, "hub": v.Hub, "boxes": boxes, "ready": ready})
 }
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -70,14 +70,14 @@
 	c := &f.changed
 	if at := f.node.Applied(); c.view == nil || at != c.tree {
 		c.tree = at
-		v := &topology.View{Index: at, Fleet: s.Fleet, Keepers: append([]topology.Keeper(nil), s.Topology.Keepers...),
+		v := &topology.View{Index: at, FleetID: s.Fleet, Owners: append([]topology.Owner(nil), s.Topology.Owners...),
 			Self: topology.Front{Name: f.cfg.Name, Site: f.cfg.Zone, ID: f.node.ID(), Start: f.cfg.Start}}
 		v.Fronts = r.TopologyFronts(r.Fleet())
 		sum := fnv.New64a()
 		for i, x := range v.Fronts {
 			v.Fronts[i].Address = s.Members.Fronts[i].Address
-			if x.Name == f.cfg.Name && x.ID == v.Self.ID && x.Start == v.Self.Start && x.Keep > 0 {
-				v.In = true
+			if x.Name == f.cfg.Name && x.ID == v.Self.ID && x.Start == v.Self.Start && x.OwnerLease > 0 {
+				v.Registered = true
 			}
 			_, _ = sum.Write([]byte(x.Name + "\x00" + x.Site + "\x00"))
 			_, _ = sum.Write(num(x.ID, x.Start))
@@ -116,7 +116,7 @@
 }
 
 // Acted is part of program.ExchangePart.
-func (f *Fleet) Acted(v outlier.Held, on bool, boxes, ready int) {
+func (f *Fleet) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
 	if f.ex != nil {
 		f.ex.Acted(v, on, boxes, ready)
 	}
@@ -190,7 +190,9 @@
 				fail(err)
 				return
 			}
-			f.ex.AskPurge(scope, a.Asked, a.Why, func(p invalidation.Purge, err error) { answer(map[string]string{"id": p.ID(), "asked": p.Asked}, err) })
+			f.ex.AskPurge(scope, a.Asked, a.Why, func(p invalidation.Purge, err error) {
+				answer(map[string]string{"id": p.ID(), "asked": p.RequestKey}, err)
+			})
 		case "LIST":
 			f.ex.LookPurges("", answer)
 		case "WHY":
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -261,7 +261,7 @@
 	}
 	if away, refusal := f.rates.Take(claims, now); refusal != "" {
 		status = 429
-		if refusal == ratelimit.NoRoom {
+		if refusal == ratelimit.RatesTableFull {
 			status = 503
 		}
 		return away, status, string(refusal)
@@ -276,14 +276,14 @@
 	}
 	if u := f.policy.Uses[g.Profile.Name]; u.Most > 0 {
 		v.use = g.Digest()
-		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, Until: now + g.Ends() - f.wall(), Most: u.Most,
-			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), Retry: u.Retry}, now)
+		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.Ends() - f.wall(), MaxUses: u.Most,
+			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), RetryWindow: u.Retry}, now)
 		switch refusal {
 		case "":
 			v.used = true
-		case ratelimit.UsedUp:
+		case ratelimit.TokenUsedUp:
 			status = 403
-		case ratelimit.UsesFull:
+		case ratelimit.UsesTableFull:
 			status = 503
 		default:
 			status = 429
@@ -299,7 +299,7 @@
 // release gives back what a visit took.
 func (f *Front) release(v *visit, harmless bool) {
 	if v.claims != nil {
-		f.rates.Done(v.claims)
+		f.rates.Release(v.claims)
 		v.claims = nil
 	}
 	if v.shared != nil {
@@ -307,7 +307,7 @@
 		v.shared = nil
 	}
 	if v.used {
-		f.uses.Done(v.use, harmless)
+		f.uses.Release(v.use, harmless)
 		v.used = false
 	}
 }
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -21,7 +21,7 @@
 	NewName()
 	// Acted tells that this front acts on a verdict, or does so no more; boxes is how many
 	// its hub has, ready how many of them are left.
-	Acted(v outlier.Held, on bool, boxes, ready int)
+	Acted(v outlier.HeldVerdict, on bool, boxes, ready int)
 }
 
 // began is when this process did, for clocks that only go forward.
@@ -34,15 +34,15 @@
 // purges. It belongs to the loop.
 type shared struct {
 	p      *program
-	purse  *quotalease.Purse
+	purse  *quotalease.Limiter
 	index  *invalidation.Index
 	part   ExchangePart
 	limits bool
 
 	seen   *outlier.Observer // nil: off
 	rules  outlier.Rules
-	holds  map[string]outlier.Held // failing boxes, by name
-	others []outlier.Held
+	holds  map[string]outlier.HeldVerdict // failing boxes, by name
+	others []outlier.HeldVerdict
 	acts   map[string]bool
 	watch  bool // verdicts are told and not acted on
 	draws  *rand.Rand
@@ -68,14 +68,14 @@
 	if x.Purges != nil {
 		most = x.Purges.Most
 	}
-	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]outlier.Held{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewPurse(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
+	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]outlier.HeldVerdict{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewLimiter(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
 	s.sees(x)
 	return s
 }
 
 func (s *shared) renew(x *config.Exchange) {
 	rules, list := x.Allowances()
-	s.purse.Renew(rules, list, mono())
+	s.purse.Reconfigure(rules, list, mono())
 	s.limits = len(list) > 0
 	if r, ok := s.part.(interface{ RenewExchange(*config.Exchange) }); ok {
 		r.RenewExchange(x)
@@ -113,7 +113,7 @@
 }
 
 func (s *shared) fresh() {
-	if s.purse.Fresh() && s.part != nil {
+	if s.purse.TakeNewNames() && s.part != nil {
 		s.part.NewName()
 	}
 }
@@ -121,29 +121,33 @@
 // Done is part of signed.Shared.
 func (s *shared) Done(taken []*quotalease.Bucket) {
 	for _, b := range taken {
-		b.Done()
+		b.Release()
 	}
 }
 
 // PurgedUntil is part of gateway.FleetPolicy.
 func (s *shared) PurgedUntil(object string, group int) (at gateway.Micros, ok bool) {
-	return s.index.Since(object, group)
+	return s.index.ValidAfter(object, group)
 }
 
 // TagPurgedUntil is part of gateway.FleetPolicy.
-func (s *shared) TagPurgedUntil(tag string) (at gateway.Micros, ok bool) { return s.index.Tagged(tag) }
+func (s *shared) TagPurgedUntil(tag string) (at gateway.Micros, ok bool) {
+	return s.index.TagValidAfter(tag)
+}
 
 // Mono is the clock by which the fleet's part leases what is shared.
 func (h fleetHost) Mono() int64 { return mono() }
 
 // Give is part of exchange.Limiter.
-func (h fleetHost) Give(g quotalease.Grant, newest uint64) { h.p.shared.purse.Give(g, newest, mono()) }
+func (h fleetHost) Give(g quotalease.Grant, newest uint64) {
+	h.p.shared.purse.ApplyGrant(g, newest, mono())
+}
 
 // Tell is part of exchange.Limiter.
-func (h fleetHost) Tell() []quotalease.Say { return h.p.shared.purse.Tell(mono()) }
+func (h fleetHost) Tell() []quotalease.BucketReport { return h.p.shared.purse.Report(mono()) }
 
 // Fronts is part of exchange.Limiter.
-func (h fleetHost) Fronts(n int) { h.p.shared.purse.Fronts(n) }
+func (h fleetHost) Fronts(n int) { h.p.shared.purse.SetFronts(n) }
 
 // Obey is part of exchange.Obeyer.
 func (h fleetHost) Obey(s invalidation.Scope, age int64) { h.p.shared.obey(s, age) }
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -48,14 +48,14 @@
 	switch code {
 	case rules.OK, rules.Miss:
 		if s.seen != nil {
-			s.seen.Answered(a.Server.Name, zone+"/"+kind, true, took, mono())
+			s.seen.RecordAnswer(a.Server.Name, zone+"/"+kind, true, took, mono())
 		}
 		if s.paths && code == rules.OK && len(s.samples) < mostSamples {
 			s.samples = append(s.samples, sample{s.region(a.Call.Peer), zone, took})
 		}
 	case rules.ServerError, rules.Timeout, rules.Reset, rules.ConnectionBroken, rules.ConnectFailed:
 		if s.seen != nil {
-			s.seen.Answered(a.Server.Name, zone+"/"+kind, false, took, mono())
+			s.seen.RecordAnswer(a.Server.Name, zone+"/"+kind, false, took, mono())
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // answered notes how a request of this front's clients was ended.
 func (s *shared) answered(o counters.Outcome) {
 	if s.seen != nil {
-		s.seen.Ended(o == counters.Dropped, mono())
+		s.seen.RecordRequest(o == counters.Dropped, mono())
 	}
 }
 
@@ -85,8 +85,8 @@
 	}
 	now := mono()
 	for _, h := range s.others {
-		if h.State == outlier.Overloaded && h.Thing == s.branch && now < h.Until {
-			return s.rules.StayAway(base, h.Factor, s.draws.Float64(), s.p.cfg.Settings.MaxAway)
+		if h.State == outlier.Overloaded && h.Subject == s.branch && now < h.Until {
+			return s.rules.RetryAfter(base, h.Factor, s.draws.Float64(), s.p.cfg.Settings.MaxAway)
 		}
 	}
 	return base
@@ -95,7 +95,7 @@
 // Forged is part of signed.Shared.
 func (s *shared) Forged(p netip.Prefix) {
 	if s.seen != nil {
-		s.seen.Forged(p.String(), mono())
+		s.seen.RecordForged(p.String(), mono())
 	}
 }
 
@@ -103,7 +103,7 @@
 func (s *shared) Suspect(p netip.Prefix) bool {
 	now := mono()
 	for _, h := range s.others {
-		if h.State == outlier.Forges && now < h.Until && h.Thing == p.String() && !s.watch {
+		if h.State == outlier.Forging && now < h.Until && h.Subject == p.String() && !s.watch {
 			return true
 		}
 	}
@@ -111,12 +111,12 @@
 }
 
 // judged takes the verdicts that hold now.
-func (s *shared) judged(list []outlier.Held) {
+func (s *shared) judged(list []outlier.HeldVerdict) {
 	clear(s.holds)
 	s.others = s.others[:0]
 	for _, h := range list {
 		if h.State == outlier.Failing {
-			s.holds[h.Thing] = h
+			s.holds[h.Subject] = h
 		} else {
 			s.others = append(s.others, h)
 		}
@@ -137,7 +137,7 @@
 	var add []string
 	hubs := map[string]int{}
 	for name, h := range s.holds {
-		state, fresh := s.seen.Of(name, now)
+		state, fresh := s.seen.State(name, now)
 		if s.watch || now+lookEvery >= h.Until || fresh && state != outlier.Failing {
 			continue
 		}
@@ -190,16 +190,16 @@
 }
 
 // Opinions is part of exchange.Witness.
-func (h fleetHost) Opinions(front, site string) (list []outlier.Opinion, boxes map[string]int) {
+func (h fleetHost) Opinions(front, site string) (list []outlier.Observation, boxes map[string]int) {
 	s := h.p.shared
 	if s.seen == nil {
 		return nil, nil
 	}
-	return s.seen.Opinions(front, site, mono()), h.p.bars.CountByZoneAndKind()
+	return s.seen.Observations(front, site, mono()), h.p.bars.CountByZoneAndKind()
 }
 
 // Judged is part of exchange.Witness.
-func (h fleetHost) Judged(list []outlier.Held) { h.p.shared.judged(list) }
+func (h fleetHost) Judged(list []outlier.HeldVerdict) { h.p.shared.judged(list) }
 
 // Sights gives what attempts took since it was last asked.
 func (h fleetHost) Sights(each func(region, edge string, took int64)) {
