--- a/cmd/cherryramp-fleet/calls.go
+++ b/cmd/cherryramp-fleet/calls.go
@@ -135,21 +135,21 @@
 			row("fed by", "%s", s.Feeder)
 		}
 		row("feeds", "%d fronts", s.Feeds)
-		row("fronts", "%d; lost: %s; away: %s; in trouble: %s", s.Fronts, list(s.Lost), list(s.Away), list(s.Hurt))
+		row("fronts", "%d; lost: %s; away: %s; in trouble: %s", s.Fronts, list(s.Lost), list(s.NotServing), list(s.Unhealthy))
 		row("voters", "%s", list(s.Voters))
-		if len(s.Older) > 0 {
-			row("version", "%d, until these run a newer build: %s", s.Version, list(s.Older))
+		if len(s.OutdatedFronts) > 0 {
+			row("version", "%d, until these run a newer build: %s", s.Version, list(s.OutdatedFronts))
 		}
 		switch {
-		case s.Bears < 0:
+		case s.TolerableLosses < 0:
 			row("can bear", "no majority of the voters is heard: no permits until one is back")
-		case s.Bears == 0:
+		case s.TolerableLosses == 0:
 			row("can bear", "no further loss of a voter")
 		default:
-			row("can bear", "%d further losses of voters", s.Bears)
+			row("can bear", "%d further losses of voters", s.TolerableLosses)
 		}
-		row("acts on", "version %d", s.Acts)
-		if !s.May {
+		row("acts on", "version %d", s.ActiveVersion)
+		if !s.MayAct {
 			row("may not act", "its lease is over, or its version is too old: requests are refused")
 		}
 		if s.AloneS > 0 {
@@ -159,8 +159,8 @@
 		if s.Hold != "" {
 			row("held", "%s", s.Hold)
 		}
-		if s.Waits != "" {
-			row("waits", "%s", s.Waits)
+		if s.WaitsFor != "" {
+			row("waits", "%s", s.WaitsFor)
 		}
 	})
 }
@@ -198,7 +198,7 @@
 	return c.show("MEMBERS", &list, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "FRONT\tZONE\tMACHINE\tADDRESS\tSEAT\tSTATE\tFOR\tBUILD\tINCARNATION")
 		for _, m := range list {
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%s\t%s\n", m.Name, m.Zone, m.Machine, m.Address, m.Seat, m.State, m.For, m.Build,
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%s\t%s\n", m.Name, m.Zone, m.Machine, m.Address, m.Seat, m.State, m.StateS, m.Build,
 				m.Incarnation)
 		}
 	})
@@ -237,7 +237,7 @@
 }
 
 func (c *fleetCalls) table(call string) error {
-	var list []fleet.Work
+	var list []fleet.Operation
 	return c.show("WORK "+call, &list, func(w io.Writer) {
 		if len(list) == 0 {
 			_, _ = fmt.Fprintln(w, "no work")
@@ -245,9 +245,9 @@
 		}
 		_, _ = fmt.Fprintln(w, "WORK\tMACHINE\tKIND\tPHASE\tPLACE\tPERMIT\tFOR\tWAITS FOR\tREASON")
 		for _, x := range list {
-			place, permit, waits := "", "", x.Waits
-			if x.Place > 0 {
-				place = strconv.Itoa(x.Place)
+			place, permit, waits := "", "", x.WaitsFor
+			if x.Position > 0 {
+				place = strconv.Itoa(x.Position)
 			}
 			if x.Permit > 0 {
 				permit = strconv.FormatUint(x.Permit, 10)
@@ -255,13 +255,13 @@
 			if waits == "" {
 				waits = x.Note
 			}
-			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%s\t%s\n", x.ID, x.Machine, x.Kind, x.Phase, place, permit, x.For, waits, x.Why)
+			_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%.0f s\t%s\t%s\n", x.ID, x.Machine, x.Kind, x.Phase, place, permit, x.PhaseS, waits, x.Reason)
 		}
 	})
 }
 
 func (c *fleetCalls) askCommand() *cobra.Command {
-	var a fleet.Ask
+	var a fleet.OperationRequest
 	var span, latest, within time.Duration
 	var wait bool
 	var until string
@@ -273,7 +273,7 @@
 			switch until {
 			case "done":
 			case "restart":
-				a.Restart = true
+				a.EndsOnRestart = true
 			default:
 				return badCall{fmt.Errorf("--until: %q is not done or restart", until)}
 			}
@@ -293,12 +293,12 @@
 	f.StringVar(&until, "until", "done", "when it is back: once a person says done, or after a restart of its process")
 	f.BoolVar(&a.Box, "box", false, "the machine is a cache box that all fronts are to leave")
 	f.StringVar(&a.Zone, "zone", "", "of a box")
-	f.StringVar(&a.Why, "why", "", "the reason, for others to read")
+	f.StringVar(&a.Reason, "why", "", "the reason, for others to read")
 	f.IntVar(&a.Importance, "importance", 0, "the more important goes first; waiting counts too")
-	f.StringSliceVar(&a.Apart, "apart", nil, "machines that must not be out at the same time")
-	f.BoolVar(&a.ZoneWise, "zone-wise", false, "only while nothing of another zone is out")
+	f.StringSliceVar(&a.ConflictsWith, "apart", nil, "machines that must not be out at the same time")
+	f.BoolVar(&a.SingleZone, "zone-wise", false, "only while nothing of another zone is out")
 	f.BoolVar(&a.Urgent, "urgent", false, "goes before all that is not, also while the fleet is hurt")
-	f.StringVar(&a.By, "by", os.Getenv("USER"), "who asks")
+	f.StringVar(&a.RequestedBy, "by", os.Getenv("USER"), "who asks")
 	f.BoolVar(&wait, "wait", false, "wait until the machine is out, and tell what is waited for")
 	f.DurationVar(&within, "within", time.Hour, "how long to wait")
 	return cmd
@@ -309,7 +309,7 @@
 func (c *fleetCalls) wait(id uint64, within time.Duration) error {
 	told := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(askAgain) {
-		var list []fleet.Work
+		var list []fleet.Operation
 		if _, err := c.call("WORK LIST", &list); err != nil {
 			if told != err.Error() { // another front, or this one later, may know
 				told = err.Error()
@@ -322,8 +322,8 @@
 				continue
 			}
 			line := x.Phase
-			if x.Waits != "" {
-				line += ": " + x.Waits
+			if x.WaitsFor != "" {
+				line += ": " + x.WaitsFor
 			} else if x.Note != "" {
 				line += ": " + x.Note
 			}
--- a/cmd/cherryramp-fleet/exchange.go
+++ b/cmd/cherryramp-fleet/exchange.go
@@ -96,7 +96,7 @@
 }
 
 func (c *fleetCalls) purgeAskCommand() *cobra.Command {
-	var a fleet.AskedPurge
+	var a fleet.PurgeRequest
 	var wait bool
 	var within time.Duration
 	cmd := &cobra.Command{Use: "ask KIND [NAME]", Short: "Purge an object, group, prefix, tag, or all", Args: cobra.RangeArgs(1, 2),
@@ -129,7 +129,7 @@
 		}}
 	f := cmd.Flags()
 	f.StringVar(&a.Asked, "as", "", "name of the asking; a random one by default")
-	f.StringVar(&a.Why, "why", "", "the reason, for others to read")
+	f.StringVar(&a.Reason, "why", "", "the reason, for others to read")
 	f.BoolVar(&wait, "wait", false, "wait until it is complete, and tell who holds it up")
 	f.DurationVar(&within, "within", time.Minute, "how long to wait")
 	return cmd
--- a/cmd/cherryramp-fleet/main.go
+++ b/cmd/cherryramp-fleet/main.go
@@ -75,8 +75,8 @@
 		keep = int64(shared.KeepS * 1e6)
 	}
 	return fleet.Start(fleet.Config{Config: consensus.Config{Fleet: c.Name, Name: front, Zone: c.Zone, Machine: cmp.Or(c.Machine, front),
-		Address: c.Address, Build: revision(), First: first, Rules: c.Rules.Work(), Tick: int64(c.TickMS) * 1000, Lost: int64(c.LostMS) * 1000,
-		Grace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, Snapshot: uint64(c.Log), Keep: keep}, Shared: shared, Listen: c.Listen, Folder: c.Folder, Reach: c.Reach,
+		Address: c.Address, Build: revision(), FirstMembers: first, Rules: c.Rules.Work(), Tick: int64(c.TickMS) * 1000, LostAfter: int64(c.LostMS) * 1000,
+		SeatGrace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, SnapshotEntries: uint64(c.Log), OwnerLease: keep}, Exchange: shared, Listen: c.Listen, Folder: c.Folder, Reach: c.Reach,
 		Keys: peers.Files{Certificate: k.Certificate, Key: k.Key, Authorities: k.Authorities, Names: k.Names, Revoked: k.Revoked}}, l, host, log)
 }
 
--- a/cmd/cherryramp-fleet/versions.go
+++ b/cmd/cherryramp-fleet/versions.go
@@ -35,7 +35,7 @@
 }
 
 func (c *fleetCalls) proposeCommand() *cobra.Command {
-	var p fleet.Propose
+	var p fleet.Proposal
 	var bar, watch, within time.Duration
 	var base int64
 	var wait bool
@@ -51,7 +51,7 @@
 			if _, err := config.ParseVersion(data); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			p.BarS, p.WatchS = bar.Seconds(), watch.Seconds()
+			p.GateS, p.WatchS = bar.Seconds(), watch.Seconds()
 			p.Upload = fmt.Sprintf("%d-%d", os.Getpid(), time.Now().UnixNano())
 			if base >= 0 {
 				n := uint64(base)
@@ -75,8 +75,8 @@
 			return c.follow(word["version"], within)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&p.Why, "why", "", "the reason, for others to read")
-	f.StringVar(&p.By, "by", os.Getenv("USER"), "who proposes")
+	f.StringVar(&p.Reason, "why", "", "the reason, for others to read")
+	f.StringVar(&p.ProposedBy, "by", os.Getenv("USER"), "who proposes")
 	f.BoolVar(&p.Urgent, "urgent", false, "to all at once, unwatched: a revocation, a purge")
 	f.DurationVar(&bar, "bar", 0, "after it stands for so long nobody may act on older ones; needs leases (rules alone_s)")
 	f.DurationVar(&watch, "watch", 10*time.Second, "for which each step is watched")
@@ -101,9 +101,9 @@
 			if v.N != n {
 				continue
 			}
-			line = v.Waits
+			line = v.WaitsFor
 			switch {
-			case v.Phase == "standing" && (v.BarS == 0 || v.Passed), v.Phase == "replaced":
+			case v.Phase == "standing" && (v.GateS == 0 || v.GatePassed), v.Phase == "replaced":
 				_, _ = fmt.Fprintln(os.Stderr, line)
 				return nil
 			case v.Phase == "turned down" || v.Phase == "rolled back":
@@ -129,36 +129,36 @@
 		_, _ = fmt.Fprintln(w, "VERSION\tPHASE\tACT ON IT\tBAR\tFOR\tBY\tREASON\tNOTE")
 		for _, v := range list {
 			bar := ""
-			if v.BarS > 0 {
-				bar = fmt.Sprintf("%.0f s", v.BarS)
-				if v.Passed {
+			if v.GateS > 0 {
+				bar = fmt.Sprintf("%.0f s", v.GateS)
+				if v.GatePassed {
 					bar += ", passed"
 				}
 			}
 			note := v.Note
-			if len(v.Spared) > 0 {
-				note += " older ones go on at: " + strings.Join(v.Spared, ", ")
+			if len(v.Exempt) > 0 {
+				note += " older ones go on at: " + strings.Join(v.Exempt, ", ")
 			}
-			_, _ = fmt.Fprintf(w, "%d\t%s\t%d of %d\t%s\t%.0f s\t%s\t%s\t%s\n", v.N, v.Phase, v.Acts, v.Fronts, bar, v.For, v.By, v.Why, note)
+			_, _ = fmt.Fprintf(w, "%d\t%s\t%d of %d\t%s\t%.0f s\t%s\t%s\t%s\n", v.N, v.Phase, v.ActiveFronts, v.Fronts, bar, v.PhaseS, v.ProposedBy, v.Reason, note)
 		}
 	})
 }
 
 func (c *fleetCalls) lag() error {
-	var list []fleet.Lag
+	var list []fleet.FrontLag
 	return c.show("VERSIONS LAG", &list, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "FRONT\tZONE\tACTS ON\tWANTED\tBEHIND\tSTATE\tBUILD\tCAUSE")
 		for _, l := range list {
 			state := "in"
 			switch {
-			case l.Shut:
+			case l.Fenced:
 				state = "shut out"
 			case l.Warming:
 				state = "warming"
 			case l.Cause != "":
 				state = "lags"
 			}
-			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n", l.Front, l.Zone, l.Acts, l.Target, l.Behind, state, l.Build, l.Cause)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n", l.Front, l.Zone, l.ActiveVersion, l.Target, l.Behind, state, l.Build, l.Cause)
 		}
 	})
 }
@@ -218,16 +218,16 @@
 
 // audit asks, and tells each front's answer with what it rests on.
 func (c *fleetCalls) audit(question string) error {
-	var r fleet.Report
+	var r fleet.AuditReport
 	err := c.show("AUDIT "+question, &r, func(w io.Writer) {
 		for _, a := range r.Answers {
 			_, _ = fmt.Fprintf(w, "%s\t%d records\t%s\n", a.Front, a.Records, proof(&a))
 			for _, s := range a.Spans {
 				before := "can't tell"
-				if s.Before > 0 {
-					before = fmt.Sprintf("before entry %d", s.Before)
+				if s.BeforeEntry > 0 {
+					before = fmt.Sprintf("before entry %d", s.BeforeEntry)
 				}
-				_, _ = fmt.Fprintf(w, "  version %d\trecords %d to %d\tafter entry %d, %s\t%s to %s by its own clock\t%s\n", s.Version, s.From, s.To, s.After, before,
+				_, _ = fmt.Fprintf(w, "  version %d\trecords %d to %d\tafter entry %d, %s\t%s to %s by its own clock\t%s\n", s.Version, s.From, s.To, s.AfterEntry, before,
 					clock(s.Began), clock(s.Ended), counts(s))
 			}
 			for _, e := range a.Events {
@@ -239,7 +239,7 @@
 		}
 		for _, l := range r.Lost {
 			_, _ = fmt.Fprintf(w, "%s\thole\tthe audit of incarnation %s is gone with its disk: %d records that the log knew of, and what came after them, before fleet time %.0f s\n",
-				l.Front, l.Incarnation, l.Records, l.Before)
+				l.Front, l.Incarnation, l.Records, l.FoundAtS)
 		}
 		for _, m := range r.Missing {
 			_, _ = fmt.Fprintf(w, "%s\tnot reached\twhat it did is missing here\n", m)
@@ -264,7 +264,7 @@
 
 func proof(a *audit.Answer) string {
 	var list []string
-	for _, x := range []struct{ what, text string }{{"proven", a.Proven}, {"only said", a.Said}, {"BROKEN", a.Broken}, {"error", a.Error}} {
+	for _, x := range []struct{ what, text string }{{"proven", a.Proven}, {"only said", a.Unproven}, {"BROKEN", a.Broken}, {"error", a.Error}} {
 		if x.text != "" {
 			list = append(list, x.what+": "+x.text)
 		}
--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -122,11 +122,11 @@
 		if list, err := p.Plan(); err == nil {
 			for _, x := range list {
 				if x.Machine == p.Name {
-					work = fmt.Sprintf("%d %s: %s", x.ID, x.Phase, x.Waits)
+					work = fmt.Sprintf("%d %s: %s", x.ID, x.Phase, x.WaitsFor)
 				}
 			}
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%d\t%s\n", p.Name, p.Zone, s.Seat, s.Leader, s.Term, s.Applied, ready, s.Acts, work)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%d\t%s\n", p.Name, p.Zone, s.Seat, s.Leader, s.Term, s.Applied, ready, s.ActiveVersion, work)
 	}
 	_ = w.Flush()
 	return b.String()
--- a/internal/decide/audit/audit.go
+++ b/internal/decide/audit/audit.go
@@ -29,7 +29,7 @@
 
 // Bounds.
 const (
-	MostIDs   = 100_000 // of one record, which is closed there
+	MaxIDs    = 100_000 // of one record, which is closed there
 	idSize    = 6       // bytes of an id's hash
 	mostText  = 240
 	mostWords = 128 // bytes of an id
@@ -38,15 +38,15 @@
 
 // What a record is.
 const (
-	Began    = "began"    // the front's process
-	Took     = "took"     // a version
-	Decided  = "decided"  // requests, under one version
-	Lease    = "lease"    // held again, or over
-	Contact  = "contact"  // with the fleet's leader, found or lost
-	Permit   = "permit"   // out under one, or back
-	Shut     = "shut"     // refuses because of its version's age, or no more
-	Anchor   = "anchor"   // the chain's head was seen in the fleet's log
-	RolledUp = "rolledup" // counts of records that are gone
+	KindStarted   = "began"    // the front's process
+	KindActivated = "took"     // a version
+	KindRequests  = "decided"  // requests, under one version
+	KindLease     = "lease"    // held again, or over
+	KindContact   = "contact"  // with the fleet's leader, found or lost
+	KindPermit    = "permit"   // out under one, or back
+	KindOutdated  = "shut"     // refuses because of its version's age, or no more
+	KindAnchor    = "anchor"   // the chain's head was seen in the fleet's log
+	KindRollup    = "rolledup" // counts of records that are gone
 )
 
 // Outcome is how a request ended.
@@ -123,7 +123,7 @@
 
 // Digest is what the next record names. It holds for a record without its ids.
 func (r *Record) Digest() []byte {
-	if r.Kind == RolledUp {
+	if r.Kind == KindRollup {
 		return r.End
 	}
 	x := *r
@@ -133,7 +133,7 @@
 }
 
 // Mark is the hash of a request's id: 48 bits of its xxhash.
-func Mark(id string) uint64 { return xxhash.Sum64String(id) & (1<<48 - 1) }
+func HashID(id string) uint64 { return xxhash.Sum64String(id) & (1<<48 - 1) }
 
 // Chain is the chain's end, and the requests that are being counted for its next
 // records, by version. The zero value is a chain that has not begun.
@@ -173,7 +173,7 @@
 )
 
 // Follow takes a record of the disk as the chain's next.
-func (c *Chain) Follow(r *Record) error {
+func (c *Chain) Replay(r *Record) error {
 	if c.head != nil && (r.start() != c.seq+1 || !bytes.Equal(r.Prev, c.head)) {
 		return fmt.Errorf("%w: record %d does not follow record %d", ErrBroken, r.Seq, c.seq)
 	}
@@ -181,7 +181,7 @@
 		return fmt.Errorf("%w: the ids of record %d are others", ErrBroken, r.Seq)
 	}
 	c.seq, c.head = r.Seq, r.Digest()
-	if r.Kind != Decided {
+	if r.Kind != KindRequests {
 		c.version = r.Version
 	}
 	return nil
@@ -189,7 +189,7 @@
 
 // start is the first record that one stands for.
 func (r *Record) start() uint64 {
-	if r.Kind == RolledUp {
+	if r.Kind == KindRollup {
 		return r.From
 	}
 	return r.Seq
@@ -201,31 +201,31 @@
 }
 
 // Moment is when a record is made.
-type Moment struct {
+type Timestamp struct {
 	At    Micros // the front's wall clock
 	Fleet Micros
 	Index uint64 // applied
 }
 
 // Add makes the chain's next record.
-func (c *Chain) Add(r Record, m Moment) *Record {
+func (c *Chain) Append(r Record, m Timestamp) *Record {
 	r.Seq, r.Prev, r.At, r.Fleet = c.seq+1, c.head, m.At, m.Fleet
-	if r.Kind != Decided {
+	if r.Kind != KindRequests {
 		r.Index, r.To = m.Index, m.Index
 	}
-	if r.Kind != Took && r.Kind != Decided {
+	if r.Kind != KindActivated && r.Kind != KindRequests {
 		r.Version = c.version
 	}
 	r.Text = r.Text[:min(len(r.Text), mostText)]
 	c.seq, c.head = r.Seq, r.Digest()
-	if r.Kind != Decided {
+	if r.Kind != KindRequests {
 		c.version = r.Version
 	}
 	return &r
 }
 
 // Classes names the classes by place, so that a request costs no look-up.
-func (c *Chain) Classes(names []string) { c.classes = names }
+func (c *Chain) SetClasses(names []string) { c.classes = names }
 
 // Count counts a request that was decided under a version, with entries up to index
 // applied; full tells that the records must be closed. It allocates nothing but where a
@@ -254,18 +254,18 @@
 	case Failed:
 		x.Failed++
 	}
-	h := Mark(id)
+	h := HashID(id)
 	b.ids = append(b.ids, byte(h>>40), byte(h>>32), byte(h>>24), byte(h>>16), byte(h>>8), byte(h))
 	if b.number == 0 {
 		b.firstN, b.from = copy(b.first[:], id), index
 	}
 	b.lastN = copy(b.last[:], id)
 	b.number++
-	return b.number >= MostIDs || len(c.buckets) > mostBuckets
+	return b.number >= MaxIDs || len(c.buckets) > mostBuckets
 }
 
 // Close makes records of the requests counted, a version's each.
-func (c *Chain) Close(m Moment) (list []*Record) {
+func (c *Chain) Flush(m Timestamp) (list []*Record) {
 	for i := len(c.buckets) - 1; i >= 0; i-- {
 		b := c.buckets[i]
 		if b.number == 0 {
@@ -274,7 +274,7 @@
 			}
 			continue
 		}
-		r := Record{Kind: Decided, Version: b.version, Index: b.from, To: m.Index, First: string(b.first[:b.firstN]), Last: string(b.last[:b.lastN]),
+		r := Record{Kind: KindRequests, Version: b.version, Index: b.from, To: m.Index, First: string(b.first[:b.firstN]), Last: string(b.last[:b.lastN]),
 			IDs: slices.Clone(b.ids), IDSum: sumOf(b.ids)}
 		for i, x := range b.counts {
 			if x.Served+x.Refused+x.Failed > 0 {
@@ -287,16 +287,16 @@
 			b.counts[i] = Count{}
 		}
 		b.ids, b.number = b.ids[:0], 0
-		list = append(list, c.Add(r, m))
+		list = append(list, c.Append(r, m))
 	}
 	return list
 }
 
 // Has tells whether a record may hold a request, by its id's hash; known is false
 // where its ids are gone.
-func (r *Record) Has(mark uint64) (has, known bool) {
-	if r.Kind != Decided || len(r.IDs) == 0 {
-		return false, r.Kind != Decided && r.Kind != RolledUp
+func (r *Record) MayContain(mark uint64) (has, known bool) {
+	if r.Kind != KindRequests || len(r.IDs) == 0 {
+		return false, r.Kind != KindRequests && r.Kind != KindRollup
 	}
 	want := [idSize]byte{byte(mark >> 40), byte(mark >> 32), byte(mark >> 24), byte(mark >> 16), byte(mark >> 8), byte(mark)}
 	for i := 0; i+idSize <= len(r.IDs); i += idSize {
@@ -310,20 +310,20 @@
 // Shrink makes a chain's records fewer bytes: the ids of the older half go, and the
 // records before that half become counts, so many to one where they are of one
 // version. Anchors and other events of those are lost but for their number.
-func Shrink(records []Record) []Record {
+func Compact(records []Record) []Record {
 	half := len(records) / 2
 	var out []Record
 	for i := range records[:half] {
 		r := records[i]
 		r.IDs = nil
 		if i < half/2 && len(out) > 0 {
-			if o := &out[len(out)-1]; o.Kind == RolledUp && o.Version == r.Version && r.Seq-o.From < mostRoll {
+			if o := &out[len(out)-1]; o.Kind == KindRollup && o.Version == r.Version && r.Seq-o.From < mostRoll {
 				o.merge(&r)
 				continue
 			}
 		}
-		if i < half/2 && r.Kind != RolledUp {
-			r = Record{Seq: r.Seq, From: r.Seq, Prev: r.Prev, Kind: RolledUp, At: r.At, Fleet: r.Fleet, Index: r.Index, To: r.To, Version: r.Version,
+		if i < half/2 && r.Kind != KindRollup {
+			r = Record{Seq: r.Seq, From: r.Seq, Prev: r.Prev, Kind: KindRollup, At: r.At, Fleet: r.Fleet, Index: r.Index, To: r.To, Version: r.Version,
 				Counts: r.Counts, First: r.First, Last: r.Last, End: r.Digest()}
 		}
 		out = append(out, r)
@@ -335,11 +335,11 @@
 func (r *Record) merge(o *Record) {
 	r.Seq, r.To, r.End, r.Last = o.Seq, o.To, o.Digest(), cmp.Or(o.Last, r.Last)
 	r.First = cmp.Or(r.First, o.First)
-	r.Counts = Sum(r.Counts, o.Counts)
+	r.Counts = AddCounts(r.Counts, o.Counts)
 }
 
 // Sum adds counts, class by class.
-func Sum(a, b []Count) []Count {
+func AddCounts(a, b []Count) []Count {
 	a = slices.Clone(a)
 	for _, y := range b {
 		if i := slices.IndexFunc(a, func(x Count) bool { return x.Class == y.Class }); i >= 0 {
--- a/internal/decide/audit/audit_test.go
+++ b/internal/decide/audit/audit_test.go
@@ -17,26 +17,26 @@
 // each request was decided.
 func story(t *rapid.T) (records [][]byte, under map[string]uint64, c *Chain) {
 	c, under = &Chain{}, map[string]uint64{}
-	c.Classes([]string{"a", "b"})
+	c.SetClasses([]string{"a", "b"})
 	index, version := uint64(1), uint64(0)
 	keep := func(r *Record) { records = append(records, r.Encode()) }
-	now := func() Moment { return Moment{At: int64(len(records)), Fleet: int64(index), Index: index} }
-	keep(c.Add(Record{Kind: Began, ID: 7, Start: 1}, now()))
+	now := func() Timestamp { return Timestamp{At: int64(len(records)), Fleet: int64(index), Index: index} }
+	keep(c.Append(Record{Kind: KindStarted, ID: 7, Start: 1}, now()))
 	for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		index++
 		switch rapid.IntRange(0, 5).Draw(t, "what") {
 		case 0:
-			for _, r := range c.Close(now()) {
+			for _, r := range c.Flush(now()) {
 				keep(r)
 			}
 			version++
-			keep(c.Add(Record{Kind: Took, Version: version}, now()))
+			keep(c.Append(Record{Kind: KindActivated, Version: version}, now()))
 		case 1:
-			for _, r := range c.Close(now()) {
+			for _, r := range c.Flush(now()) {
 				keep(r)
 			}
 		case 2:
-			keep(c.Add(Record{Kind: Anchor, Seen: c.Seq(), Entry: index}, now()))
+			keep(c.Append(Record{Kind: KindAnchor, Seen: c.Seq(), Entry: index}, now()))
 		default:
 			id := fmt.Sprintf("request-%d", i)
 			v := version - uint64(rapid.IntRange(0, 1).Draw(t, "older"))&min(1, version)
@@ -44,7 +44,7 @@
 			under[id] = v
 		}
 	}
-	for _, r := range c.Close(now()) {
+	for _, r := range c.Flush(now()) {
 		keep(r)
 	}
 	return records, under, c
@@ -53,7 +53,7 @@
 func ask(records [][]byte, q Question) Answer {
 	d := NewReader(q)
 	for _, b := range records {
-		d.Take(b)
+		d.Add(b)
 	}
 	return d.Answer("x")
 }
@@ -72,7 +72,7 @@
 		if a := ask(records, Question{Request: "never"}); len(a.Spans) > 0 {
 			t.Fatalf("%+v", a)
 		}
-		a, n := ask(records, Question{Front: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
+		a, n := ask(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
 		for _, s := range a.Spans {
 			for _, x := range s.Counts {
 				n += x.Served + x.Refused + x.Failed
@@ -138,14 +138,14 @@
 			}
 			before := bytes.Join(records, nil)
 			records = nil
-			for _, r := range Shrink(list) {
+			for _, r := range Compact(list) {
 				records = append(records, r.Encode())
 			}
 			if after := bytes.Join(records, nil); len(after) > len(before)+64*len(records) {
 				t.Fatalf("%d bytes became %d", len(before), len(after))
 			}
 		}
-		a, n := ask(records, Question{Front: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
+		a, n := ask(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
 		for _, s := range a.Spans {
 			for _, x := range s.Counts {
 				n += x.Served + x.Refused + x.Failed
@@ -182,7 +182,7 @@
 		for j := range 200 {
 			c.Count(1, j%3, Served, fmt.Sprintf("%016x", i*200+j), uint64(i))
 		}
-		for _, r := range c.Close(Moment{At: int64(i) * 1_000_000, Index: uint64(i)}) {
+		for _, r := range c.Flush(Timestamp{At: int64(i) * 1_000_000, Index: uint64(i)}) {
 			records = append(records, r.Encode())
 			size += len(records[len(records)-1])
 		}
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -24,14 +24,14 @@
 type ID uint64
 
 // End is what became of a request at a node.
-type End uint8
+type Outcome uint8
 
 // The ends.
 const (
-	NoEnd  End = iota
-	Served     // with its bytes
-	Failed     // it may have run
-	NotRun     // surely not: refused, missed, stale, or never written whole
+	NoOutcome Outcome = iota
+	Served            // with its bytes
+	Failed            // it may have run
+	NotRun            // surely not: refused, missed, stale, or never written whole
 )
 
 // Op is what a record tells.
@@ -41,44 +41,44 @@
 const (
 	OpOpen   Op = iota + 1 // near: a request is to be carried
 	OpSend                 // near: a try is about to leave
-	OpProven               // near: the try did not run
-	OpEnd                  // near: its end is known, or its client has gone without one
+	OpNotRun               // near: the try did not run
+	OpClose                // near: its end is known, or its client has gone without one
 	OpRun                  // far: a try is about to run
-	OpBar                  // far: a try must never run
+	OpBlock                // far: a try must never run
 	OpDone                 // far: a try's end
 	OpDrop                 // either: it is forgotten
 )
 
 // Record is a change. Kept in order, records build a ledger again.
 type Record struct {
-	Op    Op
-	ID    ID
-	Try   uint32 // from 1 on
-	Epoch uint64 // of the far side
-	At    Micros
-	Until Micros // near: until when the client waits
-	Once  bool   // near: it must not run twice
-	End   End
-	Body  []byte // far: of an answer whose bytes are
-	Kept  bool
+	Op       Op
+	ID       ID
+	Attempt  uint32 `cbor:"Try"` // from 1 on
+	Epoch    uint64 // of the far side
+	At       Micros
+	Deadline Micros  `cbor:"Until"` // near: until when the client waits
+	Once     bool    // near: it must not run twice
+	Outcome  Outcome `cbor:"End"`
+	Body     []byte  // far: of an answer whose bytes are
+	BodyKept bool    `cbor:"Kept"`
 }
 
 // Config bounds a ledger.
 type Config struct {
-	Most  int    // ids remembered; when they are, nothing more is taken
-	Bytes int    // of answers, on the far side; the oldest lose theirs first
-	Keep  Micros // for which an id is remembered after it last changed
-	Delay Micros // by which a link may be late; what it held for longer does not count as come
+	MaxIDs       int    // ids remembered; when they are, nothing more is taken
+	MaxBodyBytes int    // of answers, on the far side; the oldest lose theirs first
+	Retention    Micros // for which an id is remembered after it last changed
+	MaxDelay     Micros // by which a link may be late; what it held for longer does not count as come
 }
 
 // Check names what no ledger can have. A client's longest patience belongs to Keep:
 // an id must outlive all that may still be asked or come.
 func (c Config) Check() error {
 	switch {
-	case c.Most < 1 || c.Bytes < 0:
-		return fmt.Errorf("ledger: %d ids and %d bytes", c.Most, c.Bytes)
-	case c.Delay <= 0 || c.Keep <= 3*c.Delay:
-		return fmt.Errorf("ledger: ids kept for %d us with delays of up to %d: more than three of these are needed", c.Keep, c.Delay)
+	case c.MaxIDs < 1 || c.MaxBodyBytes < 0:
+		return fmt.Errorf("ledger: %d ids and %d bytes", c.MaxIDs, c.MaxBodyBytes)
+	case c.MaxDelay <= 0 || c.Retention <= 3*c.MaxDelay:
+		return fmt.Errorf("ledger: ids kept for %d us with delays of up to %d: more than three of these are needed", c.Retention, c.MaxDelay)
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 	id         ID
 	try        uint32
 	state      state
-	end        End
+	end        Outcome
 	once       bool
 	at         Micros // when it last changed
 	epoch      uint64
@@ -149,7 +149,7 @@
 
 // due gives the entry that has been there longest since it changed, if it may go.
 func (t *table) due(now Micros) *entry {
-	if e := t.head.next; e != nil && e != &t.head && now-e.at > t.cfg.Keep {
+	if e := t.head.next; e != nil && e != &t.head && now-e.at > t.cfg.Retention {
 		return e
 	}
 	return nil
--- a/internal/decide/ledger/model_test.go
+++ b/internal/decide/ledger/model_test.go
@@ -38,8 +38,8 @@
 	epoch uint64
 	at    Micros // when it was sent
 	age   Micros // of the try, with a question
-	end   End
-	tell  Tell
+	end   Outcome
+	tell  Status
 }
 
 // world is a state. Both sides are kept as the records that build them.
@@ -77,7 +77,7 @@
 	for _, list := range [][]Record{w.near, w.far} {
 		put(int64(len(list)))
 		for _, r := range list {
-			put(int64(r.Op), int64(r.Try), int64(r.Epoch), r.At, r.Until, int64(r.End), int64(len(r.Body)))
+			put(int64(r.Op), int64(r.Attempt), int64(r.Epoch), r.At, r.Deadline, int64(r.Outcome), int64(len(r.Body)))
 		}
 	}
 	put(int64(w.epoch), int64(w.known), w.now, int64(w.runs), int64(w.passed), flag(w.refused), flag(w.ended), flag(w.ready), int64(w.copies),
@@ -95,7 +95,7 @@
 }
 
 func (m message) append(b []byte) []byte {
-	return append(b, m.kind, byte(m.try), byte(m.epoch), byte(m.at), byte(m.age), byte(m.end), byte(m.tell.Kind), byte(m.tell.End),
+	return append(b, m.kind, byte(m.try), byte(m.epoch), byte(m.at), byte(m.age), byte(m.end), byte(m.tell.Kind), byte(m.tell.Outcome),
 		byte(m.tell.Epoch), byte(len(m.tell.Body)))
 }
 
@@ -112,9 +112,9 @@
 
 func (m *model) history() string { return strings.Join(m.path, ", ") }
 
-func (m *model) sides(w *world) (*Near, *Far) {
-	cfg := Config{Most: 4, Bytes: 100, Keep: modelKeep, Delay: modelDelay}
-	n, f := NewNear(cfg, func(Record) {}), NewFar(cfg, w.epoch, func(Record) {})
+func (m *model) sides(w *world) (*Sender, *Receiver) {
+	cfg := Config{MaxIDs: 4, MaxBodyBytes: 100, Retention: modelKeep, MaxDelay: modelDelay}
+	n, f := NewSender(cfg, func(Record) {}), NewReceiver(cfg, w.epoch, func(Record) {})
 	for _, r := range w.near {
 		n.Apply(r)
 	}
@@ -140,7 +140,7 @@
 		m.bad = "answers are wrong: " + m.history()
 	}
 	// next goes on from a state that differs by what do does with copies of both sides.
-	next := func(what string, do func(x *world, n *Near, f *Far)) {
+	next := func(what string, do func(x *world, n *Sender, f *Receiver)) {
 		if m.bad != "" {
 			return
 		}
@@ -158,82 +158,82 @@
 	n, _ := m.sides(&w)
 	e := n.by[1]
 	if e != nil && w.ready && e.try < modelTries {
-		next("a try leaves", func(x *world, n *Near, _ *Far) {
-			if try, ok := n.Leave(x.now, 1, x.known); ok {
+		next("a try leaves", func(x *world, n *Sender, _ *Receiver) {
+			if try, ok := n.Dispatch(x.now, 1, x.known); ok {
 				x.ready = false
 				x.net = append(x.net, message{kind: 'r', try: try, epoch: x.known, at: x.now})
 			}
 		})
 	}
 	if w.known != w.epoch {
-		next("the epoch is told", func(x *world, _ *Near, _ *Far) { x.known = x.epoch })
+		next("the epoch is told", func(x *world, _ *Sender, _ *Receiver) { x.known = x.epoch })
 	}
 	if e != nil && e.state == sent && len(w.net) < m.messages && !slices.ContainsFunc(w.net, func(x message) bool { return x.kind == 'q' || x.kind == 'w' }) {
-		next("the try is given up for lost", func(x *world, n *Near, _ *Far) { m.step(x, n.Lost(x.now, 1, n.by[1].try)) })
+		next("the try is given up for lost", func(x *world, n *Sender, _ *Receiver) { m.step(x, n.AttemptLost(x.now, 1, n.by[1].try)) })
 	}
 	if e != nil && w.now >= modelUntil && !w.ended {
-		next("the client has no more time", func(x *world, n *Near, _ *Far) { m.step(x, n.GiveUp(x.now, 1)) })
+		next("the client has no more time", func(x *world, n *Sender, _ *Receiver) { m.step(x, n.GiveUp(x.now, 1)) })
 	}
 	for i, msg := range w.net {
-		next(fmt.Sprintf("comes %c%d", msg.kind, msg.try), func(x *world, n *Near, f *Far) { // it comes
+		next(fmt.Sprintf("comes %c%d", msg.kind, msg.try), func(x *world, n *Sender, f *Receiver) { // it comes
 			x.net = slices.Delete(x.net, i, i+1)
 			m.deliver(x, n, f, msg)
 		})
-		next(fmt.Sprintf("lost %c%d", msg.kind, msg.try), func(x *world, _ *Near, _ *Far) { x.net = slices.Delete(x.net, i, i+1) })
+		next(fmt.Sprintf("lost %c%d", msg.kind, msg.try), func(x *world, _ *Sender, _ *Receiver) { x.net = slices.Delete(x.net, i, i+1) })
 		if w.copies < modelCopies && len(w.net) < m.messages {
-			next(fmt.Sprintf("doubled %c%d", msg.kind, msg.try), func(x *world, _ *Near, _ *Far) { x.net, x.copies = append(x.net, msg), x.copies+1 })
+			next(fmt.Sprintf("doubled %c%d", msg.kind, msg.try), func(x *world, _ *Sender, _ *Receiver) { x.net, x.copies = append(x.net, msg), x.copies+1 })
 		}
 	}
 	for i, try := range w.pending { // the node begins it, or turns it away
-		next(fmt.Sprint("begins ", try), func(x *world, _ *Near, _ *Far) {
+		next(fmt.Sprint("begins ", try), func(x *world, _ *Sender, _ *Receiver) {
 			x.pending, x.begun, x.runs = slices.Delete(x.pending, i, i+1), append(x.begun, try), x.runs+1
 		})
-		next(fmt.Sprint("turned away ", try), func(x *world, _ *Near, f *Far) {
+		next(fmt.Sprint("turned away ", try), func(x *world, _ *Sender, f *Receiver) {
 			x.pending = slices.Delete(x.pending, i, i+1)
 			m.done(x, f, try, NotRun)
 		})
 	}
 	for i, try := range w.begun {
-		next(fmt.Sprint("ends ", try), func(x *world, _ *Near, f *Far) {
+		next(fmt.Sprint("ends ", try), func(x *world, _ *Sender, f *Receiver) {
 			x.begun = slices.Delete(x.begun, i, i+1)
 			m.done(x, f, try, Served)
 		})
 	}
 	if w.crashes[1] < m.crashes[1] {
-		next("the far side crashes", func(x *world, _ *Near, f *Far) {
+		next("the far side crashes", func(x *world, _ *Sender, f *Receiver) {
 			x.crashes[1]++
 			if !m.disk {
 				x.epoch++
-				*f = *NewFar(f.cfg, x.epoch, f.note)
+				*f = *NewReceiver(f.cfg, x.epoch, f.note)
 				return
 			}
-			f.Restored(x.now)
+			f.FinishRestore(x.now)
 		})
 	}
 	if w.crashes[0] < m.crashes[0] {
-		next("the near side crashes", func(x *world, n *Near, _ *Far) {
+		next("the near side crashes", func(x *world, n *Sender, _ *Receiver) {
 			x.crashes[0]++
 			x.ready, x.ended = false, true // its client is gone
 			if m.fault == noOpen {
-				*n = *NewNear(n.cfg, n.note)
+				*n = *NewSender(n.cfg, n.note)
 			}
-			n.Restored(x.now)
+			n.FinishRestore(x.now)
 			if x.now >= modelUntil {
 				return
 			}
 			// Who comes again with the same id, while it has patience.
-			if s := n.Open(x.now, 1, true, modelUntil); s.Do == Send {
+			if s := n.Open(x.now, 1, true, modelUntil); s.Action == Send {
 				x.ready, x.ended = true, false
 			}
 		})
 	}
 	if w.now < modelEnd {
-		next("time passes", func(x *world, _ *Near, _ *Far) { x.now++ })
+		next("time passes", func(x *world, _ *Sender, _ *Receiver) { x.now++ })
 	}
 }
 
 // done is an end that the node gives; who runs it may have died meanwhile.
-func (m *model) done(x *world, f *Far, try uint32, end End) {
+func (m *model) done(x *world, f *Receiver, try uint32, end Outcome) {
 	if e := f.by[1]; e != nil && e.state == running && e.try == try {
 		f.Done(x.now, 1, end, []byte("x"))
 		if len(x.net) < m.messages {
@@ -244,12 +244,12 @@
 
 // step carries out what the near side wants.
 func (m *model) step(x *world, s Step) {
-	switch s.Do {
+	switch s.Action {
 	case Send:
 		x.ready = true
-	case AskFar:
+	case QueryReceiver:
 		if len(x.net) < m.messages {
-			x.net = append(x.net, message{kind: 'q', try: s.Try, epoch: s.Epoch, at: x.now, age: s.Age})
+			x.net = append(x.net, message{kind: 'q', try: s.Attempt, epoch: s.Epoch, at: x.now, age: s.Age})
 		}
 	case Pass:
 		x.passed++
@@ -261,7 +261,7 @@
 	}
 }
 
-func (m *model) deliver(x *world, n *Near, f *Far, msg message) {
+func (m *model) deliver(x *world, n *Sender, f *Receiver, msg message) {
 	epoch := msg.epoch
 	if m.fault == noEpoch {
 		epoch = f.epoch
@@ -281,30 +281,30 @@
 				f.drop(f.by[1]) // the crash comes between the run and its record
 				x.crashes[1]++
 			}
-		case a.Surely():
+		case a.NeverRuns():
 			x.net = append(x.net, message{kind: 'a', try: msg.try, end: NotRun})
-		case a == TooLate || a == OldEpoch || a == Unsure:
+		case a == TooLate || a == OldEpoch || a == OutcomeLost:
 			x.net = append(x.net, message{kind: 'a', try: msg.try})
-		case a == Repeat:
-			x.net = append(x.net, message{kind: 'a', try: msg.try, end: t.End})
+		case a == Repeated:
+			x.net = append(x.net, message{kind: 'a', try: msg.try, end: t.Outcome})
 		}
 	case 'a':
 		m.step(x, n.Answer(x.now, 1, msg.try, msg.end, []byte("x")))
 	case 'q':
 		known := f.by[1] != nil
-		t := f.Ask(x.now, 1, msg.try, epoch, msg.age, held)
-		if m.fault == noBar && !known && t.Kind == NeverCame {
+		t := f.Query(x.now, 1, msg.try, epoch, msg.age, held)
+		if m.fault == noBar && !known && t.Kind == NeverArrived {
 			f.drop(f.by[1])
 		}
 		if m.fault == lostIsNever && t.Kind == Unknown {
-			t = Tell{Kind: NeverCame, Epoch: msg.epoch}
+			t = Status{Kind: NeverArrived, Epoch: msg.epoch}
 		}
 		if m.fault == noEpoch {
 			t.Epoch = msg.epoch
 		}
 		x.net = append(x.net, message{kind: 'w', try: msg.try, tell: t})
 	case 'w':
-		m.step(x, n.Told(x.now, 1, msg.try, msg.tell))
+		m.step(x, n.ReceiverStatus(x.now, 1, msg.try, msg.tell))
 	}
 }
 
--- a/internal/decide/ledger/near.go
+++ b/internal/decide/ledger/near.go
@@ -6,81 +6,83 @@
 )
 
 // Do is what the near side does next with a request.
-type Do uint8
+type Action uint8
 
 // What it may do.
 const (
-	Nothing   Do = iota // it waits, or what came is not for it
-	Send                // another try may go, here or elsewhere
-	AskFar              // the far side is to be asked for the try, with the age
-	Pass                // the answer is to be passed on
-	Fail                // what became of it can't be known in time
-	Refuse              // it surely did not run, and no time is left
-	GoesTwice           // an id that is known already: nothing is sent for it
+	Nothing       Action = iota // it waits, or what came is not for it
+	Send                        // another try may go, here or elsewhere
+	QueryReceiver               // the far side is to be asked for the try, with the age
+	Pass                        // the answer is to be passed on
+	Fail                        // what became of it can't be known in time
+	Refuse                      // it surely did not run, and no time is left
+	Duplicate                   // an id that is known already: nothing is sent for it
 )
 
 // Step is what is to be done, and with what.
 type Step struct {
-	Do    Do
-	Try   uint32
-	Epoch uint64
-	Age   Micros // since the try left
-	End   End
-	Body  []byte
-	At    Micros // with AskFar: when
+	Action  Action
+	Attempt uint32
+	Epoch   uint64
+	Age     Micros // since the try left
+	Outcome Outcome
+	Body    []byte
+	At      Micros // with AskFar: when
 }
 
 // askPause is how long the near side waits before it asks again for what runs.
 const askPause = 50_000 // us
 
 // Near is the side that carries requests away.
-type Near struct {
+type Sender struct {
 	table
 	note   func(Record)
 	strays int
 }
 
 // NewNear makes a near side that remembers nothing; note is as for NewFar.
-func NewNear(cfg Config, note func(Record)) *Near { return &Near{table: newTable(cfg), note: note} }
+func NewSender(cfg Config, note func(Record)) *Sender {
+	return &Sender{table: newTable(cfg), note: note}
+}
 
 // Len counts the ids that are remembered.
-func (n *Near) Len() int { return len(n.by) }
+func (n *Sender) Len() int { return len(n.by) }
 
 // Strays counts what came that no try waits for, or that can't be true.
-func (n *Near) Strays() int { return n.strays }
+func (n *Sender) Unexpected() int { return n.strays }
 
 // Open takes in a request whose client waits until a moment. Where there is no room
 // it is refused; an id that is known already is not carried again.
-func (n *Near) Open(now Micros, id ID, once bool, until Micros) Step {
+func (n *Sender) Open(now Micros, id ID, once bool, until Micros) Step {
 	n.expire(now)
 	switch {
 	case n.by[id] != nil:
-		return Step{Do: GoesTwice}
-	case len(n.by) >= n.cfg.Most || until <= now:
-		return Step{Do: Refuse}
+		return Step{Action: Duplicate}
+	case len(n.by) >= n.cfg.MaxIDs || until <= now:
+		return Step{Action: Refuse}
 	}
 	e := &entry{id: id, once: once, until: until}
 	n.by[id] = e
 	n.touch(e, now, true)
-	n.note(Record{Op: OpOpen, ID: id, At: now, Until: until, Once: once})
-	return Step{Do: Send, Try: 1}
+	n.note(Record{Op: OpOpen, ID: id, At: now, Deadline: until, Once: once})
+	return Step{Action: Send, Attempt: 1}
 }
 
 // Leave notes that a try is about to leave for a far side under an epoch. It must be
 // kept before the first byte goes.
-func (n *Near) Leave(now Micros, id ID, epoch uint64) (try uint32, ok bool) {
+func (n *Sender) Dispatch(now Micros, id ID, epoch uint64) (try uint32, ok bool) {
 	e := n.by[id]
 	if e == nil || e.state != unsent && e.state != proven || now >= e.until {
 		return 0, false
 	}
 	e.state, e.try, e.epoch, e.sent = sent, e.try+1, epoch, now
 	n.touch(e, now, true)
-	n.note(Record{Op: OpSend, ID: id, Try: e.try, Epoch: epoch, At: now})
+	n.note(Record{Op: OpSend, ID: id, Attempt: e.try, Epoch: epoch, At: now})
 	return e.try, true
 }
 
 // out gives the try that is out, if this is it.
-func (n *Near) out(id ID, try uint32) *entry {
+func (n *Sender) out(id ID, try uint32) *entry {
 	if e := n.by[id]; e != nil && e.state == sent && e.try == try {
 		return e
 	}
@@ -89,7 +91,7 @@
 }
 
 // Answer takes in a try's end; where the far side could not tell one, it is asked.
-func (n *Near) Answer(now Micros, id ID, try uint32, end End, body []byte) Step {
+func (n *Sender) Answer(now Micros, id ID, try uint32, end Outcome, body []byte) Step {
 	e := n.out(id, try)
 	if e == nil {
 		return Step{}
@@ -97,30 +99,30 @@
 	switch end {
 	case NotRun:
 		return n.prove(e, now)
-	case NoEnd:
-		return n.Lost(now, id, try)
+	case NoOutcome:
+		return n.AttemptLost(now, id, try)
 	}
 	n.close(e, now, end)
 	if end == Served {
-		return Step{Do: Pass, Try: try, End: end, Body: body}
+		return Step{Action: Pass, Attempt: try, Outcome: end, Body: body}
 	}
-	return Step{Do: Fail, Try: try, End: end}
+	return Step{Action: Fail, Attempt: try, Outcome: end}
 }
 
 // prove notes that a try did not run.
-func (n *Near) prove(e *entry, now Micros) Step {
+func (n *Sender) prove(e *entry, now Micros) Step {
 	e.state = proven
 	n.touch(e, now, true)
-	n.note(Record{Op: OpProven, ID: e.id, Try: e.try, At: now})
+	n.note(Record{Op: OpNotRun, ID: e.id, Attempt: e.try, At: now})
 	if now >= e.until {
-		return Step{Do: Refuse, Try: e.try}
+		return Step{Action: Refuse, Attempt: e.try}
 	}
-	return Step{Do: Send, Try: e.try + 1}
+	return Step{Action: Send, Attempt: e.try + 1}
 }
 
 // Lost says what to do about a try whose connection has ended without its end. What
 // may run twice is simply sent again.
-func (n *Near) Lost(now Micros, id ID, try uint32) Step {
+func (n *Sender) AttemptLost(now Micros, id ID, try uint32) Step {
 	e := n.out(id, try)
 	switch {
 	case e == nil:
@@ -130,30 +132,30 @@
 	case !e.once:
 		return n.prove(e, now)
 	}
-	return Step{Do: AskFar, Try: try, Epoch: e.epoch, Age: now - e.sent, At: now}
+	return Step{Action: QueryReceiver, Attempt: try, Epoch: e.epoch, Age: now - e.sent, At: now}
 }
 
 // Told takes in the far side's word on a try that was asked for.
-func (n *Near) Told(now Micros, id ID, try uint32, t Tell) Step {
+func (n *Sender) ReceiverStatus(now Micros, id ID, try uint32, t Status) Step {
 	e := n.out(id, try)
 	if e == nil {
 		return Step{}
 	}
 	switch {
-	case t.Kind == Answered && t.Epoch == e.epoch && t.End == Served && t.Kept:
+	case t.Kind == Answered && t.Epoch == e.epoch && t.Outcome == Served && t.BodyKept:
 		n.close(e, now, Served)
-		return Step{Do: Pass, Try: try, End: Served, Body: t.Body}
+		return Step{Action: Pass, Attempt: try, Outcome: Served, Body: t.Body}
 	case t.Kind == Answered && t.Epoch == e.epoch: // it ran, and its bytes are gone
 		n.close(e, now, Failed)
-		return Step{Do: Fail, Try: try, End: Failed}
-	case t.Kind == NeverCame && t.Epoch == e.epoch:
+		return Step{Action: Fail, Attempt: try, Outcome: Failed}
+	case t.Kind == NeverArrived && t.Epoch == e.epoch:
 		return n.prove(e, now)
 	case t.Kind == Running && t.Epoch == e.epoch:
 		if now+askPause >= e.until {
 			return Step{}
 		}
-		return Step{Do: AskFar, Try: try, Epoch: e.epoch, Age: now + askPause - e.sent, At: now + askPause}
-	case t.Kind == NeverCame || t.Kind == Answered: // under an epoch in which it was not sent
+		return Step{Action: QueryReceiver, Attempt: try, Epoch: e.epoch, Age: now + askPause - e.sent, At: now + askPause}
+	case t.Kind == NeverArrived || t.Kind == Answered: // under an epoch in which it was not sent
 		n.strays++
 	}
 	return n.GiveUp(now, id)
@@ -161,27 +163,27 @@
 
 // GiveUp ends a request that nothing more will be known of in time: refused where no
 // try can have run, else failed.
-func (n *Near) GiveUp(now Micros, id ID) Step {
+func (n *Sender) GiveUp(now Micros, id ID) Step {
 	e := n.by[id]
 	if e == nil || e.state == closed {
 		return Step{}
 	}
 	if e.state == unsent || e.state == proven {
 		n.close(e, now, NotRun)
-		return Step{Do: Refuse}
+		return Step{Action: Refuse}
 	}
 	n.close(e, now, Failed)
-	return Step{Do: Fail, End: Failed}
+	return Step{Action: Fail, Outcome: Failed}
 }
 
 // close ends a request; its id stays for a while, so that it is not carried again.
-func (n *Near) close(e *entry, now Micros, end End) {
+func (n *Sender) close(e *entry, now Micros, end Outcome) {
 	e.state, e.end = closed, end
 	n.touch(e, now, false)
-	n.note(Record{Op: OpEnd, ID: e.id, Try: e.try, At: now, End: end})
+	n.note(Record{Op: OpClose, ID: e.id, Attempt: e.try, At: now, Outcome: end})
 }
 
-func (n *Near) expire(now Micros) {
+func (n *Sender) expire(now Micros) {
 	for e := n.due(now); e != nil; e = n.due(now) {
 		n.drop(e)
 		n.note(Record{Op: OpDrop, ID: e.id, At: now})
@@ -189,24 +191,24 @@
 }
 
 // Apply takes in a record of an earlier life, in order.
-func (n *Near) Apply(r Record) {
+func (n *Sender) Apply(r Record) {
 	e := n.by[r.ID]
 	switch {
 	case r.Op == OpOpen:
-		e = &entry{id: r.ID, once: r.Once, until: r.Until}
+		e = &entry{id: r.ID, once: r.Once, until: r.Deadline}
 		n.by[r.ID] = e
 		n.touch(e, r.At, true)
 	case e == nil:
 	case r.Op == OpDrop:
 		n.drop(e)
 	case r.Op == OpSend:
-		e.state, e.try, e.epoch, e.sent = sent, r.Try, r.Epoch, r.At
+		e.state, e.try, e.epoch, e.sent = sent, r.Attempt, r.Epoch, r.At
 		n.touch(e, r.At, true)
-	case r.Op == OpProven:
-		e.state, e.try = proven, r.Try
+	case r.Op == OpNotRun:
+		e.state, e.try = proven, r.Attempt
 		n.touch(e, r.At, true)
-	case r.Op == OpEnd:
-		e.state, e.try, e.end = closed, r.Try, r.End
+	case r.Op == OpClose:
+		e.state, e.try, e.end = closed, r.Attempt, r.Outcome
 		n.touch(e, r.At, false)
 	}
 }
@@ -214,9 +216,9 @@
 // Restored ends the taking in of records. The clients of then are gone, so nothing
 // is sent for what was open; it is given up, and its ids stay known. It tells how
 // many may have run.
-func (n *Near) Restored(now Micros) (unclear int) {
+func (n *Sender) FinishRestore(now Micros) (unclear int) {
 	for _, id := range n.open() {
-		if n.GiveUp(now, id).Do == Fail {
+		if n.GiveUp(now, id).Action == Fail {
 			unclear++
 		}
 	}
@@ -224,7 +226,7 @@
 }
 
 // open are the ids that have no end, in order.
-func (n *Near) open() (ids []ID) {
+func (n *Sender) open() (ids []ID) {
 	for id, e := range n.by {
 		if e.state != closed {
 			ids = append(ids, id)
@@ -235,17 +237,17 @@
 }
 
 // Snapshot gives records that build this side again.
-func (n *Near) Snapshot() (list []Record) {
+func (n *Sender) Snapshot() (list []Record) {
 	for _, e := range n.by {
-		list = append(list, Record{Op: OpOpen, ID: e.id, At: e.at, Until: e.until, Once: e.once})
+		list = append(list, Record{Op: OpOpen, ID: e.id, At: e.at, Deadline: e.until, Once: e.once})
 		if e.try > 0 {
-			list = append(list, Record{Op: OpSend, ID: e.id, Try: e.try, Epoch: e.epoch, At: e.sent})
+			list = append(list, Record{Op: OpSend, ID: e.id, Attempt: e.try, Epoch: e.epoch, At: e.sent})
 		}
 		switch e.state {
 		case proven:
-			list = append(list, Record{Op: OpProven, ID: e.id, Try: e.try, At: e.at})
+			list = append(list, Record{Op: OpNotRun, ID: e.id, Attempt: e.try, At: e.at})
 		case closed:
-			list = append(list, Record{Op: OpEnd, ID: e.id, Try: e.try, At: e.at, End: e.end})
+			list = append(list, Record{Op: OpClose, ID: e.id, Attempt: e.try, At: e.at, Outcome: e.end})
 		}
 	}
 	sortRecords(list)
--- a/internal/fleet/book.go
+++ b/internal/fleet/book.go
@@ -71,10 +71,10 @@
 				if err != nil {
 					return err
 				}
-				if r.Kind == audit.Anchor {
+				if r.Kind == audit.KindAnchor {
 					b.anchored = r.Seen
 				}
-				return b.chain.Follow(&r)
+				return b.chain.Replay(&r)
 			case bookNotes:
 				return cbor.Unmarshal(record[1:], &b.notes)
 			}
@@ -104,13 +104,13 @@
 
 // beginBook notes that this process begins.
 func (f *Fleet) beginBook() {
-	f.book.chain.Classes(f.host.Classes())
-	f.write1(audit.Record{Kind: audit.Began, ID: f.node.ID(), Start: f.cfg.Start, Text: f.book.began})
+	f.book.chain.SetClasses(f.host.Classes())
+	f.write1(audit.Record{Kind: audit.KindStarted, ID: f.node.ID(), Start: f.cfg.Start, Text: f.book.began})
 	f.versions()
 }
 
-func (f *Fleet) moment() audit.Moment {
-	return audit.Moment{At: f.loop.Now(), Fleet: f.node.Replica().State().Now, Index: f.node.Applied()}
+func (f *Fleet) moment() audit.Timestamp {
+	return audit.Timestamp{At: f.loop.Now(), Fleet: f.node.Replica().State().Now, Index: f.node.Applied()}
 }
 
 // write1 adds a record, those of the requests before it first.
@@ -119,13 +119,13 @@
 		return
 	}
 	f.closeRecords()
-	f.record(f.book.chain.Add(r, f.moment()))
+	f.record(f.book.chain.Append(r, f.moment()))
 }
 
 // closeRecords puts the requests counted into records.
 func (f *Fleet) closeRecords() {
 	f.book.closed = f.loop.Now()
-	for _, r := range f.book.chain.Close(f.moment()) {
+	for _, r := range f.book.chain.Flush(f.moment()) {
 		f.record(r)
 	}
 }
@@ -133,7 +133,7 @@
 // record keeps a record. Its place in the chain is told to the fleet once it is durable.
 func (f *Fleet) record(r *audit.Record) {
 	b := &f.book
-	b.events = b.events || r.Kind != audit.Anchor
+	b.events = b.events || r.Kind != audit.KindAnchor
 	seq, head := r.Seq, headOf(r.Digest())
 	f.keep(append([]byte{bookRecord}, r.Encode()...), func(err error) {
 		if err != nil {
@@ -191,7 +191,7 @@
 				return err
 			})
 			var image [][]byte
-			for _, r := range audit.Shrink(records) {
+			for _, r := range audit.Compact(records) {
 				image = append(image, append([]byte{bookRecord}, r.Encode()...))
 			}
 			image = append(image, append([]byte{bookNotes}, encodeNotes(notes)...))
@@ -239,25 +239,25 @@
 	}
 	if c := f.node.InContact(); c != b.contact {
 		b.contact = c
-		f.write1(audit.Record{Kind: audit.Contact, Text: map[bool]string{true: "found", false: "lost"}[c]})
+		f.write1(audit.Record{Kind: audit.KindContact, Text: map[bool]string{true: "found", false: "lost"}[c]})
 	}
 	if f.out != b.out {
 		b.out = f.out
-		_, permit := f.node.Out()
+		_, permit := f.node.OutOfService()
 		text := "back"
 		if f.out {
 			text = fmt.Sprintf("out under permit %d", permit)
 		}
-		f.write1(audit.Record{Kind: audit.Permit, Text: text})
+		f.write1(audit.Record{Kind: audit.KindPermit, Text: text})
 	}
 	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.chain.Seq() {
-		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOld, b.chain.Seq(), x.AuditSeq))
+		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOutdatedDisk, b.chain.Seq(), x.AuditSeq))
 		return
 	}
 	// Records that the log knows the head of happened before that entry.
 	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.anchored && b.events {
 		b.anchored, b.events = x.AuditSeq, false
-		f.write1(audit.Record{Kind: audit.Anchor, Seen: x.AuditSeq, Entry: f.node.Applied()})
+		f.write1(audit.Record{Kind: audit.KindAnchor, Seen: x.AuditSeq, Entry: f.node.Applied()})
 	}
 }
 
@@ -267,10 +267,10 @@
 		return nil
 	}
 	if f.node != nil {
-		for _, r := range f.book.chain.Close(f.moment()) {
+		for _, r := range f.book.chain.Flush(f.moment()) {
 			f.book.disk.Append(append([]byte{bookRecord}, r.Encode()...), func(error) {})
 		}
-		r := f.book.chain.Add(audit.Record{Kind: audit.Lease, Text: audit.Ended}, f.moment())
+		r := f.book.chain.Append(audit.Record{Kind: audit.KindLease, Text: audit.CleanExit}, f.moment())
 		f.book.disk.Append(append([]byte{bookRecord}, r.Encode()...), func(error) {})
 		notes := f.book.notes
 		notes.Survived = true // it was told to end, and did not end of the version
@@ -289,7 +289,7 @@
 		d := audit.NewReader(q)
 		err := journal.Scan(path, func(raw []byte) error {
 			if raw[0] == bookRecord {
-				d.Take(raw[1:])
+				d.Add(raw[1:])
 			}
 			return nil
 		})
@@ -339,7 +339,7 @@
 		if name == f.cfg.Name {
 			f.answerAudit(q, func(a audit.Answer) { f.answered(n, a) })
 		} else {
-			f.send(consensus.Send{To: name, Kind: consensus.KindQuestion, Payload: b})
+			f.send(consensus.Message{To: name, Kind: consensus.KindAuditQuestion, Payload: b})
 		}
 	}
 	f.loop.At(f.loop.Now()+gatherFor.Microseconds(), func() { f.gathered(n) })
@@ -385,15 +385,15 @@
 		return
 	}
 	switch {
-	case kind == consensus.KindQuestion && m.Question != nil && f.node != nil:
+	case kind == consensus.KindAuditQuestion && m.Question != nil && f.node != nil:
 		f.answerAudit(*m.Question, func(a audit.Answer) {
 			b, err := json.Marshal(message{N: m.N, Answer: &a})
 			if err != nil || len(b) > mostAnswer {
 				b, _ = json.Marshal(message{N: m.N, Answer: &audit.Answer{Front: f.cfg.Name, Error: "the answer is too long"}})
 			}
-			f.send(consensus.Send{To: from, Kind: consensus.KindAnswer, Payload: b})
+			f.send(consensus.Message{To: from, Kind: consensus.KindAuditAnswer, Payload: b})
 		})
-	case kind == consensus.KindAnswer && m.Answer != nil && m.Answer.Front == from:
+	case kind == consensus.KindAuditAnswer && m.Answer != nil && m.Answer.Front == from:
 		f.answered(m.N, *m.Answer)
 	}
 }
--- a/internal/fleet/consensus/duty.go
+++ b/internal/fleet/consensus/duty.go
@@ -21,14 +21,14 @@
 }
 
 // Out tells whether this front is to take no clients, and under which permit.
-func (n *Node) Out() (out bool, permit uint64) { return n.duty.out, n.duty.permit }
+func (n *Node) OutOfService() (out bool, permit uint64) { return n.duty.out, n.duty.permit }
 
 // Host tells what the front says of itself: that it takes no clients, that it holds
 // no request any more, and that it is in trouble.
-func (n *Node) Host(away, empty, hurt bool) { n.away, n.empty, n.hurt = away, empty, hurt }
+func (n *Node) SetHostState(away, empty, hurt bool) { n.away, n.empty, n.hurt = away, empty, hurt }
 
 // Boxes gives the boxes that this front is to leave, by name.
-func (n *Node) Boxes() (list []string) {
+func (n *Node) BoxesToLeave() (list []string) {
 	for _, x := range n.rep.State().Maintenance.Operations {
 		if x.Kind == maintenance.Box && x.Phase != maintenance.Requested && !x.Phase.Ended() && x.Phase != maintenance.Returning {
 			list = append(list, x.Machine)
@@ -38,7 +38,7 @@
 }
 
 // LeftBox tells whether the front sends nothing new to a box and has nothing open there.
-func (n *Node) LeftBox(box string, left bool) {
+func (n *Node) SetBoxLeft(box string, left bool) {
 	if left {
 		if _, known := n.boxes[box]; !known {
 			n.boxes[box] = n.now
--- a/internal/fleet/consensus/feed.go
+++ b/internal/fleet/consensus/feed.go
@@ -33,7 +33,7 @@
 		to = list[n.tried%len(list)]
 		n.asked = n.now
 	}
-	n.send(to, KindAsk, encode(Ask{ID: n.id, Next: n.applied + 1, Address: n.cfg.Address, Lease: n.wants(), Start: n.cfg.Start}))
+	n.send(to, KindAttach, encode(AttachRequest{ID: n.id, Next: n.applied + 1, Address: n.cfg.Address, Lease: n.wants(), Start: n.cfg.Start}))
 }
 
 // led tells whether this front leads, or has a seat and hears the leader itself.
@@ -52,7 +52,7 @@
 		}
 	}
 	if len(list) == 0 {
-		for _, a := range n.cfg.First {
+		for _, a := range n.cfg.FirstMembers {
 			if a.Name != n.cfg.Name {
 				list = append(list, a.Name)
 			}
@@ -68,10 +68,10 @@
 }
 
 // feeding takes the answer of one that was asked.
-func (n *Node) feeding(from string, f Fed) {
+func (n *Node) feeding(from string, f AttachReply) {
 	switch {
 	case f.Full || slices.Contains(f.Path, n.cfg.Name):
-		n.referred = f.Try[:min(len(f.Try), 16)]
+		n.referred = f.Alternatives[:min(len(f.Alternatives), 16)]
 		if from == n.feeder {
 			n.detach()
 		}
@@ -82,7 +82,7 @@
 }
 
 // feed answers one that asks to be fed.
-func (n *Node) feed(from string, a Ask) {
+func (n *Node) feed(from string, a AttachRequest) {
 	if len(n.addresses) >= membership.MaxFronts {
 		clear(n.addresses)
 	}
@@ -92,12 +92,12 @@
 	i := slices.IndexFunc(n.children, func(c *child) bool { return c.name == from })
 	attached := n.feeder != "" && n.now-n.fed < n.span(feederTicks)
 	// One that lives by leases and holds none has none to pass on: whoever it fed would starve.
-	leaseless := n.Lives() > 0 && !n.leads && !n.leases.own.Valid(n.now)
+	leaseless := n.LeaseSpan() > 0 && !n.leads && !n.leases.own.Valid(n.now)
 	if lead, _ := n.Leader(); lead == 0 || leaseless || !n.led() && !attached || len(n.path) >= mostPath || slices.Contains(n.path, from) || n.rep.State().Fleet == 0 {
 		if i >= 0 {
 			n.children = slices.Delete(n.children, i, i+1)
 		}
-		n.send(from, KindFed, encode(Fed{Full: true}))
+		n.send(from, KindAttachReply, encode(AttachReply{Full: true}))
 		return
 	}
 	if i < 0 {
@@ -108,7 +108,7 @@
 				names = append(names, c.name)
 			}
 			byRank(from, names)
-			n.send(from, KindFed, encode(Fed{Full: true, Try: names}))
+			n.send(from, KindAttachReply, encode(AttachReply{Full: true, Alternatives: names}))
 			return
 		}
 		i = len(n.children)
@@ -117,7 +117,7 @@
 	c := n.children[i]
 	c.id, c.next, c.asked = a.ID, a.Next, n.now
 	path := append([]string{n.cfg.Name}, n.path...)
-	n.send(from, KindFed, encode(Fed{Path: path}))
+	n.send(from, KindAttachReply, encode(AttachReply{Path: path}))
 	n.give(c)
 	n.pass(from, a)
 }
@@ -146,7 +146,7 @@
 		}
 		m.Type = raftpb.MsgSnap.Enum()
 		m.Snapshot = &raftpb.Snapshot{Data: n.rep.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: n.conf,
-			Index: new(n.applied), Term: new(n.Term(n.applied))}}
+			Index: new(n.applied), Term: new(n.EntryTerm(n.applied))}}
 		c.next = n.applied + 1
 	} else {
 		var entries []*raftpb.Entry
@@ -157,7 +157,7 @@
 			}
 		}
 		m.Type = raftpb.MsgApp.Enum()
-		m.Index, m.LogTerm, m.Entries = new(c.next-1), new(n.Term(c.next-1)), entries
+		m.Index, m.LogTerm, m.Entries = new(c.next-1), new(n.EntryTerm(c.next-1)), entries
 		m.Commit = new(min(n.applied, c.next-1+uint64(len(entries))))
 		c.next += uint64(len(entries))
 	}
@@ -165,13 +165,13 @@
 	if err != nil {
 		return
 	}
-	n.send(c.name, KindFeed, b)
+	n.send(c.name, KindEntries, b)
 }
 
 // lead is what a leader does at every tick: it hands over before its own turn,
 // tells time and contacts, and has the council's seats changed.
 func (n *Node) lead() {
-	if n.leads = n.Leads(); !n.leads {
+	if n.leads = n.IsLeader(); !n.leads {
 		return
 	}
 	s := n.rep.State()
@@ -192,7 +192,7 @@
 			h, ok = heard{id: f.ID, start: f.Start, at: n.now, away: f.NotServing, hurt: f.Unhealthy}, true
 			n.heard[f.Name] = h
 		}
-		lost := !ok || h.id != f.ID || n.now-h.at > n.cfg.Lost
+		lost := !ok || h.id != f.ID || n.now-h.at > n.cfg.LostAfter
 		away, hurt := f.NotServing, f.Unhealthy
 		if ok && h.id == f.ID && h.start == f.Start {
 			away, hurt = h.away, h.hurt
@@ -263,7 +263,7 @@
 	}
 	s := n.rep.State()
 	progress := n.raw.Status().Progress
-	m := s.Members.Next(s.Seats, membership.Config{Grace: n.cfg.Grace}, membership.View{Now: s.Now, Leader: n.id,
+	m := s.Members.Next(s.Seats, membership.Config{Grace: n.cfg.SeatGrace}, membership.View{Now: s.Now, Leader: n.id,
 		CaughtUp: func(id uint64) bool { return progress[id].Match+16 >= n.last() }, Avoid: n.rep.Avoid,
 		KeepsUp: func(f *membership.Front) bool {
 			h := n.heard[f.Name]
--- a/internal/fleet/consensus/found.go
+++ b/internal/fleet/consensus/found.go
@@ -11,15 +11,17 @@
 
 // probed is what a first member said last.
 type probed struct {
-	tell Tell
+	tell ProbeInfo
 	at   Micros
 }
 
 // founder tells whether this front is the one that founds.
-func (n *Node) founder() bool { return len(n.cfg.First) > 0 && n.cfg.First[0].Name == n.cfg.Name }
+func (n *Node) founder() bool {
+	return len(n.cfg.FirstMembers) > 0 && n.cfg.FirstMembers[0].Name == n.cfg.Name
+}
 
 func (n *Node) first() (names []string) {
-	for _, a := range n.cfg.First {
+	for _, a := range n.cfg.FirstMembers {
 		names = append(names, a.Name)
 	}
 	return names
@@ -34,33 +36,33 @@
 	if !n.founder() || !n.blank() || n.out {
 		return
 	}
-	for _, a := range n.cfg.First[1:] {
-		n.send(a.Name, KindProbe, encode(Tell{First: n.first()}))
+	for _, a := range n.cfg.FirstMembers[1:] {
+		n.send(a.Name, KindProbe, encode(ProbeInfo{FirstMembers: n.first()}))
 	}
-	if n.Founding() == "" {
+	if n.FoundingStatus() == "" {
 		n.found()
 	}
 }
 
 // Founding tells what the fleet's founding waits for; empty: for nothing.
-func (n *Node) Founding() string {
+func (n *Node) FoundingStatus() string {
 	if !n.blank() {
 		return ""
 	}
 	if !n.founder() {
-		if len(n.cfg.First) == 0 {
+		if len(n.cfg.FirstMembers) == 0 {
 			return "no first members are named"
 		}
-		return "for " + n.cfg.First[0].Name + ", the first of the first members"
+		return "for " + n.cfg.FirstMembers[0].Name + ", the first of the first members"
 	}
-	for _, a := range n.cfg.First[1:] {
+	for _, a := range n.cfg.FirstMembers[1:] {
 		p, ok := n.probed[a.Name]
 		switch {
 		case !ok || n.now-p.at > n.span(feederTicks):
 			return "for word of " + a.Name
 		case p.tell.Fleet != 0:
 			return a.Name + " belongs to a fleet already, which this front joins"
-		case !slices.Equal(p.tell.First, n.first()):
+		case !slices.Equal(p.tell.FirstMembers, n.first()):
 			return a.Name + " names other first members"
 		}
 	}
@@ -81,7 +83,7 @@
 	n.tell("this front founds the fleet %s", n.cfg.Fleet)
 	front := n.self()
 	n.founding = func() {
-		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.Draw(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Result, error) {})
+		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.RandomID(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Result, error) {})
 		n.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, n.span(600), func(statemachine.Result, error) {})
 	}
 }
@@ -96,13 +98,13 @@
 	if n.rep.State().Version < statemachine.VersionOwners {
 		return 0
 	}
-	return n.cfg.Keep
+	return n.cfg.OwnerLease
 }
 
 // toldBy takes a question about the past, or its answer.
-func (n *Node) toldBy(from string, kind Kind, t Tell) {
+func (n *Node) toldBy(from string, kind Kind, t ProbeInfo) {
 	if kind == KindProbe {
-		n.send(from, KindTell, encode(Tell{Fleet: n.rep.State().Fleet, First: n.first()}))
+		n.send(from, KindProbeReply, encode(ProbeInfo{Fleet: n.rep.State().Fleet, FirstMembers: n.first()}))
 		return
 	}
 	if slices.Contains(n.first(), from) {
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -20,10 +20,10 @@
 
 // Clock moves this front's clock on without anything else, as must happen before a
 // message is received: what is passed on is measured from now.
-func (n *Node) Clock(now Micros) { n.now = max(n.now, now) }
+func (n *Node) AdvanceClock(now Micros) { n.now = max(n.now, now) }
 
 // Lives is the span that this front lives by without hearing the fleet; 0: for ever.
-func (n *Node) Lives() Micros {
+func (n *Node) LeaseSpan() Micros {
 	s := n.rep.State()
 	rule, known := n.cfg.Rules.LeaseSpan, Micros(0)
 	if s.Fleet != 0 {
@@ -37,19 +37,19 @@
 
 // Holds tells whether this front may act at a moment of its own clock. One that can't
 // read the fleet's entries any more can't know by what leave it would.
-func (n *Node) Holds(now Micros) bool {
+func (n *Node) MayAct(now Micros) bool {
 	if n.stale != nil {
 		return false
 	}
 	span := n.leases.before // as of the last entry or tick: this is asked before each act
 	if !n.leases.looked {
-		span = n.Lives()
+		span = n.LeaseSpan()
 	}
 	return span == 0 || n.leases.own.Valid(now) || n.rep.HasMutation(statemachine.DisableLeaseCheck)
 }
 
 // Rep tells whether the replica leaves a rule out.
-func (n *Node) Rep(rule statemachine.Mutation) bool { return n.rep.HasMutation(rule) }
+func (n *Node) HasMutation(rule statemachine.Mutation) bool { return n.rep.HasMutation(rule) }
 
 // LeaseEnd is the moment up to which it may; 0: for ever, or not at all.
 func (n *Node) LeaseEnd() Micros { return n.leases.own.End() }
@@ -59,7 +59,7 @@
 // such until it joins with a span.
 func (n *Node) live() {
 	l := &n.leases
-	span := n.Lives()
+	span := n.LeaseSpan()
 	l.own.Applied(n.applied)
 	l.keep.Applied(n.applied)
 	if span > 0 {
@@ -73,7 +73,7 @@
 
 // wants is an ask for a lease, where this front lives by one.
 func (n *Node) wants() lease.Request {
-	if n.Lives() == 0 && n.cfg.Keep == 0 {
+	if n.LeaseSpan() == 0 && n.cfg.OwnerLease == 0 {
 		return lease.Request{}
 	}
 	return lease.Request{Stamp: max(1, n.now)}
@@ -81,11 +81,11 @@
 
 // Keep is the moment of this front's clock up to which it may act as a keeper of sites,
 // and one before which a majority was asked whether that is so; 0: it may not.
-func (n *Node) Keep() (end, asked Micros) {
+func (n *Node) OwnerLease() (end, asked Micros) {
 	if n.stale != nil {
 		return 0, 0
 	}
-	return n.leases.keep.End(), n.leases.keep.End() - n.cfg.Keep
+	return n.leases.keep.End(), n.leases.keep.End() - n.cfg.OwnerLease
 }
 
 // granting is what a leader does at every beat: it begins a round for those who have
@@ -143,7 +143,7 @@
 
 // pass grants to a front that this one feeds what is left of its own lease, or has
 // it wait for a round where this one leads.
-func (n *Node) pass(from string, a Ask) {
+func (n *Node) pass(from string, a AttachRequest) {
 	if a.Lease.Stamp == 0 || n.stale != nil {
 		return
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	g, ok := lease.Grant{}, false
-	if n.Lives() > 0 {
+	if n.LeaseSpan() > 0 {
 		g, ok = n.leases.own.Delegate(a.Lease, n.now)
 	}
 	if k, held := n.leases.keep.Delegate(a.Lease, n.now); held && f.OwnerLease > 0 {
@@ -182,10 +182,10 @@
 	if n.stale != nil {
 		return
 	}
-	if span := n.Lives(); span > 0 {
+	if span := n.LeaseSpan(); span > 0 {
 		n.leases.own.Accept(g, span, n.applied)
 	}
-	if n.cfg.Keep > 0 {
-		n.leases.keep.Accept(lease.Grant{Stamp: g.Stamp, Span: g.OwnerSpan, Index: g.Index}, n.cfg.Keep, n.applied)
+	if n.cfg.OwnerLease > 0 {
+		n.leases.keep.Accept(lease.Grant{Stamp: g.Stamp, Span: g.OwnerSpan, Index: g.Index}, n.cfg.OwnerLease, n.applied)
 	}
 }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -20,33 +20,33 @@
 
 // The kinds.
 const (
-	KindRaft     Kind = iota + 1 // the agreement library's own, as it marshals them
-	KindPropose                  // a command on its way to the leader
-	KindBeat                     // a front is there, and those below it
-	KindAsk                      // feed me, from this entry on
-	KindFeed                     // entries that are committed, as the leader's own message
-	KindFed                      // you are fed, from below this path; or ask another one
-	KindProbe                    // do you belong to a fleet?
-	KindTell                     // the answer
-	KindGrant                    // a lease, for who asked for one with a beat or an ask
-	KindQuestion                 // of a front's audit; not for the node
-	KindAnswer                   // and what it says
+	KindRaft          Kind = iota + 1 // the agreement library's own, as it marshals them
+	KindPropose                       // a command on its way to the leader
+	KindHeartbeat                     // a front is there, and those below it
+	KindAttach                        // feed me, from this entry on
+	KindEntries                       // entries that are committed, as the leader's own message
+	KindAttachReply                   // you are fed, from below this path; or ask another one
+	KindProbe                         // do you belong to a fleet?
+	KindProbeReply                    // the answer
+	KindGrant                         // a lease, for who asked for one with a beat or an ask
+	KindAuditQuestion                 // of a front's audit; not for the node
+	KindAuditAnswer                   // and what it says
 )
 
 // Beat tells that a front is there, and who is below it.
-type Beat struct {
-	Name    string `cbor:"1,keyasint"`
-	ID      uint64 `cbor:"2,keyasint"`
-	Start   uint64 `cbor:"3,keyasint"`
-	Away    bool   `cbor:"4,keyasint,omitempty"`
-	Applied uint64 `cbor:"5,keyasint"`
-	Age     Micros `cbor:"6,keyasint,omitempty"` // since it was heard by who tells
-	Below   []Beat `cbor:"7,keyasint,omitempty"`
-	Hurt    bool   `cbor:"8,keyasint,omitempty"`
+type Heartbeat struct {
+	Name       string      `cbor:"1,keyasint"`
+	ID         uint64      `cbor:"2,keyasint"`
+	Start      uint64      `cbor:"3,keyasint"`
+	NotServing bool        `cbor:"4,keyasint,omitempty"`
+	Applied    uint64      `cbor:"5,keyasint"`
+	Age        Micros      `cbor:"6,keyasint,omitempty"` // since it was heard by who tells
+	Below      []Heartbeat `cbor:"7,keyasint,omitempty"`
+	Unhealthy  bool        `cbor:"8,keyasint,omitempty"`
 
-	Lease lease.Request `cbor:"9,keyasint,omitzero"`   // of the sender itself, to the leader
-	Left  []uint64      `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
-	Reads int           `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
+	Lease           lease.Request `cbor:"9,keyasint,omitzero"`   // of the sender itself, to the leader
+	LeftPermits     []uint64      `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
+	MaxStateVersion int           `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
 
 	Stand *rollout.FrontStatus `cbor:"12,keyasint,omitempty"` // which version it acts on
 }
@@ -55,7 +55,7 @@
 const mostLeft = 64
 
 // Ask asks to be fed.
-type Ask struct {
+type AttachRequest struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Next    uint64 `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // where to answer: the fleet may not know this front yet
@@ -65,16 +65,16 @@
 }
 
 // Fed is the answer.
-type Fed struct {
-	Path []string `cbor:"1,keyasint,omitempty"` // who feeds, and above it
-	Try  []string `cbor:"2,keyasint,omitempty"` // no place: ask these
-	Full bool     `cbor:"3,keyasint,omitempty"`
+type AttachReply struct {
+	Path         []string `cbor:"1,keyasint,omitempty"` // who feeds, and above it
+	Alternatives []string `cbor:"2,keyasint,omitempty"` // no place: ask these
+	Full         bool     `cbor:"3,keyasint,omitempty"`
 }
 
 // Tell is what a front says of its past.
-type Tell struct {
-	Fleet uint64   `cbor:"1,keyasint"` // 0: it knows of none
-	First []string `cbor:"2,keyasint"` // its named first members, in order
+type ProbeInfo struct {
+	Fleet        uint64   `cbor:"1,keyasint"` // 0: it knows of none
+	FirstMembers []string `cbor:"2,keyasint"` // its named first members, in order
 }
 
 var (
@@ -110,7 +110,7 @@
 // wrap puts the agreement's message on its way. What a front that is fed alone would
 // answer to the leader stays here: it asks its feeder instead. Once the leader
 // speaks to it, as to a learner that has not heard of its seat yet, it answers.
-func (n *Node) wrap(list []Send, m *raftpb.Message) []Send {
+func (n *Node) wrap(list []Message, m *raftpb.Message) []Message {
 	to := n.nameOf(m.GetTo())
 	if to == "" || to == n.cfg.Name || m.GetType() == raftpb.MsgAppResp && n.now-n.ledAt >= n.span(feederTicks) {
 		if m.GetType() == raftpb.MsgSnap {
@@ -125,14 +125,14 @@
 	if m.GetType() == raftpb.MsgSnap { // whether it came, the next answers tell
 		n.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
-	return append(list, Send{To: to, Kind: KindRaft, Payload: b})
+	return append(list, Message{To: to, Kind: KindRaft, Payload: b})
 }
 
 // Receive takes a message in from another front, whose name its keys have proven.
 // The error tells of one that can't be read.
 func (n *Node) Receive(from string, kind Kind, payload []byte) error {
 	switch kind {
-	case KindRaft, KindFeed:
+	case KindRaft, KindEntries:
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(payload, m); err != nil {
 			return fmt.Errorf("fleet: from %s: %w", from, err)
@@ -146,16 +146,16 @@
 		if _, ok := n.rep.Seen(c.ID); !ok { // whoever waits for it sees it in the log
 			n.forward(payload)
 		}
-	case KindBeat:
-		return receive(payload, func(b Beat) { n.beaten(from, b) })
-	case KindAsk:
-		return receive(payload, func(a Ask) { n.feed(from, a) })
-	case KindFed:
-		return receive(payload, func(f Fed) { n.feeding(from, f) })
+	case KindHeartbeat:
+		return receive(payload, func(b Heartbeat) { n.beaten(from, b) })
+	case KindAttach:
+		return receive(payload, func(a AttachRequest) { n.feed(from, a) })
+	case KindAttachReply:
+		return receive(payload, func(f AttachReply) { n.feeding(from, f) })
 	case KindGrant:
 		return receive(payload, n.granted)
-	case KindProbe, KindTell:
-		return receive(payload, func(t Tell) { n.toldBy(from, kind, t) })
+	case KindProbe, KindProbeReply:
+		return receive(payload, func(t ProbeInfo) { n.toldBy(from, kind, t) })
 	default:
 		return fmt.Errorf("fleet: from %s: message of kind %d", from, kind)
 	}
@@ -193,13 +193,13 @@
 		// What was committed when this life first heard is applied before it acts.
 		n.fresh = n.fresh || n.applied > 0 && n.applied >= m.GetCommit() && m.GetType() != raftpb.MsgSnap
 	}
-	if c := m.GetSnapshot().GetMetadata().GetConfState(); kind == KindFeed && m.GetType() == raftpb.MsgSnap && !seated(c, n.id) {
+	if c := m.GetSnapshot().GetMetadata().GetConfState(); kind == KindEntries && m.GetType() == raftpb.MsgSnap && !seated(c, n.id) {
 		n.fedSnapshot = m
 		return
 	}
 	defer func() { // the library's word where what a disk had confirmed is not there any more
 		if p := recover(); p != nil {
-			n.broken = fmt.Errorf("%w: %v", ErrOld, p)
+			n.broken = fmt.Errorf("%w: %v", ErrOutdatedDisk, p)
 		}
 	}()
 	before := n.raw.BasicStatus()
@@ -211,7 +211,7 @@
 
 // beat tells that this front is there: a voter to the leader, others to who feeds them.
 func (n *Node) beat() {
-	b := Beat{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, Away: n.away, Hurt: n.hurt, Applied: n.applied, Left: n.leftPermits(), Reads: statemachine.Version, Stand: n.stand}
+	b := Heartbeat{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, NotServing: n.away, Unhealthy: n.hurt, Applied: n.applied, LeftPermits: n.leftPermits(), MaxStateVersion: statemachine.Version, Stand: n.stand}
 	to := n.feeder
 	if lead, _ := n.Leader(); n.led() || to == "" {
 		to, b.Lease = n.nameOf(lead), n.wants()
@@ -220,18 +220,18 @@
 		return
 	}
 	for _, c := range n.children {
-		if h, ok := n.heard[c.name]; ok && n.now-h.at < n.cfg.Lost {
-			b.Below = append(b.Below, Beat{Name: c.name, ID: h.id, Start: h.start, Away: h.away, Hurt: h.hurt, Applied: h.applied, Age: n.now - h.at, Left: h.left, Reads: h.reads, Stand: h.stand})
+		if h, ok := n.heard[c.name]; ok && n.now-h.at < n.cfg.LostAfter {
+			b.Below = append(b.Below, Heartbeat{Name: c.name, ID: h.id, Start: h.start, NotServing: h.away, Unhealthy: h.hurt, Applied: h.applied, Age: n.now - h.at, LeftPermits: h.left, MaxStateVersion: h.reads, Stand: h.stand})
 		}
 	}
 	// And those below them, as they told.
 	for name, h := range n.heard {
-		if n.now-h.at < n.cfg.Lost && !slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name }) {
-			b.Below = append(b.Below, Beat{Name: name, ID: h.id, Start: h.start, Away: h.away, Hurt: h.hurt, Applied: h.applied, Age: n.now - h.at, Left: h.left, Reads: h.reads, Stand: h.stand})
+		if n.now-h.at < n.cfg.LostAfter && !slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name }) {
+			b.Below = append(b.Below, Heartbeat{Name: name, ID: h.id, Start: h.start, NotServing: h.away, Unhealthy: h.hurt, Applied: h.applied, Age: n.now - h.at, LeftPermits: h.left, MaxStateVersion: h.reads, Stand: h.stand})
 		}
 	}
-	slices.SortFunc(b.Below, func(x, y Beat) int { return compare(x.Name, y.Name) })
-	n.send(to, KindBeat, encode(b))
+	slices.SortFunc(b.Below, func(x, y Heartbeat) int { return compare(x.Name, y.Name) })
+	n.send(to, KindHeartbeat, encode(b))
 }
 
 func compare(a, b string) int {
@@ -245,14 +245,14 @@
 }
 
 // beaten takes a beat in.
-func (n *Node) beaten(from string, b Beat) {
+func (n *Node) beaten(from string, b Heartbeat) {
 	if b.Name != from {
 		return
 	}
-	note := func(b Beat) {
+	note := func(b Heartbeat) {
 		at := n.now - max(0, b.Age)
 		if old, ok := n.heard[b.Name]; !ok || old.at <= at {
-			n.heard[b.Name] = heard{id: b.ID, start: b.Start, at: at, away: b.Away, hurt: b.Hurt, applied: b.Applied, left: b.Left[:min(len(b.Left), mostLeft)], reads: b.Reads, stand: b.Stand}
+			n.heard[b.Name] = heard{id: b.ID, start: b.Start, at: at, away: b.NotServing, hurt: b.Unhealthy, applied: b.Applied, left: b.LeftPermits[:min(len(b.LeftPermits), mostLeft)], reads: b.MaxStateVersion, stand: b.Stand}
 		}
 	}
 	note(b)
@@ -265,7 +265,7 @@
 		}
 	}
 	for name, h := range n.heard { // who has gone for long
-		if n.now-h.at > 10*n.cfg.Lost {
+		if n.now-h.at > 10*n.cfg.LostAfter {
 			delete(n.heard, name)
 		}
 	}
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -32,23 +32,23 @@
 
 // Config is one front's place in the fleet.
 type Config struct {
-	Fleet   string
-	Name    string
-	Zone    string
-	Machine string
-	Address string
-	Build   string
-	Start   uint64 // of this process, drawn anew
-	First   []Address
-	Rules   maintenance.Rules
-	Draw    func() uint64 // a random number that is not 0
-
-	Tick     Micros // of the agreement; an election takes ten to twenty without a leader
-	Lost     Micros // unheard for so long a front counts as lost
-	Grace    Micros // fleet time for which a lost voter keeps its seat
-	Keep     Micros // span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
-	FanOut   int    // fronts that one feeds
-	Snapshot uint64 // entries from which the log is begun anew
+	Fleet        string
+	Name         string
+	Zone         string
+	Machine      string
+	Address      string
+	Build        string
+	Start        uint64 // of this process, drawn anew
+	FirstMembers []Address
+	Rules        maintenance.Rules
+	RandomID     func() uint64 // a random number that is not 0
+
+	Tick            Micros // of the agreement; an election takes ten to twenty without a leader
+	LostAfter       Micros // unheard for so long a front counts as lost
+	SeatGrace       Micros // fleet time for which a lost voter keeps its seat
+	OwnerLease      Micros // span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
+	FanOut          int    // fronts that one feeds
+	SnapshotEntries uint64 // entries from which the log is begun anew
 }
 
 // Spans of the protocol, in ticks.
@@ -71,13 +71,13 @@
 
 // Errors.
 var (
-	ErrBusy    = errors.New("fleet: too many commands wait")
-	ErrOld     = errors.New("fleet: the disk is older than what the fleet has from it: empty the folder, and it comes back under a new incarnation")
-	ErrUnknown = errors.New("fleet: no word in time: it may still be done")
+	ErrBusy           = errors.New("fleet: too many commands wait")
+	ErrOutdatedDisk   = errors.New("fleet: the disk is older than what the fleet has from it: empty the folder, and it comes back under a new incarnation")
+	ErrOutcomeUnknown = errors.New("fleet: no word in time: it may still be done")
 )
 
 // Send is a message to another front.
-type Send struct {
+type Message struct {
 	To      string
 	Kind    Kind
 	Payload []byte
@@ -85,10 +85,10 @@
 
 // Output is what one Ready asks for: first the records on disk, then Done.
 type Output struct {
-	Records [][]byte // to be appended to the journal
-	Rewrite [][]byte // or the journal begun anew with these; then Records is empty
-	Sends   []Send   // after the records are durable
-	ready   *raft.Ready
+	Records  [][]byte  // to be appended to the journal
+	Rewrite  [][]byte  // or the journal begun anew with these; then Records is empty
+	Messages []Message // after the records are durable
+	ready    *raft.Ready
 }
 
 // pending is a command that waits for its word.
@@ -133,7 +133,7 @@
 	stale   error // why entries are no longer applied
 	broken  error // why this front must take no part
 	out     bool  // an output was given and is not done
-	sends   []Send
+	sends   []Message
 	told    []string
 	rewrite bool
 
@@ -192,10 +192,10 @@
 // New makes a front's part from what its folder held, whose identity must be set.
 func New(cfg Config, r *Recovered, now Micros) (*Node, error) {
 	if r.Identity.Name != cfg.Name {
-		return nil, fmt.Errorf("%w: it is %s's, and this is %s", ErrForeign, r.Identity.Name, cfg.Name)
+		return nil, fmt.Errorf("%w: it is %s's, and this is %s", ErrForeignFolder, r.Identity.Name, cfg.Name)
 	}
 	if len(r.parts) > 0 {
-		return nil, fmt.Errorf("%w: a snapshot without its end", ErrRecord)
+		return nil, fmt.Errorf("%w: a snapshot without its end", ErrUnreadableRecord)
 	}
 	n := &Node{cfg: cfg, id: r.Identity.ID, now: now, ticked: now, fed: now, ledAt: now, facts: now, store: raft.NewMemoryStorage(),
 		rep: statemachine.New(), names: map[uint64]string{}, heard: map[string]heard{}, probed: map[string]probed{}, addresses: map[string]string{},
@@ -207,7 +207,7 @@
 	}
 	if r.hard != nil {
 		if r.hard.GetCommit() > r.snapshot.GetMetadata().GetIndex()+uint64(len(r.entries)) {
-			return nil, fmt.Errorf("%w: %d is committed", ErrGap, r.hard.GetCommit())
+			return nil, fmt.Errorf("%w: %d is committed", ErrMissingEntries, r.hard.GetCommit())
 		}
 		if err := n.store.SetHardState(r.hard); err != nil {
 			return nil, err
@@ -273,14 +273,14 @@
 }
 
 // Leads tells whether this front leads.
-func (n *Node) Leads() bool { return n.leads && n.raw.BasicStatus().RaftState == raft.StateLeader }
+func (n *Node) IsLeader() bool { return n.leads && n.raw.BasicStatus().RaftState == raft.StateLeader }
 
 // Broken tells why this front must take no part any more; nil: it may.
 func (n *Node) Broken() error { return n.broken }
 
 // Fresh tells whether, since this process started, it has applied all that had been
 // committed when it first heard the fleet.
-func (n *Node) Fresh() bool { return n.fresh || n.leads }
+func (n *Node) CaughtUp() bool { return n.fresh || n.leads }
 
 // InContact tells whether the fleet's leader is heard, directly or by who feeds this front.
 func (n *Node) InContact() bool {
@@ -298,7 +298,7 @@
 
 // Older gives the fronts that are not known to read a newer version of the state than
 // the fleet's, at the leader; none: there is no newer one, or all do.
-func (n *Node) Older() (names []string) {
+func (n *Node) OutdatedFronts() (names []string) {
 	s := n.rep.State()
 	if s.Version >= statemachine.Version {
 		return nil
@@ -313,7 +313,7 @@
 
 // raise has the state's version raised once all fronts are known to read it.
 func (n *Node) raise() {
-	if s := n.rep.State(); s.Version >= statemachine.Version || n.now-n.raisedAt < n.span(againTicks) || len(n.Older()) > 0 {
+	if s := n.rep.State(); s.Version >= statemachine.Version || n.now-n.raisedAt < n.span(againTicks) || len(n.OutdatedFronts()) > 0 {
 		return
 	}
 	n.raisedAt = n.now
@@ -325,10 +325,10 @@
 }
 
 // Changing tells what the council's next change waits for, at the leader.
-func (n *Node) Changing() string { return n.changing }
+func (n *Node) PendingChange() string { return n.changing }
 
 // Term is the term of an applied or kept entry; 0: not known any more.
-func (n *Node) Term(index uint64) uint64 {
+func (n *Node) EntryTerm(index uint64) uint64 {
 	t, err := n.store.Term(index)
 	if err != nil {
 		return 0
@@ -337,7 +337,7 @@
 }
 
 // Told gives what has happened since it was last asked, a line each.
-func (n *Node) Told() (lines []string) {
+func (n *Node) Events() (lines []string) {
 	lines, n.told = n.told, nil
 	return lines
 }
@@ -368,7 +368,7 @@
 	if f := n.rep.State().Members.Find(name); f != nil {
 		return f.Address
 	}
-	for _, a := range n.cfg.First {
+	for _, a := range n.cfg.FirstMembers {
 		if a.Name == name {
 			return a.Address
 		}
@@ -462,7 +462,7 @@
 	for _, p := range waiting {
 		switch {
 		case n.now >= p.end:
-			p.done(statemachine.Result{}, ErrUnknown)
+			p.done(statemachine.Result{}, ErrOutcomeUnknown)
 		case n.now-p.at >= n.span(againTicks):
 			n.waiting = append(n.waiting, p)
 			n.propose(p)
@@ -485,7 +485,7 @@
 
 func (n *Node) send(to string, kind Kind, payload []byte) {
 	if to != n.cfg.Name && to != "" {
-		n.sends = append(n.sends, Send{To: to, Kind: kind, Payload: payload})
+		n.sends = append(n.sends, Message{To: to, Kind: kind, Payload: payload})
 	}
 }
 
@@ -511,7 +511,7 @@
 			}
 		}
 	}
-	out.Sends, n.sends = n.sends, nil
+	out.Messages, n.sends = n.sends, nil
 	if n.raw.HasReady() {
 		rd := n.raw.Ready()
 		out.ready = &rd
@@ -529,15 +529,15 @@
 			n.confirmed(r.RequestCtx, r.Index)
 		}
 		for _, m := range rd.Messages {
-			out.Sends = n.wrap(out.Sends, m)
+			out.Messages = n.wrap(out.Messages, m)
 		}
 	}
 	n.out = out.ready != nil
-	return out, n.out || len(out.Sends) > 0
+	return out, n.out || len(out.Messages) > 0
 }
 
 // Done takes an output's records as durable, and applies what it commits.
-func (n *Node) Done(out Output) error {
+func (n *Node) Advance(out Output) error {
 	if out.ready == nil && out.Rewrite == nil {
 		return nil
 	}
@@ -657,13 +657,13 @@
 // kept gets a snapshot, so that nobody holds the log.
 func (n *Node) compact() {
 	first, err := n.store.FirstIndex()
-	if err != nil || n.stale != nil || n.applied < first+n.cfg.Snapshot {
+	if err != nil || n.stale != nil || n.applied < first+n.cfg.SnapshotEntries {
 		return
 	}
 	if _, err := n.store.CreateSnapshot(n.applied, n.conf, n.rep.Snapshot()); err != nil {
 		return
 	}
-	if err := n.store.Compact(n.applied - min(keepBehind, n.cfg.Snapshot/2)); err == nil {
+	if err := n.store.Compact(n.applied - min(keepBehind, n.cfg.SnapshotEntries/2)); err == nil {
 		n.rewrite = true
 	}
 }
--- a/internal/fleet/consensus/records.go
+++ b/internal/fleet/consensus/records.go
@@ -38,19 +38,19 @@
 
 // Errors of a folder that can't be used.
 var (
-	ErrRecord  = errors.New("fleet: a record that this build can't read")
-	ErrForeign = errors.New("fleet: the folder is another front's")
-	ErrGap     = errors.New("fleet: entries are missing in the journal")
+	ErrUnreadableRecord = errors.New("fleet: a record that this build can't read")
+	ErrForeignFolder    = errors.New("fleet: the folder is another front's")
+	ErrMissingEntries   = errors.New("fleet: entries are missing in the journal")
 )
 
 // Take takes in the journal's next record.
-func (r *Recovered) Take(record []byte) error {
+func (r *Recovered) Add(record []byte) error {
 	if len(record) == 0 {
-		return ErrRecord
+		return ErrUnreadableRecord
 	}
 	kind, body := record[0], record[1:]
 	if r.Identity.ID == 0 && kind != recIdentity {
-		return fmt.Errorf("%w: the first is not the identity", ErrRecord)
+		return fmt.Errorf("%w: the first is not the identity", ErrUnreadableRecord)
 	}
 	var err error
 	switch kind {
@@ -77,7 +77,7 @@
 		err = fmt.Errorf("kind %d", kind)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrRecord, err)
+		return fmt.Errorf("%w: %w", ErrUnreadableRecord, err)
 	}
 	return nil
 }
--- a/internal/fleet/consensus/records_test.go
+++ b/internal/fleet/consensus/records_test.go
@@ -18,7 +18,7 @@
 			list = append(list, entry(i))
 		}
 		for _, x := range append(list, record(recHard, &raftpb.HardState{Term: new(uint64(1)), Commit: new(commit)})) {
-			if err := r.Take(x); err != nil {
+			if err := r.Add(x); err != nil {
 				return r, err
 			}
 		}
@@ -31,7 +31,7 @@
 	if r, err := take(0, 1, 2, 4); err != nil || len(r.entries) != 2 {
 		t.Errorf("%v, %d entries", err, len(r.entries))
 	}
-	if _, err := take(4, 1, 2, 4); !errors.Is(err, ErrGap) {
+	if _, err := take(4, 1, 2, 4); !errors.Is(err, ErrMissingEntries) {
 		t.Errorf("entry 3 is committed and missing: %v", err)
 	}
 }
--- a/internal/fleet/consensus/stands.go
+++ b/internal/fleet/consensus/stands.go
@@ -18,7 +18,7 @@
 )
 
 // SetStand tells which version this front acts on, in its own words.
-func (n *Node) SetStand(x rollout.FrontStatus) {
+func (n *Node) SetReport(x rollout.FrontStatus) {
 	x.Name, x.ID, x.Start = n.cfg.Name, n.id, n.cfg.Start
 	n.stand = &x
 }
@@ -40,7 +40,7 @@
 	var list []rollout.FrontStatus
 	for _, f := range s.Members.Fronts {
 		h := n.heard[f.Name]
-		if h.stand == nil || h.id != f.ID || h.start != f.Start || n.now-h.at > n.cfg.Lost {
+		if h.stand == nil || h.id != f.ID || h.start != f.Start || n.now-h.at > n.cfg.LostAfter {
 			continue
 		}
 		x := *h.stand
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -16,7 +16,7 @@
 )
 
 // Sharer is a host that goes by what the fleet shares.
-type Sharer interface {
+type ExchangeHost interface {
 	Mono() int64
 	exchange.Limiter
 	exchange.Obeyer
@@ -34,17 +34,17 @@
 
 // startExchange starts this front's part in what is exchanged, where it has one.
 func (f *Fleet) startExchange() error {
-	host, ok := f.host.(Sharer)
-	if f.cfg.Shared == nil || !ok {
+	host, ok := f.host.(ExchangeHost)
+	if f.cfg.Exchange == nil || !ok {
 		return nil
 	}
 	reach := f.cfg.Reach
 	address := map[string]string{}
-	for _, a := range f.cfg.First {
+	for _, a := range f.cfg.FirstMembers {
 		address[a.Name] = a.Address
 	}
 	var err error
-	f.ex, err = exchange.Start(exchange.Config{Name: f.cfg.Name, Folder: filepath.Clean(f.cfg.Folder), Keys: f.keys, Section: f.cfg.Shared, Now: host.Mono,
+	f.ex, err = exchange.Start(exchange.Config{Name: f.cfg.Name, Folder: filepath.Clean(f.cfg.Folder), Keys: f.keys, Section: f.cfg.Exchange, Now: host.Mono,
 		Loop: f.loop, Limiter: host, Obeyer: host, Witness: host, Surveyor: host, Address: func(v *topology.View, name string) string {
 			if a := reach[name]; a != "" {
 				return a
@@ -65,7 +65,7 @@
 	if f.ex == nil {
 		return
 	}
-	host := f.host.(Sharer)
+	host := f.host.(ExchangeHost)
 	s, r := f.node.Replica().State(), f.node.Replica()
 	c := &f.changed
 	if at := f.node.Applied(); c.view == nil || at != c.tree {
@@ -87,7 +87,7 @@
 		}
 		c.view = v
 	}
-	end, asked := f.node.Keep()
+	end, asked := f.node.OwnerLease()
 	now, mono := f.now(), host.Mono()
 	f.ex.Know(&exchange.Standing{View: c.view, Changed: c.index, Keep: mono + end - now, Asked: mono + asked - now})
 }
@@ -123,7 +123,7 @@
 }
 
 // RenewExchange takes a new section over.
-func (f *Fleet) RenewExchange(x *config.Exchange) {
+func (f *Fleet) UpdateExchange(x *config.Exchange) {
 	if f.ex != nil {
 		f.ex.Renew(x)
 	}
@@ -137,11 +137,11 @@
 )
 
 // AskedPurge is what a person asks for.
-type AskedPurge struct {
-	Kind  string `json:"kind"` // object, group, prefix, tag, all
-	Name  string `json:"name,omitempty"`
-	Asked string `json:"asked"` // names the asking
-	Why   string `json:"why,omitempty"`
+type PurgeRequest struct {
+	Kind   string `json:"kind"` // object, group, prefix, tag, all
+	Name   string `json:"name,omitempty"`
+	Asked  string `json:"asked"` // names the asking
+	Reason string `json:"why,omitempty"`
 }
 
 func (f *Fleet) exchangeCall(word, rest string, give func(any), fail func(error)) {
@@ -175,7 +175,7 @@
 		what, rest, _ := strings.Cut(rest, " ")
 		switch rest = strings.TrimSpace(rest); what {
 		case "ASK":
-			var a AskedPurge
+			var a PurgeRequest
 			d := json.NewDecoder(strings.NewReader(rest))
 			d.DisallowUnknownFields()
 			if err := d.Decode(&a); err != nil {
@@ -190,7 +190,7 @@
 				fail(err)
 				return
 			}
-			f.ex.AskPurge(scope, a.Asked, a.Why, func(p invalidation.Purge, err error) {
+			f.ex.AskPurge(scope, a.Asked, a.Reason, func(p invalidation.Purge, err error) {
 				answer(map[string]string{"id": p.ID(), "asked": p.RequestKey}, err)
 			})
 		case "LIST":
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,40 +32,40 @@
 // Config is one front's place in the fleet.
 type Config struct {
 	consensus.Config
-	Listen string
-	Folder string
-	Keys   peers.Files
-	Reach  map[string]string // where a front is reached from here, if not at its own address
-	Shared *config.Exchange  // what fronts tell each other without agreeing first; nil: nothing
+	Listen   string
+	Folder   string
+	Keys     peers.Files
+	Reach    map[string]string // where a front is reached from here, if not at its own address
+	Exchange *config.Exchange  // what fronts tell each other without agreeing first; nil: nothing
 }
 
 // Host is the front round its part in the fleet.
 type Host interface {
 	// Takes tells whether it takes clients, whether it holds no request, and whether it
 	// is in trouble.
-	Takes() (clients, empty, hurt bool)
+	ServiceState() (clients, empty, hurt bool)
 	// GoOut has it take no clients and empty itself, or take them again.
-	GoOut(out bool, permit uint64)
+	SetOutOfService(out bool, permit uint64)
 	// Leave has it send nothing new to boxes; it tells of each whether anything is
 	// still open there.
-	Leave(boxes []string) (open map[string]bool)
+	LeaveBoxes(boxes []string) (open map[string]bool)
 	// Share tells where a box stands and which part of its hub's pace it has, in
 	// percent; known is false where the front has a list and the box is not on it.
-	Share(box string) (zone string, percent int, known bool)
+	BoxShare(box string) (zone string, percent int, known bool)
 	// Check looks through a version's file whole, with this front's own files beneath
 	// it, and tells later whether it can act on it.
-	Check(content []byte, done func(error))
+	CheckVersion(content []byte, done func(error))
 	// TakeUp has it act on a version that was checked; nil: on its own files alone.
-	TakeUp(n uint64, content []byte) error
+	ActivateVersion(n uint64, content []byte) error
 	// Fares is how many percent of its requests were refused or failed lately; seen is
 	// false where they are too few to tell.
-	Fares() (bad int, seen bool)
+	FailurePercent() (bad int, seen bool)
 	// Classes names the classes of requests by their places.
 	Classes() []string
 }
 
 // Counts are what has gone over the links.
-type Counts struct{ Sent, Received, Bytes, Dropped uint64 }
+type LinkCounts struct{ Sent, Received, Bytes, Dropped uint64 }
 
 const (
 	mostWrites = 4096      // records that wait for the disk
@@ -97,7 +97,7 @@
 	peers    map[string]*peer
 	guests   map[*guest]bool
 	incoming atomic.Int64
-	counts   Counts
+	counts   LinkCounts
 	tick     loop.Deadline
 	swept    loop.Micros
 	began    time.Time // the node's clock counts from here on, and only goes forward
@@ -120,7 +120,7 @@
 // call says why.
 func Start(cfg Config, l *loop.Loop, host Host, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, loop: l, host: host, log: log, peers: map[string]*peer{}, guests: map[*guest]bool{}, began: time.Now()}
-	f.cfg.Draw, f.cfg.Start = draw, draw()
+	f.cfg.RandomID, f.cfg.Start = draw, draw()
 	var err error
 	if f.keys, err = peers.Load(cfg.Keys, time.Now); err != nil {
 		return nil, fmt.Errorf("fleet: keys: %w", err)
@@ -129,7 +129,7 @@
 		return nil, fmt.Errorf("fleet: folder: %w", err)
 	}
 	f.tick.Init(f.ticked)
-	if len(cfg.First) == 2 {
+	if len(cfg.FirstMembers) == 2 {
 		log.Warn("fleet: of two first members any loss stops permits until it is back")
 	}
 	f.take()
@@ -171,7 +171,7 @@
 	}
 	f.lock = lock
 	r := &consensus.Recovered{}
-	disk, torn, err := journal.Open(filepath.Join(f.cfg.Folder, "journal"), mostWrites, f.loop.Post, r.Take)
+	disk, torn, err := journal.Open(filepath.Join(f.cfg.Folder, "journal"), mostWrites, f.loop.Post, r.Add)
 	if err != nil {
 		f.breaks(err)
 		return
@@ -253,16 +253,16 @@
 
 // serve has the host do what the state wants, and tells the node of the host.
 func (f *Fleet) serve() {
-	if out, permit := f.node.Out(); out != f.out {
+	if out, permit := f.node.OutOfService(); out != f.out {
 		f.out = out
-		f.host.GoOut(out, permit)
+		f.host.SetOutOfService(out, permit)
 	}
-	clients, empty, hurt := f.host.Takes()
-	f.node.Host(!clients, empty, hurt)
-	boxes := f.node.Boxes()
-	open := f.host.Leave(boxes)
+	clients, empty, hurt := f.host.ServiceState()
+	f.node.SetHostState(!clients, empty, hurt)
+	boxes := f.node.BoxesToLeave()
+	open := f.host.LeaveBoxes(boxes)
 	for _, b := range boxes {
-		f.node.LeftBox(b, !open[b])
+		f.node.SetBoxLeft(b, !open[b])
 	}
 	f.look()
 }
@@ -273,17 +273,17 @@
 // look sees whether the front may act, after all that the state wants of it was
 // carried out.
 func (f *Fleet) look() {
-	holds := f.node.Holds(f.now())
+	holds := f.node.MayAct(f.now())
 	f.opened = holds
 	if holds == f.told {
 		return
 	}
 	f.told = holds
-	if f.node.Lives() > 0 || !holds {
-		f.write1(audit.Record{Kind: audit.Lease, Text: map[bool]string{true: "held", false: "over"}[holds]})
+	if f.node.LeaseSpan() > 0 || !holds {
+		f.write1(audit.Record{Kind: audit.KindLease, Text: map[bool]string{true: "held", false: "over"}[holds]})
 	}
 	if holds {
-		f.log.Info("fleet: the front acts on its lease", "alone_s", seconds(f.node.Lives()))
+		f.log.Info("fleet: the front acts on its lease", "alone_s", seconds(f.node.LeaseSpan()))
 	} else {
 		f.log.Warn("fleet: the front's lease is over: it refuses requests until the fleet is heard", "applied", f.node.Applied())
 	}
@@ -291,7 +291,7 @@
 
 // Warm tells whether the front is a full machine: one that was shut out and has come
 // back is not for a while, and longer each time.
-func (f *Fleet) Warm() bool {
+func (f *Fleet) WarmedUp() bool {
 	if f.node == nil || f.broken != nil {
 		return true
 	}
@@ -303,22 +303,22 @@
 // Holds tells whether the front may act now, and if not, after how long to come back,
 // in us. It must be asked before each act: a process that was stopped goes on in the
 // middle of things.
-func (f *Fleet) Holds() (ok bool, away int64) {
+func (f *Fleet) MayAct() (ok bool, away int64) {
 	switch {
 	case f.node == nil:
-		return f.cfg.Rules.LeaseSpan == 0 && (f.cfg.Shared == nil || f.cfg.Shared.Purges == nil), awayUnknown
+		return f.cfg.Rules.LeaseSpan == 0 && (f.cfg.Exchange == nil || f.cfg.Exchange.Purges == nil), awayUnknown
 	case f.broken != nil:
-		ok = f.node.Lives() == 0
+		ok = f.node.LeaseSpan() == 0
 	case f.opened:
 		now := f.now()
-		if ok = f.node.Holds(now); !ok {
+		if ok = f.node.MayAct(now); !ok {
 			f.opened = false
 		}
 		ok = ok && f.ver.taker.MayAct(now)
 	default:
-		ok = f.node.Lives() == 0 && f.node.Stale() == nil && f.ver.taker.MayAct(f.now())
+		ok = f.node.LeaseSpan() == 0 && f.node.Stale() == nil && f.ver.taker.MayAct(f.now())
 	}
-	if ok && f.cfg.Shared != nil && f.cfg.Shared.Purges != nil { // what it missed comes first
+	if ok && f.cfg.Exchange != nil && f.cfg.Exchange.Purges != nil { // what it missed comes first
 		ok = f.ex != nil && f.ex.Open()
 	}
 	return ok, awayUnknown
@@ -349,16 +349,16 @@
 			return
 		}
 	}
-	if out, _ := f.node.Out(); out != f.out {
+	if out, _ := f.node.OutOfService(); out != f.out {
 		f.serve()
 	}
 }
 
 func (f *Fleet) done(out consensus.Output) bool {
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		f.send(s)
 	}
-	if err := f.node.Done(out); err != nil {
+	if err := f.node.Advance(out); err != nil {
 		f.breaks(err)
 		return false
 	}
@@ -412,7 +412,7 @@
 	if f.node == nil {
 		return
 	}
-	for _, line := range f.node.Told() {
+	for _, line := range f.node.Events() {
 		f.log.Info("fleet: " + line)
 	}
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -53,7 +53,7 @@
 }
 
 // send sends a message, or drops it where too much waits.
-func (f *Fleet) send(s consensus.Send) {
+func (f *Fleet) send(s consensus.Message) {
 	p := f.peers[s.To]
 	if p == nil {
 		p = &peer{f: f, name: s.To}
@@ -295,8 +295,8 @@
 		}
 		if err == nil {
 			g.f.counts.Received++
-			g.f.node.Clock(g.f.now())
-			if kind == consensus.KindQuestion || kind == consensus.KindAnswer {
+			g.f.node.AdvanceClock(g.f.now())
+			if kind == consensus.KindAuditQuestion || kind == consensus.KindAuditAnswer {
 				g.f.heardOfAudit(g.name, kind, slices.Clone(payload))
 			} else {
 				err = g.f.node.Receive(g.name, kind, slices.Clone(payload))
--- a/internal/fleet/versioncalls.go
+++ b/internal/fleet/versioncalls.go
@@ -16,47 +16,47 @@
 
 // Version is one as a person reads it.
 type Version struct {
-	N      uint64   `json:"version"`
-	Digest string   `json:"digest"`
-	Phase  string   `json:"phase"`
-	Why    string   `json:"why,omitempty"`
-	By     string   `json:"by,omitempty"`
-	Urgent bool     `json:"urgent,omitempty"`
-	BarS   float64  `json:"bar_s,omitempty"`
-	Passed bool     `json:"bar_passed,omitempty"`
-	Acts   int      `json:"acts"` // fronts that act on it
-	Fronts int      `json:"fronts"`
-	For    float64  `json:"for_s"`
-	Note   string   `json:"note,omitempty"`
-	Waits  string   `json:"waits,omitempty"` // the whole sentence
-	Spared []string `json:"spared,omitempty"`
+	N            uint64   `json:"version"`
+	Digest       string   `json:"digest"`
+	Phase        string   `json:"phase"`
+	Reason       string   `json:"why,omitempty"`
+	ProposedBy   string   `json:"by,omitempty"`
+	Urgent       bool     `json:"urgent,omitempty"`
+	GateS        float64  `json:"bar_s,omitempty"`
+	GatePassed   bool     `json:"bar_passed,omitempty"`
+	ActiveFronts int      `json:"acts"` // fronts that act on it
+	Fronts       int      `json:"fronts"`
+	PhaseS       float64  `json:"for_s"`
+	Note         string   `json:"note,omitempty"`
+	WaitsFor     string   `json:"waits,omitempty"` // the whole sentence
+	Exempt       []string `json:"spared,omitempty"`
 }
 
 // Lag is where a front stands.
-type Lag struct {
-	Front   string `json:"front"`
-	Zone    string `json:"zone"`
-	Acts    uint64 `json:"acts_on"`
-	Target  uint64 `json:"wanted"`
-	Behind  uint64 `json:"behind"`
-	Cause   string `json:"cause,omitempty"`
-	Shut    bool   `json:"shut_out,omitempty"`
-	Warming bool   `json:"warming,omitempty"`
-	Oldest  uint64 `json:"oldest_open,omitempty"` // version, and one, under which it has requests open
-	Build   string `json:"build"`
-	Record  uint64 `json:"audit_record"` // of its audit, that the log knows the head of
+type FrontLag struct {
+	Front         string `json:"front"`
+	Zone          string `json:"zone"`
+	ActiveVersion uint64 `json:"acts_on"`
+	Target        uint64 `json:"wanted"`
+	Behind        uint64 `json:"behind"`
+	Cause         string `json:"cause,omitempty"`
+	Fenced        bool   `json:"shut_out,omitempty"`
+	Warming       bool   `json:"warming,omitempty"`
+	OldestInUse   uint64 `json:"oldest_open,omitempty"` // version, and one, under which it has requests open
+	Build         string `json:"build"`
+	AuditRecord   uint64 `json:"audit_record"` // of its audit, that the log knows the head of
 }
 
 // Propose is what a person proposes; the file was staged before.
-type Propose struct {
-	Upload string  `json:"upload"`
-	Why    string  `json:"why,omitempty"`
-	By     string  `json:"by,omitempty"`
-	Urgent bool    `json:"urgent,omitempty"`
-	BarS   float64 `json:"bar_s,omitempty"`
-	WatchS float64 `json:"watch_s"`
-	Steps  []int   `json:"steps,omitempty"`
-	Base   *uint64 `json:"base,omitempty"` // what it was made on; what stands by default
+type Proposal struct {
+	Upload     string  `json:"upload"`
+	Reason     string  `json:"why,omitempty"`
+	ProposedBy string  `json:"by,omitempty"`
+	Urgent     bool    `json:"urgent,omitempty"`
+	GateS      float64 `json:"bar_s,omitempty"`
+	WatchS     float64 `json:"watch_s"`
+	Steps      []int   `json:"steps,omitempty"`
+	Base       *uint64 `json:"base,omitempty"` // what it was made on; what stands by default
 }
 
 // staged is a file on its way to this front.
@@ -88,25 +88,25 @@
 		list := []Version{}
 		for i := range slices.Backward(s.Rollout.Versions) {
 			v := &s.Rollout.Versions[i]
-			x := Version{N: v.Number, Digest: v.Digest[:min(16, len(v.Digest))], Phase: v.Phase.String(), Why: v.Reason, By: v.ProposedBy, Urgent: v.Urgent,
-				BarS: seconds(v.Gate), Passed: v.GatePassedAt > 0, Fronts: len(fleet), For: seconds(s.Now - v.Since), Note: v.Note,
-				Waits: s.Rollout.Explain(v.Number, fleet, r.RolloutRules(), s.Now), Spared: v.Exempt}
+			x := Version{N: v.Number, Digest: v.Digest[:min(16, len(v.Digest))], Phase: v.Phase.String(), Reason: v.Reason, ProposedBy: v.ProposedBy, Urgent: v.Urgent,
+				GateS: seconds(v.Gate), GatePassed: v.GatePassedAt > 0, Fronts: len(fleet), PhaseS: seconds(s.Now - v.Since), Note: v.Note,
+				WaitsFor: s.Rollout.Explain(v.Number, fleet, r.RolloutRules(), s.Now), Exempt: v.Exempt}
 			for _, y := range s.Rollout.Statuses {
 				if y.Active == v.Number {
-					x.Acts++
+					x.ActiveFronts++
 				}
 			}
 			list = append(list, x)
 		}
 		give(list)
 	case "LAG":
-		list := []Lag{}
+		list := []FrontLag{}
 		for _, l := range s.Rollout.Lags(fleet, s.Now) {
 			c := s.Members.Find(l.Name)
-			x := Lag{Front: l.Name, Zone: c.Zone, Acts: l.Active, Target: l.Target, Behind: l.Behind, Cause: l.Cause, Shut: l.Fenced, Warming: l.WarmingUp,
-				Oldest: l.OldestInUse, Build: c.Build}
+			x := FrontLag{Front: l.Name, Zone: c.Zone, ActiveVersion: l.Active, Target: l.Target, Behind: l.Behind, Cause: l.Cause, Fenced: l.Fenced, Warming: l.WarmingUp,
+				OldestInUse: l.OldestInUse, Build: c.Build}
 			if y := s.Rollout.Status(l.Name); y != nil {
-				x.Record = y.AuditSeq
+				x.AuditRecord = y.AuditSeq
 			}
 			list = append(list, x)
 		}
@@ -127,7 +127,7 @@
 		}
 		f.stage(name, b, give, fail)
 	case "PROPOSE":
-		var p Propose
+		var p Proposal
 		if err := strict("PROPOSE", rest, &p); err != nil {
 			fail(err)
 			return
@@ -157,7 +157,7 @@
 	x := f.staged[name]
 	if x == nil {
 		if len(f.staged) >= mostStaged {
-			fail(ErrMany)
+			fail(ErrTooManyUploads)
 			return
 		}
 		x = &staged{}
@@ -173,11 +173,11 @@
 }
 
 // ErrMany tells that too many files are on their way to a front.
-var ErrMany = fmt.Errorf("%d files are staged here, which is the most", mostStaged)
+var ErrTooManyUploads = fmt.Errorf("%d files are staged here, which is the most", mostStaged)
 
 // propose has a staged file checked here, its pieces agreed on, and then the version
 // itself: whoever vanishes before that leaves pieces that nobody names.
-func (f *Fleet) propose(p Propose, give func(any), fail func(error)) {
+func (f *Fleet) propose(p Proposal, give func(any), fail func(error)) {
 	x := f.staged[p.Upload]
 	delete(f.staged, p.Upload)
 	switch {
@@ -187,7 +187,7 @@
 	case len(x.data) == 0:
 		fail(errBig)
 		return
-	case !(p.BarS >= 0 && p.BarS < 1e6 && p.WatchS >= 0 && p.WatchS < 1e6):
+	case !(p.GateS >= 0 && p.GateS < 1e6 && p.WatchS >= 0 && p.WatchS < 1e6):
 		fail(rollout.ErrSpanRange)
 		return
 	}
@@ -195,12 +195,12 @@
 	if p.Base != nil {
 		base = *p.Base
 	}
-	f.host.Check(x.data, func(err error) {
+	f.host.CheckVersion(x.data, func(err error) {
 		if err != nil {
 			fail(fmt.Errorf("this front can't act on it: %w", err))
 			return
 		}
-		v := rollout.Version{Digest: rollout.Hash(x.data), Reason: p.Why, ProposedBy: p.By, Urgent: p.Urgent, Gate: int64(p.BarS * 1e6), Watch: int64(p.WatchS * 1e6),
+		v := rollout.Version{Digest: rollout.Hash(x.data), Reason: p.Reason, ProposedBy: p.ProposedBy, Urgent: p.Urgent, Gate: int64(p.GateS * 1e6), Watch: int64(p.WatchS * 1e6),
 			Steps: p.Steps, Base: base}
 		pieces := slices.Collect(slices.Chunk(x.data, rollout.MaxPieceSize))
 		left, failed := len(pieces), error(nil)
@@ -231,21 +231,21 @@
 }
 
 // Report is an answer about audits, put together from those that were reached.
-type Report struct {
+type AuditReport struct {
 	Question audit.Question `json:"question"`
 	FleetS   float64        `json:"fleet_time_s"`
 	Answers  []audit.Answer `json:"answers"`
 	Missing  []string       `json:"missing,omitempty"` // fronts that did not answer
-	Lost     []Lost         `json:"lost,omitempty"`    // audits that are gone with their disks
+	Lost     []LostAudit    `json:"lost,omitempty"`    // audits that are gone with their disks
 }
 
 // Lost is an audit that is gone: its front came back under another incarnation.
-type Lost struct {
+type LostAudit struct {
 	Front       string  `json:"front"`
 	Incarnation string  `json:"incarnation"`
 	Records     uint64  `json:"records"` // at least: as far as the log knew of them
 	Head        string  `json:"head"`
-	Before      float64 `json:"before_fleet_s"`
+	FoundAtS    float64 `json:"before_fleet_s"`
 }
 
 // auditCall asks the fronts for their audits.
@@ -270,10 +270,10 @@
 		return
 	}
 	err := f.askAll(ask.Question, names, func(answers []audit.Answer, missing []string) {
-		r := Report{Question: ask.Question, FleetS: seconds(s.Now), Answers: answers, Missing: missing}
+		r := AuditReport{Question: ask.Question, FleetS: seconds(s.Now), Answers: answers, Missing: missing}
 		for _, h := range s.Rollout.LostAudits {
 			if ask.Name == "" || ask.Name == h.Name {
-				r.Lost = append(r.Lost, Lost{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, Before: seconds(h.FoundAt)})
+				r.Lost = append(r.Lost, LostAudit{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, FoundAtS: seconds(h.FoundAt)})
 			}
 		}
 		if ask.Request != "" { // whoever surely did not decide it has nothing to say
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -50,7 +50,7 @@
 			v.taker.Checked(n, errGone)
 			break
 		}
-		f.host.Check(content, func(err error) {
+		f.host.CheckVersion(content, func(err error) {
 			v.taker.Checked(n, err)
 			if err != nil {
 				f.log.Warn("fleet: a version is turned down", "version", n, "error", err)
@@ -70,14 +70,14 @@
 		if n > 0 {
 			content = s.Content(n)
 		}
-		err := f.host.TakeUp(n, content)
+		err := f.host.ActivateVersion(n, content)
 		v.taker.Activated(n, err, s.Watch(n), f.now())
 		if err != nil {
 			f.log.Error("fleet: a version is not taken up", "version", n, "error", err)
 			break
 		}
-		f.book.chain.Classes(f.host.Classes())
-		f.write1(audit.Record{Kind: audit.Took, Version: n})
+		f.book.chain.SetClasses(f.host.Classes())
+		f.write1(audit.Record{Kind: audit.KindActivated, Version: n})
 		f.serve()
 	}
 	f.measure(s)
@@ -100,7 +100,7 @@
 	} else {
 		f.log.Info("fleet: the front may act on its version", "version", v.taker.Active())
 	}
-	f.write1(audit.Record{Kind: audit.Shut, Text: text})
+	f.write1(audit.Record{Kind: audit.KindOutdated, Text: text})
 }
 
 // stand tells the fleet which version this front acts on.
@@ -111,13 +111,13 @@
 			x.OldestInUse = o.version + 1
 		}
 	}
-	x.FailedPercent, x.HasSample = f.host.Fares()
+	x.FailedPercent, x.HasSample = f.host.FailurePercent()
 	x.AuditSeq, x.AuditHead = f.book.seq, f.book.head
-	f.node.SetStand(x)
+	f.node.SetReport(x)
 }
 
 // Came tells of a request that came, and gives the version that it is under.
-func (f *Fleet) Came() uint64 {
+func (f *Fleet) RequestStarted() uint64 {
 	if f.ver.taker == nil {
 		return 0
 	}
@@ -133,15 +133,15 @@
 }
 
 // Answered tells how a request was ended that came under a version.
-func (f *Fleet) Answered(version uint64, class int, o audit.Outcome, id string) {
-	f.Left(version)
+func (f *Fleet) RequestAnswered(version uint64, class int, o audit.Outcome, id string) {
+	f.RequestAbandoned(version)
 	if f.node != nil && f.book.chain.Count(version, class, o, id, f.node.Applied()) {
 		f.closeRecords()
 	}
 }
 
 // Left tells that a request's client has gone: it gets no answer.
-func (f *Fleet) Left(version uint64) {
+func (f *Fleet) RequestAbandoned(version uint64) {
 	for i := range f.ver.open {
 		if o := &f.ver.open[i]; o.version == version {
 			if o.n--; o.n == 0 && len(f.ver.open) > 1 {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -15,7 +15,7 @@
 )
 
 // ErrLength tells of a message that is empty or too long; its connection ends.
-var ErrLength = errors.New("fleet: a message's length is out of bounds")
+var ErrMessageLength = errors.New("fleet: a message's length is out of bounds")
 
 func appendMessage(dst []byte, kind consensus.Kind, payload []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, uint32(1+len(payload)))
@@ -29,7 +29,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(b))
 	if n < 1 || n > mostWire {
-		return 0, nil, 0, ErrLength
+		return 0, nil, 0, ErrMessageLength
 	}
 	if len(b) < 4+n {
 		return 0, nil, 0, nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -281,7 +281,7 @@
 
 // BenchmarkAppend is records made durable a second, one by one and by groups.
 func BenchmarkAppend(b *testing.B) {
-	record, _ := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: 1 << 60, Try: 1, Epoch: 1 << 60, At: 1 << 50})
+	record, _ := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: 1 << 60, Attempt: 1, Epoch: 1 << 60, At: 1 << 50})
 	for _, together := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprint(together, " together"), func(b *testing.B) {
 			j, _, _, err := open(filepath.Join(b.TempDir(), "j"))
@@ -310,7 +310,7 @@
 	path := filepath.Join(b.TempDir(), "j")
 	text := []byte(magic)
 	for id := range ledger.ID(1_000_000) {
-		r, err := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: id, Try: 1, Epoch: 1, At: int64(id)})
+		r, err := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: id, Attempt: 1, Epoch: 1, At: int64(id)})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -321,7 +321,7 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		far := ledger.NewFar(ledger.Config{Most: 2_000_000, Keep: 1 << 40, Delay: 1}, 1, func(ledger.Record) {})
+		far := ledger.NewReceiver(ledger.Config{MaxIDs: 2_000_000, Retention: 1 << 40, MaxDelay: 1}, 1, func(ledger.Record) {})
 		j, _, err := Open(path, 1, now, func(p []byte) error {
 			var r ledger.Record
 			if err := cbor.Unmarshal(p, &r); err != nil {
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -36,10 +36,10 @@
 	if p.fleet == nil {
 		return true, ""
 	}
-	if ok, _ := p.fleet.Holds(); !ok {
+	if ok, _ := p.fleet.MayAct(); !ok {
 		return false, "no lease of the fleet holds, or the version is too old"
 	}
-	if !p.fleet.Warm() {
+	if !p.fleet.WarmedUp() {
 		return false, "warming: it was shut out and came back"
 	}
 	return true, ""
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -21,14 +21,14 @@
 	Call(call string, answer func(line string))
 	// Holds tells whether the front may act now, and if not, after how many us to come
 	// back. It is asked before each act.
-	Holds() (ok bool, away int64)
+	MayAct() (ok bool, away int64)
 	// Warm tells whether the front is a full machine again after it was shut out.
-	Warm() bool
+	WarmedUp() bool
 	// Came tells of a request that came, and gives the version that it is under.
-	Came() (version uint64)
+	RequestStarted() (version uint64)
 	// Answered tells how one was ended; Left that its client has gone.
-	Answered(version uint64, class int, o counters.Outcome, id string)
-	Left(version uint64)
+	RequestAnswered(version uint64, class int, o counters.Outcome, id string)
+	RequestAbandoned(version uint64)
 	// Rejoin tells that a person has the front take clients again.
 	Rejoin()
 	// Close ends the part, after the loop has.
@@ -39,23 +39,23 @@
 type FleetHost interface {
 	// Takes tells whether it takes clients, whether it holds no request, and whether it
 	// is in trouble.
-	Takes() (clients, empty, hurt bool)
+	ServiceState() (clients, empty, hurt bool)
 	// GoOut has it take no clients and empty itself, or take them again.
-	GoOut(out bool, permit uint64)
+	SetOutOfService(out bool, permit uint64)
 	// Leave has it send nothing new to boxes; it tells of each whether anything is
 	// still open there.
-	Leave(boxes []string) (open map[string]bool)
+	LeaveBoxes(boxes []string) (open map[string]bool)
 	// Share tells where a box stands and which part of its hub's pace it has, in
 	// percent; known is false where the front has a list and the box is not on it.
-	Share(box string) (zone string, percent int, known bool)
+	BoxShare(box string) (zone string, percent int, known bool)
 	// Check looks through a version's file whole, with this front's own files beneath
 	// it, and tells later whether it can act on it.
-	Check(content []byte, done func(error))
+	CheckVersion(content []byte, done func(error))
 	// TakeUp has it act on a version that was checked; nil: on its own files alone.
-	TakeUp(n uint64, content []byte) error
+	ActivateVersion(n uint64, content []byte) error
 	// Fares is how many percent of its requests were refused or failed lately; seen is
 	// false where they are too few to tell.
-	Fares() (bad int, seen bool)
+	FailurePercent() (bad int, seen bool)
 	// Classes names the classes of requests by their places.
 	Classes() []string
 }
@@ -89,7 +89,7 @@
 	if part, ok := p.fleet.(ExchangePart); ok && p.shared != nil {
 		p.shared.part = part
 	}
-	p.gate.SetGuard(p.fleet.Holds)
+	p.gate.SetGuard(p.fleet.MayAct)
 	return nil
 }
 
@@ -97,7 +97,7 @@
 type fleetHost struct{ p *program }
 
 // Takes is part of FleetHost.
-func (h fleetHost) Takes() (clients, empty, troubled bool) {
+func (h fleetHost) ServiceState() (clients, empty, troubled bool) {
 	ready, _ := h.p.Ready()
 	busy := h.p.gate.Open()
 	for _, f := range h.p.fronts {
@@ -116,7 +116,7 @@
 
 // GoOut is part of FleetHost. What a person ordered by LAMEDUCK stays until a
 // person takes it back.
-func (h fleetHost) GoOut(out bool, permit uint64) {
+func (h fleetHost) SetOutOfService(out bool, permit uint64) {
 	p := h.p
 	switch {
 	case out && !p.drainedByFleet:
@@ -138,7 +138,7 @@
 }
 
 // Leave is part of FleetHost.
-func (h fleetHost) Leave(boxes []string) (open map[string]bool) {
+func (h fleetHost) LeaveBoxes(boxes []string) (open map[string]bool) {
 	return h.p.bars.SetDrained(h.p.away(boxes))
 }
 
@@ -155,7 +155,7 @@
 }
 
 // Share is part of FleetHost.
-func (h fleetHost) Share(box string) (zone string, percent int, known bool) {
+func (h fleetHost) BoxShare(box string) (zone string, percent int, known bool) {
 	zone, percent, known = h.p.bars.CapacityShare(box)
 	return zone, percent, known || h.p.bars.Listed() == 0
 }
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -45,7 +45,7 @@
 )
 
 // Check is part of FleetHost. Files are read beside the loop.
-func (h fleetHost) Check(content []byte, done func(error)) {
+func (h fleetHost) CheckVersion(content []byte, done func(error)) {
 	p, sum := h.p, sha256.Sum256(content)
 	go func() {
 		x := laid{sum: sum}
@@ -85,7 +85,7 @@
 }
 
 // TakeUp is part of FleetHost.
-func (h fleetHost) TakeUp(n uint64, content []byte) error {
+func (h fleetHost) ActivateVersion(n uint64, content []byte) error {
 	p := h.p
 	v := &p.versions
 	x := laid{}
@@ -124,7 +124,7 @@
 }
 
 // Fares is part of FleetHost.
-func (h fleetHost) Fares() (bad int, seen bool) {
+func (h fleetHost) FailurePercent() (bad int, seen bool) {
 	v, now := &h.p.versions, h.p.loop.Now()
 	good, ill := h.p.figures.Totals()
 	if n := len(v.looks); n == 0 || now-v.looks[n-1].at >= faresEvery {
@@ -149,14 +149,14 @@
 // Came is part of session.Audit.
 func (a auditor) Came(c *gateway.Call) {
 	if a.p.fleet != nil {
-		c.Version = a.p.fleet.Came()
+		c.Version = a.p.fleet.RequestStarted()
 	}
 }
 
 // Answered is part of session.Audit.
 func (a auditor) Answered(c *gateway.Call, o counters.Outcome) {
 	if a.p.fleet != nil {
-		a.p.fleet.Answered(c.Version, c.Class, o, c.ID)
+		a.p.fleet.RequestAnswered(c.Version, c.Class, o, c.ID)
 	}
 	if a.p.shared != nil {
 		a.p.shared.answered(o)
@@ -166,6 +166,6 @@
 // Left is part of session.Audit.
 func (a auditor) Left(c *gateway.Call) {
 	if a.p.fleet != nil {
-		a.p.fleet.Left(c.Version)
+		a.p.fleet.RequestAbandoned(c.Version)
 	}
 }
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -128,8 +128,8 @@
 			elect = append(elect, time.Since(began))
 			var id uint64
 			var err error
-			for id, err = at.Ask(fleet.Ask{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
-				id, err = at.Ask(fleet.Ask{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
+			for id, err = at.Ask(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
+				id, err = at.Ask(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
 			}
 			for phase(at, "s-0") == "asked" {
 				time.Sleep(5 * time.Millisecond)
@@ -188,7 +188,7 @@
 		time.Sleep(2 * time.Second)
 		began := time.Now()
 		for _, p := range f.List {
-			if _, err := f.List[0].Ask(fleet.Ask{Machine: p.Name, SpanS: 60, Restart: true, Why: "upgrade"}); err != nil {
+			if _, err := f.List[0].Ask(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true, Reason: "upgrade"}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -311,7 +311,7 @@
 		return false
 	}
 	s := l.node.Replica().State()
-	if len(s.Seats.Voters) < 3 || s.Seats.Joint || len(s.Seats.Learners) > 0 || l.node.Changing() != "" {
+	if len(s.Seats.Voters) < 3 || s.Seats.Joint || len(s.Seats.Learners) > 0 || l.node.PendingChange() != "" {
 		return false // a change of seats is under way, by which the majority may be another at once
 	}
 	whole := 0
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -117,7 +117,7 @@
 		}
 	})
 	w.Run(w.Now() + 40*Second)
-	if !cut.node.Holds(cut.clock()) {
+	if !cut.node.MayAct(cut.clock()) {
 		t.Error("the front that is cut off lost its lease before its time")
 	}
 	left := func() bool {
@@ -142,8 +142,8 @@
 func twice(t *testing.T, without statemachine.Mutation) *World {
 	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Without: without})
 	o := others(w)
-	var seen []consensus.Send
-	w.tap = func(from string, s consensus.Send) {
+	var seen []consensus.Message
+	w.tap = func(from string, s consensus.Message) {
 		if from == o[0].Name && s.Kind == consensus.KindPropose {
 			seen = append(seen, s)
 		}
--- a/lab/fleet/check.go
+++ b/lab/fleet/check.go
@@ -63,7 +63,7 @@
 // looks at who leads.
 func (c *Checker) seen(f *Front) {
 	n := f.node
-	if n.Leads() {
+	if n.IsLeader() {
 		id, term := n.Leader()
 		if other, ok := c.leaders[term]; ok && other != id {
 			c.fail("two lead in term %d: %x and %x", term, other, id)
@@ -78,7 +78,7 @@
 		return
 	}
 	c.applied[f.Name] = at
-	if n.Leads() { // whose view is the first to hold what is new
+	if n.IsLeader() { // whose view is the first to hold what is new
 		c.works(n.Replica().State())
 	}
 	if len(c.w.Fronts) > largeFleet && at%sampleOf != 0 {
@@ -184,7 +184,7 @@
 		}
 	}
 	// Without leases, one that has only just started acts on what its disk has.
-	if f.out || !f.acts() || f.node.Lives() == 0 && !f.node.Fresh() {
+	if f.out || !f.acts() || f.node.LeaseSpan() == 0 && !f.node.CaughtUp() {
 		return
 	}
 	for b := range c.boxes {
@@ -291,7 +291,7 @@
 		}
 		if !f.acts() && f.taker.Active() == s.Rollout.Stable {
 			c.fail("%s may not act, with contact back: its lease holds %v until %d, now %d, its version lets it %v; lives by %d; fed by %q, leader %q, stand %+v", f.Name,
-				f.node.Holds(f.clock()), f.node.LeaseEnd(), f.clock(), f.taker.MayAct(f.clock()), f.node.Lives(), f.node.Feeder(), f.node.LeaderName(), s.Rollout.Status(f.Name))
+				f.node.MayAct(f.clock()), f.node.LeaseEnd(), f.clock(), f.taker.MayAct(f.clock()), f.node.LeaseSpan(), f.node.Feeder(), f.node.LeaderName(), s.Rollout.Status(f.Name))
 		}
 	}
 	for _, x := range s.Maintenance.Operations {
--- a/lab/fleet/disk_test.go
+++ b/lab/fleet/disk_test.go
@@ -102,7 +102,7 @@
 }
 
 // ids are the numbers of works.
-func ids(list []fleet.Work) (numbers []uint64) {
+func ids(list []fleet.Operation) (numbers []uint64) {
 	for _, w := range list {
 		numbers = append(numbers, w.ID)
 	}
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -46,7 +46,7 @@
 	h.t.Helper()
 	await(h.t, "the work is asked for", func() (ok bool) {
 		var err error
-		id, err = at.Ask(fleet.Ask{Machine: target.Name, SpanS: 30})
+		id, err = at.Ask(fleet.OperationRequest{Machine: target.Name, SpanS: 30})
 		return err == nil
 	})
 	return id
@@ -193,7 +193,7 @@
 	ids, errs := make([]uint64, 2), make([]error, 2)
 	for i, at := range []*Process{a, b} {
 		wg.Add(1)
-		go func() { defer wg.Done(); ids[i], errs[i] = at.Ask(fleet.Ask{Machine: x.Name, SpanS: 5}) }()
+		go func() { defer wg.Done(); ids[i], errs[i] = at.Ask(fleet.OperationRequest{Machine: x.Name, SpanS: 5}) }()
 	}
 	wg.Wait()
 	if (errs[0] == nil) == (errs[1] == nil) {
@@ -371,7 +371,7 @@
 	a, b := h.List[3], h.List[4]
 	h.Part([]*Process{a, b}, h.List[:3])
 	await(h.t, "the pair knows of no majority", func() bool { s, err := a.Status(); return err == nil && s.Leader == "" })
-	if _, err := a.Ask(fleet.Ask{Machine: a.Name, SpanS: 5}); err == nil {
+	if _, err := a.Ask(fleet.OperationRequest{Machine: a.Name, SpanS: 5}); err == nil {
 		h.t.Error("a work was taken without a majority")
 	}
 	for _, p := range []*Process{a, b} {
--- a/lab/fleet/mixed_test.go
+++ b/lab/fleet/mixed_test.go
@@ -47,7 +47,7 @@
 	for i, p := range f.List {
 		at := h.leader()
 		await(t, "the work is asked for", func() bool {
-			_, err := at.Ask(fleet.Ask{Machine: p.Name, SpanS: 60, Restart: true})
+			_, err := at.Ask(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true})
 			return err == nil || strings.Contains(err.Error(), "not ended")
 		})
 		await(t, "it is out", func() bool { return phase(h.other(p), p.Name) == "out" })
@@ -93,7 +93,7 @@
 	}
 	await(t, "the older build says that it can't read the state", func() bool {
 		s, err := back.Status()
-		return err == nil && strings.Contains(s.Waits, "version")
+		return err == nil && strings.Contains(s.WaitsFor, "version")
 	})
 	if status, _, err := page(back, fmt.Sprintf("%016x", 7)); err != nil || status != 503 {
 		t.Errorf("the older build, out of the fleet, answers %d, %v", status, err)
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -237,8 +237,8 @@
 	switch x.What {
 	case "ask":
 		p.out.Asked++
-		a := fleet.Ask{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.Box, Zone: x.Work.Zone, SpanS: float64(x.Work.Duration) / 1e6, Urgent: x.Work.Urgent,
-			Restart: x.Work.EndsOnRestart}
+		a := fleet.OperationRequest{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.Box, Zone: x.Work.Zone, SpanS: float64(x.Work.Duration) / 1e6, Urgent: x.Work.Urgent,
+			EndsOnRestart: x.Work.EndsOnRestart}
 		at := p.front()
 		go func() { _, _ = at.Ask(a) }()
 	case "hold":
@@ -304,7 +304,7 @@
 
 func (p *player) ask() {
 	target, at := p.front(), p.front()
-	a := fleet.Ask{Machine: target.Name, SpanS: float64(1 + p.r.IntN(10)), Why: fmt.Sprintf("asking %d", p.out.Asked), Restart: p.r.IntN(2) == 0,
+	a := fleet.OperationRequest{Machine: target.Name, SpanS: float64(1 + p.r.IntN(10)), Reason: fmt.Sprintf("asking %d", p.out.Asked), EndsOnRestart: p.r.IntN(2) == 0,
 		Urgent: p.r.IntN(8) == 0, Importance: p.r.IntN(3)}
 	p.out.Asked++
 	go func() { _, _ = at.Ask(a) }() // twice for one machine is refused, and so may it be in a part without a majority
@@ -419,7 +419,7 @@
 
 // tend does what persons do: what is out is restarted, or said to be done.
 func (p *player) tend() {
-	var plan []fleet.Work
+	var plan []fleet.Operation
 	var at *Process
 	for _, x := range p.f.List {
 		if s, ok := p.ask1(x); ok && s.Seat == "leader" {
@@ -435,7 +435,7 @@
 		p.again[w.Permit] = time.Now()
 		x := p.f.Find(w.Machine)
 		switch {
-		case w.Restart && x != nil && x.Up():
+		case w.EndsOnRestart && x != nil && x.Up():
 			p.tell("%s is out under permit %d and restarted", x.Name, w.Permit)
 			go func() {
 				if err := x.Stop(); err != nil {
@@ -443,7 +443,7 @@
 				}
 				_ = x.Start()
 			}()
-		case !w.Restart:
+		case !w.EndsOnRestart:
 			p.tell("work %d on %s is said to be done", w.ID, w.Machine)
 			id := w.ID
 			go func() { _ = at.Call(fmt.Sprintf("FLEET WORK DONE %d", id), nil) }()
@@ -487,7 +487,7 @@
 		}
 		return
 	}
-	var list []fleet.Work
+	var list []fleet.Operation
 	if err := p.f.List[0].Call("FLEET WORK LIST", &list); err == nil {
 		for _, w := range list {
 			p.out.Ended[w.Phase]++
--- a/lab/fleet/playversions.go
+++ b/lab/fleet/playversions.go
@@ -73,7 +73,7 @@
 }
 
 // Propose stages a file at a front and proposes it.
-func (p *Process) Propose(file string, x fleet.Propose) (uint64, error) {
+func (p *Process) Propose(file string, x fleet.Proposal) (uint64, error) {
 	x.Upload = fmt.Sprint(time.Now().UnixNano())
 	for b := range slices.Chunk([]byte(file), 2400) {
 		if err := p.Call("FLEET VERSIONS STAGE "+x.Upload+" "+base64.StdEncoding.EncodeToString(b), nil); err != nil {
@@ -166,9 +166,9 @@
 func (v *versionDay) propose() {
 	v.out.Proposed++
 	k, at := v.out.Proposed, v.front()
-	x := fleet.Propose{Why: fmt.Sprintf("proposal %d", k), WatchS: 0.3 * float64(v.r.IntN(4)), Urgent: v.r.IntN(4) == 0}
+	x := fleet.Proposal{Reason: fmt.Sprintf("proposal %d", k), WatchS: 0.3 * float64(v.r.IntN(4)), Urgent: v.r.IntN(4) == 0}
 	if v.r.IntN(2) == 0 {
-		x.BarS = 0.5 + float64(v.r.IntN(3))
+		x.GateS = 0.5 + float64(v.r.IntN(3))
 	}
 	go func() {
 		n, err := at.Propose(Probe(k), x)
@@ -207,7 +207,7 @@
 	x := Sample{At: time.Since(v.began), Front: i}
 	if p.Up() && !p.Stopped() {
 		if s, ok := v.ask1(p); ok {
-			x.Version, x.May, x.Reached = s.Acts, s.May, true
+			x.Version, x.May, x.Reached = s.ActiveVersion, s.MayAct, true
 		}
 	}
 	var list []fleet.Version
@@ -239,7 +239,7 @@
 		v.ids[id] = p.Name
 	}
 	for _, y := range list {
-		if y.Passed && y.N > v.passed {
+		if y.GatePassed && y.N > v.passed {
 			v.passed = y.N
 			v.out.Bars++
 			v.tell("the bar of version %d has passed, says %s", y.N, p.Name)
@@ -255,13 +255,13 @@
 		for i, p := range v.f.List {
 			list, err := p.Versions()
 			s, ok := v.ask1(p)
-			if err != nil || !ok || !s.May || slices.ContainsFunc(list, func(x fleet.Version) bool { return x.Phase == "checking" || x.Phase == "rolling" }) {
+			if err != nil || !ok || !s.MayAct || slices.ContainsFunc(list, func(x fleet.Version) bool { return x.Phase == "checking" || x.Phase == "rolling" }) {
 				return false
 			}
 			if i == 0 {
-				good = s.Acts
+				good = s.ActiveVersion
 			}
-			if s.Acts != good {
+			if s.ActiveVersion != good {
 				return false
 			}
 		}
@@ -279,7 +279,7 @@
 		}
 	}
 	time.Sleep(6 * time.Second) // heads of audits go into the log every five
-	var r fleet.Report
+	var r fleet.AuditReport
 	if err := p.Call(`FLEET AUDIT {"verify":true}`, &r); err != nil || len(r.Missing) > 0 {
 		v.broken("the audits can't be verified: %v, missing %v", err, r.Missing)
 		return
@@ -297,7 +297,7 @@
 		if v.out.Audited >= 200 {
 			break
 		}
-		var r fleet.Report
+		var r fleet.AuditReport
 		if err := p.Call(fmt.Sprintf(`FLEET AUDIT {"request":%q}`, id), &r); err != nil {
 			v.broken("the audits are not asked: %v", err)
 			return
--- a/lab/fleet/processes.go
+++ b/lab/fleet/processes.go
@@ -332,12 +332,12 @@
 func (p *Process) Status() (s fleet.Status, err error) { return s, p.Call("FLEET STATUS", &s) }
 
 // Plan is what a front knows of works.
-func (p *Process) Plan() (list []fleet.Work, err error) {
+func (p *Process) Plan() (list []fleet.Operation, err error) {
 	return list, p.Call("FLEET WORK PLAN", &list)
 }
 
 // Ask asks for a work at a front.
-func (p *Process) Ask(a fleet.Ask) (id uint64, err error) {
+func (p *Process) Ask(a fleet.OperationRequest) (id uint64, err error) {
 	text, err := json.Marshal(a)
 	if err != nil {
 		return 0, err
@@ -389,10 +389,10 @@
 			continue
 		}
 		s, err := p.Status()
-		if err != nil || s.ID == "" || s.Leader == "" || s.Fronts < len(f.List) || len(s.Lost) > 0 || s.Waits != "" {
+		if err != nil || s.ID == "" || s.Leader == "" || s.Fronts < len(f.List) || len(s.Lost) > 0 || s.WaitsFor != "" {
 			return false
 		}
-		if len(s.Voters) != s.Wanted {
+		if len(s.Voters) != s.TargetVoters {
 			return false
 		}
 		applied = append(applied, s.Applied)
--- a/lab/fleet/processes_test.go
+++ b/lab/fleet/processes_test.go
@@ -97,7 +97,7 @@
 	if target == leader {
 		target = f.List[1]
 	}
-	id, err := target.Ask(fleet.Ask{Machine: target.Name, SpanS: 60, Why: "a test"})
+	id, err := target.Ask(fleet.OperationRequest{Machine: target.Name, SpanS: 60, Reason: "a test"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -162,7 +162,7 @@
 		clients := NewClients(f, 200)
 		var steps, urgent []time.Duration
 		for i := range 20 {
-			x := fleet.Propose{Urgent: i%2 == 0}
+			x := fleet.Proposal{Urgent: i%2 == 0}
 			began := time.Now()
 			n, err := f.List[i%12].Propose(Probe(i), x)
 			if err != nil {
@@ -172,7 +172,7 @@
 				done = true
 				for _, p := range f.List {
 					s, err := p.Status()
-					done = done && err == nil && s.Acts == n
+					done = done && err == nil && s.ActiveVersion == n
 				}
 			}
 			if x.Urgent {
--- a/lab/fleet/versions_hard_test.go
+++ b/lab/fleet/versions_hard_test.go
@@ -16,7 +16,7 @@
 )
 
 // stands proposes a version and waits until it stands.
-func (h hard) stands(at *Process, file string, x fleet.Propose) (n uint64) {
+func (h hard) stands(at *Process, file string, x fleet.Proposal) (n uint64) {
 	h.t.Helper()
 	await(h.t, "the version is proposed", func() bool {
 		var err error
@@ -33,7 +33,7 @@
 	status := serves(p, class)
 	if status == 503 {
 		s, err := p.Status()
-		return err == nil && s.May
+		return err == nil && s.MayAct
 	}
 	return status == 200
 }
@@ -83,7 +83,7 @@
 	l := h.leader()
 	for file, want := range map[string]string{`{"drain":["no-such-box"]}`: "no-such-box", `{"settings":{"grades":[]}}`: "settings",
 		`{"drian":["s-0"]}`: "drian", `{"settings":{"zone":7}}`: "restart", `[]`: "object"} {
-		if _, err := l.Propose(file, fleet.Propose{}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := l.Propose(file, fleet.Proposal{}); err == nil || !strings.Contains(err.Error(), want) {
 			h.t.Errorf("%s: %v", file, err)
 		}
 	}
@@ -97,7 +97,7 @@
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		h.t.Fatal(err)
 	}
-	n, err := l.Propose(Probe(1), fleet.Propose{WatchS: 0.2})
+	n, err := l.Propose(Probe(1), fleet.Proposal{WatchS: 0.2})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ns[i], errs[i] = at.Propose(Probe(10+i), fleet.Propose{Why: fmt.Sprintf("person %d", i), WatchS: 0.5})
+			ns[i], errs[i] = at.Propose(Probe(10+i), fleet.Proposal{Reason: fmt.Sprintf("person %d", i), WatchS: 0.5})
 		}()
 	}
 	wg.Wait()
@@ -136,7 +136,7 @@
 	}
 	await(h.t, "the one that came first stands", func() bool { return a.version(ns[won]).Phase == "standing" })
 	zero := uint64(0)
-	if _, err := b.Propose(Probe(12), fleet.Propose{Base: &zero}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("person %d", won)) {
+	if _, err := b.Propose(Probe(12), fleet.Proposal{Base: &zero}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("person %d", won)) {
 		h.t.Errorf("made on an old version: %v", err)
 	}
 }
@@ -146,7 +146,7 @@
 	if err := l.Call("FLEET VERSIONS STAGE half eyJzZXR0aW5ncyI6", nil); err != nil {
 		h.t.Fatal(err)
 	}
-	h.stands(l, Probe(13), fleet.Propose{WatchS: 0.2})
+	h.stands(l, Probe(13), fleet.Proposal{WatchS: 0.2})
 	if err := l.Call(`FLEET VERSIONS PROPOSE {"upload":"half"}`, nil); err == nil {
 		h.t.Error("half a file was proposed")
 	}
@@ -156,15 +156,15 @@
 // than the first part, and those of it come back up on the last good one.
 func endsAll(h hard) {
 	l := h.leader()
-	good := h.stands(l, Probe(14), fleet.Propose{WatchS: 0.2})
-	n, err := l.Propose(Probe(15), fleet.Propose{WatchS: 40})
+	good := h.stands(l, Probe(14), fleet.Proposal{WatchS: 0.2})
+	n, err := l.Propose(Probe(15), fleet.Proposal{WatchS: 40})
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	ended := map[string]bool{}
 	await(h.t, "it goes back", func() bool {
 		for name, lag := range h.other(l).lags() {
-			if p := h.Find(name); lag.Acts == n && !ended[name] && p.Up() {
+			if p := h.Find(name); lag.ActiveVersion == n && !ended[name] && p.Up() {
 				ended[name] = true
 				p.Kill()
 				if err := p.Start(); err != nil {
@@ -181,7 +181,7 @@
 	h.whole()
 	if Await(20*time.Second, func() bool {
 		for _, lag := range h.List[0].lags() {
-			if lag.Acts != good {
+			if lag.ActiveVersion != good {
 				return false
 			}
 		}
@@ -189,7 +189,7 @@
 	}) != nil {
 		for _, p := range h.List {
 			s, _ := p.Status()
-			h.t.Logf("%s: serves %d, and %d of others; acts on %d, may %v, lease %.1f", p.Name, serves(p, "probe-14"), serves(p, "page-asset"), s.Acts, s.May, s.LeaseS)
+			h.t.Logf("%s: serves %d, and %d of others; acts on %d, may %v, lease %.1f", p.Name, serves(p, "probe-14"), serves(p, "page-asset"), s.ActiveVersion, s.MayAct, s.LeaseS)
 		}
 		h.t.Fatalf("not all act on the last good one, %d: %+v", good, h.List[0].lags())
 	}
@@ -197,7 +197,7 @@
 
 func leaderChanges(h hard) {
 	l := h.leader()
-	n, err := l.Propose(Probe(16), fleet.Propose{WatchS: 1})
+	n, err := l.Propose(Probe(16), fleet.Proposal{WatchS: 1})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -224,11 +224,11 @@
 	load := NewClients(h.Processes, 200)
 	defer load.Stop()
 	time.Sleep(time.Second)
-	n, err := l.Propose(`{"drain":["s-0","s-parent","s-origin"]}`, fleet.Propose{WatchS: 20})
+	n, err := l.Propose(`{"drain":["s-0","s-parent","s-origin"]}`, fleet.Proposal{WatchS: 20})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	await(h.t, "a part acts on it", func() bool { return l.version(n).Acts > 0 })
+	await(h.t, "a part acts on it", func() bool { return l.version(n).ActiveFronts > 0 })
 	l.Signal(syscall.SIGSTOP)
 	at := h.other(l)
 	await(h.t, "it goes back", func() bool { return at.version(n).Phase == "rolled back" })
@@ -237,7 +237,7 @@
 	if v := at.version(n); !strings.Contains(v.Note, "refused or failed") && !strings.Contains(v.Note, "ended soon") {
 		h.t.Errorf("%+v", v)
 	}
-	await(h.t, "nobody acts on it", func() bool { return at.version(n).Acts == 0 })
+	await(h.t, "nobody acts on it", func() bool { return at.version(n).ActiveFronts == 0 })
 }
 
 func zoneCut(h hard) {
@@ -252,10 +252,10 @@
 	h.Part(cut, rest)
 	var l *Process
 	await(h.t, "the rest has a leader", func() bool { l = leaderOf(rest); return l != nil })
-	h.stands(l, Probe(17), fleet.Propose{WatchS: 0.2})
-	h.stands(l, `{"purge":{"objects":["o1"]}}`, fleet.Propose{Urgent: true, BarS: 1})
-	n := h.stands(l, Probe(18), fleet.Propose{WatchS: 0.2, BarS: 1})
-	await(h.t, "the bar has passed", func() bool { return l.version(n).Passed })
+	h.stands(l, Probe(17), fleet.Proposal{WatchS: 0.2})
+	h.stands(l, `{"purge":{"objects":["o1"]}}`, fleet.Proposal{Urgent: true, GateS: 1})
+	n := h.stands(l, Probe(18), fleet.Proposal{WatchS: 0.2, GateS: 1})
+	await(h.t, "the bar has passed", func() bool { return l.version(n).GatePassed })
 	for _, p := range cut {
 		if status, away, _ := page(p, fmt.Sprintf("%016x", time.Now().UnixNano())); status != 503 || away == "" {
 			h.t.Errorf("%s, cut off, answers %d %q after the bar", p.Name, status, away)
@@ -280,7 +280,7 @@
 
 func leaderOf(list []*Process) *Process {
 	for _, p := range list {
-		if s, err := p.Status(); err == nil && s.Seat == "leader" && s.Bears >= 0 {
+		if s, err := p.Status(); err == nil && s.Seat == "leader" && s.TolerableLosses >= 0 {
 			return p
 		}
 	}
@@ -304,11 +304,11 @@
 		await(h.t, "the version is proposed", func() bool {
 			at := h.other(x)
 			var err error
-			n, err = at.Propose(Probe(20+i), fleet.Propose{WatchS: 0.2, BarS: 1})
+			n, err = at.Propose(Probe(20+i), fleet.Proposal{WatchS: 0.2, GateS: 1})
 			return err == nil
 		})
 		at := h.other(x)
-		await(h.t, "its bar has passed", func() bool { return at.version(n).Passed })
+		await(h.t, "its bar has passed", func() bool { return at.version(n).GatePassed })
 		before := serves(x, "page-asset") == 200 && serves(x, class) != 200
 		if before {
 			h.t.Errorf("%s acts on an older version after the bar", x.Name)
@@ -347,8 +347,8 @@
 		if i == 0 {
 			old = "probe-21"
 		}
-		n := h.stands(l, Probe(30+i), fleet.Propose{WatchS: 0.2, BarS: 0.5})
-		await(h.t, "its bar has passed", func() bool { return l.version(n).Passed })
+		n := h.stands(l, Probe(30+i), fleet.Proposal{WatchS: 0.2, GateS: 0.5})
+		await(h.t, "its bar has passed", func() bool { return l.version(n).GatePassed })
 		close(stop)
 		x.Signal(syscall.SIGCONT)
 		for range 20 {
@@ -369,8 +369,8 @@
 	for _, p := range []*Process{a, b} {
 		p.Signal(syscall.SIGSTOP)
 	}
-	n := h.stands(l, Probe(40), fleet.Propose{WatchS: 0.2, BarS: 1})
-	await(h.t, "the bar passes with two of five voters away", func() bool { return l.version(n).Passed })
+	n := h.stands(l, Probe(40), fleet.Proposal{WatchS: 0.2, GateS: 1})
+	await(h.t, "the bar passes with two of five voters away", func() bool { return l.version(n).GatePassed })
 	for _, p := range []*Process{a, b} {
 		p.Signal(syscall.SIGCONT)
 	}
@@ -394,9 +394,9 @@
 		h.t.Fatal(err)
 	}
 	h.whole()
-	h.stands(l, Probe(41), fleet.Propose{WatchS: 0.2})
+	h.stands(l, Probe(41), fleet.Proposal{WatchS: 0.2})
 	await(h.t, "all act on it", func() bool { return h.all("probe-41") })
-	await(h.t, "the log knows of its audit", func() bool { return l.lags()[x.Name].Record > 0 })
+	await(h.t, "the log knows of its audit", func() bool { return l.lags()[x.Name].AuditRecord > 0 })
 	time.Sleep(6 * time.Second) // heads are told every five
 	if err := x.Stop(); err != nil {
 		h.t.Fatal(err)
@@ -436,7 +436,7 @@
 	}
 	await(h.t, "wiped, it is brought up", func() bool { return h.all("probe-41") })
 	h.whole()
-	var r fleet.Report
+	var r fleet.AuditReport
 	await(h.t, "the hole is told with its extent", func() bool {
 		r = l.audit(h.t, `{"holes":true}`)
 		for _, x2 := range r.Lost {
--- a/lab/fleet/versions_test.go
+++ b/lab/fleet/versions_test.go
@@ -32,9 +32,9 @@
 	return v
 }
 
-func (p *Process) lags() map[string]fleet.Lag {
-	var list []fleet.Lag
-	out := map[string]fleet.Lag{}
+func (p *Process) lags() map[string]fleet.FrontLag {
+	var list []fleet.FrontLag
+	out := map[string]fleet.FrontLag{}
 	if p.Call("FLEET VERSIONS LAG", &list) == nil {
 		for _, x := range list {
 			out[x.Front] = x
@@ -43,7 +43,7 @@
 	return out
 }
 
-func (p *Process) audit(t *testing.T, question string) (r fleet.Report) {
+func (p *Process) audit(t *testing.T, question string) (r fleet.AuditReport) {
 	t.Helper()
 	if err := p.Call("FLEET AUDIT "+question, &r); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	h := hard{f, t}
 	clients := NewClients(f, 60)
 	l := h.leader()
-	n, err := h.other(l).Propose(Probe(1), fleet.Propose{Why: "the first", WatchS: 0.5})
+	n, err := h.other(l).Propose(Probe(1), fleet.Proposal{Reason: "the first", WatchS: 0.5})
 	if err != nil || n != 1 {
 		t.Fatal(n, err)
 	}
@@ -73,18 +73,18 @@
 	})
 	stopped := h.other(l)
 	stopped.Signal(syscall.SIGSTOP)
-	n, err = l.Propose(Probe(2), fleet.Propose{Why: "the second", WatchS: 0.5, BarS: 1})
+	n, err = l.Propose(Probe(2), fleet.Proposal{Reason: "the second", WatchS: 0.5, GateS: 1})
 	if err != nil || n != 2 {
 		t.Fatal(n, err)
 	}
 	await(t, "it stands", func() bool { return l.version(2).Phase == "standing" })
-	if v := l.version(2); v.Passed {
+	if v := l.version(2); v.GatePassed {
 		t.Errorf("its bar has passed beside a front that may act: %+v", v)
 	}
-	if why := l.version(2).Waits; !strings.Contains(why, stopped.Name) {
+	if why := l.version(2).WaitsFor; !strings.Contains(why, stopped.Name) {
 		t.Error(why)
 	}
-	await(t, "its bar has passed", func() bool { return l.version(2).Passed })
+	await(t, "its bar has passed", func() bool { return l.version(2).GatePassed })
 	stopped.Signal(syscall.SIGCONT)
 	if status := serves(stopped, "probe-1"); status == 200 {
 		t.Error("a front that woke after the bar acts on the old version")
@@ -100,7 +100,7 @@
 	await(t, "the log knows of it", func() bool {
 		r := l.audit(t, fmt.Sprintf(`{"request":%q}`, id))
 		for _, a := range r.Answers {
-			if a.Front == stopped.Name && len(a.Spans) == 1 && a.Spans[0].Version == 2 && a.Spans[0].Before > 0 {
+			if a.Front == stopped.Name && len(a.Spans) == 1 && a.Spans[0].Version == 2 && a.Spans[0].BeforeEntry > 0 {
 				return len(r.Missing) == 0
 			}
 		}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -136,8 +136,8 @@
 	cut      map[[2]string]bool // one-way
 	delay    Micros
 	jitter   Micros
-	tap      func(from string, s consensus.Send) // sees what is sent; nil: nobody does
-	lag      map[string]Micros                   // added to the delay of what a front sends
+	tap      func(from string, s consensus.Message) // sees what is sent; nil: nobody does
+	lag      map[string]Micros                      // added to the delay of what a front sends
 	loss     float64
 	double   float64
 	last     map[[2]string]Micros
@@ -170,8 +170,8 @@
 	for i := range s.Fronts {
 		f := &Front{w: w, Name: name(i), Zone: fmt.Sprintf("z%d", i%max(1, s.Zones)), rate: 1 + 1e-4*(2*w.r.Float64()-1),
 			offset: Micros(w.r.Int64N(1_000_000_000))}
-		f.cfg = consensus.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", First: first,
-			Rules: w.spec.Rules, Draw: w.draw, Tick: 100 * Milli, Lost: 3 * Second, Grace: 30 * Second, FanOut: max(1, s.FanOut), Snapshot: 200}
+		f.cfg = consensus.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", FirstMembers: first,
+			Rules: w.spec.Rules, RandomID: w.draw, Tick: 100 * Milli, LostAfter: 3 * Second, SeatGrace: 30 * Second, FanOut: max(1, s.FanOut), SnapshotEntries: 200}
 		if s.FanOut == 0 {
 			f.cfg.FanOut = 8
 		}
@@ -248,7 +248,7 @@
 	f.Restarts++
 	r := &consensus.Recovered{}
 	for _, record := range f.disk {
-		if err := r.Take(record); err != nil {
+		if err := r.Add(record); err != nil {
 			f.w.log("%s can't start: %v", f.Name, err)
 			return
 		}
@@ -298,7 +298,7 @@
 
 // host is what the program round the node does: it empties and fills the front.
 func (f *Front) host() {
-	out, permit := f.node.Out()
+	out, permit := f.node.OutOfService()
 	switch {
 	case out && !f.out:
 		f.out, f.outAs, f.emptyAt = true, permit, f.w.now+Micros(f.w.r.Int64N(int64(2*Second)))
@@ -308,27 +308,27 @@
 		f.w.log("%s takes clients again", f.Name)
 	}
 	f.w.Checks.host(f)
-	f.node.Host(f.out, f.out && f.w.now >= f.emptyAt, f.hurt)
-	boxes := f.node.Boxes()
+	f.node.SetHostState(f.out, f.out && f.w.now >= f.emptyAt, f.hurt)
+	boxes := f.node.BoxesToLeave()
 	for _, b := range boxes {
-		f.node.LeftBox(b, true)
+		f.node.SetBoxLeft(b, true)
 	}
 	f.version(f.life)
-	if !f.node.Holds(f.clock()) {
+	if !f.node.MayAct(f.clock()) {
 		f.opened = false
 	}
 	f.w.Checks.box(f, boxes)
 	f.w.Checks.version(f)
-	f.opened = f.node.Holds(f.clock())
+	f.opened = f.node.MayAct(f.clock())
 }
 
 // acts tells whether the front may act now, as its program sees it before each act.
 func (f *Front) acts() bool {
 	now := f.clock()
-	if f.node.Rep(statemachine.DisableLeaseCheck) {
+	if f.node.HasMutation(statemachine.DisableLeaseCheck) {
 		return true
 	}
-	return f.opened && f.node.Holds(now) && f.taker.MayAct(now) && f.node.Stale() == nil
+	return f.opened && f.node.MayAct(now) && f.taker.MayAct(now) && f.node.Stale() == nil
 }
 
 // version is what the program does for versions: the taker's actions, with the disk's
@@ -386,12 +386,12 @@
 		x.FailedPercent = 50
 	}
 	x.HasSample = true
-	f.node.SetStand(x)
+	f.node.SetReport(x)
 }
 
 // pump writes and sends what the node has for it.
 func (f *Front) pump() {
-	for _, line := range f.node.Told() {
+	for _, line := range f.node.Events() {
 		f.w.log("%s: %s", f.Name, line)
 	}
 	f.w.Checks.seen(f)
@@ -436,10 +436,10 @@
 }
 
 func (f *Front) finish(n *consensus.Node, out consensus.Output) {
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		f.w.send(f, s)
 	}
-	if err := n.Done(out); err != nil {
+	if err := n.Advance(out); err != nil {
 		f.w.Checks.fail("%s: %v", f.Name, err)
 		return
 	}
@@ -447,7 +447,7 @@
 }
 
 // send brings a message on its way.
-func (w *World) send(f *Front, s consensus.Send) {
+func (w *World) send(f *Front, s consensus.Message) {
 	if w.tap != nil {
 		w.tap(f.Name, s)
 	}
@@ -473,7 +473,7 @@
 				return
 			}
 			to.do(life, func() {
-				to.node.Clock(to.clock())
+				to.node.AdvanceClock(to.clock())
 				if err := to.node.Receive(f.Name, s.Kind, s.Payload); err != nil {
 					w.Checks.fail("%s can't read a message of %s: %v", to.Name, f.Name, err)
 				}
@@ -556,7 +556,7 @@
 func (w *World) Leader() (best *Front) {
 	most := uint64(0)
 	for _, f := range w.Fronts {
-		if f.node != nil && f.node.Leads() {
+		if f.node != nil && f.node.IsLeader() {
 			if _, term := f.node.Leader(); term > most {
 				best, most = f, term
 			}
