--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -32,8 +32,8 @@
 
 // Sketch keeps the counts.
 type Sketch struct {
-	cells [rows][width]counter
-	seed  uint64
+	counters [rows][width]counter
+	seed     uint64
 }
 
 // New makes a sketch; the seed keeps others from choosing what falls together.
@@ -51,7 +51,7 @@
 	return p
 }
 
-func (s *Sketch) places(p netip.Prefix) (at [rows]uint32) {
+func (s *Sketch) indexes(p netip.Prefix) (index [rows]uint32) {
 	var buf [17 + 8]byte
 	a := p.Addr().As16()
 	copy(buf[:], a[:])
@@ -60,37 +60,37 @@
 		buf[17+i] = byte(s.seed >> (8 * i))
 	}
 	h := xxhash.Sum64(buf[:])
-	for i := range at {
-		at[i] = uint32(h>>(16*i)) & (width - 1)
+	for i := range index {
+		index[i] = uint32(h>>(16*i)) & (width - 1)
 	}
-	return at
+	return index
 }
 
-func (c *counter) at(epoch uint32) uint32 {
-	if gone := epoch - c.epoch; gone >= 32 {
+func (c *counter) decayed(epoch uint32) uint32 {
+	if age := epoch - c.epoch; age >= 32 {
 		return 0
 	} else {
-		return c.count >> gone
+		return c.count >> age
 	}
 }
 
 // Count gives about how many forged signatures came from a prefix lately.
 func (s *Sketch) Count(p netip.Prefix, now Micros) uint32 {
-	epoch, least := uint32(now/HalfLife), ^uint32(0)
-	for i, at := range s.places(p) {
-		least = min(least, s.cells[i][at].at(epoch))
+	epoch, lowest := uint32(now/HalfLife), ^uint32(0)
+	for i, index := range s.indexes(p) {
+		lowest = min(lowest, s.counters[i][index].decayed(epoch))
 	}
-	return least
+	return lowest
 }
 
 // Add counts one more.
 func (s *Sketch) Add(p netip.Prefix, now Micros) {
 	epoch, n := uint32(now/HalfLife), s.Count(p, now)+1
-	for i, at := range s.places(p) {
-		c := &s.cells[i][at]
-		*c = counter{epoch, max(c.at(epoch), n)}
+	for i, index := range s.indexes(p) {
+		c := &s.counters[i][index]
+		*c = counter{epoch, max(c.decayed(epoch), n)}
 	}
 }
 
 // Bytes is what a sketch takes.
-const Bytes = rows * width * 8
+const Size = rows * width * 8
--- a/internal/decide/abuse/abuse_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func random(r *rand.Rand) netip.Prefix {
+func randomPrefix(r *rand.Rand) netip.Prefix {
 	var b [4]byte
 	binary.LittleEndian.PutUint32(b[:], r.Uint32())
 	return Prefix(netip.AddrFrom4(b))
@@ -22,7 +22,7 @@
 	heavy := Prefix(netip.MustParseAddr("2001:db8::1"))
 	now := int64(1_800_000_000_000_000)
 	for i := range 20_000 {
-		p := random(r)
+		p := randomPrefix(r)
 		if i%4 == 0 {
 			p = heavy
 		}
@@ -58,14 +58,14 @@
 	list := make([]netip.Prefix, 1_000_000)
 	r := rand.New(rand.NewPCG(7, 7))
 	for i := range list {
-		list[i] = random(r)
+		list[i] = randomPrefix(r)
 	}
 	b.Run("sketch", func(b *testing.B) {
 		s := New(1)
 		for i := range b.N {
 			s.Add(list[i%len(list)], 1)
 		}
-		b.ReportMetric(Bytes, "bytes")
+		b.ReportMetric(Size, "bytes")
 	})
 	b.Run("map", func(b *testing.B) {
 		var m1, m2 runtime.MemStats
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -46,43 +46,43 @@
 }
 
 const (
-	round        Micros = 50_000 // after which what was measured is used
-	fewest       int    = 8      // answers, or the round goes on
-	tolerance           = 2.0    // how much slower than usual is still well
-	usualWeight         = 0.01   // of a round, in the usual time
-	paceWeight          = 0.3    // of a round, in the pace
-	fairFrom            = 0.75   // share of the limit from which prefixes are held apart
-	fairShare           = 0.25   // of what came lately that one prefix may be
-	fairLeast           = 32     // requests lately, under which nobody is too many
-	freshShare          = 0.2    // of the pace that is kept for those who come for the first time
-	timeWeight          = 0.05   // of one answer in its class's time
-	unknownQueue        = 8      // times the limit that may be open or wait while the pace is unknown
+	roundDuration         Micros = 50_000 // after which what was measured is used
+	minSamples            int    = 8      // answers, or the round goes on
+	latencyTolerance             = 2.0    // how much slower than usual is still well
+	baselineWeight               = 0.01   // of a round, in the usual time
+	throughputWeight             = 0.3    // of a round, in the pace
+	fairnessThreshold            = 0.75   // share of the limit from which prefixes are held apart
+	maxPrefixShare               = 0.25   // of what came lately that one prefix may be
+	minPrefixRequests            = 32     // requests lately, under which nobody is too many
+	newcomerShare                = 0.2    // of the pace that is kept for those who come for the first time
+	latencyWeight                = 0.05   // of one answer in its class's time
+	unmeasuredQueueFactor        = 8      // times the limit that may be open or wait while the pace is unknown
 )
 
 // Limiter takes and refuses requests.
 type Limiter struct {
-	cfg     Config
-	limit   float64
-	open    int
-	lanes   []lane
-	waiting int
-	doubt   bool // something has changed since all that wait were found to be in time
-
-	began  Micros // the round
-	count  int    // answers in it
-	spent  Micros // by them
-	taken  int    // most open in it
-	usual  float64
-	pace   float64 // answers a microsecond; 0: unknown
-	next   Micros  // the time that the next to be sent away comes back
-	came   *abuse.Sketch
-	all    uint32 // that the sketch counted in its period
-	period Micros
+	cfg      Config
+	limit    float64
+	inFlight int
+	lanes    []lane
+	waiting  int
+	recheck  bool // something has changed since all that wait were found to be in time
+
+	roundStart   Micros // the round
+	roundAnswers int    // answers in it
+	roundLatency Micros // by them
+	roundPeak    int    // most open in it
+	baseline     float64
+	throughput   float64 // answers a microsecond; 0: unknown
+	nextReturn   Micros  // the time that the next to be sent away comes back
+	recent       *abuse.Sketch
+	recentTotal  uint32 // that the sketch counted in its period
+	recentEpoch  Micros
 }
 
 // New makes a limiter.
 func New(cfg Config) *Limiter {
-	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.InitialLimit, cfg.MinLimit), cfg.MaxLimit)), came: abuse.New(cfg.Seed)}
+	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.InitialLimit, cfg.MinLimit), cfg.MaxLimit)), recent: abuse.New(cfg.Seed)}
 	l.UpdateClasses(cfg.Worth)
 	return l
 }
@@ -90,7 +90,7 @@
 // Renew takes the worth of further classes; those known so far must keep their places.
 func (l *Limiter) UpdateClasses(worth []float64) {
 	for _, w := range worth[len(l.lanes)/2:] {
-		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyLess}) // as laneOf has them
+		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyRankFactor}) // as laneOf has them
 	}
 	l.cfg.Worth = worth
 }
@@ -99,10 +99,10 @@
 func (l *Limiter) Limit() int { return int(l.limit) }
 
 // Open counts what was taken and is not done.
-func (l *Limiter) InFlight() int { return l.open }
+func (l *Limiter) InFlight() int { return l.inFlight }
 
 // Pace is the answers a second, as measured; 0: not known yet.
-func (l *Limiter) Throughput() float64 { return l.pace * 1e6 }
+func (l *Limiter) Throughput() float64 { return l.throughput * 1e6 }
 
 // Verdict says what becomes of a request.
 type Verdict uint8
@@ -116,125 +116,125 @@
 
 // Ask asks for one request. Refused, it is told how long to stay away. Where it
 // waits, another may have had to yield to it; that one is refused.
-func (l *Limiter) Admit(t *Ticket, now Micros) (v Verdict, away Micros, yields *Ticket) {
-	place := laneOf(t.Class, l.heavy(t.Prefix, now))
-	x := &l.lanes[place]
-	if l.waiting == 0 && l.open < int(l.limit) && (place%2 == 0 || float64(l.open) < fairFrom*l.limit) {
-		if l.open > l.cfg.MinLimit && !l.inTime(l.open, x, t.Deadline, now) {
-			return Refused, l.away(now), nil
+func (l *Limiter) Admit(t *Ticket, now Micros) (v Verdict, backoff Micros, evicted *Ticket) {
+	index := laneIndex(t.Class, l.isHeavy(t.Prefix, now))
+	queue := &l.lanes[index]
+	if l.waiting == 0 && l.inFlight < int(l.limit) && (index%2 == 0 || float64(l.inFlight) < fairnessThreshold*l.limit) {
+		if l.inFlight > l.cfg.MinLimit && !l.meetsDeadline(l.inFlight, queue, t.Deadline, now) {
+			return Refused, l.backoff(now), nil
 		}
-		l.enter()
+		l.start()
 		return Admitted, 0, nil
 	}
-	if !l.inTime(l.open+l.ahead(x.rank()), x, t.Deadline, now) {
-		return Refused, l.away(now), nil
+	if !l.meetsDeadline(l.inFlight+l.queuedAhead(queue.rank()), queue, t.Deadline, now) {
+		return Refused, l.backoff(now), nil
 	}
 	if l.waiting >= l.cfg.MaxQueued {
-		worst := l.worst()
-		if worst == nil || worst.rank() >= x.rank() {
-			return Refused, l.away(now), nil
+		lowest := l.lowestRanked()
+		if lowest == nil || lowest.rank() >= queue.rank() {
+			return Refused, l.backoff(now), nil
 		}
-		yields = worst.take(0)
+		evicted = lowest.remove(0)
 		l.waiting--
 	}
-	x.push(t, place)
+	queue.push(t, index)
 	l.waiting++
-	l.doubt = l.doubt || l.waiting > len(x.tickets) // those of lower rank are further behind
-	if yields != nil {
-		away = l.away(now)
+	l.recheck = l.recheck || l.waiting > len(queue.tickets) // those of lower rank are further behind
+	if evicted != nil {
+		backoff = l.backoff(now)
 	}
-	return Queued, away, yields
+	return Queued, backoff, evicted
 }
 
-func (l *Limiter) enter() {
-	l.open++
-	l.taken = max(l.taken, l.open)
+func (l *Limiter) start() {
+	l.inFlight++
+	l.roundPeak = max(l.roundPeak, l.inFlight)
 }
 
 // heavy counts a request and tells whether its prefix is too large a part of
 // what came lately.
-func (l *Limiter) heavy(from netip.Prefix, now Micros) bool {
-	if !from.IsValid() {
+func (l *Limiter) isHeavy(prefix netip.Prefix, now Micros) bool {
+	if !prefix.IsValid() {
 		return false
 	}
-	if p := now / abuse.HalfLife; p != l.period {
-		l.period, l.all = p, l.all/2
+	if p := now / abuse.HalfLife; p != l.recentEpoch {
+		l.recentEpoch, l.recentTotal = p, l.recentTotal/2
 	}
-	l.all++
-	l.came.Add(from, now)
-	n := l.came.Count(from, now)
-	return n > fairLeast && float64(n) > fairShare*float64(l.all)
+	l.recentTotal++
+	l.recent.Add(prefix, now)
+	n := l.recent.Count(prefix, now)
+	return n > minPrefixRequests && float64(n) > maxPrefixShare*float64(l.recentTotal)
 }
 
 // away hands out the next time to come back: not before what is open is done,
 // and one after the other at the pace of the answers, less what is kept for new
 // ones. Past the greatest time it begins again, since nobody can be told more.
-func (l *Limiter) away(now Micros) Micros {
-	if l.pace == 0 {
-		l.next = max(l.next, now) + l.cfg.MaxBackoff/64
+func (l *Limiter) backoff(now Micros) Micros {
+	if l.throughput == 0 {
+		l.nextReturn = max(l.nextReturn, now) + l.cfg.MaxBackoff/64
 	} else {
-		l.next = max(l.next, now+Micros(float64(l.open+l.waiting)/l.pace)) + Micros(1/(l.pace*(1-freshShare)))
+		l.nextReturn = max(l.nextReturn, now+Micros(float64(l.inFlight+l.waiting)/l.throughput)) + Micros(1/(l.throughput*(1-newcomerShare)))
 	}
-	if l.next > now+l.cfg.MaxBackoff {
-		l.next = now + l.cfg.MaxBackoff/8
+	if l.nextReturn > now+l.cfg.MaxBackoff {
+		l.nextReturn = now + l.cfg.MaxBackoff/8
 		return l.cfg.MaxBackoff
 	}
-	return max(1, l.next-now)
+	return max(1, l.nextReturn-now)
 }
 
 // Done gives a request back; spent is from when it was taken to its answer, and
 // answered tells that it has one that took work.
-func (l *Limiter) Done(class int, spent, now Micros, answered bool) {
-	l.open--
+func (l *Limiter) Done(class int, latency, now Micros, answered bool) {
+	l.inFlight--
 	if !answered {
 		return
 	}
 	for _, heavy := range []bool{false, true} {
-		x := &l.lanes[laneOf(class, heavy)]
-		if x.time == 0 {
-			x.time = float64(spent)
+		queue := &l.lanes[laneIndex(class, heavy)]
+		if queue.latency == 0 {
+			queue.latency = float64(latency)
 		} else {
-			x.time += timeWeight * (float64(spent) - x.time)
+			queue.latency += latencyWeight * (float64(latency) - queue.latency)
 		}
 	}
-	if l.count == 0 && now-l.began > 4*round {
-		l.began = now - round // nothing was asked for meanwhile: that is no slow pace
+	if l.roundAnswers == 0 && now-l.roundStart > 4*roundDuration {
+		l.roundStart = now - roundDuration // nothing was asked for meanwhile: that is no slow pace
 	}
-	l.count++
-	l.spent += spent
-	if now-l.began < round || l.count < fewest {
+	l.roundAnswers++
+	l.roundLatency += latency
+	if now-l.roundStart < roundDuration || l.roundAnswers < minSamples {
 		return
 	}
-	l.learn(float64(l.spent)/float64(l.count), float64(l.count)/float64(now-l.began))
-	l.began, l.count, l.spent, l.taken, l.doubt = now, 0, 0, l.open, true
+	l.updateLimit(float64(l.roundLatency)/float64(l.roundAnswers), float64(l.roundAnswers)/float64(now-l.roundStart))
+	l.roundStart, l.roundAnswers, l.roundLatency, l.roundPeak, l.recheck = now, 0, 0, l.inFlight, true
 }
 
 // learn ends a round with the mean time of an answer and the answers a microsecond.
-func (l *Limiter) learn(time, pace float64) {
-	if l.usual == 0 || time < l.usual {
-		l.usual = time
+func (l *Limiter) updateLimit(latency, pace float64) {
+	if l.baseline == 0 || latency < l.baseline {
+		l.baseline = latency
 	} else {
-		l.usual += usualWeight * (time - l.usual)
+		l.baseline += baselineWeight * (latency - l.baseline)
 	}
 	// Where the limit is not met the pace is that of the requests: the answers'
 	// own is no slower.
-	busy := float64(l.taken) >= l.limit/2
+	busy := float64(l.roundPeak) >= l.limit/2
 	switch {
-	case l.pace == 0 || !busy && pace > l.pace:
-		l.pace = pace
+	case l.throughput == 0 || !busy && pace > l.throughput:
+		l.throughput = pace
 	case busy:
-		l.pace += paceWeight * (pace - l.pace)
+		l.throughput += throughputWeight * (pace - l.throughput)
 	}
 	switch l.cfg.Algorithm {
 	case AIMD:
-		if time > tolerance*l.usual && l.taken > l.cfg.MinLimit {
+		if latency > latencyTolerance*l.baseline && l.roundPeak > l.cfg.MinLimit {
 			l.limit *= 0.9
 		} else if busy {
 			l.limit++
 		}
 	case Gradient:
 		if busy {
-			gradient := max(0.5, min(1, tolerance*l.usual/time))
+			gradient := max(0.5, min(1, latencyTolerance*l.baseline/latency))
 			l.limit += 0.2 * (l.limit*gradient + math.Sqrt(l.limit) - l.limit)
 		}
 	}
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -20,11 +20,11 @@
 
 // event is an arrival (a client) or the end of an answer.
 type event struct {
-	at     Micros
-	client int
-	try    int
-	taken  Micros // when; -1: it is an arrival
-	asked  Micros
+	at        Micros
+	client    int
+	try       int
+	admitted  Micros // when; -1: it is an arrival
+	requested Micros
 }
 type events []event
 
@@ -45,38 +45,38 @@
 // Every fourth asks for what is worth three times as much.
 type storm struct {
 	clients, slots int
-	span           Micros
+	serviceTime    Micros
 	prefixes       int
-	heavy          int // every so many-th client is of one prefix; 0: none
+	heavyEvery     int // every so many-th client is of one prefix; 0: none
 }
 
 // result is what became of a storm's clients.
 type result struct {
-	inTime, others, dear, vain int // others: not of the heavy prefix; dear: of the worthy class
-	asked                      int
-	latest                     Micros // from a try that is refused to its answer, at most
+	inTime, others, highWorth, late int // others: not of the heavy prefix; dear: of the worthy class
+	requests                        int
+	maxRefusalDelay                 Micros // from a try that is refused to its answer, at most
 }
 
 var worth = []float64{1, 3}
 
 func (s storm) run(l *Limiter) (r result) {
-	const patience, start = 2_000_000, 1_000_000_000
+	const patience, startTime = 2_000_000, 1_000_000_000
 	random := rand.New(rand.NewPCG(7, 7))
 	var h events
 	for i := range s.clients {
-		heap.Push(&h, event{at: start + random.Int64N(100_000), client: i, taken: -1})
+		heap.Push(&h, event{at: startTime + random.Int64N(100_000), client: i, admitted: -1})
 	}
 	busy := 0
-	take := func(e event, now Micros) {
+	admit := func(e event, now Micros) {
 		busy++
 		load := float64(busy) / float64(s.slots)
-		span := float64(s.span) * max(1, load) * max(1, load/4) // it waits its turn, and all suffer from far too many
-		heap.Push(&h, event{at: now + Micros(span), client: e.client, taken: now, asked: e.asked})
+		serviceTime := float64(s.serviceTime) * max(1, load) * max(1, load/4) // it waits its turn, and all suffer from far too many
+		heap.Push(&h, event{at: now + Micros(serviceTime), client: e.client, admitted: now, requested: e.requested})
 	}
-	refuse := func(e event, away, now Micros) {
-		r.latest = max(r.latest, now-e.asked)
+	refuse := func(e event, backoff, now Micros) {
+		r.maxRefusalDelay = max(r.maxRefusalDelay, now-e.requested)
 		if e.try < 3 {
-			heap.Push(&h, event{at: now + away, client: e.client, try: e.try + 1, taken: -1})
+			heap.Push(&h, event{at: now + backoff, client: e.client, try: e.try + 1, admitted: -1})
 		}
 	}
 	for len(h) > 0 {
@@ -85,42 +85,42 @@
 		if e.client%4 == 3 {
 			class = 1
 		}
-		isHeavy := s.heavy > 0 && e.client%s.heavy == 0
-		if e.taken < 0 {
-			r.asked++
-			e.asked = e.at
-			from := prefix(e.client % max(1, s.prefixes))
+		isHeavy := s.heavyEvery > 0 && e.client%s.heavyEvery == 0
+		if e.admitted < 0 {
+			r.requests++
+			e.requested = e.at
+			prefixOf := prefix(e.client % max(1, s.prefixes))
 			if isHeavy {
-				from = prefix(9999)
+				prefixOf = prefix(9999)
 			}
-			switch v, away, yields := l.Admit(&Ticket{Class: class, Prefix: from, Deadline: e.at + patience, Value: e}, e.at); {
+			switch v, backoff, evicted := l.Admit(&Ticket{Class: class, Prefix: prefixOf, Deadline: e.at + patience, Value: e}, e.at); {
 			case v == Admitted:
-				take(e, e.at)
+				admit(e, e.at)
 			case v == Refused:
-				refuse(e, away, e.at)
-			case yields != nil:
-				refuse(yields.Value.(event), away, e.at)
+				refuse(e, backoff, e.at)
+			case evicted != nil:
+				refuse(evicted.Value.(event), backoff, e.at)
 			}
 			continue
 		}
 		busy--
-		l.Done(class, e.at-e.taken, e.at, true)
-		if e.at-e.asked > patience {
-			r.vain++
+		l.Done(class, e.at-e.admitted, e.at, true)
+		if e.at-e.requested > patience {
+			r.late++
 		} else {
 			r.inTime++
 			if !isHeavy {
 				r.others++
 			}
 			if class == 1 {
-				r.dear++
+				r.highWorth++
 			}
 		}
-		for t, taken, away := l.Next(e.at); t != nil; t, taken, away = l.Next(e.at) {
-			if taken {
-				take(t.Value.(event), e.at)
+		for t, admitted, backoff := l.Next(e.at); t != nil; t, admitted, backoff = l.Next(e.at) {
+			if admitted {
+				admit(t.Value.(event), e.at)
 			} else {
-				refuse(t.Value.(event), away, e.at)
+				refuse(t.Value.(event), backoff, e.at)
 			}
 		}
 	}
@@ -134,27 +134,27 @@
 // In a wake storm a learnt limit answers more in time than none, takes little in
 // vain, and prefers what is worth more. Run with -v for the figures of both laws.
 func TestWakeStorm(t *testing.T) {
-	s := storm{clients: 10_000, slots: 50, span: 10_000, prefixes: 5000}
-	none := config(AIMD)
-	none.MinLimit, none.MaxLimit = 1<<30, 1<<30
-	without := s.run(New(none))
-	t.Logf("no limit: %+v", without)
+	s := storm{clients: 10_000, slots: 50, serviceTime: 10_000, prefixes: 5000}
+	unlimited := config(AIMD)
+	unlimited.MinLimit, unlimited.MaxLimit = 1<<30, 1<<30
+	baseline := s.run(New(unlimited))
+	t.Logf("no limit: %+v", baseline)
 	for law, name := range map[Algorithm]string{AIMD: "AIMD", Gradient: "gradient"} {
 		l := New(config(law))
 		got := s.run(l)
 		t.Logf("%s: %+v, limit %d, pace %.0f", name, got, l.Limit(), l.Throughput())
-		if got.inTime <= without.inTime || l.InFlight() != 0 || l.Waiting() != 0 {
-			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, without.inTime, l.InFlight(), l.Waiting())
+		if got.inTime <= baseline.inTime || l.InFlight() != 0 || l.Waiting() != 0 {
+			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, baseline.inTime, l.InFlight(), l.Waiting())
 		}
-		if got.dear*4 < s.clients*9/10 || got.vain*100 > got.inTime {
-			t.Errorf("%s: of %d that are worth more %d were in time; %d in vain", name, s.clients/4, got.dear, got.vain)
+		if got.highWorth*4 < s.clients*9/10 || got.late*100 > got.inTime {
+			t.Errorf("%s: of %d that are worth more %d were in time; %d in vain", name, s.clients/4, got.highWorth, got.late)
 		}
 	}
 }
 
 // One prefix that brings half of all takes no more than its share from the others.
 func TestHeavyPrefix(t *testing.T) {
-	s := storm{clients: 20_000, slots: 50, span: 10_000, prefixes: 5000, heavy: 2}
+	s := storm{clients: 20_000, slots: 50, serviceTime: 10_000, prefixes: 5000, heavyEvery: 2}
 	got := s.run(New(config(Gradient)))
 	t.Logf("%+v", got)
 	if got.others*100 < s.clients/2*95 {
@@ -171,13 +171,13 @@
 		cfg := Config{Algorithm: Algorithm(rapid.IntRange(0, 1).Draw(t, "law")), MinLimit: 4, MaxLimit: 40, MaxQueued: rapid.IntRange(0, 30).Draw(t, "queue"),
 			MaxBackoff: 500_000, Worth: worth}
 		l, now := New(cfg), Micros(1_000_000)
-		var open, waiting []*Ticket // Value of those open: since when
-		check := func(away Micros) {
-			if away < 1 || away > cfg.MaxBackoff {
-				t.Fatalf("sent away for %d", away)
+		var inFlight, waiting []*Ticket // Value of those open: since when
+		check := func(backoff Micros) {
+			if backoff < 1 || backoff > cfg.MaxBackoff {
+				t.Fatalf("sent away for %d", backoff)
 			}
 		}
-		gone := func(x *Ticket) {
+		removed := func(x *Ticket) {
 			i := slices.Index(waiting, x)
 			if i < 0 || x.Queued() {
 				t.Fatal("it did not wait, or still does")
@@ -185,16 +185,16 @@
 			waiting = slices.Delete(waiting, i, i+1)
 		}
 		pump := func() {
-			for x, taken, away := l.Next(now); x != nil; x, taken, away = l.Next(now) {
-				gone(x)
-				if !taken {
-					check(away)
+			for x, admitted, backoff := l.Next(now); x != nil; x, admitted, backoff = l.Next(now) {
+				removed(x)
+				if !admitted {
+					check(backoff)
 					continue
 				}
 				x.Value = now
-				open = append(open, x)
+				inFlight = append(inFlight, x)
 				for _, other := range waiting {
-					if other.Class == x.Class && other.Prefix == x.Prefix && other.Deadline < x.Deadline && other.lane == laneOf(x.Class, false)+1 {
+					if other.Class == x.Class && other.Prefix == x.Prefix && other.Deadline < x.Deadline && other.lane == laneIndex(x.Class, false)+1 {
 						t.Fatal("one with less time left was passed over")
 					}
 				}
@@ -204,10 +204,10 @@
 			now += int64(rapid.IntRange(0, 20_000).Draw(t, "gap"))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
-				if len(open) > 0 {
-					i := rapid.IntRange(0, len(open)-1).Draw(t, "done")
-					x := open[i]
-					open = slices.Delete(open, i, i+1)
+				if len(inFlight) > 0 {
+					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "done")
+					x := inFlight[i]
+					inFlight = slices.Delete(inFlight, i, i+1)
 					l.Done(x.Class, now-x.Value.(Micros), now, rapid.Bool().Draw(t, "answered"))
 				}
 				pump()
@@ -215,24 +215,24 @@
 				if len(waiting) > 0 {
 					x := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "left")]
 					l.Cancel(x)
-					gone(x)
+					removed(x)
 				}
 			default:
 				x := &Ticket{Class: rapid.IntRange(0, 1).Draw(t, "class"), Prefix: prefix(rapid.IntRange(0, 3).Draw(t, "from")),
 					Deadline: now + int64(rapid.IntRange(0, 3_000_000).Draw(t, "left"))}
-				v, away, yields := l.Admit(x, now)
+				v, backoff, evicted := l.Admit(x, now)
 				switch {
 				case v == Admitted:
 					x.Value = now
-					open = append(open, x)
+					inFlight = append(inFlight, x)
 				case v == Queued:
 					waiting = append(waiting, x)
-					if yields != nil {
-						gone(yields)
-						check(away)
+					if evicted != nil {
+						removed(evicted)
+						check(backoff)
 					}
 				default:
-					check(away)
+					check(backoff)
 				}
 			}
 			if at, ok := l.NextCheck(); ok != (len(waiting) > 0) {
@@ -240,8 +240,8 @@
 			} else if ok && at <= now {
 				pump()
 			}
-			if l.InFlight() != len(open) || l.Waiting() != len(waiting) || l.Waiting() > cfg.MaxQueued || l.Limit() < cfg.MinLimit || l.Limit() > cfg.MaxLimit {
-				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.InFlight(), len(open), l.Waiting(), len(waiting), l.Limit())
+			if l.InFlight() != len(inFlight) || l.Waiting() != len(waiting) || l.Waiting() > cfg.MaxQueued || l.Limit() < cfg.MinLimit || l.Limit() > cfg.MaxLimit {
+				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.InFlight(), len(inFlight), l.Waiting(), len(waiting), l.Limit())
 			}
 		}
 	})
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -10,8 +10,8 @@
 	Deadline Micros       // when the client stops waiting
 	Value    any          // the caller's own
 
-	lane int // one more than its place; 0: it does not wait
-	at   int // in the lane's heap
+	lane      int // one more than its place; 0: it does not wait
+	heapIndex int // in the lane's heap
 }
 
 // Waits tells whether a ticket stands in the queue.
@@ -22,25 +22,27 @@
 type lane struct {
 	tickets []*Ticket
 	worth   float64
-	time    float64 // us that an answer takes of late; 0: unknown
+	latency float64 // us that an answer takes of late; 0: unknown
 }
 
 // timeLeast stands for an answer's time where it is not known, or is less: a place
 // is never held for nothing.
-const timeLeast = 1000
+const minLatency = 1000
 
 // heavyLess is what is left of the rank of those of heavy prefixes.
-const heavyLess = 1.0 / 8
+const heavyRankFactor = 1.0 / 8
 
 // rank is the worth that a place earns a second. It orders lanes, not tickets, so
 // that no answer's time has to be known for one request.
-func (l *lane) rank() float64 { return l.worth / max(timeLeast, l.time) }
+func (l *lane) rank() float64 { return l.worth / max(minLatency, l.latency) }
 
 // starts is the last moment at which the first ticket can still be taken.
-func (l *lane) starts() Micros { return l.tickets[0].Deadline - Micros(max(timeLeast, l.time)) }
+func (l *lane) latestStart() Micros {
+	return l.tickets[0].Deadline - Micros(max(minLatency, l.latency))
+}
 
 // laneOf gives the place of a class's lane.
-func laneOf(class int, heavy bool) int {
+func laneIndex(class int, heavy bool) int {
 	if heavy {
 		return 2*class + 1
 	}
@@ -51,17 +53,17 @@
 
 func (l *lane) swap(i, j int) {
 	l.tickets[i], l.tickets[j] = l.tickets[j], l.tickets[i]
-	l.tickets[i].at, l.tickets[j].at = i, j
+	l.tickets[i].heapIndex, l.tickets[j].heapIndex = i, j
 }
 
-func (l *lane) push(t *Ticket, place int) {
-	t.lane, t.at = place+1, len(l.tickets)
+func (l *lane) push(t *Ticket, index int) {
+	t.lane, t.heapIndex = index+1, len(l.tickets)
 	l.tickets = append(l.tickets, t)
-	l.up(t.at)
+	l.up(t.heapIndex)
 }
 
 // take removes the ticket at a place of the heap.
-func (l *lane) take(i int) *Ticket {
+func (l *lane) remove(i int) *Ticket {
 	t, last := l.tickets[i], len(l.tickets)-1
 	l.swap(i, last)
 	l.tickets[last] = nil
@@ -87,42 +89,42 @@
 
 func (l *lane) down(i int) {
 	for {
-		least := i
+		earliest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(l.tickets); child++ {
-			if l.less(child, least) {
-				least = child
+			if l.less(child, earliest) {
+				earliest = child
 			}
 		}
-		if least == i {
+		if earliest == i {
 			return
 		}
-		l.swap(i, least)
-		i = least
+		l.swap(i, earliest)
+		i = earliest
 	}
 }
 
 // best is the lane from which the next is taken; nil: nobody waits.
-func (l *Limiter) best() (best *lane) {
+func (l *Limiter) highestRanked() (highest *lane) {
 	for i := range l.lanes {
-		if x := &l.lanes[i]; len(x.tickets) > 0 && (best == nil || x.rank() > best.rank()) {
-			best = x
+		if x := &l.lanes[i]; len(x.tickets) > 0 && (highest == nil || x.rank() > highest.rank()) {
+			highest = x
 		}
 	}
-	return best
+	return highest
 }
 
 // worst is the lane that yields when there is no room.
-func (l *Limiter) worst() (worst *lane) {
+func (l *Limiter) lowestRanked() (lowest *lane) {
 	for i := range l.lanes {
-		if x := &l.lanes[i]; len(x.tickets) > 0 && (worst == nil || x.rank() < worst.rank()) {
-			worst = x
+		if x := &l.lanes[i]; len(x.tickets) > 0 && (lowest == nil || x.rank() < lowest.rank()) {
+			lowest = x
 		}
 	}
-	return worst
+	return lowest
 }
 
 // ahead counts the tickets that are taken before a new one of a rank.
-func (l *Limiter) ahead(rank float64) (n int) {
+func (l *Limiter) queuedAhead(rank float64) (n int) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; x.rank() >= rank {
 			n += len(x.tickets)
@@ -133,61 +135,61 @@
 
 // inTime tells whether one with so many before it is answered by a moment, at the
 // measured pace of the answers (Little's law).
-func (l *Limiter) inTime(before int, x *lane, until, now Micros) bool {
-	if l.pace == 0 {
-		return before < unknownQueue*int(l.limit)
+func (l *Limiter) meetsDeadline(ahead int, queue *lane, deadline, now Micros) bool {
+	if l.throughput == 0 {
+		return ahead < unmeasuredQueueFactor*int(l.limit)
 	}
-	return float64(now)+float64(before)/l.pace+max(timeLeast, x.time) <= float64(until)
+	return float64(now)+float64(ahead)/l.throughput+max(minLatency, queue.latency) <= float64(deadline)
 }
 
 // Next gives a waiting ticket that is to be taken now, or one that is refused
 // because it could no longer be answered in time; nil: neither. It is asked after
 // Done and at the moment of Due, until it gives nil.
-func (l *Limiter) Next(now Micros) (t *Ticket, taken bool, away Micros) {
+func (l *Limiter) Next(now Micros) (t *Ticket, admitted bool, backoff Micros) {
 	if l.waiting == 0 {
 		return nil, false, 0
 	}
 	for i := range l.lanes {
-		if x := &l.lanes[i]; len(x.tickets) > 0 && x.starts() < now {
+		if x := &l.lanes[i]; len(x.tickets) > 0 && x.latestStart() < now {
 			l.waiting--
-			return x.take(0), false, l.away(now)
+			return x.remove(0), false, l.backoff(now)
 		}
 	}
-	if t := l.hopeless(now); t != nil {
-		return t, false, l.away(now)
+	if t := l.popUnmeetable(now); t != nil {
+		return t, false, l.backoff(now)
 	}
-	if l.open >= int(l.limit) {
+	if l.inFlight >= int(l.limit) {
 		return nil, false, 0
 	}
-	t = l.best().take(0)
+	t = l.highestRanked().remove(0)
 	l.waiting--
-	l.enter()
+	l.start()
 	return t, true, 0
 }
 
 // hopeless gives one of those that more has come before than can be answered in
 // their time, the nearest its end, so that it is told as soon as that is known.
-func (l *Limiter) hopeless(now Micros) *Ticket {
-	if l.pace == 0 || !l.doubt {
+func (l *Limiter) popUnmeetable(now Micros) *Ticket {
+	if l.throughput == 0 || !l.recheck {
 		return nil
 	}
 	for i := range l.lanes {
 		x := &l.lanes[i]
 		// Those with the most time left are about the last in the heap.
-		if n := len(x.tickets); n > 0 && !l.inTime(l.open+l.ahead(x.rank())-1, x, x.tickets[n-1].Deadline, now) {
+		if n := len(x.tickets); n > 0 && !l.meetsDeadline(l.inFlight+l.queuedAhead(x.rank())-1, x, x.tickets[n-1].Deadline, now) {
 			l.waiting--
-			return x.take(0)
+			return x.remove(0)
 		}
 	}
-	l.doubt = false
+	l.recheck = false
 	return nil
 }
 
 // Due is when Next has to be asked again though nothing was done.
 func (l *Limiter) NextCheck() (at Micros, ok bool) {
 	for i := range l.lanes {
-		if x := &l.lanes[i]; len(x.tickets) > 0 && (!ok || x.starts() < at) {
-			at, ok = x.starts(), true
+		if x := &l.lanes[i]; len(x.tickets) > 0 && (!ok || x.latestStart() < at) {
+			at, ok = x.latestStart(), true
 		}
 	}
 	return at + 1, ok
@@ -196,19 +198,19 @@
 // Leave takes back a ticket that waits, for a client that has gone.
 func (l *Limiter) Cancel(t *Ticket) {
 	if t.lane > 0 {
-		l.lanes[t.lane-1].take(t.at)
+		l.lanes[t.lane-1].remove(t.heapIndex)
 		l.waiting--
 	}
 }
 
 // Drop gives one of those that wait, which is refused; nil: nobody waits.
 func (l *Limiter) Drop() *Ticket {
-	x := l.best()
+	x := l.highestRanked()
 	if x == nil {
 		return nil
 	}
 	l.waiting--
-	return x.take(0)
+	return x.remove(0)
 }
 
 // Waiting counts the tickets in the queue.
--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -16,31 +16,31 @@
 
 // drift is what two clocks may drift apart, in parts of time: twice what is allowed
 // of a quartz of 100 ppm.
-const drift = 200e-6
+const maxDrift = 200e-6
 
 // Held measures one direction of one connection.
 type DelayEstimator struct {
-	least float64 // of came less sent
-	at    Micros
-	seen  bool
+	minDiff   float64 // of came less sent
+	updatedAt Micros
+	seen      bool
 }
 
 // Came takes in a frame that was sent at a moment of the sender's clock and came at
 // one of ours, and tells for how long it was held; 0 for the first. Moments that run
 // wild give what no rule lets pass.
-func (h *DelayEstimator) Observe(sent, now Micros) Micros {
+func (e *DelayEstimator) Observe(sent, now Micros) Micros {
 	diff := float64(now) - float64(sent)
-	if !h.seen {
-		h.least, h.at, h.seen = diff, now, true
+	if !e.seen {
+		e.minDiff, e.updatedAt, e.seen = diff, now, true
 		return 0
 	}
-	if now > h.at {
-		h.least += drift * float64(now-h.at)
-		h.at = now
+	if now > e.updatedAt {
+		e.minDiff += maxDrift * float64(now-e.updatedAt)
+		e.updatedAt = now
 	}
-	if diff < h.least {
-		h.least = diff
+	if diff < e.minDiff {
+		e.minDiff = diff
 		return 0
 	}
-	return Micros(math.Min(diff-h.least, math.MaxInt64/2))
+	return Micros(math.Min(diff-e.minDiff, math.MaxInt64/2))
 }
--- a/internal/decide/compactmap/compactmap.go
+++ b/internal/decide/compactmap/compactmap.go
@@ -19,17 +19,17 @@
 
 // Table is a bounded table.
 type Table[V any] struct {
-	slots []slot[V]
-	most  int
-	count int
-	hand  int // where the next sweep goes on
+	slots      []slot[V]
+	maxEntries int
+	count      int
+	sweepPos   int // where the next sweep goes on
 }
 
 // slot is free where its name is zero, which no digest is in practice; who
 // brings the zero name all the same finds it kept under another.
 type slot[V any] struct {
-	name Key
-	v    V
+	key   Key
+	value V
 }
 
 // firstSlots is the size of a new table. It doubles as it fills, up to what its
@@ -41,18 +41,18 @@
 )
 
 // New makes a table of so many entries at most.
-func New[V any](most int) *Table[V] {
-	t := &Table[V]{most: most}
-	t.size(firstSlots)
+func New[V any](maxEntries int) *Table[V] {
+	t := &Table[V]{maxEntries: maxEntries}
+	t.resize(firstSlots)
 	return t
 }
 
-func (t *Table[V]) size(n int) {
+func (t *Table[V]) resize(size int) {
 	old := t.slots
-	t.slots, t.hand = make([]slot[V], n), 0
+	t.slots, t.sweepPos = make([]slot[V], size), 0
 	for i := range old {
-		if old[i].name != (Key{}) {
-			t.slots[t.free(&old[i].name)] = old[i]
+		if old[i].key != (Key{}) {
+			t.slots[t.findFree(&old[i].key)] = old[i]
 		}
 	}
 }
@@ -60,9 +60,9 @@
 // home is where a name would stand if nobody else did: its first bytes as a
 // share of the table (Lemire, "Fast random integer generation", 2019), so that
 // a table may be of any size.
-func (t *Table[V]) home(n *Key) int {
-	at, _ := bits.Mul64(binary.LittleEndian.Uint64(n[:8]), uint64(len(t.slots)))
-	return int(at)
+func (t *Table[V]) home(key *Key) int {
+	index, _ := bits.Mul64(binary.LittleEndian.Uint64(key[:8]), uint64(len(t.slots)))
+	return int(index)
 }
 
 func (t *Table[V]) next(i int) int {
@@ -73,45 +73,45 @@
 }
 
 // past is how far a place lies behind another, round the end.
-func (t *Table[V]) past(i, from int) int {
+func (t *Table[V]) distance(i, from int) int {
 	if i < from {
 		i += len(t.slots)
 	}
 	return i - from
 }
 
-func (t *Table[V]) free(n *Key) int {
-	i := t.home(n)
-	for t.slots[i].name != (Key{}) {
+func (t *Table[V]) findFree(key *Key) int {
+	i := t.home(key)
+	for t.slots[i].key != (Key{}) {
 		i = t.next(i)
 	}
 	return i
 }
 
-func nonzero(n Key) Key {
-	if n == (Key{}) {
-		n[15] = 1
+func nonZero(key Key) Key {
+	if key == (Key{}) {
+		key[15] = 1
 	}
-	return n
+	return key
 }
 
 // Len counts the entries.
 func (t *Table[V]) Len() int { return t.count }
 
 // Full tells whether no entry can be added.
-func (t *Table[V]) Full() bool { return t.count >= t.most }
+func (t *Table[V]) Full() bool { return t.count >= t.maxEntries }
 
 // Find gives an entry, or nil. The pointer holds until the table is changed.
-func (t *Table[V]) Find(n Key) *V {
-	if i := t.at(nonzero(n)); i >= 0 {
-		return &t.slots[i].v
+func (t *Table[V]) Find(key Key) *V {
+	if i := t.index(nonZero(key)); i >= 0 {
+		return &t.slots[i].value
 	}
 	return nil
 }
 
-func (t *Table[V]) at(n Key) int {
-	for i := t.home(&n); t.slots[i].name != (Key{}); i = t.next(i) {
-		if t.slots[i].name == n {
+func (t *Table[V]) index(key Key) int {
+	for i := t.home(&key); t.slots[i].key != (Key{}); i = t.next(i) {
+		if t.slots[i].key == key {
 			return i
 		}
 	}
@@ -119,23 +119,23 @@
 }
 
 // Add makes an entry that is not there yet; nil where the table is full.
-func (t *Table[V]) Add(n Key, v V) *V {
+func (t *Table[V]) Add(key Key, v V) *V {
 	if t.Full() {
 		return nil
 	}
 	if (t.count+1)*loadDen > len(t.slots)*loadNum {
-		t.size(min(2*len(t.slots), max(firstSlots, t.most*loadDen/loadNum+2)))
+		t.resize(min(2*len(t.slots), max(firstSlots, t.maxEntries*loadDen/loadNum+2)))
 	}
-	n = nonzero(n)
-	i := t.free(&n)
-	t.slots[i] = slot[V]{name: n, v: v}
+	key = nonZero(key)
+	i := t.findFree(&key)
+	t.slots[i] = slot[V]{key: key, value: v}
 	t.count++
-	return &t.slots[i].v
+	return &t.slots[i].value
 }
 
 // Remove takes an entry out.
-func (t *Table[V]) Remove(n Key) bool {
-	i := t.at(nonzero(n))
+func (t *Table[V]) Remove(key Key) bool {
+	i := t.index(nonZero(key))
 	if i >= 0 {
 		t.removeAt(i)
 	}
@@ -145,11 +145,11 @@
 func (t *Table[V]) removeAt(i int) {
 	t.count--
 	for j := i; ; {
-		if j = t.next(j); t.slots[j].name == (Key{}) {
+		if j = t.next(j); t.slots[j].key == (Key{}) {
 			break
 		}
 		// What would be found no more if it stayed moves into the gap.
-		if t.past(j, t.home(&t.slots[j].name)) >= t.past(j, i) {
+		if t.distance(j, t.home(&t.slots[j].key)) >= t.distance(j, i) {
 			t.slots[i] = t.slots[j]
 			i = j
 		}
@@ -162,13 +162,13 @@
 // wheel costs, and needs no room of its own.
 func (t *Table[V]) Sweep(slots int, dead func(Key, *V) bool) (removed int) {
 	for range min(slots, len(t.slots)) {
-		s := &t.slots[t.hand]
-		if s.name != (Key{}) && dead(s.name, &s.v) {
-			t.removeAt(t.hand) // what moved here is looked at next
+		s := &t.slots[t.sweepPos]
+		if s.key != (Key{}) && dead(s.key, &s.value) {
+			t.removeAt(t.sweepPos) // what moved here is looked at next
 			removed++
 			continue
 		}
-		t.hand = t.next(t.hand)
+		t.sweepPos = t.next(t.sweepPos)
 	}
 	return removed
 }
@@ -177,10 +177,10 @@
 func (t *Table[V]) Append(b []byte) ([]byte, error) {
 	b = binary.LittleEndian.AppendUint32(b, uint32(t.count))
 	for i := range t.slots {
-		if s := &t.slots[i]; s.name != (Key{}) {
-			b = append(b, s.name[:]...)
+		if s := &t.slots[i]; s.key != (Key{}) {
+			b = append(b, s.key[:]...)
 			var err error
-			if b, err = binary.Append(b, binary.LittleEndian, &s.v); err != nil {
+			if b, err = binary.Append(b, binary.LittleEndian, &s.value); err != nil {
 				return nil, fmt.Errorf("compact: %w", err)
 			}
 		}
@@ -193,22 +193,22 @@
 	if len(b) < 4 {
 		return nil, errors.New("compact: the count is cut off")
 	}
-	n := int(binary.LittleEndian.Uint32(b))
+	count := int(binary.LittleEndian.Uint32(b))
 	b = b[4:]
 	var v V
 	size := binary.Size(v)
-	if n > t.most-t.count || n > len(b)/(16+size) {
-		return nil, fmt.Errorf("compact: %d entries do not fit in the table or are cut off", n)
+	if count > t.maxEntries-t.count || count > len(b)/(16+size) {
+		return nil, fmt.Errorf("compact: %d entries do not fit in the table or are cut off", count)
 	}
-	for range n {
-		name := Key(b[:16])
+	for range count {
+		key := Key(b[:16])
 		if _, err := binary.Decode(b[16:16+size], binary.LittleEndian, &v); err != nil {
 			return nil, fmt.Errorf("compact: %w", err)
 		}
-		if t.Find(name) != nil {
+		if t.Find(key) != nil {
 			return nil, errors.New("compact: an entry stands twice")
 		}
-		t.Add(name, v)
+		t.Add(key, v)
 		b = b[16+size:]
 	}
 	return b, nil
--- a/internal/decide/compactmap/compactmap_test.go
+++ b/internal/decide/compactmap/compactmap_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-func name(i int) (n Key) {
+func keyOf(i int) (n Key) {
 	if i == 0 {
 		return n // the zero name is one like others
 	}
@@ -28,7 +28,7 @@
 		x, want := New[int64](100), map[Key]int64{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			i := rapid.IntRange(0, 150).Draw(t, "name")
-			n := name(i)
+			n := keyOf(i)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				if x.Find(n) == nil && (x.Add(n, int64(i)) != nil) != (len(want) < 100) {
@@ -44,7 +44,7 @@
 			case 3:
 				x.Sweep(20, func(_ Key, v *int64) bool {
 					if *v%7 == 0 {
-						delete(want, name(int(*v)))
+						delete(want, keyOf(int(*v)))
 						return true
 					}
 					return false
@@ -72,7 +72,7 @@
 	})
 }
 
-type use struct {
+type record struct {
 	Until, First int64
 	Object       uint64
 	Count, Open  uint32
@@ -83,7 +83,7 @@
 	const n = 1_000_000
 	names := make([]Key, 2*n)
 	for i := range names {
-		names[i] = name(i + 1)
+		names[i] = keyOf(i + 1)
 	}
 	heap := func() uint64 {
 		runtime.GC()
@@ -93,16 +93,16 @@
 	}
 	b.Run("compact", func(b *testing.B) {
 		before := heap()
-		t := New[use](n + 1)
+		t := New[record](n + 1)
 		for _, n := range names[:n] {
-			t.Add(n, use{})
+			t.Add(n, record{})
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
 		for range b.N { // one found, one added, one removed
 			t.Find(names[i])
-			t.Add(names[n+i], use{})
+			t.Add(names[n+i], record{})
 			t.Remove(names[n+i])
 			i = (i + 1) % n
 		}
@@ -111,16 +111,16 @@
 	})
 	b.Run("map", func(b *testing.B) {
 		before := heap()
-		t := map[Key]*use{}
+		t := map[Key]*record{}
 		for _, n := range names[:n] {
-			t[n] = &use{}
+			t[n] = &record{}
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
 		for range b.N {
 			_ = t[names[i]]
-			t[names[n+i]] = &use{}
+			t[names[n+i]] = &record{}
 			delete(t, names[n+i])
 			i = (i + 1) % n
 		}
@@ -129,16 +129,16 @@
 	})
 	b.Run("map-of-values", func(b *testing.B) {
 		before := heap()
-		t := map[Key]use{}
+		t := map[Key]record{}
 		for _, n := range names[:n] {
-			t[n] = use{}
+			t[n] = record{}
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
 		for range b.N {
 			_ = t[names[i]]
-			t[names[n+i]] = use{}
+			t[names[n+i]] = record{}
 			delete(t, names[n+i])
 			i = (i + 1) % n
 		}
--- a/internal/decide/content/content.go
+++ b/internal/decide/content/content.go
@@ -15,7 +15,7 @@
 // Bounds of what a request may ask for.
 const (
 	MaxRanges = 8  // more are refused
-	mostTags  = 32 // in If-None-Match; more are passed over
+	maxTags   = 32 // in If-None-Match; more are passed over
 )
 
 // Encodings are those that answers may have, the best first where a client
@@ -23,53 +23,53 @@
 var Encodings = []string{"br", "zstd", "gzip"}
 
 // suffixes part the tags of encoded answers from the tag of the bytes.
-var suffixes = map[string]string{"br": "-br", "zstd": "-zs", "gzip": "-gz"}
+var tagSuffixes = map[string]string{"br": "-br", "zstd": "-zs", "gzip": "-gz"}
 
 // Ask is what a request says of the answer that it wants.
 type Request struct {
-	any      bool     // If-None-Match: *
-	tags     []string // opaque tags, weak or not: for reads the comparison is weak
-	ranges   []span
-	ranged   bool // ranges were asked for in a form that can be used
-	abuse    bool // too many of them
-	ifRange  string
-	hasIf    bool
-	Encoding string // the best that the client takes; empty: none
+	anyTag        bool     // If-None-Match: *
+	tags          []string // opaque tags, weak or not: for reads the comparison is weak
+	ranges        []span
+	hasRange      bool // ranges were asked for in a form that can be used
+	tooManyRanges bool // too many of them
+	ifRange       string
+	hasIfRange    bool
+	Encoding      string // the best that the client takes; empty: none
 }
 
 // span is a range as asked for; from -1 is a suffix of to bytes, to -1 is open.
-type span struct{ from, to int64 }
+type span struct{ first, last int64 }
 
 // Part is a range of bytes of an object, both ends in it.
 type ByteRange struct{ First, Last int }
 
 // Read reads a request's header. Fields that can't be used are passed over, as
 // the RFC has it, but for ranges that are too many.
-func ParseRequest(method string, h httpwire.Header) (a Request) {
+func ParseRequest(method string, h httpwire.Header) (r Request) {
 	for _, f := range h {
 		switch {
 		case strings.EqualFold(f.Name, "If-None-Match"):
-			a.readTags(f.Value)
+			r.parseTags(f.Value)
 		case strings.EqualFold(f.Name, "If-Range"):
-			a.ifRange, a.hasIf = f.Value, true
+			r.ifRange, r.hasIfRange = f.Value, true
 		case strings.EqualFold(f.Name, "Accept-Encoding"):
-			a.Encoding = choose(f.Value, a.Encoding)
+			r.Encoding = chooseEncoding(f.Value, r.Encoding)
 		}
 	}
 	if method == "GET" && h.Count("Range") == 1 {
-		a.readRanges(h.Get("Range"))
+		r.parseRanges(h.Get("Range"))
 	}
-	if a.ranged {
-		a.Encoding = "" // a range is always of the bytes themselves
+	if r.hasRange {
+		r.Encoding = "" // a range is always of the bytes themselves
 	}
-	return a
+	return r
 }
 
-func (a *Request) readTags(list string) {
-	for list != "" && len(a.tags) < mostTags {
+func (r *Request) parseTags(list string) {
+	for list != "" && len(r.tags) < maxTags {
 		list = strings.TrimLeft(list, " \t,")
 		if list == "*" {
-			a.any = true
+			r.anyTag = true
 			return
 		}
 		rest := strings.TrimPrefix(list, "W/")
@@ -80,17 +80,17 @@
 		if !ok {
 			return
 		}
-		a.tags = append(a.tags, tag)
+		r.tags = append(r.tags, tag)
 		list = after
 	}
 }
 
 // Known gives the tag of a copy that the client holds, bare, to be asked for
 // further in; empty: none, or more than one, of which nobody knows which holds.
-func (a *Request) KnownTag() string {
+func (r *Request) KnownTag() string {
 	known := ""
-	for _, tag := range a.tags {
-		bare := a.bare(tag)
+	for _, tag := range r.tags {
+		bare := r.stripSuffix(tag)
 		if known != "" && bare != known {
 			return ""
 		}
@@ -100,19 +100,19 @@
 }
 
 // bare takes the suffix of the encoding off that this request would get.
-func (a *Request) bare(tag string) string {
-	if s := suffixes[a.Encoding]; s != "" {
+func (r *Request) stripSuffix(tag string) string {
+	if s := tagSuffixes[r.Encoding]; s != "" {
 		return strings.TrimSuffix(tag, s)
 	}
 	return tag
 }
 
 // Holds tells whether the client's own copy is the one with a tag.
-func (a *Request) Matches(tag string) bool {
-	return a.any || tag != "" && slices.ContainsFunc(a.tags, func(t string) bool { return a.bare(t) == tag })
+func (r *Request) Matches(tag string) bool {
+	return r.anyTag || tag != "" && slices.ContainsFunc(r.tags, func(t string) bool { return r.stripSuffix(t) == tag })
 }
 
-func (a *Request) readRanges(text string) {
+func (r *Request) parseRanges(text string) {
 	unit, list, ok := strings.Cut(text, "=")
 	if !ok || !strings.EqualFold(unit, "bytes") {
 		return
@@ -123,29 +123,29 @@
 			continue
 		}
 		first, last, ok := strings.Cut(item, "-")
-		s := span{from: -1, to: -1}
+		s := span{first: -1, last: -1}
 		good := ok && first+last != ""
 		if first != "" {
-			s.from, good = position(first, good)
+			s.first, good = parsePosition(first, good)
 		}
 		if last != "" {
-			s.to, good = position(last, good)
+			s.last, good = parsePosition(last, good)
 		}
-		if !good || s.from >= 0 && s.to >= 0 && s.to < s.from {
-			a.ranges = nil
+		if !good || s.first >= 0 && s.last >= 0 && s.last < s.first {
+			r.ranges = nil
 			return // one that can't be read spoils the field
 		}
-		if len(a.ranges) == MaxRanges {
-			a.abuse = true
+		if len(r.ranges) == MaxRanges {
+			r.tooManyRanges = true
 			break
 		}
-		a.ranges = append(a.ranges, s)
+		r.ranges = append(r.ranges, s)
 	}
-	a.ranged = len(a.ranges) > 0
+	r.hasRange = len(r.ranges) > 0
 }
 
 // position reads a number of any length; what no object can have is a large one.
-func position(text string, good bool) (int64, bool) {
+func parsePosition(text string, good bool) (int64, bool) {
 	for i := range len(text) {
 		if text[i] < '0' || text[i] > '9' {
 			return 0, false
@@ -165,41 +165,41 @@
 }
 
 // Plan decides on an object of so many bytes under a tag.
-func (a *Request) Plan(size int, tag string) Plan {
-	if a.Matches(tag) {
+func (r *Request) Plan(size int, tag string) Plan {
+	if r.Matches(tag) {
 		return Plan{Status: 304}
 	}
-	if !a.ranged || a.hasIf && (tag == "" || a.ifRange != `"`+tag+`"`) { // the comparison is strong
+	if !r.hasRange || r.hasIfRange && (tag == "" || r.ifRange != `"`+tag+`"`) { // the comparison is strong
 		return Plan{Status: 200}
 	}
-	var parts []ByteRange
+	var ranges []ByteRange
 	total := 0
-	for _, s := range a.ranges {
-		p := ByteRange{int(min(s.from, int64(size))), size - 1}
+	for _, s := range r.ranges {
+		p := ByteRange{int(min(s.first, int64(size))), size - 1}
 		switch {
-		case s.from < 0:
-			p.First = int(max(0, int64(size)-s.to))
-		case s.to >= 0:
-			p.Last = int(min(s.to, int64(size)-1))
+		case s.first < 0:
+			p.First = int(max(0, int64(size)-s.last))
+		case s.last >= 0:
+			p.Last = int(min(s.last, int64(size)-1))
 		}
-		if s.from < 0 && s.to == 0 || p.First >= size || p.Last < p.First {
+		if s.first < 0 && s.last == 0 || p.First >= size || p.Last < p.First {
 			continue
 		}
-		parts = append(parts, p)
+		ranges = append(ranges, p)
 		total += p.Last - p.First + 1
 	}
-	if a.abuse || len(parts) == 0 || total > size && len(parts) > 1 || overlapping(parts) {
+	if r.tooManyRanges || len(ranges) == 0 || total > size && len(ranges) > 1 || overlapsTooMuch(ranges) {
 		return Plan{Status: 416}
 	}
-	return Plan{Status: 206, Ranges: parts}
+	return Plan{Status: 206, Ranges: ranges}
 }
 
 // overlapping tells whether a byte is asked for more than twice (RFC 9110,
 // section 17.15, leaves what is too much to the server).
-func overlapping(parts []ByteRange) bool {
-	for i, p := range parts {
+func overlapsTooMuch(ranges []ByteRange) bool {
+	for i, p := range ranges {
 		n := 0
-		for j, o := range parts {
+		for j, o := range ranges {
 			if i != j && o.First <= p.First && p.First <= o.Last {
 				n++
 			}
@@ -212,12 +212,12 @@
 }
 
 // Tagged gives the tag of an object in an encoding.
-func EncodedTag(tag, encoding string) string { return tag + suffixes[encoding] }
+func EncodedTag(tag, encoding string) string { return tag + tagSuffixes[encoding] }
 
 // choose gives the best encoding that an Accept-Encoding field takes.
-func choose(field, best string) string {
+func chooseEncoding(field, best string) string {
 	weights := [...]float64{-1, -1, -1}
-	rest, identity := -1.0, -1.0
+	wildcard, identity := -1.0, -1.0
 	for item := range strings.SplitSeq(field, ",") {
 		name, param, _ := strings.Cut(item, ";")
 		name = strings.ToLower(strings.Trim(name, " \t"))
@@ -235,18 +235,18 @@
 		case name == "x-gzip":
 			weights[2] = q
 		case name == "*":
-			rest = q
+			wildcard = q
 		case name == "identity":
 			identity = q
 		}
 	}
-	most := 0.0
+	highest := 0.0
 	for i, q := range weights {
 		if q < 0 {
-			q = max(rest, 0)
+			q = max(wildcard, 0)
 		}
-		if q > most && q >= identity {
-			most, best = q, Encodings[i]
+		if q > highest && q >= identity {
+			highest, best = q, Encodings[i]
 		}
 	}
 	return best
@@ -254,18 +254,18 @@
 
 // AppendParts writes several ranges of a body as multipart/byteranges (RFC
 // 9110, section 14.6).
-func AppendMultipart(b, body []byte, parts []ByteRange, kind, boundary string) []byte {
-	for _, p := range parts {
+func AppendMultipart(b, body []byte, ranges []ByteRange, contentType, boundary string) []byte {
+	for _, r := range ranges {
 		b = append(b, "\r\n--"...)
 		b = append(b, boundary...)
-		if kind != "" {
+		if contentType != "" {
 			b = append(b, "\r\nContent-Type: "...)
-			b = append(b, kind...)
+			b = append(b, contentType...)
 		}
 		b = append(b, "\r\nContent-Range: "...)
-		b = AppendContentRange(b, p, len(body))
+		b = AppendContentRange(b, r, len(body))
 		b = append(b, "\r\n\r\n"...)
-		b = append(b, body[p.First:p.Last+1]...)
+		b = append(b, body[r.First:r.Last+1]...)
 	}
 	b = append(b, "\r\n--"...)
 	b = append(b, boundary...)
@@ -273,11 +273,11 @@
 }
 
 // AppendRange writes a Content-Range.
-func AppendContentRange(b []byte, p ByteRange, size int) []byte {
+func AppendContentRange(b []byte, r ByteRange, size int) []byte {
 	b = append(b, "bytes "...)
-	b = strconv.AppendInt(b, int64(p.First), 10)
+	b = strconv.AppendInt(b, int64(r.First), 10)
 	b = append(b, '-')
-	b = strconv.AppendInt(b, int64(p.Last), 10)
+	b = strconv.AppendInt(b, int64(r.Last), 10)
 	b = append(b, '/')
 	return strconv.AppendInt(b, int64(size), 10)
 }
--- a/internal/decide/counters/counters.go
+++ b/internal/decide/counters/counters.go
@@ -38,10 +38,10 @@
 
 // Figures holds the counts of one process: 40 bytes a class.
 type Counters struct {
-	names   []string
-	classes []ClassCounts
-	loads   uint64
-	errors  uint64
+	names        []string
+	classes      []ClassCounts
+	reloads      uint64
+	reloadErrors uint64
 }
 
 // New makes figures with a count for each class, all at 0; names are the
@@ -52,44 +52,44 @@
 
 // Renew takes the names of further classes; those known so far must keep their
 // places. Classes of one name are reported as one.
-func (f *Counters) UpdateClasses(names []string) {
-	f.names = names
-	f.classes = append(f.classes, make([]ClassCounts, len(names)-len(f.classes))...)
+func (c *Counters) UpdateClasses(names []string) {
+	c.names = names
+	c.classes = append(c.classes, make([]ClassCounts, len(names)-len(c.classes))...)
 }
 
 // Answered counts a request of a class, by its place, that was ended. A place
 // out of range is a fault of the caller's and panics.
-func (f *Counters) CountOutcome(class int, o Outcome) {
-	c := &f.classes[class]
+func (c *Counters) CountOutcome(class int, o Outcome) {
+	counts := &c.classes[class]
 	switch o {
 	case Passed:
-		c.Passed++
+		counts.Passed++
 	case Dropped:
-		c.Dropped++
+		counts.Dropped++
 	case BadGateway:
-		c.BadGateway++
+		counts.BadGateway++
 	default:
 		panic(fmt.Sprintf("figures: outcome %d", o))
 	}
 }
 
 // Tried counts an attempt of a class, by its place, that left for a node.
-func (f *Counters) CountAttempt(class int) { f.classes[class].Attempts++ }
+func (c *Counters) CountAttempt(class int) { c.classes[class].Attempts++ }
 
 // Totals are the requests of all classes that were served, and those refused or failed.
-func (f *Counters) Totals() (good, bad uint64) {
-	for _, c := range f.classes {
-		good, bad = good+c.Passed, bad+c.Dropped+c.BadGateway
+func (c *Counters) Totals() (good, bad uint64) {
+	for _, counts := range c.classes {
+		good, bad = good+counts.Passed, bad+counts.Dropped+counts.BadGateway
 	}
 	return good, bad
 }
 
 // Loaded counts a file that SIGHUP brought: taken where ok, else turned down.
-func (f *Counters) CountReload(ok bool) {
+func (c *Counters) CountReload(ok bool) {
 	if ok {
-		f.loads++
+		c.reloads++
 	} else {
-		f.errors++
+		c.reloadErrors++
 	}
 }
 
@@ -106,17 +106,17 @@
 
 // AppendJSON appends the counts and the gauges as one line of JSON, without its
 // line end: {"handled":{"CLASS":{"passed":N,...},...},"upstream_tries":N,"in_progress":N,...}.
-func (f *Counters) AppendJSON(b []byte, g Gauges) []byte {
+func (c *Counters) AppendJSON(b []byte, g Gauges) []byte {
 	var tries uint64
-	handled := make(map[string]ClassCounts, len(f.names))
-	for i, c := range f.classes {
-		tries += c.Attempts
-		h := handled[f.names[i]]
-		handled[f.names[i]] = ClassCounts{Passed: h.Passed + c.Passed, Dropped: h.Dropped + c.Dropped,
-			BadGateway: h.BadGateway + c.BadGateway, Attempts: h.Attempts + c.Attempts}
+	handled := make(map[string]ClassCounts, len(c.names))
+	for i, counts := range c.classes {
+		tries += counts.Attempts
+		sum := handled[c.names[i]]
+		handled[c.names[i]] = ClassCounts{Passed: sum.Passed + counts.Passed, Dropped: sum.Dropped + counts.Dropped,
+			BadGateway: sum.BadGateway + counts.BadGateway, Attempts: sum.Attempts + counts.Attempts}
 	}
 	out, err := json.Marshal(report{Handled: handled, Tries: tries, InProgress: g.InProgress, Known: g.KnownNodes,
-		Skipped: g.SkippedNodes, Loads: f.loads, LoadErrors: f.errors})
+		Skipped: g.SkippedNodes, Loads: c.reloads, LoadErrors: c.reloadErrors})
 	if err != nil { // maps of strings to plain numbers always encode
 		panic(fmt.Sprintf("figures: %v", err))
 	}
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -12,7 +12,7 @@
 )
 
 // pure are the packages that decisions may use, beside those below them here.
-var pure = []string{"bytes", "cmp", "container/heap", "container/list", "crypto", "crypto/ecdsa", "crypto/ed25519",
+var allowedImports = []string{"bytes", "cmp", "container/heap", "container/list", "crypto", "crypto/ecdsa", "crypto/ed25519",
 	"crypto/elliptic", "crypto/hmac", "crypto/md5", "crypto/rsa", "crypto/sha1", "crypto/sha256", "crypto/x509",
 	"encoding/base64", "encoding/binary", "encoding/hex", "encoding/json", "encoding/pem", "errors", "fmt", "hash",
 	"io", "maps", "math", "math/bits", "net/netip", "net/url", "regexp", "slices", "sort", "strconv", "strings",
@@ -23,7 +23,7 @@
 // Guards against decisions that do I/O, ask a clock, start or lock anything.
 func TestDecisionsArePure(t *testing.T) {
 	allowed := map[string]bool{}
-	for _, p := range pure {
+	for _, p := range allowedImports {
 		allowed[p] = true
 	}
 	files := 0
--- a/internal/decide/draining/draining.go
+++ b/internal/decide/draining/draining.go
@@ -27,13 +27,13 @@
 
 // State is a front's drain. The zero value is one that has not begun.
 type State struct {
-	active  bool
-	since   int64 // us
-	closeAt int64 // us, when listeners close
-	warnAt  int64 // us
-	closed  bool  // listeners were told to close
-	over    bool
-	warned  bool
+	active          bool
+	startedAt       int64 // us
+	closeAt         int64 // us, when listeners close
+	warnAt          int64 // us
+	listenersClosed bool  // listeners were told to close
+	finished        bool
+	warned          bool
 }
 
 // Begin begins a drain at a moment, in us, in which clients are accepted for a span and
@@ -42,7 +42,7 @@
 	if s.active {
 		return false
 	}
-	*s = State{active: true, since: now, closeAt: now + acceptFor, warnAt: now + warnAfter}
+	*s = State{active: true, startedAt: now, closeAt: now + acceptFor, warnAt: now + warnAfter}
 	return true
 }
 
@@ -50,14 +50,14 @@
 // it was.
 func (s *State) StopAccepting(now int64) {
 	s.closeAt = min(s.closeAt, now)
-	s.over = false
+	s.finished = false
 }
 
 // Cancel takes a drain back, and tells whether one had begun.
-func (s *State) Cancel() (begun bool) {
-	begun = s.active
+func (s *State) Cancel() (wasActive bool) {
+	wasActive = s.active
 	*s = State{}
-	return begun
+	return wasActive
 }
 
 // Spent is how long a drain has lasted at a moment, in us; 0 where none has begun.
@@ -65,21 +65,21 @@
 	if !s.active {
 		return 0
 	}
-	return now - s.since
+	return now - s.startedAt
 }
 
 // Look gives the step to take at a moment by what is observed.
-func (s *State) Advance(now int64, o Observation) (step Step) {
-	if !s.active || s.over {
+func (s *State) Advance(now int64, observed Observation) (step Step) {
+	if !s.active || s.finished {
 		return Step{}
 	}
-	if !s.closed && now >= s.closeAt {
-		s.closed = true
+	if !s.listenersClosed && now >= s.closeAt {
+		s.listenersClosed = true
 		step.CloseListeners = true
 		return step // its effect is observed at the next look
 	}
-	if s.closed && !o.Accepting && o.Pending == 0 {
-		s.over = true
+	if s.listenersClosed && !observed.Accepting && observed.Pending == 0 {
+		s.finished = true
 		step.Finished = true
 		return step
 	}
--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -28,67 +28,67 @@
 
 // Queue holds jobs, so many at most. It is used by one goroutine.
 type Queue struct {
-	most    int
+	maxJobs int
 	count   int
 	tenants []*tenant // in turn, those with jobs
-	at      int
+	current int
 	byName  map[string]*tenant
 }
 
 type tenant struct {
-	name  string
-	count int
-	turn  int
-	rows  [2]row // others, suspects
+	name   string
+	count  int
+	turns  int
+	groups [2]group // others, suspects
 }
 
 // row is the lanes of one rank.
-type row struct {
-	lanes  map[netip.Prefix]*lane
-	ring   lane    // of lanes in turn
-	longer []*lane // by length less one, the first of those that have it
-	count  int
+type group struct {
+	lanes    map[netip.Prefix]*lane
+	ring     lane    // of lanes in turn
+	byLength []*lane // by length less one, the first of those that have it
+	count    int
 }
 
 // lane is the jobs of one prefix.
 type lane struct {
-	row        *row
-	tenant     *tenant
-	prefix     netip.Prefix
-	first      *Job
-	last       *Job
-	count      int
-	prev, next *lane // in the ring
-	less, more *lane // of the same length
+	group              *group
+	tenant             *tenant
+	prefix             netip.Prefix
+	first              *Job
+	last               *Job
+	count              int
+	prev, next         *lane // in the ring
+	prevSame, nextSame *lane // of the same length
 }
 
 // New makes a queue.
-func New(most int) *Queue { return &Queue{most: most, byName: map[string]*tenant{}} }
+func New(maxJobs int) *Queue { return &Queue{maxJobs: maxJobs, byName: map[string]*tenant{}} }
 
 // Len counts the jobs.
 func (q *Queue) Len() int { return q.count }
 
 // Push takes a job. Where there is no room, it gives the job that has to go
 // instead, which may be the same.
-func (q *Queue) Push(j *Job) (out *Job) {
+func (q *Queue) Push(j *Job) (evicted *Job) {
 	t := q.byName[j.Tenant]
 	if t == nil {
 		t = &tenant{name: j.Tenant}
-		for i := range t.rows {
-			r := &t.rows[i]
+		for i := range t.groups {
+			r := &t.groups[i]
 			r.lanes = map[netip.Prefix]*lane{}
 			r.ring.prev, r.ring.next = &r.ring, &r.ring
 		}
 		q.byName[j.Tenant] = t
 		q.tenants = append(q.tenants, t)
 	}
-	r := &t.rows[0]
+	r := &t.groups[0]
 	if j.Suspect {
-		r = &t.rows[1]
+		r = &t.groups[1]
 	}
 	l := r.lanes[j.Prefix]
 	if l == nil {
-		l = &lane{row: r, tenant: t, prefix: j.Prefix}
+		l = &lane{group: r, tenant: t, prefix: j.Prefix}
 		r.lanes[j.Prefix] = l
 		l.prev, l.next = r.ring.prev, &r.ring
 		l.prev.next, l.next.prev = l, l
@@ -100,59 +100,59 @@
 		l.first = j
 	}
 	l.last = j
-	l.grow(1)
+	l.resize(1)
 	t.count++
 	q.count++
-	if q.count <= q.most {
+	if q.count <= q.maxJobs {
 		return nil
 	}
-	out = q.least()
-	q.Remove(out)
-	return out
+	evicted = q.victim()
+	q.Remove(evicted)
+	return evicted
 }
 
 // least is the job that goes when there is no room.
-func (q *Queue) least() *Job {
-	var most *tenant
+func (q *Queue) victim() *Job {
+	var largest *tenant
 	for _, t := range q.tenants { // few
-		if most == nil || t.count > most.count {
-			most = t
+		if largest == nil || t.count > largest.count {
+			largest = t
 		}
 	}
-	r := &most.rows[1]
+	r := &largest.groups[1]
 	if r.count == 0 {
-		r = &most.rows[0]
+		r = &largest.groups[0]
 	}
-	return r.longer[len(r.longer)-1].last
+	return r.byLength[len(r.byLength)-1].last
 }
 
 // grow changes a lane's length by one and keeps it among those of its length.
-func (l *lane) grow(by int) {
-	r := l.row
+func (l *lane) resize(delta int) {
+	r := l.group
 	if l.count > 0 {
-		if l.less != nil {
-			l.less.more = l.more
+		if l.prevSame != nil {
+			l.prevSame.nextSame = l.nextSame
 		} else {
-			r.longer[l.count-1] = l.more
+			r.byLength[l.count-1] = l.nextSame
 		}
-		if l.more != nil {
-			l.more.less = l.less
+		if l.nextSame != nil {
+			l.nextSame.prevSame = l.prevSame
 		}
 	}
-	l.count += by
-	r.count += by
+	l.count += delta
+	r.count += delta
 	if l.count > 0 {
-		if l.count > len(r.longer) {
-			r.longer = append(r.longer, nil)
+		if l.count > len(r.byLength) {
+			r.byLength = append(r.byLength, nil)
 		}
-		l.less, l.more = nil, r.longer[l.count-1]
-		if l.more != nil {
-			l.more.less = l
+		l.prevSame, l.nextSame = nil, r.byLength[l.count-1]
+		if l.nextSame != nil {
+			l.nextSame.prevSame = l
 		}
-		r.longer[l.count-1] = l
+		r.byLength[l.count-1] = l
 	}
-	for len(r.longer) > 0 && r.longer[len(r.longer)-1] == nil {
-		r.longer = r.longer[:len(r.longer)-1]
+	for len(r.byLength) > 0 && r.byLength[len(r.byLength)-1] == nil {
+		r.byLength = r.byLength[:len(r.byLength)-1]
 	}
 }
 
@@ -173,20 +173,20 @@
 		l.last = j.prev
 	}
 	j.lane, j.prev, j.next = nil, nil, nil
-	l.grow(-1)
+	l.resize(-1)
 	l.tenant.count--
 	q.count--
 	if l.count == 0 {
 		l.prev.next, l.next.prev = l.next, l.prev
-		delete(l.row.lanes, l.prefix)
+		delete(l.group.lanes, l.prefix)
 	}
 	if l.tenant.count == 0 {
 		delete(q.byName, l.tenant.name)
 		for i, t := range q.tenants {
 			if t == l.tenant {
 				q.tenants = append(q.tenants[:i], q.tenants[i+1:]...)
-				if i < q.at {
-					q.at--
+				if i < q.current {
+					q.current--
 				}
 				break
 			}
@@ -199,13 +199,13 @@
 	if q.count == 0 {
 		return nil
 	}
-	q.at %= len(q.tenants)
-	t := q.tenants[q.at]
-	q.at++
-	t.turn++
-	r := &t.rows[0]
-	if r.count == 0 || t.rows[1].count > 0 && t.turn%suspectTurn == 0 {
-		r = &t.rows[1]
+	q.current %= len(q.tenants)
+	t := q.tenants[q.current]
+	q.current++
+	t.turns++
+	r := &t.groups[0]
+	if r.count == 0 || t.groups[1].count > 0 && t.turns%suspectTurn == 0 {
+		r = &t.groups[1]
 	}
 	l := r.ring.next
 	l.prev.next, l.next.prev = l.next, l.prev // to the end of its ring
--- a/internal/decide/flowcontrol/flowcontrol.go
+++ b/internal/decide/flowcontrol/flowcontrol.go
@@ -46,13 +46,13 @@
 
 // stream is one, with both directions.
 type stream struct {
-	id      uint32
-	class   int
-	waiting int           // bytes to be sent
-	credit  int           // that may be
-	turn    *list.Element // in its class's ring, while it could send
-	owed    int           // credit that the peer has of us
-	taken   int           // bytes consumed since it was last told of credit
+	id         uint32
+	class      int
+	queued     int           // bytes to be sent
+	credit     int           // that may be
+	element    *list.Element // in its class's ring, while it could send
+	peerCredit int           // credit that the peer has of us
+	consumed   int           // bytes consumed since it was last told of credit
 }
 
 // class is the streams of one that could send.
@@ -63,14 +63,14 @@
 
 // Mux is one end of a connection. Both ends begin with a window a stream.
 type Mux struct {
-	cfg     Config
-	by      map[uint32]*stream
-	classes []class
-	at      int  // the class whose turn it is
-	fresh   bool // its turn has begun
-	credit  int  // of the connection
-	owed    int
-	taken   int
+	cfg         Config
+	streams     map[uint32]*stream
+	classes     []class
+	current     int  // the class whose turn it is
+	turnStarted bool // its turn has begun
+	credit      int  // of the connection
+	peerCredit  int
+	consumed    int
 }
 
 // New makes an end.
@@ -78,7 +78,7 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	m := &Mux{cfg: cfg, by: map[uint32]*stream{}, credit: cfg.ConnWindow, owed: cfg.ConnWindow}
+	m := &Mux{cfg: cfg, streams: map[uint32]*stream{}, credit: cfg.ConnWindow, peerCredit: cfg.ConnWindow}
 	for range cfg.Weights {
 		m.classes = append(m.classes, class{ring: list.New()})
 	}
@@ -86,40 +86,40 @@
 }
 
 // Len counts the open streams.
-func (m *Mux) Len() int { return len(m.by) }
+func (m *Mux) Len() int { return len(m.streams) }
 
 // Open opens a stream, of ours or of the peer.
 func (m *Mux) Open(id uint32, class int) error {
 	switch {
-	case m.by[id] != nil:
+	case m.streams[id] != nil:
 		return ErrStreamExists
-	case len(m.by) >= m.cfg.MaxStreams:
+	case len(m.streams) >= m.cfg.MaxStreams:
 		return ErrTooManyStreams
 	case class < 0 || class >= len(m.classes):
 		return fmt.Errorf("streams: class %d of %d", class, len(m.classes))
 	}
-	m.by[id] = &stream{id: id, class: class, credit: m.cfg.StreamWindow, owed: m.cfg.StreamWindow}
+	m.streams[id] = &stream{id: id, class: class, credit: m.cfg.StreamWindow, peerCredit: m.cfg.StreamWindow}
 	return nil
 }
 
 // Close ends a stream. What it has received and not consumed counts as consumed for
 // the connection; give is the connection's credit to tell the peer of, if any.
-func (m *Mux) Close(id uint32) (give int) {
-	s := m.by[id]
+func (m *Mux) Close(id uint32) (grant int) {
+	s := m.streams[id]
 	if s == nil {
 		return 0
 	}
-	m.rest(s)
-	delete(m.by, id)
-	held := m.cfg.StreamWindow - s.owed - s.taken
+	m.deactivate(s)
+	delete(m.streams, id)
+	held := m.cfg.StreamWindow - s.peerCredit - s.consumed
 	return m.consume(held)
 }
 
 // Queue adds bytes that a stream has to send.
 func (m *Mux) Queue(id uint32, n int) {
-	if s := m.by[id]; s != nil && n > 0 {
-		s.waiting += n
-		m.rise(s)
+	if s := m.streams[id]; s != nil && n > 0 {
+		s.queued += n
+		m.activate(s)
 	}
 }
 
@@ -135,7 +135,7 @@
 		m.credit += n
 		return nil
 	}
-	s := m.by[id]
+	s := m.streams[id]
 	if s == nil {
 		return nil // it has just ended
 	}
@@ -143,95 +143,95 @@
 		return ErrCreditExceeded
 	}
 	s.credit += n
-	m.rise(s)
+	m.activate(s)
 	return nil
 }
 
 // rise lets a stream take turns, rest takes it out.
-func (m *Mux) rise(s *stream) {
-	if s.turn == nil && s.waiting > 0 && s.credit > 0 {
-		s.turn = m.classes[s.class].ring.PushBack(s)
+func (m *Mux) activate(s *stream) {
+	if s.element == nil && s.queued > 0 && s.credit > 0 {
+		s.element = m.classes[s.class].ring.PushBack(s)
 	}
 }
 
-func (m *Mux) rest(s *stream) {
-	if s.turn != nil {
-		m.classes[s.class].ring.Remove(s.turn)
-		s.turn = nil
+func (m *Mux) deactivate(s *stream) {
+	if s.element != nil {
+		m.classes[s.class].ring.Remove(s.element)
+		s.element = nil
 	}
 }
 
 // Next gives the stream whose bytes go next, and how many, up to most. It counts
 // them as sent.
-func (m *Mux) Next(most int) (id uint32, n int, ok bool) {
-	if m.credit == 0 || most < 1 {
+func (m *Mux) Next(maxBytes int) (id uint32, n int, ok bool) {
+	if m.credit == 0 || maxBytes < 1 {
 		return 0, 0, false
 	}
 	for range 2*len(m.classes) + 1 {
-		c := &m.classes[m.at]
+		c := &m.classes[m.current]
 		first := c.ring.Front()
 		if first == nil {
 			c.deficit = 0
-			m.turn()
+			m.nextClass()
 			continue
 		}
-		if !m.fresh {
-			c.deficit += m.cfg.Quantum * m.cfg.Weights[m.at]
-			m.fresh = true
+		if !m.turnStarted {
+			c.deficit += m.cfg.Quantum * m.cfg.Weights[m.current]
+			m.turnStarted = true
 		}
 		s := first.Value.(*stream)
-		n = min(most, s.waiting, s.credit, m.credit, c.deficit)
-		s.waiting, s.credit, m.credit = s.waiting-n, s.credit-n, m.credit-n
+		n = min(maxBytes, s.queued, s.credit, m.credit, c.deficit)
+		s.queued, s.credit, m.credit = s.queued-n, s.credit-n, m.credit-n
 		c.deficit -= n
-		m.rest(s)
-		m.rise(s) // behind the others of its class
+		m.deactivate(s)
+		m.activate(s) // behind the others of its class
 		if c.deficit <= 0 {
-			m.turn()
+			m.nextClass()
 		}
 		return s.id, n, true
 	}
 	return 0, 0, false
 }
 
-func (m *Mux) turn() { m.at, m.fresh = (m.at+1)%len(m.classes), false }
+func (m *Mux) nextClass() { m.current, m.turnStarted = (m.current+1)%len(m.classes), false }
 
 // Received takes in bytes of a stream, which the peer must have had credit for.
 func (m *Mux) Received(id uint32, n int) error {
-	if n < 0 || n > m.owed {
+	if n < 0 || n > m.peerCredit {
 		return ErrNoCredit
 	}
-	s := m.by[id]
+	s := m.streams[id]
 	if s == nil { // of one that we have just ended: only the connection counts
-		m.owed -= n
+		m.peerCredit -= n
 		return nil
 	}
-	if n > s.owed {
+	if n > s.peerCredit {
 		return ErrNoCredit
 	}
-	m.owed, s.owed = m.owed-n, s.owed-n
+	m.peerCredit, s.peerCredit = m.peerCredit-n, s.peerCredit-n
 	return nil
 }
 
 // Consumed tells that bytes of a stream are no longer held here. It gives the credit
 // that the peer is to be told of, for the stream and for the connection: half a
 // window at a time, so that few frames are spent on it.
-func (m *Mux) Consumed(id uint32, n int) (stream, all int) {
-	if s := m.by[id]; s != nil {
-		n = min(n, m.cfg.StreamWindow-s.owed-s.taken)
-		if s.taken += n; 2*s.taken >= m.cfg.StreamWindow {
-			stream, s.taken = s.taken, 0
-			s.owed += stream
+func (m *Mux) Consumed(id uint32, n int) (streamGrant, connGrant int) {
+	if s := m.streams[id]; s != nil {
+		n = min(n, m.cfg.StreamWindow-s.peerCredit-s.consumed)
+		if s.consumed += n; 2*s.consumed >= m.cfg.StreamWindow {
+			streamGrant, s.consumed = s.consumed, 0
+			s.peerCredit += streamGrant
 		}
 	} else {
-		n = min(n, m.cfg.ConnWindow-m.owed-m.taken)
+		n = min(n, m.cfg.ConnWindow-m.peerCredit-m.consumed)
 	}
-	return stream, m.consume(n)
+	return streamGrant, m.consume(n)
 }
 
-func (m *Mux) consume(n int) (give int) {
-	if m.taken += n; 2*m.taken >= m.cfg.ConnWindow {
-		give, m.taken = m.taken, 0
-		m.owed += give
+func (m *Mux) consume(n int) (grant int) {
+	if m.consumed += n; 2*m.consumed >= m.cfg.ConnWindow {
+		grant, m.consumed = m.consumed, 0
+		m.peerCredit += grant
 	}
-	return give
+	return grant
 }
--- a/internal/decide/flowcontrol/flowcontrol_test.go
+++ b/internal/decide/flowcontrol/flowcontrol_test.go
@@ -13,7 +13,7 @@
 
 var config = Config{Weights: []int{1, 3}, StreamWindow: 1000, ConnWindow: 4000, MaxStreams: 8, Quantum: 100}
 
-func end(t interface{ Fatal(...any) }, cfg Config) *Mux {
+func newMux(t interface{ Fatal(...any) }, cfg Config) *Mux {
 	m, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -25,8 +25,8 @@
 // are lost, and in the end all of them came.
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := end(t, config), end(t, config)
-		queued, got, held := map[uint32]int{}, map[uint32]int{}, map[uint32]int{}
+		a, b := newMux(t, config), newMux(t, config)
+		queued, received, held := map[uint32]int{}, map[uint32]int{}, map[uint32]int{}
 		grant := func(id uint32, stream, all int) {
 			if stream > 0 {
 				if err := a.Credit(id, stream); err != nil {
@@ -39,18 +39,18 @@
 				}
 			}
 		}
-		move := func(most int) bool {
-			id, n, ok := a.Next(most)
+		transfer := func(maxBytes int) bool {
+			id, n, ok := a.Next(maxBytes)
 			if !ok {
 				return false
 			}
-			if n < 1 || n > most {
+			if n < 1 || n > maxBytes {
 				t.Fatal(n)
 			}
 			if err := b.Received(id, n); err != nil {
 				t.Fatal(err)
 			}
-			got[id], held[id] = got[id]+n, held[id]+n
+			received[id], held[id] = received[id]+n, held[id]+n
 			if held[id] > config.StreamWindow {
 				t.Fatalf("%d bytes held", held[id])
 			}
@@ -75,13 +75,13 @@
 				a.Queue(id, n)
 				queued[id] += n
 			case 1:
-				move(n)
+				transfer(n)
 			default:
 				read(id, n)
 			}
 		}
 		for moved := true; moved; {
-			moved = move(700)
+			moved = transfer(700)
 			for id := uint32(1); id <= 5; id++ {
 				if held[id] > 0 {
 					read(id, held[id])
@@ -90,8 +90,8 @@
 			}
 		}
 		for id, n := range queued {
-			if got[id] != n {
-				t.Fatalf("stream %d: %d of %d bytes came", id, got[id], n)
+			if received[id] != n {
+				t.Fatalf("stream %d: %d of %d bytes came", id, received[id], n)
 			}
 		}
 	})
@@ -100,7 +100,7 @@
 // A stream that nobody reads stops itself alone, classes get their weights, streams
 // of a class the same each.
 func TestShares(t *testing.T) {
-	a, b := end(t, config), end(t, config)
+	a, b := newMux(t, config), newMux(t, config)
 	for id := uint32(1); id <= 5; id++ {
 		_, _ = a.Open(id, int(id)%2), b.Open(id, int(id)%2)
 		a.Queue(id, 1<<30)
@@ -154,7 +154,7 @@
 			return err
 		}, ErrTooManyStreams},
 	} {
-		m := end(t, config)
+		m := newMux(t, config)
 		if err := m.Open(1, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 
 // What a stream held when it ended comes back to the connection.
 func TestEndsGiveBack(t *testing.T) {
-	m := end(t, config)
+	m := newMux(t, config)
 	given := 0
 	for id := uint32(1); id < 100; id++ {
 		if err := m.Open(id, 0); err != nil {
--- a/internal/decide/generations/generations.go
+++ b/internal/decide/generations/generations.go
@@ -19,8 +19,8 @@
 // Table is the classes of all generations of one process's settings. A look-up
 // costs nothing: callers hold places. It holds one C a place.
 type Table[C comparable] struct {
-	state State[C]
-	most  int
+	state      State[C]
+	maxClasses int
 }
 
 // State is all that a table knows, to be written out and read back.
@@ -33,8 +33,8 @@
 
 // New makes a table for a process's first settings; most bounds its places. The
 // digest names the settings, whatever else beside the classes they hold.
-func New[C comparable](most int, digest string, classes []C) (*Table[C], error) {
-	t := &Table[C]{most: most}
+func New[C comparable](maxClasses int, digest string, classes []C) (*Table[C], error) {
+	t := &Table[C]{maxClasses: maxClasses}
 	if _, err := t.Update(digest, classes); err != nil {
 		return nil, err
 	}
@@ -42,16 +42,16 @@
 }
 
 // Restore makes a table from what State gave.
-func Restore[C comparable](most int, s State[C]) (*Table[C], error) {
-	if len(s.Classes) > most {
-		return nil, fmt.Errorf("generations: %d classes, %d at most", len(s.Classes), most)
+func Restore[C comparable](maxClasses int, s State[C]) (*Table[C], error) {
+	if len(s.Classes) > maxClasses {
+		return nil, fmt.Errorf("generations: %d classes, %d at most", len(s.Classes), maxClasses)
 	}
-	for _, place := range s.InForce {
-		if place < 0 || place >= len(s.Classes) {
-			return nil, fmt.Errorf("generations: in_force: no place %d among %d", place, len(s.Classes))
+	for _, index := range s.InForce {
+		if index < 0 || index >= len(s.Classes) {
+			return nil, fmt.Errorf("generations: in_force: no place %d among %d", index, len(s.Classes))
 		}
 	}
-	return &Table[C]{state: s.clone(), most: most}, nil
+	return &Table[C]{state: s.clone(), maxClasses: maxClasses}, nil
 }
 
 // State tells all that the table knows.
@@ -78,21 +78,21 @@
 // force. The error tells that the table's bound stands against them; nothing has
 // changed then.
 func (t *Table[C]) Update(digest string, classes []C) (changed bool, err error) {
-	all, places := t.Classes(), make([]int, 0, len(classes))
+	known, indexes := t.Classes(), make([]int, 0, len(classes))
 	for _, c := range classes {
-		place := slices.Index(all, c)
-		if place < 0 {
-			place = len(all)
-			all = append(all, c) // clipped: what others were given stays as it is
+		index := slices.Index(known, c)
+		if index < 0 {
+			index = len(known)
+			known = append(known, c) // clipped: what others were given stays as it is
 		}
-		places = append(places, place)
+		indexes = append(indexes, index)
 	}
-	if len(all) > t.most {
-		return false, fmt.Errorf("generations: %d classes since the start, %d at most: a restart is needed", len(all), t.most)
+	if len(known) > t.maxClasses {
+		return false, fmt.Errorf("generations: %d classes since the start, %d at most: a restart is needed", len(known), t.maxClasses)
 	}
-	if t.state.Number > 0 && digest == t.state.Digest && slices.Equal(places, t.state.InForce) {
+	if t.state.Number > 0 && digest == t.state.Digest && slices.Equal(indexes, t.state.InForce) {
 		return false, nil
 	}
-	t.state = State[C]{Number: t.state.Number + 1, Digest: digest, Classes: all, InForce: places}
+	t.state = State[C]{Number: t.state.Number + 1, Digest: digest, Classes: known, InForce: indexes}
 	return true, nil
 }
--- a/internal/decide/readiness/readiness.go
+++ b/internal/decide/readiness/readiness.go
@@ -15,23 +15,23 @@
 
 // State is one front's readiness. The zero value is not usable; see New.
 type State struct {
-	started  int64 // us, when the front began to listen
-	wait     int64 // us that a start waits for the notice board; 0: there is none
-	draining bool
-	ending   bool
+	started   int64 // us, when the front began to listen
+	boardWait int64 // us that a start waits for the notice board; 0: there is none
+	draining  bool
+	ending    bool
 }
 
 // New begins the readiness of a front that listens from now on, in us. Where
 // wait is above 0 the front waits that long at most for the board's first answer.
-func New(now, wait int64) *State { return &State{started: now, wait: wait} }
+func New(now, boardWait int64) *State { return &State{started: now, boardWait: boardWait} }
 
 // Ready tells whether the front takes clients and its start is over at a moment, given
 // whether the board has answered once; if not, why, in a few words.
-func (s *State) Ready(now int64, heard bool) (bool, string) {
-	if ok, why := s.Accepting(); !ok {
-		return false, why
+func (s *State) Ready(now int64, boardAnswered bool) (bool, string) {
+	if ok, reason := s.Accepting(); !ok {
+		return false, reason
 	}
-	if s.wait > 0 && !heard && now < s.started+s.wait {
+	if s.boardWait > 0 && !boardAnswered && now < s.started+s.boardWait {
 		return false, "starting"
 	}
 	return true, ""
@@ -50,7 +50,7 @@
 
 // Drain has the front say no from now on. It tells whether the front has to empty itself:
 // not where it already does.
-func (s *State) Drain() (empty bool) {
+func (s *State) Drain() (started bool) {
 	if s.draining || s.ending {
 		return false
 	}
--- a/internal/decide/resources/arrival.go
+++ b/internal/decide/resources/arrival.go
@@ -13,22 +13,22 @@
 
 // Where places run out.
 const (
-	crowdedFrom = 0.9 // part of the places from which whoever comes has another make room
-	refuseMost  = 8   // connections beyond the places that are only refused, at most
-	refusePart  = 8   // and at most one for so many places
+	crowdedThreshold = 0.9 // part of the places from which whoever comes has another make room
+	maxRefusals      = 8   // connections beyond the places that are only refused, at most
+	placesPerRefusal = 8   // and at most one for so many places
 )
 
 // Arrive decides over a connection that is the held-th for so many places, and whether
 // another has to make room for it. Whether its client has gone is asked where it matters
 // alone: who has left is owed no place, but finding it out costs a system call.
-func DecideConn(held, places int64, gone func() bool) (a ConnDecision, room bool) {
-	crowded := float64(held) > crowdedFrom*float64(places)
+func DecideConn(held, maxConns int64, clientGone func() bool) (decision ConnDecision, makeRoom bool) {
+	crowded := float64(held) > crowdedThreshold*float64(maxConns)
 	switch {
-	case crowded && gone():
+	case crowded && clientGone():
 		return ClientGone, false
-	case held <= places:
+	case held <= maxConns:
 		return AcceptConn, crowded
-	case held <= places+min(refuseMost, places/refusePart):
+	case held <= maxConns+min(maxRefusals, maxConns/placesPerRefusal):
 		return RefuseConn, true
 	default:
 		return CloseConn, true
--- a/internal/decide/resources/arrival_test.go
+++ b/internal/decide/resources/arrival_test.go
@@ -51,7 +51,7 @@
 			if a == AcceptConn || a == RefuseConn {
 				held++
 			}
-			if held > places+places/refusePart {
+			if held > places+places/placesPerRefusal {
 				t.Fatalf("%d held for %d places", held, places)
 			}
 		}
--- a/internal/decide/resources/budget.go
+++ b/internal/decide/resources/budget.go
@@ -28,9 +28,9 @@
 // Where marks begin, as shares of all bytes. They end slack below that, so that a
 // front at a mark does not go back and forth.
 const (
-	tightAt    = 0.7
-	criticalAt = 0.9
-	slack      = 0.05
+	tightThreshold    = 0.7
+	criticalThreshold = 0.9
+	hysteresis        = 0.05
 )
 
 // Bytes bounds what is held.
@@ -44,88 +44,88 @@
 type Budget struct {
 	limits ByteLimits
 	held   [NumConsumers]int64
-	sum    int64
-	mark   Level
+	total  int64
+	level  Level
 }
 
 // NewBudget makes an account.
 func NewBudget(b ByteLimits) *Budget { return &Budget{limits: b} }
 
 // Observe takes over what the parts hold, and tells what each must give back now.
-func (b *Budget) Observe(held [NumConsumers]int64) (give [NumConsumers]int64) {
-	b.held, b.sum = held, 0
+func (b *Budget) Observe(held [NumConsumers]int64) (release [NumConsumers]int64) {
+	b.held, b.total = held, 0
 	for p, n := range held {
-		b.sum += n
-		if most := b.limits.Cap[p]; most > 0 {
-			give[p] = max(0, n-most)
+		b.total += n
+		if maxBytes := b.limits.Cap[p]; maxBytes > 0 {
+			release[p] = max(0, n-maxBytes)
 		}
 	}
-	b.remark()
-	var over int64
-	switch b.mark {
+	b.updateLevel()
+	var excess int64
+	switch b.level {
 	case Easy:
-		return give
+		return release
 	case Tight, Critical:
-		over = b.sum - b.share(tightAt-slack)
+		excess = b.total - b.portion(tightThreshold-hysteresis)
 	}
-	for p := CachedCopies; p < NodeResponses && over > 0; p++ {
-		if b.mark == Tight && p > CachedCopies {
+	for p := CachedCopies; p < NodeResponses && excess > 0; p++ {
+		if b.level == Tight && p > CachedCopies {
 			break
 		}
 		if p == PendingOutput { // past the copies only what is critical must go
-			over = b.sum - give[CachedCopies] - b.share(criticalAt-slack)
+			excess = b.total - release[CachedCopies] - b.portion(criticalThreshold-hysteresis)
 		}
-		n := max(give[p], min(over, held[p]-b.limits.Floor[p]))
-		over -= n
-		give[p] = max(0, n)
+		n := max(release[p], min(excess, held[p]-b.limits.Floor[p]))
+		excess -= n
+		release[p] = max(0, n)
 	}
-	return give
+	return release
 }
 
-func (b *Budget) remark() {
-	from := func(at float64, m Level) bool {
-		if b.mark >= m {
-			at -= slack
+func (b *Budget) updateLevel() {
+	reached := func(threshold float64, level Level) bool {
+		if b.level >= level {
+			threshold -= hysteresis
 		}
-		return b.sum >= b.share(at)
+		return b.total >= b.portion(threshold)
 	}
 	switch {
-	case from(criticalAt, Critical):
-		b.mark = Critical
-	case from(tightAt, Tight):
-		b.mark = Tight
+	case reached(criticalThreshold, Critical):
+		b.level = Critical
+	case reached(tightThreshold, Tight):
+		b.level = Tight
 	default:
-		b.mark = Easy
+		b.level = Easy
 	}
 }
 
-func (b *Budget) share(s float64) int64 { return int64(s * float64(b.limits.Total)) }
+func (b *Budget) portion(share float64) int64 { return int64(share * float64(b.limits.Total)) }
 
 // Mark tells how near the account was to its end when it was last observed.
-func (b *Budget) Level() Level { return b.mark }
+func (b *Budget) Level() Level { return b.level }
 
 // Pressure is the share of all bytes that are held.
-func (b *Budget) Pressure() float64 { return float64(b.sum) / float64(max(1, b.limits.Total)) }
+func (b *Budget) Pressure() float64 { return float64(b.total) / float64(max(1, b.limits.Total)) }
 
 // May tells whether a part may take on some bytes: within its cap; where it is
 // tight within half of that, and where it is critical up to its floor. What is
 // taken on counts until the next look.
 func (b *Budget) TryReserve(p Consumer, n int64) bool {
-	most := b.limits.Cap[p]
-	if most == 0 {
-		most = b.limits.Total
+	maxBytes := b.limits.Cap[p]
+	if maxBytes == 0 {
+		maxBytes = b.limits.Total
 	}
-	switch b.mark {
+	switch b.level {
 	case Tight:
-		most = max(b.limits.Floor[p], most/2)
+		maxBytes = max(b.limits.Floor[p], maxBytes/2)
 	case Critical:
-		most = b.limits.Floor[p]
+		maxBytes = b.limits.Floor[p]
 	}
-	if b.held[p]+n > most {
+	if b.held[p]+n > maxBytes {
 		return false
 	}
 	b.held[p] += n
-	b.sum += n
+	b.total += n
 	return true
 }
 
@@ -134,8 +134,8 @@
 func (b *Budget) Release(p Consumer, n int64) {
 	n = min(n, b.held[p])
 	b.held[p] -= n
-	b.sum -= n
+	b.total -= n
 }
 
 // String names a mark, for the log.
-func (m Level) String() string { return [...]string{"easy", "tight", "critical"}[m] }
+func (l Level) String() string { return [...]string{"easy", "tight", "critical"}[l] }
--- a/internal/decide/resources/resources_test.go
+++ b/internal/decide/resources/resources_test.go
@@ -91,8 +91,8 @@
 		{"critical without answers", [NumConsumers]int64{PartialRequests: 100, ConnRecords: 900}, [NumConsumers]int64{PartialRequests: 50, ConnRecords: 100}, Critical},
 		{"easy again", [NumConsumers]int64{CachedCopies: 300, PendingOutput: 300}, [NumConsumers]int64{}, Easy},
 	} {
-		if give := b.Observe(x.held); give != x.give || b.Level() != x.mark {
-			t.Errorf("%s: gives %v, %v; want %v, %v", x.name, give, b.Level(), x.give, x.mark)
+		if release := b.Observe(x.held); release != x.give || b.Level() != x.mark {
+			t.Errorf("%s: gives %v, %v; want %v, %v", x.name, release, b.Level(), x.give, x.mark)
 		}
 	}
 }
@@ -134,8 +134,8 @@
 				held[p] = int64(rapid.IntRange(0, 400).Draw(t, "held"))
 				sum += held[p]
 			}
-			give := b.Observe(held)
-			for p, n := range give {
+			release := b.Observe(held)
+			for p, n := range release {
 				if n < 0 || n > held[p] {
 					t.Fatalf("%d gives %d of %d", p, n, held[p])
 				}
--- a/internal/decide/sites/sites.go
+++ b/internal/decide/sites/sites.go
@@ -108,17 +108,17 @@
 
 // How fast beliefs move.
 const (
-	healthTime  = 500_000   // us in which what is old counts half
-	farTime     = 1_000_000 // us, for the other site
-	sampleGain  = 1.0 / 8   // of a round trip's mean, and
-	spreadGain  = 1.0 / 4   // of its deviation (RFC 6298, 2.3)
-	spreads     = 4         // deviations that are allowed for
-	farLeast    = 0.5       // of what was carried must do well
-	farTrial    = 0.05      // of the share crosses all the same, to learn whether it is better
-	burst       = 0.25      // seconds of the budget that may go at once
-	priceUp     = 2.0       // a second, by which worth a byte gets dearer while the budget is spent
-	priceLeast  = 1e-12
-	priorWeight = 4 // outcomes that the prior stands for
+	localHalfLife   = 500_000   // us in which what is old counts half
+	remoteHalfLife  = 1_000_000 // us, for the other site
+	meanGain        = 1.0 / 8   // of a round trip's mean, and
+	deviationGain   = 1.0 / 4   // of its deviation (RFC 6298, 2.3)
+	deviationFactor = 4         // deviations that are allowed for
+	minRemoteHealth = 0.5       // of what was carried must do well
+	probeShare      = 0.05      // of the share crosses all the same, to learn whether it is better
+	burstSeconds    = 0.25      // seconds of the budget that may go at once
+	minWorthGrowth  = 2.0       // a second, by which worth a byte gets dearer while the budget is spent
+	minWorthFloor   = 1e-12
+	priorWeight     = 4 // outcomes that the prior stands for
 )
 
 // average is a share of good ones that forgets.
@@ -127,15 +127,15 @@
 	At        Micros
 }
 
-func (a *average) fade(now Micros, half float64) {
+func (a *average) decay(now Micros, halfLife float64) {
 	if now > a.At {
-		f := math.Exp2(-float64(now-a.At) / half)
+		f := math.Exp2(-float64(now-a.At) / halfLife)
 		a.Good, a.All, a.At = a.Good*f, a.All*f, now
 	}
 }
 
-func (a *average) add(now Micros, half float64, good bool) {
-	a.fade(now, half)
+func (a *average) record(now Micros, halfLife float64, good bool) {
+	a.decay(now, halfLife)
 	a.All++
 	if good {
 		a.Good++
@@ -173,8 +173,8 @@
 
 // Chooser is the decision of one front.
 type Selector struct {
-	cfg Config
-	s   State
+	cfg   Config
+	state State
 }
 
 // New makes a chooser for a site that is well, with a link that is down.
@@ -182,26 +182,26 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	c := &Selector{cfg: cfg, s: State{Now: now, RemoteCapacity: 1, RequestTokens: cfg.RequestRate * burst, ByteTokens: cfg.ByteRate * burst, MinWorthPerByte: priceLeast}}
+	sel := &Selector{cfg: cfg, state: State{Now: now, RemoteCapacity: 1, RequestTokens: cfg.RequestRate * burstSeconds, ByteTokens: cfg.ByteRate * burstSeconds, MinWorthPerByte: minWorthFloor}}
 	for _, x := range cfg.Classes {
-		c.s.Paths = append(c.s.Paths, path{Latency: float64(x.InitialLatency), Deviation: float64(x.InitialLatency) / 4, Bytes: x.InitialBytes})
+		sel.state.Paths = append(sel.state.Paths, path{Latency: float64(x.InitialLatency), Deviation: float64(x.InitialLatency) / 4, Bytes: x.InitialBytes})
 	}
-	c.s.Local.At, c.s.Remote.At = now, now
-	return c, nil
+	sel.state.Local.At, sel.state.Remote.At = now, now
+	return sel, nil
 }
 
 // Snapshot gives a copy of the state.
-func (c *Selector) Snapshot() State {
-	s := c.s
+func (sel *Selector) Snapshot() State {
+	s := sel.state
 	s.Paths = append([]path(nil), s.Paths...)
 	return s
 }
 
 // Restore takes a state over. What it says of the link and the budget is of then:
 // the link counts as down until it is told of.
-func (c *Selector) Restore(s State, now Micros) error {
-	if len(s.Paths) != len(c.cfg.Classes) {
-		return fmt.Errorf("sites: a state of %d classes, there are %d", len(s.Paths), len(c.cfg.Classes))
+func (sel *Selector) Restore(s State, now Micros) error {
+	if len(s.Paths) != len(sel.cfg.Classes) {
+		return fmt.Errorf("sites: a state of %d classes, there are %d", len(s.Paths), len(sel.cfg.Classes))
 	}
 	for _, x := range []float64{s.RemoteShare, s.RemoteCapacity, s.Local.Good, s.Local.All, s.Remote.Good, s.Remote.All, s.MinWorthPerByte, s.RequestTokens, s.ByteTokens} {
 		if !(x >= 0) || math.IsInf(x, 0) {
@@ -210,173 +210,173 @@
 	}
 	s.Paths = append([]path(nil), s.Paths...)
 	s.LinkUp, s.RemoteShare, s.RemoteCapacity = false, min(s.RemoteShare, 1), min(s.RemoteCapacity, 1)
-	s.RequestTokens, s.ByteTokens = min(s.RequestTokens, c.cfg.RequestRate*burst), min(s.ByteTokens, c.cfg.ByteRate*burst)
+	s.RequestTokens, s.ByteTokens = min(s.RequestTokens, sel.cfg.RequestRate*burstSeconds), min(s.ByteTokens, sel.cfg.ByteRate*burstSeconds)
 	if s.Now > now { // by another clock
 		s.Now, s.PassedSince = now, 0
 		s.Local.At, s.Remote.At = min(s.Local.At, now), min(s.Remote.At, now)
 	}
-	c.s = s
+	sel.state = s
 	return nil
 }
 
 // Hubs tells how many of the site's hubs serve, as the register has it.
-func (c *Selector) SetHubs(now Micros, up, all int) {
-	c.move(now)
-	c.s.HubsUp, c.s.HubsTotal = up, all
+func (sel *Selector) SetHubs(now Micros, up, total int) {
+	sel.advance(now)
+	sel.state.HubsUp, sel.state.HubsTotal = up, total
 }
 
 // Link tells that the link came up or went down.
-func (c *Selector) SetLink(now Micros, up bool) {
-	c.move(now)
-	c.s.LinkUp = up
+func (sel *Selector) SetLink(now Micros, up bool) {
+	sel.advance(now)
+	sel.state.LinkUp = up
 }
 
 // Offer tells what share of what could cross the other site takes now, as it says
 // itself: 1 where it is well, less while it is in trouble or its caches are cold.
-func (c *Selector) SetRemoteCapacity(now Micros, share float64) {
-	c.move(now)
+func (sel *Selector) SetRemoteCapacity(now Micros, share float64) {
+	sel.advance(now)
 	if share >= 0 && share <= 1 { // a peer may say anything
-		c.s.RemoteCapacity = share
+		sel.state.RemoteCapacity = share
 	}
 }
 
 // Served tells how a request that was served here ended.
-func (c *Selector) RecordLocal(now Micros, good bool) {
-	c.move(now)
-	c.s.Local.add(now, healthTime, good)
+func (sel *Selector) RecordLocal(now Micros, good bool) {
+	sel.advance(now)
+	sel.state.Local.record(now, localHalfLife, good)
 }
 
 // Carried tells how a request that went across ended: how long it took and how many
 // bytes came.
-func (c *Selector) RecordRemote(now Micros, class int, good bool, took Micros, bytes float64) {
-	c.move(now)
-	c.s.Remote.add(now, farTime, good)
-	p := &c.s.Paths[class]
-	switch x := float64(took); {
+func (sel *Selector) RecordRemote(now Micros, class int, good bool, latency Micros, bytes float64) {
+	sel.advance(now)
+	sel.state.Remote.record(now, remoteHalfLife, good)
+	estimate := &sel.state.Paths[class]
+	switch x := float64(latency); {
 	case !good: // it took at least so long
-		p.Latency = max(p.Latency, p.Latency+sampleGain*(x-p.Latency))
+		estimate.Latency = max(estimate.Latency, estimate.Latency+meanGain*(x-estimate.Latency))
 		return
-	case !p.Seen:
-		p.Latency, p.Deviation, p.Seen = x, x/2, true
+	case !estimate.Seen:
+		estimate.Latency, estimate.Deviation, estimate.Seen = x, x/2, true
 	default:
-		p.Deviation += spreadGain * (math.Abs(x-p.Latency) - p.Deviation)
-		p.Latency += sampleGain * (x - p.Latency)
+		estimate.Deviation += deviationGain * (math.Abs(x-estimate.Latency) - estimate.Deviation)
+		estimate.Latency += meanGain * (x - estimate.Latency)
 	}
-	p.Bytes += sampleGain * (bytes - p.Bytes)
+	estimate.Bytes += meanGain * (bytes - estimate.Bytes)
 }
 
 // Health is how well this site serves, 0 to 1: the share of its hubs, times what its
 // requests came to.
-func (c *Selector) Health() float64 {
+func (sel *Selector) Health() float64 {
 	hubs := 1.0
-	if c.s.HubsTotal > 0 {
-		hubs = float64(c.s.HubsUp) / float64(c.s.HubsTotal)
+	if sel.state.HubsTotal > 0 {
+		hubs = float64(sel.state.HubsUp) / float64(sel.state.HubsTotal)
 	}
-	return hubs * c.s.Local.share()
+	return hubs * sel.state.Local.share()
 }
 
 // Share is the part of the objects that crosses by now.
-func (c *Selector) RemoteShare() float64 { return c.s.RemoteShare }
+func (sel *Selector) RemoteShare() float64 { return sel.state.RemoteShare }
 
 // move brings the state to a moment.
-func (c *Selector) move(now Micros) {
-	s := &c.s
-	if now <= s.Now {
+func (sel *Selector) advance(now Micros) {
+	st := &sel.state
+	if now <= st.Now {
 		return
 	}
-	span := float64(now - s.Now)
-	seconds := span / 1e6
-	s.Now = now
-	s.Local.fade(now, healthTime)
-	s.Remote.fade(now, farTime)
+	elapsed := float64(now - st.Now)
+	seconds := elapsed / 1e6
+	st.Now = now
+	st.Local.decay(now, localHalfLife)
+	st.Remote.decay(now, remoteHalfLife)
 	// A mark must be passed for a while before anything turns.
-	health := c.Health()
-	passed, wait := health < c.cfg.UnhealthyBelow, c.cfg.UnhealthyAfter
-	if s.Unhealthy {
-		passed, wait = health > c.cfg.HealthyAbove, c.cfg.HealthyAfter
+	health := sel.Health()
+	beyond, hold := health < sel.cfg.UnhealthyBelow, sel.cfg.UnhealthyAfter
+	if st.Unhealthy {
+		beyond, hold = health > sel.cfg.HealthyAbove, sel.cfg.HealthyAfter
 	}
 	switch {
-	case !passed:
-		s.PassedSince = 0
-	case s.PassedSince == 0:
-		s.PassedSince = now
-	case now-s.PassedSince >= wait:
-		s.Unhealthy, s.PassedSince = !s.Unhealthy, 0
-		s.Transitions++
+	case !beyond:
+		st.PassedSince = 0
+	case st.PassedSince == 0:
+		st.PassedSince = now
+	case now-st.PassedSince >= hold:
+		st.Unhealthy, st.PassedSince = !st.Unhealthy, 0
+		st.Transitions++
 	}
 	// As much crosses as this site lacks, and the other takes.
-	want := 0.0
-	if s.Unhealthy && s.LinkUp {
-		want = min(1, 1-health+c.cfg.UnhealthyBelow/2) * s.RemoteCapacity
-		if c.farShare() < farLeast {
-			want *= farTrial
+	target := 0.0
+	if st.Unhealthy && st.LinkUp {
+		target = min(1, 1-health+sel.cfg.UnhealthyBelow/2) * st.RemoteCapacity
+		if sel.remoteHealth() < minRemoteHealth {
+			target *= probeShare
 		}
 	}
-	if want > s.RemoteShare {
-		s.RemoteShare = min(want, s.RemoteShare+span/float64(c.cfg.RampUp))
+	if target > st.RemoteShare {
+		st.RemoteShare = min(target, st.RemoteShare+elapsed/float64(sel.cfg.RampUp))
 	} else {
-		s.RemoteShare = max(want, s.RemoteShare-span/float64(c.cfg.RampDown))
+		st.RemoteShare = max(target, st.RemoteShare-elapsed/float64(sel.cfg.RampDown))
 	}
 	// The price rises while the budget is spent, and falls while it is not.
-	spent := 1 - min(s.RequestTokens/(c.cfg.RequestRate*burst), s.ByteTokens/(c.cfg.ByteRate*burst))
-	s.MinWorthPerByte = max(priceLeast, s.MinWorthPerByte*math.Exp2(priceUp*(2*spent-1)*min(seconds, 1)))
-	s.RequestTokens = min(c.cfg.RequestRate*burst, s.RequestTokens+c.cfg.RequestRate*seconds)
-	s.ByteTokens = min(c.cfg.ByteRate*burst, s.ByteTokens+c.cfg.ByteRate*seconds)
+	spent := 1 - min(st.RequestTokens/(sel.cfg.RequestRate*burstSeconds), st.ByteTokens/(sel.cfg.ByteRate*burstSeconds))
+	st.MinWorthPerByte = max(minWorthFloor, st.MinWorthPerByte*math.Exp2(minWorthGrowth*(2*spent-1)*min(seconds, 1)))
+	st.RequestTokens = min(sel.cfg.RequestRate*burstSeconds, st.RequestTokens+sel.cfg.RequestRate*seconds)
+	st.ByteTokens = min(sel.cfg.ByteRate*burstSeconds, st.ByteTokens+sel.cfg.ByteRate*seconds)
 }
 
-func (c *Selector) farShare() float64 { return c.s.Remote.share() }
+func (sel *Selector) remoteHealth() float64 { return sel.state.Remote.share() }
 
 // Choose says where a request goes. One that goes across is counted against the
 // budget.
-func (c *Selector) Select(now Micros, q Request) Verdict {
-	c.move(now)
-	class := &c.cfg.Classes[q.Class]
-	must := class.Write && !c.cfg.StoreLocal
-	why := StoreRemote
-	if !must {
-		if class.Write || !c.crosses(q.Object) {
+func (sel *Selector) Select(now Micros, request Request) Verdict {
+	sel.advance(now)
+	class := &sel.cfg.Classes[request.Class]
+	mustForward := class.Write && !sel.cfg.StoreLocal
+	reason := StoreRemote
+	if !mustForward {
+		if class.Write || !sel.assignedRemote(request.Object) {
 			return Verdict{Local, LocalHealthy}
 		}
-		why = LocalUnhealthy
+		reason = LocalUnhealthy
 	}
-	if no, ok := c.can(q, class); !ok {
-		if must || c.Health() == 0 {
-			return Verdict{Refused, no}
+	if refusal, ok := sel.checkRemote(request, class); !ok {
+		if mustForward || sel.Health() == 0 {
+			return Verdict{Refused, refusal}
 		}
-		return Verdict{Local, no}
+		return Verdict{Local, refusal}
 	}
-	c.s.RequestTokens--
-	c.s.ByteTokens -= c.s.Paths[q.Class].Bytes
-	c.s.Forwarded++
-	return Verdict{Remote, why}
+	sel.state.RequestTokens--
+	sel.state.ByteTokens -= sel.state.Paths[request.Class].Bytes
+	sel.state.Forwarded++
+	return Verdict{Remote, reason}
 }
 
 // crosses tells whether an object is one of those that have gone across.
-func (c *Selector) crosses(object string) bool {
-	if c.s.RemoteShare == 0 {
+func (sel *Selector) assignedRemote(object string) bool {
+	if sel.state.RemoteShare == 0 {
 		return false
 	}
 	var d xxhash.Digest
-	d.ResetWithSeed(c.cfg.Seed)
+	d.ResetWithSeed(sel.cfg.Seed)
 	_, _ = d.WriteString(object)
-	return float64(d.Sum64()>>11)/(1<<53) < c.s.RemoteShare
+	return float64(d.Sum64()>>11)/(1<<53) < sel.state.RemoteShare
 }
 
 // can tells whether a request can go across, and if not, why.
-func (c *Selector) can(q Request, class *Class) (no Reason, ok bool) {
-	p := &c.s.Paths[q.Class]
+func (sel *Selector) checkRemote(request Request, class *Class) (reason Reason, ok bool) {
+	estimate := &sel.state.Paths[request.Class]
 	switch {
-	case q.FromRemote || q.Hops >= c.cfg.MaxHops:
+	case request.FromRemote || request.Hops >= sel.cfg.MaxHops:
 		return LoopPrevented, false
-	case !c.s.LinkUp:
+	case !sel.state.LinkUp:
 		return LinkDown, false
-	case float64(q.Remaining) < p.Latency+spreads*p.Deviation:
+	case float64(request.Remaining) < estimate.Latency+deviationFactor*estimate.Deviation:
 		return DeadlineTooShort, false
-	case c.s.RequestTokens < 1 || c.s.ByteTokens < p.Bytes:
+	case sel.state.RequestTokens < 1 || sel.state.ByteTokens < estimate.Bytes:
 		return BudgetExhausted, false
-	case !class.Write && class.Worth < c.s.MinWorthPerByte*p.Bytes:
+	case !class.Write && class.Worth < sel.state.MinWorthPerByte*estimate.Bytes:
 		return BudgetExhausted, false
-	case c.farShare() < farLeast*farLeast && !class.Write && c.s.RemoteShare > farTrial:
+	case sel.remoteHealth() < minRemoteHealth*minRemoteHealth && !class.Write && sel.state.RemoteShare > probeShare:
 		return RemoteUnhealthy, false
 	}
 	return 0, true
--- a/internal/decide/slowclient/slowclient.go
+++ b/internal/decide/slowclient/slowclient.go
@@ -39,119 +39,119 @@
 
 // Meter is what is kept of one transfer. Begin makes one.
 type Meter struct {
-	at     Micros
-	moved  int64
-	left   int64   // of what waits, as counted for its prefix
-	credit float32 // s
-	rate   float32 // bytes a second, of the last windows
-	known  bool    // it counts in its prefix
+	observedAt Micros
+	moved      int64
+	pending    int64   // of what waits, as counted for its prefix
+	credit     float32 // s
+	rate       float32 // bytes a second, of the last windows
+	counted    bool    // it counts in its prefix
 }
 
 const (
-	rateWeight   = 0.5       // of the last window in the rate
-	half         = 5_000_000 // us after which what is known of a prefix halves
-	networkFrom  = 16        // looks at a prefix lately, from which it can be a network's fault
-	networkShare = 0.75      // of them that were behind
-	lenience     = 8         // what is left of the least pace there: an eighth
+	rateWeight         = 0.5       // of the last window in the rate
+	halfLife           = 5_000_000 // us after which what is known of a prefix halves
+	minNetworkSamples  = 16        // looks at a prefix lately, from which it can be a network's fault
+	slowNetworkShare   = 0.75      // of them that were behind
+	slowNetworkDivisor = 8         // what is left of the least pace there: an eighth
 )
 
 // crowd is what is known of a prefix.
-type crowd struct {
-	at          Micros
-	looks, slow float64 // lately, halving
-	left        int64   // waiting, of the transfers that are metered
-	metered     int
+type prefixStats struct {
+	updatedAt     Micros
+	samples, slow float64 // lately, halving
+	pending       int64   // waiting, of the transfers that are metered
+	transfers     int
 }
 
 // Pacer judges transfers.
 type Detector struct {
-	cfg    Config
-	ranks  float64 // the pace that ranks are counted from
-	crowds map[netip.Prefix]*crowd
-	swept  Micros
-	left   int64 // that all transfers have left
+	cfg       Config
+	rankBase  float64 // the pace that ranks are counted from
+	prefixes  map[netip.Prefix]*prefixStats
+	lastSweep Micros
+	pending   int64 // that all transfers have left
 }
 
 // rankLeast is where ranks begin when no least pace is set, bytes a second.
-const rankLeast = 1000
+const defaultRankBase = 1000
 
 // New makes a pacer. Without a least pace it ranks and ends nothing.
 func New(cfg Config) *Detector {
-	return &Detector{cfg: cfg, ranks: cmp.Or(cfg.MinRate, rankLeast), crowds: map[netip.Prefix]*crowd{}}
+	return &Detector{cfg: cfg, rankBase: cmp.Or(cfg.MinRate, defaultRankBase), prefixes: map[netip.Prefix]*prefixStats{}}
 }
 
 // Window is the time between two looks at a transfer.
-func (p *Detector) Window() Micros { return p.cfg.Window }
+func (d *Detector) Window() Micros { return d.cfg.Window }
 
 // Begin meters a transfer that has moved so much and has so much left. It must be
 // ended.
-func (p *Detector) Begin(from netip.Prefix, moved, left int64, now Micros) Meter {
-	c := p.crowd(from, now)
+func (d *Detector) Begin(prefix netip.Prefix, moved, pending int64, now Micros) Meter {
+	c := d.stats(prefix, now)
 	if c != nil {
-		c.metered++
-		c.left += left
+		c.transfers++
+		c.pending += pending
 	}
-	p.left += left
-	return Meter{at: now, left: left, moved: moved, credit: p.most(), rate: float32(16 * p.ranks), known: c != nil}
+	d.pending += pending
+	return Meter{observedAt: now, pending: pending, moved: moved, credit: d.maxCredit(), rate: float32(16 * d.rankBase), counted: c != nil}
 }
 
 // End takes a transfer off its prefix's account.
-func (p *Detector) End(m *Meter, from netip.Prefix) {
-	if m.known {
-		c := p.crowds[from]
-		c.metered--
-		c.left -= m.left
+func (d *Detector) End(m *Meter, prefix netip.Prefix) {
+	if m.counted {
+		c := d.prefixes[prefix]
+		c.transfers--
+		c.pending -= m.pending
 	}
-	p.left -= m.left
+	d.pending -= m.pending
 	*m = Meter{}
 }
 
 // most is the credit that a transfer has at most, in seconds at the least pace that
 // holds for it.
-func (p *Detector) most() float32 { return float32(float64(p.cfg.Credit) / 1e6) }
+func (d *Detector) maxCredit() float32 { return float32(float64(d.cfg.Credit) / 1e6) }
 
 // Look judges a transfer that has moved so much in all and has so much left. Over
 // tells that it is to be ended.
-func (p *Detector) Observe(m *Meter, from netip.Prefix, moved, left int64, now Micros) (r Rank, over bool) {
-	spent := float64(now-m.at) / 1e6
-	if spent <= 0 { // the clock was set back: nothing is known of this window
-		m.at, m.moved = now, moved
-		return p.rank(m), false
+func (d *Detector) Observe(m *Meter, prefix netip.Prefix, moved, pending int64, now Micros) (r Rank, tooSlow bool) {
+	elapsed := float64(now-m.observedAt) / 1e6
+	if elapsed <= 0 { // the clock was set back: nothing is known of this window
+		m.observedAt, m.moved = now, moved
+		return d.rank(m), false
 	}
-	rate := float64(moved-m.moved) / spent
+	rate := float64(moved-m.moved) / elapsed
 	m.rate += rateWeight * (float32(rate) - m.rate)
-	m.at, m.moved = now, moved
-	least, more := p.cfg.MinRate, left-m.left
-	m.left = left
-	p.left += more
-	if m.known {
-		c := p.crowd(from, now)
-		c.left += more
-		c.looks++
-		if rate < least {
+	m.observedAt, m.moved = now, moved
+	minRate, added := d.cfg.MinRate, pending-m.pending
+	m.pending = pending
+	d.pending += added
+	if m.counted {
+		c := d.stats(prefix, now)
+		c.pending += added
+		c.samples++
+		if rate < minRate {
 			c.slow++
 		}
-		if c.looks >= networkFrom && c.slow >= networkShare*c.looks {
-			least /= lenience
-			if rate < p.cfg.MinRate && c.left > p.cfg.MaxPrefixBytes {
-				return p.rank(m), true // more than its part: it is not for the others to wait for
+		if c.samples >= minNetworkSamples && c.slow >= slowNetworkShare*c.samples {
+			minRate /= slowNetworkDivisor
+			if rate < d.cfg.MinRate && c.pending > d.cfg.MaxPrefixBytes {
+				return d.rank(m), true // more than its part: it is not for the others to wait for
 			}
 		}
 	}
-	if least == 0 {
-		return p.rank(m), false
+	if minRate == 0 {
+		return d.rank(m), false
 	}
-	m.credit = min(p.most(), m.credit+float32((rate/least-1)*spent))
-	return p.rank(m), m.credit < 0
+	m.credit = min(d.maxCredit(), m.credit+float32((rate/minRate-1)*elapsed))
+	return d.rank(m), m.credit < 0
 }
 
-func (p *Detector) rank(m *Meter) Rank {
+func (d *Detector) rank(m *Meter) Rank {
 	switch rate := float64(m.rate); {
-	case rate < p.ranks:
+	case rate < d.rankBase:
 		return Crawling
-	case rate < 4*p.ranks:
+	case rate < 4*d.rankBase:
 		return Slow
-	case rate < 16*p.ranks:
+	case rate < 16*d.rankBase:
 		return Fair
 	}
 	return Fast
@@ -159,39 +159,39 @@
 
 // crowd gives what is known of a prefix, halved for the time since; nil where
 // there is no room for one more.
-func (p *Detector) crowd(from netip.Prefix, now Micros) *crowd {
-	c := p.crowds[from]
+func (d *Detector) stats(prefix netip.Prefix, now Micros) *prefixStats {
+	c := d.prefixes[prefix]
 	if c == nil {
-		if len(p.crowds) >= p.cfg.MaxPrefixes && now-p.swept >= half {
-			p.swept = now
-			p.sweep()
+		if len(d.prefixes) >= d.cfg.MaxPrefixes && now-d.lastSweep >= halfLife {
+			d.lastSweep = now
+			d.sweep()
 		}
-		if len(p.crowds) >= p.cfg.MaxPrefixes {
+		if len(d.prefixes) >= d.cfg.MaxPrefixes {
 			return nil
 		}
-		c = &crowd{at: now}
-		p.crowds[from] = c
+		c = &prefixStats{updatedAt: now}
+		d.prefixes[prefix] = c
 	}
-	for now-c.at >= half {
-		c.looks, c.slow, c.at = c.looks/2, c.slow/2, c.at+half
-		if c.looks < 1 {
-			c.looks, c.slow, c.at = 0, 0, now
+	for now-c.updatedAt >= halfLife {
+		c.samples, c.slow, c.updatedAt = c.samples/2, c.slow/2, c.updatedAt+halfLife
+		if c.samples < 1 {
+			c.samples, c.slow, c.updatedAt = 0, 0, now
 		}
 	}
 	return c
 }
 
 // sweep forgets the prefixes of which nothing is metered.
-func (p *Detector) sweep() {
-	for from, c := range p.crowds {
-		if c.metered == 0 {
-			delete(p.crowds, from)
+func (d *Detector) sweep() {
+	for prefix, c := range d.prefixes {
+		if c.transfers == 0 {
+			delete(d.prefixes, prefix)
 		}
 	}
 }
 
 // Left is what all transfers have left, as last looked at.
-func (p *Detector) PendingBytes() int64 { return p.left }
+func (d *Detector) PendingBytes() int64 { return d.pending }
 
 // Known counts the prefixes of which something is kept.
-func (p *Detector) Prefixes() int { return len(p.crowds) }
+func (d *Detector) Prefixes() int { return len(d.prefixes) }
--- a/internal/decide/slowclient/slowclient_test.go
+++ b/internal/decide/slowclient/slowclient_test.go
@@ -23,32 +23,32 @@
 
 // client is a transfer with a pace of its own.
 type client struct {
-	m           Meter
-	from        netip.Prefix
-	pace, left  int64
-	moved       int64
-	over, whole bool
-	at          Micros // when it ended
+	m                 Meter
+	from              netip.Prefix
+	rate, remaining   int64
+	moved             int64
+	tooSlow, finished bool
+	endedAt           Micros // when it ended
 }
 
 // run looks at all once a second, for so many seconds.
-func run(p *Detector, all []*client, seconds int) {
+func run(d *Detector, all []*client, seconds int) {
 	for _, c := range all {
-		c.m = p.Begin(c.from, 0, c.left, 0)
+		c.m = d.Begin(c.from, 0, c.remaining, 0)
 	}
 	for now := Micros(second); now <= int64(seconds)*second; now += second {
 		for _, c := range all {
-			if c.over || c.whole {
+			if c.tooSlow || c.finished {
 				continue
 			}
-			n := min(c.pace, c.left)
-			c.moved, c.left = c.moved+n, c.left-n
-			if c.whole = c.left == 0; !c.whole {
-				_, c.over = p.Observe(&c.m, c.from, c.moved, c.left, now)
+			n := min(c.rate, c.remaining)
+			c.moved, c.remaining = c.moved+n, c.remaining-n
+			if c.finished = c.remaining == 0; !c.finished {
+				_, c.tooSlow = d.Observe(&c.m, c.from, c.moved, c.remaining, now)
 			}
-			if c.over || c.whole {
-				c.at = now
-				p.End(&c.m, c.from)
+			if c.tooSlow || c.finished {
+				c.endedAt = now
+				d.End(&c.m, c.from)
 			}
 		}
 	}
@@ -57,22 +57,22 @@
 // A client that is too slow goes when its credit is spent; one just fast enough
 // stays, and so does one that stalls for less than the credit.
 func TestSlowClient(t *testing.T) {
-	p := New(config())
-	slow, still, good := &client{pace: 1000, left: 240_000}, &client{left: 240_000}, &client{pace: 4000, left: 240_000}
+	d := New(config())
+	slow, still, good := &client{rate: 1000, remaining: 240_000}, &client{remaining: 240_000}, &client{rate: 4000, remaining: 240_000}
 	for i, c := range []*client{slow, still, good} {
 		c.from = prefix(i)
 	}
-	run(p, []*client{slow, still, good}, 70)
-	if !slow.over || slow.at != 7*second || !still.over || still.at != 6*second || !good.whole {
-		t.Errorf("slow ended at %d, still at %d; good whole: %v", slow.at, still.at, good.whole)
+	run(d, []*client{slow, still, good}, 70)
+	if !slow.tooSlow || slow.endedAt != 7*second || !still.tooSlow || still.endedAt != 6*second || !good.finished {
+		t.Errorf("slow ended at %d, still at %d; good whole: %v", slow.endedAt, still.endedAt, good.finished)
 	}
-	m := p.Begin(prefix(9), 0, 1, 0)
+	m := d.Begin(prefix(9), 0, 1, 0)
 	moved := int64(0)
 	for now := Micros(second); now < 100*second; now += second {
 		if now/second%10 >= 4 { // four seconds of ten nothing moves
 			moved += 8000
 		}
-		if _, over := p.Observe(&m, prefix(9), moved, 1, now); over {
+		if _, over := d.Observe(&m, prefix(9), moved, 1, now); over {
 			t.Fatalf("one that stalls now and then was ended at %d", now)
 		}
 	}
@@ -84,33 +84,33 @@
 func TestSlowNetwork(t *testing.T) {
 	var few, many, mixed []*client
 	for i := range 400 {
-		many = append(many, &client{from: prefix(2), pace: 1000, left: 240_000})
+		many = append(many, &client{from: prefix(2), rate: 1000, remaining: 240_000})
 		if i < 40 {
-			few = append(few, &client{from: prefix(1), pace: 1000, left: 240_000})
-			c := &client{from: prefix(3), pace: 40_000, left: 2_400_000}
+			few = append(few, &client{from: prefix(1), rate: 1000, remaining: 240_000})
+			c := &client{from: prefix(3), rate: 40_000, remaining: 2_400_000}
 			if i%8 == 0 {
-				c.pace = 1000
+				c.rate = 1000
 			}
 			mixed = append(mixed, c)
 		}
 	}
 	count := func(list []*client) (over int) {
 		for _, c := range list {
-			if c.over {
+			if c.tooSlow {
 				over++
 			}
 		}
 		return over
 	}
-	p := New(config())
-	run(p, append(append(append([]*client{}, few...), many...), mixed...), 60)
+	d := New(config())
+	run(d, append(append(append([]*client{}, few...), many...), mixed...), 60)
 	if n := count(few); n != 0 {
 		t.Errorf("%d of a slow network's 40 were ended", n)
 	}
 	var left int64
 	for _, c := range many {
-		if !c.over {
-			left += c.left
+		if !c.tooSlow {
+			left += c.remaining
 		}
 	}
 	if n := count(many); n < 300 || left > config().MaxPrefixBytes {
@@ -119,7 +119,7 @@
 	if n := count(mixed); n != 5 {
 		t.Errorf("%d of a prefix with 5 slow ones were ended", n)
 	}
-	if p.crowds[prefix(1)].left < 0 || p.crowds[prefix(2)].metered != 400-count(many) {
+	if d.prefixes[prefix(1)].pending < 0 || d.prefixes[prefix(2)].transfers != 400-count(many) {
 		t.Error("the account of a prefix does not add up")
 	}
 }
@@ -130,51 +130,51 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.MaxPrefixes = 8
-		p := New(cfg)
+		d := New(cfg)
 		var all []*client
 		now := Micros(1000 * second)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += int64(rapid.IntRange(-2*second, 4*second).Draw(t, "gap"))
 			if i := rapid.IntRange(0, 2*len(all)+1).Draw(t, "who"); i < len(all) {
 				c := all[i]
-				before := c.m.at
+				before := c.m.observedAt
 				c.moved += int64(rapid.IntRange(0, 100_000).Draw(t, "moved"))
-				r, over := p.Observe(&c.m, c.from, c.moved, 1000, now)
+				r, over := d.Observe(&c.m, c.from, c.moved, 1000, now)
 				if r >= NumRanks || over && now <= before {
 					t.Fatal("rank", r, over)
 				}
 				if over || rapid.Bool().Draw(t, "end") {
-					p.End(&c.m, c.from)
+					d.End(&c.m, c.from)
 					all = append(all[:i], all[i+1:]...)
 				}
 			} else {
 				c := &client{from: prefix(rapid.IntRange(0, 20).Draw(t, "from"))}
-				c.m = p.Begin(c.from, 0, 500, now)
+				c.m = d.Begin(c.from, 0, 500, now)
 				all = append(all, c)
 			}
-			if p.Prefixes() > cfg.MaxPrefixes {
-				t.Fatalf("%d prefixes are known", p.Prefixes())
+			if d.Prefixes() > cfg.MaxPrefixes {
+				t.Fatalf("%d prefixes are known", d.Prefixes())
 			}
 		}
 		for _, c := range all {
-			p.End(&c.m, c.from)
+			d.End(&c.m, c.from)
 		}
-		if p.PendingBytes() != 0 {
-			t.Fatalf("%d bytes are left", p.PendingBytes())
+		if d.PendingBytes() != 0 {
+			t.Fatalf("%d bytes are left", d.PendingBytes())
 		}
-		for from, c := range p.crowds {
-			if c.left != 0 || c.metered < 0 {
-				t.Fatalf("%v: %d bytes, %d metered are left", from, c.left, c.metered)
+		for from, c := range d.prefixes {
+			if c.pending != 0 || c.transfers < 0 {
+				t.Fatalf("%v: %d bytes, %d metered are left", from, c.pending, c.transfers)
 			}
 		}
 	})
 }
 
 func BenchmarkLook(b *testing.B) {
-	p := New(config())
-	m := p.Begin(prefix(0), 0, 0, 0)
+	d := New(config())
+	m := d.Begin(prefix(0), 0, 0, 0)
 	b.ReportAllocs()
 	for i := range b.N {
-		p.Observe(&m, prefix(0), int64(i)*5000, 1000, int64(i)*second)
+		d.Observe(&m, prefix(0), int64(i)*5000, 1000, int64(i)*second)
 	}
 }
