--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,16 +1,18 @@
-// Package admission decides how many requests a front takes at a time when far
-// more come than it can answer, as when all idle clients wake at once. It learns
-// from the answers alone: how fast they go out, and how much longer each takes
-// than it did when little was open. Who finds no place waits for one, in the order
-// of the worth that a place earns and then of the time left, as long as the pace
-// allows an answer in time. Who can't be answered in time is refused as soon as
-// that is known, with a time to come back that belongs to that client: times are
-// handed out one after the other at the pace of the answers, so that what returns
-// finds room.
+// Package admission implements an adaptive concurrency limit with a priority
+// queue, for a front that receives far more requests than it can answer, for
+// example when all idle clients wake at once.
 //
-// Which server answers, and what is tried again, is decided elsewhere; a request
-// that is refused here has reached nothing. It does no I/O, asks no clock, and its
-// only chance is in the seed of a sketch.
+// The limit is learnt from the answers alone: their throughput, and how much
+// longer each takes than at low load. A request over the limit is queued, in the
+// order of the worth that its slot earns per second and then of its deadline, as
+// long as the throughput allows an answer before the deadline. A request that
+// can't be answered in time is refused as soon as that is known, with a backoff
+// of its own: return times are spaced at the throughput of the answers, so that
+// returning clients find capacity.
+//
+// Server selection and retries are decided elsewhere; a request refused here has
+// reached no server. The package does no I/O and reads no clock; the only
+// randomness is the seed of a sketch.
 package admission
 
 import (
@@ -20,102 +22,104 @@
 	"cherryramp/internal/decide/abuse"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
-// Law is how the limit learns.
+// Algorithm selects how the limit adapts.
 type Algorithm uint8
 
-// The laws. AIMD adds one a round and takes a tenth off when answers are slow
-// (Chiu and Jain, 1989). Gradient follows the ratio of the usual time of an
-// answer to that of late (as Netflix' concurrency-limits does, gradient 2).
+// The algorithms. AIMD adds one per round and subtracts a tenth when answers are
+// slow (Chiu and Jain, 1989). Gradient follows the ratio of the baseline latency
+// to the recent one (as gradient 2 of Netflix' concurrency-limits does).
 const (
 	AIMD Algorithm = iota
 	Gradient
 )
 
-// Config bounds the limit.
+// Config holds the bounds of a Limiter.
 type Config struct {
 	Algorithm          Algorithm
-	MinLimit, MaxLimit int       // requests open at a time
-	InitialLimit       int       // before anything is learnt
-	MaxQueued          int       // requests that wait at a time
-	MaxBackoff         Micros    // the greatest time to stay away
-	Worth              []float64 // of the classes
-	Seed               uint64
+	MinLimit, MaxLimit int       // bounds of the requests in flight
+	InitialLimit       int       // limit before the first round ends
+	MaxQueued          int       // queued requests
+	MaxBackoff         Micros    // longest backoff given to a refused client
+	Worth              []float64 // of an answer, by class
+	Seed               uint64    // of the sketch that counts prefixes
 }
 
 const (
-	roundDuration         Micros = 50_000 // after which what was measured is used
-	minSamples            int    = 8      // answers, or the round goes on
-	latencyTolerance             = 2.0    // how much slower than usual is still well
-	baselineWeight               = 0.01   // of a round, in the usual time
-	throughputWeight             = 0.3    // of a round, in the pace
-	fairnessThreshold            = 0.75   // share of the limit from which prefixes are held apart
-	maxPrefixShare               = 0.25   // of what came lately that one prefix may be
-	minPrefixRequests            = 32     // requests lately, under which nobody is too many
-	newcomerShare                = 0.2    // of the pace that is kept for those who come for the first time
-	latencyWeight                = 0.05   // of one answer in its class's time
-	unmeasuredQueueFactor        = 8      // times the limit that may be open or wait while the pace is unknown
+	roundDuration         Micros = 50_000 // minimum length of a measurement round
+	minSamples            int    = 8      // answers that a round needs to end
+	latencyTolerance             = 2.0    // ratio to the baseline up to which latency counts as normal
+	baselineWeight               = 0.01   // weight of a round in the baseline latency
+	throughputWeight             = 0.3    // weight of a round in the throughput
+	fairnessThreshold            = 0.75   // share of the limit from which heavy prefixes are queued
+	maxPrefixShare               = 0.25   // share of recent requests above which a prefix is heavy
+	minPrefixRequests            = 32     // recent requests up to which a prefix is never heavy
+	newcomerShare                = 0.2    // share of the throughput reserved for clients without a backoff
+	latencyWeight                = 0.05   // weight of an answer in its class's latency
+	unmeasuredQueueFactor        = 8      // multiple of the limit that may be ahead while the throughput is unknown
 )
 
-// Limiter takes and refuses requests.
+// Limiter admits, queues and refuses requests. It is not safe for concurrent use.
 type Limiter struct {
 	cfg      Config
 	limit    float64
 	inFlight int
 	lanes    []lane
 	waiting  int
-	recheck  bool // something has changed since all that wait were found to be in time
-
-	roundStart   Micros // the round
-	roundAnswers int    // answers in it
-	roundLatency Micros // by them
-	roundPeak    int    // most open in it
-	baseline     float64
-	throughput   float64 // answers a microsecond; 0: unknown
-	nextReturn   Micros  // the time that the next to be sent away comes back
-	recent       *abuse.Sketch
-	recentTotal  uint32 // that the sketch counted in its period
-	recentEpoch  Micros
+	recheck  bool // the queue has changed since all its tickets were found to meet their deadlines
+
+	roundStart   Micros
+	roundAnswers int
+	roundLatency Micros        // sum over the round's answers
+	roundPeak    int           // most requests in flight during the round
+	baseline     float64       // us, latency at low load; 0: unknown
+	throughput   float64       // answers per microsecond; 0: unknown
+	nextReturn   Micros        // when the last refused client is to return
+	recent       *abuse.Sketch // recent requests by prefix
+	recentTotal  uint32        // recent requests of all prefixes, halved with the sketch
+	recentEpoch  Micros        // half-life period that recentTotal was last halved in
 }
 
-// New makes a limiter.
+// New returns a Limiter with nothing in flight.
 func New(cfg Config) *Limiter {
 	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.InitialLimit, cfg.MinLimit), cfg.MaxLimit)), recent: abuse.New(cfg.Seed)}
 	l.UpdateClasses(cfg.Worth)
 	return l
 }
 
-// Renew takes the worth of further classes; those known so far must keep their places.
+// UpdateClasses sets the worth of all classes, which may have grown in number. The
+// known classes must keep their indexes; their queues keep the worth they have.
 func (l *Limiter) UpdateClasses(worth []float64) {
 	for _, w := range worth[len(l.lanes)/2:] {
-		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyRankFactor}) // as laneOf has them
+		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyRankFactor}) // in the order of laneIndex
 	}
 	l.cfg.Worth = worth
 }
 
-// Limit is how many may be open now.
+// Limit returns how many requests may be in flight now.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Open counts what was taken and is not done.
+// InFlight returns the number of requests that were admitted and are not done.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Pace is the answers a second, as measured; 0: not known yet.
+// Throughput returns the measured answers per second, or 0 before the first round ends.
 func (l *Limiter) Throughput() float64 { return l.throughput * 1e6 }
 
-// Verdict says what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Admitted Verdict = iota // it must be given back with Done
-	Queued                  // Next or Leave ends that
+	Admitted Verdict = iota // the caller must call Done
+	Queued                  // until Next, Drop or Cancel removes the ticket
 	Refused
 )
 
-// Ask asks for one request. Refused, it is told how long to stay away. Where it
-// waits, another may have had to yield to it; that one is refused.
+// Admit decides on one request. For Refused, backoff is how long the client is to
+// stay away. For Queued, evicted is the ticket that was removed from a full queue
+// to make room, if any; it is refused with backoff.
 func (l *Limiter) Admit(t *Ticket, now Micros) (v Verdict, backoff Micros, evicted *Ticket) {
 	index := laneIndex(t.Class, l.isHeavy(t.Prefix, now))
 	queue := &l.lanes[index]
@@ -139,20 +143,21 @@
 	}
 	queue.push(t, index)
 	l.waiting++
-	l.recheck = l.recheck || l.waiting > len(queue.tickets) // those of lower rank are further behind
+	l.recheck = l.recheck || l.waiting > len(queue.tickets) // tickets of lower rank wait longer now
 	if evicted != nil {
 		backoff = l.backoff(now)
 	}
 	return Queued, backoff, evicted
 }
 
+// start counts one more request in flight.
 func (l *Limiter) start() {
 	l.inFlight++
 	l.roundPeak = max(l.roundPeak, l.inFlight)
 }
 
-// heavy counts a request and tells whether its prefix is too large a part of
-// what came lately.
+// isHeavy counts a request and reports whether its prefix makes up too large a
+// share of the recent requests.
 func (l *Limiter) isHeavy(prefix netip.Prefix, now Micros) bool {
 	if !prefix.IsValid() {
 		return false
@@ -166,9 +171,9 @@
 	return n > minPrefixRequests && float64(n) > maxPrefixShare*float64(l.recentTotal)
 }
 
-// away hands out the next time to come back: not before what is open is done,
-// and one after the other at the pace of the answers, less what is kept for new
-// ones. Past the greatest time it begins again, since nobody can be told more.
+// backoff allocates the next return time: not before the requests in flight and in
+// the queue are done, and spaced at the throughput less newcomerShare. Past
+// MaxBackoff, the longest that a client can be told, allocation starts over.
 func (l *Limiter) backoff(now Micros) Micros {
 	if l.throughput == 0 {
 		l.nextReturn = max(l.nextReturn, now) + l.cfg.MaxBackoff/64
@@ -182,8 +187,9 @@
 	return max(1, l.nextReturn-now)
 }
 
-// Done gives a request back; spent is from when it was taken to its answer, and
-// answered tells that it has one that took work.
+// Done ends an admitted request. latency is the time from admission to the answer;
+// answered reports whether there was an answer that took work, so that it counts
+// as a sample.
 func (l *Limiter) Done(class int, latency, now Micros, answered bool) {
 	l.inFlight--
 	if !answered {
@@ -198,7 +204,7 @@
 		}
 	}
 	if l.roundAnswers == 0 && now-l.roundStart > 4*roundDuration {
-		l.roundStart = now - roundDuration // nothing was asked for meanwhile: that is no slow pace
+		l.roundStart = now - roundDuration // an idle time must not lower the throughput
 	}
 	l.roundAnswers++
 	l.roundLatency += latency
@@ -209,21 +215,21 @@
 	l.roundStart, l.roundAnswers, l.roundLatency, l.roundPeak, l.recheck = now, 0, 0, l.inFlight, true
 }
 
-// learn ends a round with the mean time of an answer and the answers a microsecond.
-func (l *Limiter) updateLimit(latency, pace float64) {
+// updateLimit ends a round with its mean latency and its answers per microsecond.
+func (l *Limiter) updateLimit(latency, throughput float64) {
 	if l.baseline == 0 || latency < l.baseline {
 		l.baseline = latency
 	} else {
 		l.baseline += baselineWeight * (latency - l.baseline)
 	}
-	// Where the limit is not met the pace is that of the requests: the answers'
-	// own is no slower.
+	// Below the limit the measured throughput is the arrival rate, a lower bound of
+	// what can be answered.
 	busy := float64(l.roundPeak) >= l.limit/2
 	switch {
-	case l.throughput == 0 || !busy && pace > l.throughput:
-		l.throughput = pace
+	case l.throughput == 0 || !busy && throughput > l.throughput:
+		l.throughput = throughput
 	case busy:
-		l.throughput += throughputWeight * (pace - l.throughput)
+		l.throughput += throughputWeight * (throughput - l.throughput)
 	}
 	switch l.cfg.Algorithm {
 	case AIMD:
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -18,12 +18,12 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 24)
 }
 
-// event is an arrival (a client) or the end of an answer.
+// event is a client's arrival or the end of an answer.
 type event struct {
 	at        Micros
 	client    int
 	try       int
-	admitted  Micros // when; -1: it is an arrival
+	admitted  Micros // -1 for an arrival
 	requested Micros
 }
 type events []event
@@ -39,22 +39,22 @@
 	return e
 }
 
-// storm is a world of one server: so many answers at a time, each of which
-// takes its span, longer by the square as more are open than that; clients that
-// all wake within 100 ms, wait 2 s, and come back as told, three times at most.
-// Every fourth asks for what is worth three times as much.
+// storm simulates one server with a number of slots, whose answers take longer by
+// the square once more requests are in flight than that. All clients wake within
+// 100 ms, wait 2 s, and retry after their backoff, three times at most. Every
+// fourth asks for a class of three times the worth.
 type storm struct {
 	clients, slots int
 	serviceTime    Micros
 	prefixes       int
-	heavyEvery     int // every so many-th client is of one prefix; 0: none
+	heavyEvery     int // every n-th client is in one prefix; 0: none
 }
 
-// result is what became of a storm's clients.
+// result counts the outcomes of a storm's clients.
 type result struct {
-	inTime, others, highWorth, late int // others: not of the heavy prefix; dear: of the worthy class
+	inTime, others, highWorth, late int // others: not in the heavy prefix; highWorth: of the class of higher worth
 	requests                        int
-	maxRefusalDelay                 Micros // from a try that is refused to its answer, at most
+	maxRefusalDelay                 Micros // longest time from an attempt to its refusal
 }
 
 var worth = []float64{1, 3}
@@ -70,7 +70,7 @@
 	admit := func(e event, now Micros) {
 		busy++
 		load := float64(busy) / float64(s.slots)
-		serviceTime := float64(s.serviceTime) * max(1, load) * max(1, load/4) // it waits its turn, and all suffer from far too many
+		serviceTime := float64(s.serviceTime) * max(1, load) * max(1, load/4) // queueing, and an overload that slows all answers down
 		heap.Push(&h, event{at: now + Micros(serviceTime), client: e.client, admitted: now, requested: e.requested})
 	}
 	refuse := func(e event, backoff, now Micros) {
@@ -89,11 +89,11 @@
 		if e.admitted < 0 {
 			r.requests++
 			e.requested = e.at
-			prefixOf := prefix(e.client % max(1, s.prefixes))
+			from := prefix(e.client % max(1, s.prefixes))
 			if isHeavy {
-				prefixOf = prefix(9999)
+				from = prefix(9999)
 			}
-			switch v, backoff, evicted := l.Admit(&Ticket{Class: class, Prefix: prefixOf, Deadline: e.at + patience, Value: e}, e.at); {
+			switch v, backoff, evicted := l.Admit(&Ticket{Class: class, Prefix: from, Deadline: e.at + patience, Value: e}, e.at); {
 			case v == Admitted:
 				admit(e, e.at)
 			case v == Refused:
@@ -127,60 +127,61 @@
 	return r
 }
 
-func config(law Algorithm) Config {
-	return Config{Algorithm: law, MinLimit: 8, MaxLimit: 4000, InitialLimit: 64, MaxQueued: 20_000, MaxBackoff: 500_000, Worth: worth, Seed: 1}
+func config(algorithm Algorithm) Config {
+	return Config{Algorithm: algorithm, MinLimit: 8, MaxLimit: 4000, InitialLimit: 64, MaxQueued: 20_000, MaxBackoff: 500_000, Worth: worth, Seed: 1}
 }
 
-// In a wake storm a learnt limit answers more in time than none, takes little in
-// vain, and prefers what is worth more. Run with -v for the figures of both laws.
+// Guards against a limit that does not help when all clients wake at once: it must
+// answer more in time than no limit, admit little that is answered late, and prefer
+// the class of higher worth. Run with -v for the figures of both algorithms.
 func TestWakeStorm(t *testing.T) {
 	s := storm{clients: 10_000, slots: 50, serviceTime: 10_000, prefixes: 5000}
 	unlimited := config(AIMD)
 	unlimited.MinLimit, unlimited.MaxLimit = 1<<30, 1<<30
 	baseline := s.run(New(unlimited))
 	t.Logf("no limit: %+v", baseline)
-	for law, name := range map[Algorithm]string{AIMD: "AIMD", Gradient: "gradient"} {
-		l := New(config(law))
+	for algorithm, name := range map[Algorithm]string{AIMD: "AIMD", Gradient: "gradient"} {
+		l := New(config(algorithm))
 		got := s.run(l)
-		t.Logf("%s: %+v, limit %d, pace %.0f", name, got, l.Limit(), l.Throughput())
+		t.Logf("%s: %+v, limit %d, throughput %.0f", name, got, l.Limit(), l.Throughput())
 		if got.inTime <= baseline.inTime || l.InFlight() != 0 || l.Waiting() != 0 {
-			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, baseline.inTime, l.InFlight(), l.Waiting())
+			t.Errorf("%s: %d in time, %d without a limit; %d left in flight, %d queued", name, got.inTime, baseline.inTime, l.InFlight(), l.Waiting())
 		}
 		if got.highWorth*4 < s.clients*9/10 || got.late*100 > got.inTime {
-			t.Errorf("%s: of %d that are worth more %d were in time; %d in vain", name, s.clients/4, got.highWorth, got.late)
+			t.Errorf("%s: of %d requests of higher worth %d were in time; %d answers were late", name, s.clients/4, got.highWorth, got.late)
 		}
 	}
 }
 
-// One prefix that brings half of all takes no more than its share from the others.
+// Guards against one prefix that sends half of all requests and crowds out the others.
 func TestHeavyPrefix(t *testing.T) {
 	s := storm{clients: 20_000, slots: 50, serviceTime: 10_000, prefixes: 5000, heavyEvery: 2}
 	got := s.run(New(config(Gradient)))
 	t.Logf("%+v", got)
 	if got.others*100 < s.clients/2*95 {
-		t.Errorf("of %d others %d were answered in time", s.clients/2, got.others)
+		t.Errorf("of %d clients of other prefixes %d were answered in time", s.clients/2, got.others)
 	}
 }
 
-// Whatever comes: the limit stays within its bounds, nobody is sent away for
-// longer than may be said, what is taken is given back, a front that is not full
-// refuses nobody who has time, who waits longest goes first among alike, and
-// every ticket ends once.
+// For any sequence of requests and answers: the limit stays within its bounds, no
+// backoff exceeds its maximum, the counts of requests in flight and queued are
+// right, tickets of one class and prefix are admitted by deadline, and every ticket
+// leaves the queue once.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Algorithm: Algorithm(rapid.IntRange(0, 1).Draw(t, "law")), MinLimit: 4, MaxLimit: 40, MaxQueued: rapid.IntRange(0, 30).Draw(t, "queue"),
 			MaxBackoff: 500_000, Worth: worth}
 		l, now := New(cfg), Micros(1_000_000)
-		var inFlight, waiting []*Ticket // Value of those open: since when
+		var inFlight, waiting []*Ticket // Value of those in flight: when they were admitted
 		check := func(backoff Micros) {
 			if backoff < 1 || backoff > cfg.MaxBackoff {
-				t.Fatalf("sent away for %d", backoff)
+				t.Fatalf("backoff of %d us", backoff)
 			}
 		}
 		removed := func(x *Ticket) {
 			i := slices.Index(waiting, x)
 			if i < 0 || x.Queued() {
-				t.Fatal("it did not wait, or still does")
+				t.Fatal("the ticket was not queued, or still is")
 			}
 			waiting = slices.Delete(waiting, i, i+1)
 		}
@@ -195,7 +196,7 @@
 				inFlight = append(inFlight, x)
 				for _, other := range waiting {
 					if other.Class == x.Class && other.Prefix == x.Prefix && other.Deadline < x.Deadline && other.lane == laneIndex(x.Class, false)+1 {
-						t.Fatal("one with less time left was passed over")
+						t.Fatal("a ticket with an earlier deadline was passed over")
 					}
 				}
 			}
@@ -236,18 +237,18 @@
 				}
 			}
 			if at, ok := l.NextCheck(); ok != (len(waiting) > 0) {
-				t.Fatal("due", at, ok)
+				t.Fatal("NextCheck", at, ok)
 			} else if ok && at <= now {
 				pump()
 			}
 			if l.InFlight() != len(inFlight) || l.Waiting() != len(waiting) || l.Waiting() > cfg.MaxQueued || l.Limit() < cfg.MinLimit || l.Limit() > cfg.MaxLimit {
-				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.InFlight(), len(inFlight), l.Waiting(), len(waiting), l.Limit())
+				t.Fatalf("%d in flight, want %d; %d queued, want %d; limit %d", l.InFlight(), len(inFlight), l.Waiting(), len(waiting), l.Limit())
 			}
 		}
 	})
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	l := New(config(Gradient))
 	b.ReportAllocs()
 	var t Ticket
@@ -259,7 +260,7 @@
 	}
 }
 
-// BenchmarkQueue is one that waits behind 10,000 others and is taken.
+// BenchmarkQueue measures a request that is queued with 10,000 others and admitted.
 func BenchmarkQueue(b *testing.B) {
 	cfg := config(AIMD)
 	cfg.MinLimit, cfg.MaxLimit, cfg.InitialLimit = 1, 1, 1
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -2,46 +2,47 @@
 
 import "net/netip"
 
-// Ticket is one request that asks to be taken. It belongs to the limiter from Ask
-// until it is taken, refused or left.
+// Ticket is one request that asks for admission. The Limiter owns it from Admit
+// until it is admitted, refused or cancelled.
 type Ticket struct {
 	Class    int
 	Prefix   netip.Prefix // of the client
 	Deadline Micros       // when the client stops waiting
-	Value    any          // the caller's own
+	Value    any          // for the caller's use
 
-	lane      int // one more than its place; 0: it does not wait
+	lane      int // index of its lane plus 1; 0: not queued
 	heapIndex int // in the lane's heap
 }
 
-// Waits tells whether a ticket stands in the queue.
+// Queued reports whether a ticket is in the queue.
 func (t *Ticket) Queued() bool { return t.lane > 0 }
 
-// lane is the tickets of one class that wait, and of prefixes that are heavy or
-// are not; a heap by the time left, so that the first is the next to run out.
+// lane holds the queued tickets of one class, of either the heavy prefixes or the
+// others. The tickets are a heap by deadline, the earliest first.
 type lane struct {
 	tickets []*Ticket
 	worth   float64
-	latency float64 // us that an answer takes of late; 0: unknown
+	latency float64 // us, recent average of an answer; 0: unknown
 }
 
-// timeLeast stands for an answer's time where it is not known, or is less: a place
-// is never held for nothing.
+// minLatency is the lower bound of a lane's latency in us, also used while it is
+// unknown.
 const minLatency = 1000
 
-// heavyLess is what is left of the rank of those of heavy prefixes.
+// heavyRankFactor scales the worth of heavy prefixes.
 const heavyRankFactor = 1.0 / 8
 
-// rank is the worth that a place earns a second. It orders lanes, not tickets, so
-// that no answer's time has to be known for one request.
+// rank returns the worth per microsecond that a slot earns. It orders lanes, not
+// tickets, so the latency of a single request need not be known.
 func (l *lane) rank() float64 { return l.worth / max(minLatency, l.latency) }
 
-// starts is the last moment at which the first ticket can still be taken.
+// latestStart returns the last moment at which the first ticket can be admitted
+// and still meet its deadline.
 func (l *lane) latestStart() Micros {
 	return l.tickets[0].Deadline - Micros(max(minLatency, l.latency))
 }
 
-// laneOf gives the place of a class's lane.
+// laneIndex returns the index of a class's lane.
 func laneIndex(class int, heavy bool) int {
 	if heavy {
 		return 2*class + 1
@@ -62,7 +63,7 @@
 	l.up(t.heapIndex)
 }
 
-// take removes the ticket at a place of the heap.
+// remove removes the ticket at index i of the heap.
 func (l *lane) remove(i int) *Ticket {
 	t, last := l.tickets[i], len(l.tickets)-1
 	l.swap(i, last)
@@ -103,7 +104,7 @@
 	}
 }
 
-// best is the lane from which the next is taken; nil: nobody waits.
+// highestRanked returns the lane to admit from next, or nil if the queue is empty.
 func (l *Limiter) highestRanked() (highest *lane) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; len(x.tickets) > 0 && (highest == nil || x.rank() > highest.rank()) {
@@ -113,7 +114,8 @@
 	return highest
 }
 
-// worst is the lane that yields when there is no room.
+// lowestRanked returns the lane to evict from when the queue is full, or nil if it
+// is empty.
 func (l *Limiter) lowestRanked() (lowest *lane) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; len(x.tickets) > 0 && (lowest == nil || x.rank() < lowest.rank()) {
@@ -123,7 +125,7 @@
 	return lowest
 }
 
-// ahead counts the tickets that are taken before a new one of a rank.
+// queuedAhead counts the tickets that are admitted before a new one of a rank.
 func (l *Limiter) queuedAhead(rank float64) (n int) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; x.rank() >= rank {
@@ -133,8 +135,8 @@
 	return n
 }
 
-// inTime tells whether one with so many before it is answered by a moment, at the
-// measured pace of the answers (Little's law).
+// meetsDeadline reports whether a request of a lane with so many ahead of it is
+// answered by its deadline at the measured throughput (Little's law).
 func (l *Limiter) meetsDeadline(ahead int, queue *lane, deadline, now Micros) bool {
 	if l.throughput == 0 {
 		return ahead < unmeasuredQueueFactor*int(l.limit)
@@ -142,9 +144,10 @@
 	return float64(now)+float64(ahead)/l.throughput+max(minLatency, queue.latency) <= float64(deadline)
 }
 
-// Next gives a waiting ticket that is to be taken now, or one that is refused
-// because it could no longer be answered in time; nil: neither. It is asked after
-// Done and at the moment of Due, until it gives nil.
+// Next removes a ticket from the queue that is admitted now, or one that is refused
+// because it can no longer be answered in time, with the backoff of its client. It
+// returns nil if there is neither. Call it after Done and at the time of NextCheck,
+// until it returns nil.
 func (l *Limiter) Next(now Micros) (t *Ticket, admitted bool, backoff Micros) {
 	if l.waiting == 0 {
 		return nil, false, 0
@@ -167,15 +170,16 @@
 	return t, true, 0
 }
 
-// hopeless gives one of those that more has come before than can be answered in
-// their time, the nearest its end, so that it is told as soon as that is known.
+// popUnmeetable removes a ticket from a lane in which not all deadlines can be met
+// any more, since requests of higher rank have come: the one with the earliest
+// deadline. So its client is told as soon as that is known.
 func (l *Limiter) popUnmeetable(now Micros) *Ticket {
 	if l.throughput == 0 || !l.recheck {
 		return nil
 	}
 	for i := range l.lanes {
 		x := &l.lanes[i]
-		// Those with the most time left are about the last in the heap.
+		// The latest deadline is near the end of the heap; the last entry stands for it.
 		if n := len(x.tickets); n > 0 && !l.meetsDeadline(l.inFlight+l.queuedAhead(x.rank())-1, x, x.tickets[n-1].Deadline, now) {
 			l.waiting--
 			return x.remove(0)
@@ -185,7 +189,8 @@
 	return nil
 }
 
-// Due is when Next has to be asked again though nothing was done.
+// NextCheck returns when Next has to be called even if no request ended; ok is
+// false while the queue is empty.
 func (l *Limiter) NextCheck() (at Micros, ok bool) {
 	for i := range l.lanes {
 		if x := &l.lanes[i]; len(x.tickets) > 0 && (!ok || x.latestStart() < at) {
@@ -195,7 +200,7 @@
 	return at + 1, ok
 }
 
-// Leave takes back a ticket that waits, for a client that has gone.
+// Cancel removes a queued ticket whose client has gone. It does nothing for others.
 func (l *Limiter) Cancel(t *Ticket) {
 	if t.lane > 0 {
 		l.lanes[t.lane-1].remove(t.heapIndex)
@@ -203,7 +208,8 @@
 	}
 }
 
-// Drop gives one of those that wait, which is refused; nil: nobody waits.
+// Drop removes one queued ticket, which the caller refuses. It returns nil if the
+// queue is empty.
 func (l *Limiter) Drop() *Ticket {
 	x := l.highestRanked()
 	if x == nil {
@@ -213,5 +219,5 @@
 	return x.remove(0)
 }
 
-// Waiting counts the tickets in the queue.
+// Waiting returns the number of queued tickets.
 func (l *Limiter) Waiting() int { return l.waiting }
--- a/internal/decide/resources/arrival.go
+++ b/internal/decide/resources/arrival.go
@@ -1,26 +1,27 @@
 package resources
 
-// Arrival is what becomes of a connection that has just come.
+// ConnDecision is what is done with a new connection.
 type ConnDecision int
 
-// The arrivals.
+// The decisions.
 const (
-	AcceptConn ConnDecision = iota // it takes a place
-	RefuseConn                     // it has none, and is held for the refusal of its request alone
-	CloseConn                      // not even that: it is closed
-	ClientGone                     // it came while the front was held up, and has gone: it is owed nothing
+	AcceptConn ConnDecision = iota // serve it
+	RefuseConn                     // keep it only until its request is refused
+	CloseConn                      // close it at once
+	ClientGone                     // the client left before it was accepted: nothing is owed to it
 )
 
-// Where places run out.
+// Behaviour near the limit of connections.
 const (
-	crowdedThreshold = 0.9 // part of the places from which whoever comes has another make room
-	maxRefusals      = 8   // connections beyond the places that are only refused, at most
-	placesPerRefusal = 8   // and at most one for so many places
+	crowdedThreshold = 0.9 // share of maxConns from which a new connection has another make room
+	maxRefusals      = 8   // connections beyond maxConns that are held to be refused, at most
+	placesPerRefusal = 8   // and at most one for this many of maxConns
 )
 
-// Arrive decides over a connection that is the held-th for so many places, and whether
-// another has to make room for it. Whether its client has gone is asked where it matters
-// alone: who has left is owed no place, but finding it out costs a system call.
+// DecideConn decides on a new connection, with which held of at most maxConns are
+// open, and whether another has to make room for it. clientGone is only called when
+// connections run short: a client that has left needs no place, but finding that out
+// costs a system call.
 func DecideConn(held, maxConns int64, clientGone func() bool) (decision ConnDecision, makeRoom bool) {
 	crowded := float64(held) > crowdedThreshold*float64(maxConns)
 	switch {
--- a/internal/decide/resources/budget.go
+++ b/internal/decide/resources/budget.go
@@ -1,46 +1,47 @@
 package resources
 
-// Part is who holds bytes.
+// Consumer is a kind of data that memory is held for.
 type Consumer uint8
 
-// The parts, in the order in which they give back under pressure: a copy costs a
-// fill later, a slow answer one client, a request that is still coming another,
-// and an idle connection a handshake for each of very many.
+// The consumers, in the order in which they release memory under pressure: dropping
+// a cached copy costs a fill later, dropping pending output or a partial request
+// costs one client its request, and closing idle connections costs a handshake for
+// each of very many.
 const (
-	CachedCopies    Consumer = iota // answers kept to be given again
-	PendingOutput                   // answers that wait for full sockets
-	PartialRequests                 // requests that have come in part
-	ConnRecords                     // of connections
-	NodeResponses                   // answers of nodes that have come in part; they can't give
+	CachedCopies    Consumer = iota // answers kept for reuse
+	PendingOutput                   // answers that wait for sockets to become writable
+	PartialRequests                 // requests received in part
+	ConnRecords                     // state of connections
+	NodeResponses                   // responses of nodes received in part; they can't be released
 	NumConsumers
 )
 
-// Mark tells how near the account is to its end.
+// Level is the level of memory pressure.
 type Level uint8
 
-// The marks.
+// The levels.
 const (
 	Easy     Level = iota
-	Tight          // copies give back
-	Critical       // everything does, and nobody new is let in
+	Tight          // cached copies are released
+	Critical       // all consumers release, and no new connection is accepted
 )
 
-// Where marks begin, as shares of all bytes. They end slack below that, so that a
-// front at a mark does not go back and forth.
+// Thresholds of the levels, as shares of the total. A level ends hysteresis below
+// its threshold, so that a front near it does not alternate.
 const (
 	tightThreshold    = 0.7
 	criticalThreshold = 0.9
 	hysteresis        = 0.05
 )
 
-// Bytes bounds what is held.
+// ByteLimits bounds the memory held.
 type ByteLimits struct {
 	Total int64
-	Cap   [NumConsumers]int64 // of a part at any time; 0: as much as there is
-	Floor [NumConsumers]int64 // that a part is left under pressure
+	Cap   [NumConsumers]int64 // maximum of a consumer at any time; 0: Total
+	Floor [NumConsumers]int64 // bytes that a consumer may keep under pressure
 }
 
-// Budget is one account of bytes for all parts.
+// Budget accounts for the bytes of all consumers.
 type Budget struct {
 	limits ByteLimits
 	held   [NumConsumers]int64
@@ -48,10 +49,10 @@
 	level  Level
 }
 
-// NewBudget makes an account.
+// NewBudget returns a Budget that holds nothing.
 func NewBudget(b ByteLimits) *Budget { return &Budget{limits: b} }
 
-// Observe takes over what the parts hold, and tells what each must give back now.
+// Observe sets what the consumers hold, and returns what each must release now.
 func (b *Budget) Observe(held [NumConsumers]int64) (release [NumConsumers]int64) {
 	b.held, b.total = held, 0
 	for p, n := range held {
@@ -72,7 +73,7 @@
 		if b.level == Tight && p > CachedCopies {
 			break
 		}
-		if p == PendingOutput { // past the copies only what is critical must go
+		if p == PendingOutput { // beyond cached copies only the critical excess is released
 			excess = b.total - release[CachedCopies] - b.portion(criticalThreshold-hysteresis)
 		}
 		n := max(release[p], min(excess, held[p]-b.limits.Floor[p]))
@@ -82,6 +83,7 @@
 	return release
 }
 
+// updateLevel sets the level from the total, with hysteresis.
 func (b *Budget) updateLevel() {
 	reached := func(threshold float64, level Level) bool {
 		if b.level >= level {
@@ -99,17 +101,18 @@
 	}
 }
 
+// portion returns a share of the total limit in bytes.
 func (b *Budget) portion(share float64) int64 { return int64(share * float64(b.limits.Total)) }
 
-// Mark tells how near the account was to its end when it was last observed.
+// Level returns the level as of the last Observe.
 func (b *Budget) Level() Level { return b.level }
 
-// Pressure is the share of all bytes that are held.
+// Pressure returns the held share of the total limit.
 func (b *Budget) Pressure() float64 { return float64(b.total) / float64(max(1, b.limits.Total)) }
 
-// May tells whether a part may take on some bytes: within its cap; where it is
-// tight within half of that, and where it is critical up to its floor. What is
-// taken on counts until the next look.
+// TryReserve reserves n bytes for a consumer if they fit: within its cap, at level
+// Tight within half of its cap (or its floor if that is more), and at Critical
+// within its floor. The reservation counts until the next Observe.
 func (b *Budget) TryReserve(p Consumer, n int64) bool {
 	maxBytes := b.limits.Cap[p]
 	if maxBytes == 0 {
@@ -129,13 +132,13 @@
 	return true
 }
 
-// Gave tells that a part has given back some bytes: they are free at once, and not only
-// from the next look on.
+// Release subtracts bytes that a consumer has released, so that they are free at once
+// and not only after the next Observe.
 func (b *Budget) Release(p Consumer, n int64) {
 	n = min(n, b.held[p])
 	b.held[p] -= n
 	b.total -= n
 }
 
-// String names a mark, for the log.
+// String returns the level's name in the log.
 func (l Level) String() string { return [...]string{"easy", "tight", "critical"}[l] }
--- a/internal/decide/resources/resources.go
+++ b/internal/decide/resources/resources.go
@@ -1,69 +1,71 @@
-// Package resources decides what a front may hold: which clients' connections are
-// let in, how long one may idle as places or bytes fill up, which prefix of
-// addresses has enough, and which part gives back how much when memory runs short.
-// It keeps one account of places and descriptors, and one of bytes.
+// Package resources decides on the use of connections, descriptors and memory in a
+// front: which connections are accepted, how long they may be idle as resources run
+// short, how many one address prefix may have, and which consumers release how much
+// memory under pressure. Account counts connections and descriptors, Budget bytes.
 //
-// It does no I/O and asks no clock.
+// It does no I/O and reads no clock.
 package resources
 
 import (
 	"net/netip"
 )
 
-// Micros is a span in microseconds.
+// Micros is a duration in microseconds.
 type Micros = int64
 
-// The share of places from which idle times shrink, and what is left of one when
-// all are taken.
 const (
+	// idleShrinkThreshold is the used share of connections or bytes from which idle
+	// timeouts shrink.
 	idleShrinkThreshold = 0.5
-	minIdleFactor       = 1.0 / 16
-	// silentFew is the share of places that clients who come and are about to ask
-	// may well fill.
+	// minIdleFactor is the fraction of the idle timeout that is left at full use.
+	minIdleFactor = 1.0 / 16
+	// silentThreshold is the share of connections without a first request that is
+	// normal, since new clients are about to send theirs.
 	silentThreshold = 0.25
 )
 
-// Limits bound what is held.
+// Limits bounds connections and descriptors.
 type Limits struct {
-	MaxConns     int // connections in all
-	MaxPerPrefix int // of one prefix (/24 or /56); 0: as many as there are places
-	// Descriptors that the process may hold, of which Spare stay free for what
-	// comes and goes. 0: only the places count.
+	MaxConns     int // client connections
+	MaxPerPrefix int // client connections of one prefix (/24 or /56); 0: MaxConns
+	// MaxDescriptors bounds the descriptors of the process, of which SpareDescriptors
+	// stay free for short-lived ones. 0: only MaxConns counts.
 	MaxDescriptors, SpareDescriptors int
 }
 
-// Account is the places that are taken. Its table of prefixes holds those with
-// connections only, so it is bounded by the places.
+// Account counts the client connections held. Its table of prefixes holds only those
+// with connections, so MaxConns bounds it.
 type Account struct {
 	limits           Limits
-	budget           *Budget // nil: none is kept
+	budget           *Budget // nil: bytes are not accounted for
 	held             int
-	otherDescriptors int                    // descriptors held by others than clients
-	byPrefix         map[netip.Prefix]int32 // empty unless prefixes are bounded
+	otherDescriptors int                    // descriptors not held by client connections
+	byPrefix         map[netip.Prefix]int32 // connections by prefix; empty unless MaxPerPrefix is set
 }
 
-// New makes an account; of bytes, where a budget is given too.
+// New returns an empty Account. The budget may be nil.
 func New(l Limits, budget *Budget) *Account {
 	return &Account{limits: l, budget: budget, byPrefix: map[netip.Prefix]int32{}}
 }
 
-// Patience is for how long one that has said nothing yet is left alone when others
-// need its place, of what is set: all of it while few are silent, and nothing when
-// all are, since a crowd of them is no crowd of clients whose first request is
-// under way.
+// SilentTimeout returns how long a connection without a first request is kept when
+// others need its place, given how many such connections there are: the whole
+// timeout while they are few, down to 0 as their share grows, since so many are not
+// clients whose first request is on its way.
 func (a *Account) SilentTimeout(timeout Micros, silent int) Micros {
 	share := float64(silent) / float64(max(1, a.maxConns()))
 	return Micros(float64(timeout) * max(0, 1-2*max(0, share-silentThreshold)))
 }
 
-// Rebound sets other limits. Who is over them is not turned out by that.
+// SetLimits replaces the limits. Connections beyond them are not closed.
 func (a *Account) SetLimits(l Limits) { a.limits = l }
 
-// Others takes over how many descriptors are held by others than clients.
+// SetOtherDescriptors sets how many descriptors are not held by client connections.
 func (a *Account) SetOtherDescriptors(n int) { a.otherDescriptors = n }
 
-// places is how many clients there is room for now. Where descriptors run short,
-// clients yield to nodes: without those nobody is served.
+// maxConns returns how many client connections there is room for now. When
+// descriptors run short, clients yield to connections to nodes, without which no
+// request can be served.
 func (a *Account) maxConns() int {
 	if a.limits.MaxDescriptors == 0 {
 		return a.limits.MaxConns
@@ -71,10 +73,10 @@
 	return max(1, min(a.limits.MaxConns, a.limits.MaxDescriptors-a.limits.SpareDescriptors-a.otherDescriptors))
 }
 
-// PerPrefix tells whether Enter and Leave want to know the prefix.
+// TracksPrefixes reports whether Acquire and Release need the prefix.
 func (a *Account) TracksPrefixes() bool { return a.limits.MaxPerPrefix > 0 }
 
-// Enter takes a place for a connection, or refuses it.
+// Acquire counts a new connection, or returns false if there is no room for it.
 func (a *Account) Acquire(p netip.Prefix) bool {
 	if a.held >= a.maxConns() || a.budget != nil && a.budget.Level() == Critical {
 		return false
@@ -89,7 +91,7 @@
 	return true
 }
 
-// Leave gives a place back.
+// Release ends a connection that Acquire has counted.
 func (a *Account) Release(p netip.Prefix) {
 	a.held--
 	if n, ok := a.byPrefix[p]; ok {
@@ -101,16 +103,16 @@
 	}
 }
 
-// Held counts the places taken.
+// Held returns the number of connections held.
 func (a *Account) Held() int { return a.held }
 
-// Prefixes counts the prefixes that are known.
+// Prefixes returns the number of prefixes in the table.
 func (a *Account) Prefixes() int { return len(a.byPrefix) }
 
-// Idle is how long a connection may idle now, of what is set: all of it while
-// places and bytes are easy, then less in proportion, down to a sixteenth when
-// none is left. It has no steps, so that a front near a mark does not drive its clients
-// back and forth.
+// IdleTimeout returns how long a connection may be idle now: the whole timeout while
+// connections and bytes are plentiful, then less in proportion to their use, down to
+// a sixteenth at full use. It has no steps, so that a front near a threshold does not
+// close and reopen its clients' connections.
 func (a *Account) IdleTimeout(timeout Micros) Micros {
 	share := float64(a.held) / float64(max(1, a.maxConns()))
 	if a.budget != nil {
--- a/internal/decide/resources/resources_test.go
+++ b/internal/decide/resources/resources_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// The account adds up, the bounds hold, and the table holds nobody who left.
+// The counts add up, the limits hold, and the table keeps no prefix without connections.
 func TestAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{MaxConns: rapid.IntRange(1, 50).Draw(t, "places"), MaxPerPrefix: rapid.IntRange(0, 5).Draw(t, "prefix")}
@@ -33,7 +33,7 @@
 			}
 			want := len(in) < l.MaxConns && (l.MaxPerPrefix == 0 || same < l.MaxPerPrefix)
 			if a.Acquire(p) != want {
-				t.Fatalf("let in %v, of %d with %d alike", !want, len(in), same)
+				t.Fatalf("accepted: %v, with %d held and %d of the same prefix", !want, len(in), same)
 			}
 			if want {
 				in = append(in, p)
@@ -51,8 +51,8 @@
 	})
 }
 
-// Idle times shrink without steps, never below a sixteenth, and never grow as
-// places fill.
+// Idle timeouts shrink without steps as connections fill up, never grow, and never
+// fall below a sixteenth.
 func TestIdleShrinksSmoothly(t *testing.T) {
 	a, last := New(Limits{MaxConns: 1000}, nil), Micros(1_000_000)
 	for i := range 1000 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// The account of bytes: what is over a cap goes at once; copies go first, and all
-// that must; nothing goes below its floor; marks come with slack.
+// What exceeds a cap is released at once; cached copies are released first; no
+// consumer falls below its floor; levels have hysteresis.
 func TestBudget(t *testing.T) {
 	limits := ByteLimits{Total: 1000}
 	limits.Cap[PendingOutput] = 500
@@ -78,46 +78,46 @@
 	}
 	b := NewBudget(limits)
 	for _, x := range []struct {
-		name       string
-		held, give [NumConsumers]int64
-		mark       Level
+		name          string
+		held, release [NumConsumers]int64
+		level         Level
 	}{
 		{"easy", [NumConsumers]int64{CachedCopies: 300, PendingOutput: 300}, [NumConsumers]int64{}, Easy},
 		{"over a cap", [NumConsumers]int64{PendingOutput: 600}, [NumConsumers]int64{PendingOutput: 100}, Easy},
 		{"tight", [NumConsumers]int64{CachedCopies: 400, PendingOutput: 350}, [NumConsumers]int64{CachedCopies: 100}, Tight},
-		{"within the slack", [NumConsumers]int64{CachedCopies: 320, PendingOutput: 350}, [NumConsumers]int64{CachedCopies: 20}, Tight},
-		{"tight, and few copies", [NumConsumers]int64{CachedCopies: 100, PendingOutput: 400, PartialRequests: 200}, [NumConsumers]int64{CachedCopies: 50}, Tight},
+		{"within the hysteresis", [NumConsumers]int64{CachedCopies: 320, PendingOutput: 350}, [NumConsumers]int64{CachedCopies: 20}, Tight},
+		{"tight with few copies", [NumConsumers]int64{CachedCopies: 100, PendingOutput: 400, PartialRequests: 200}, [NumConsumers]int64{CachedCopies: 50}, Tight},
 		{"critical", [NumConsumers]int64{CachedCopies: 100, PendingOutput: 400, PartialRequests: 300, ConnRecords: 200}, [NumConsumers]int64{CachedCopies: 50, PendingOutput: 100}, Critical},
 		{"critical without answers", [NumConsumers]int64{PartialRequests: 100, ConnRecords: 900}, [NumConsumers]int64{PartialRequests: 50, ConnRecords: 100}, Critical},
 		{"easy again", [NumConsumers]int64{CachedCopies: 300, PendingOutput: 300}, [NumConsumers]int64{}, Easy},
 	} {
-		if release := b.Observe(x.held); release != x.give || b.Level() != x.mark {
-			t.Errorf("%s: gives %v, %v; want %v, %v", x.name, release, b.Level(), x.give, x.mark)
+		if release := b.Observe(x.held); release != x.release || b.Level() != x.level {
+			t.Errorf("%s: releases %v, level %v; want %v, %v", x.name, release, b.Level(), x.release, x.level)
 		}
 	}
 }
 
-// Guards against a good client ended for what slow ones held a moment ago: what was given
-// back is free at once.
-func TestWhatWasGivenBackIsFree(t *testing.T) {
+// Guards against closing a good client for bytes that slow ones held a moment ago:
+// released bytes must be free at once, not only after the next Observe.
+func TestReleasedBytesAreFree(t *testing.T) {
 	limits := ByteLimits{Total: 1000}
 	limits.Cap[PendingOutput] = 500
 	b := NewBudget(limits)
 	b.Observe([NumConsumers]int64{PendingOutput: 500})
 	if b.TryReserve(PendingOutput, 100) {
-		t.Fatal("over the cap")
+		t.Fatal("bytes over the cap were reserved")
 	}
 	if b.Release(PendingOutput, 100); !b.TryReserve(PendingOutput, 100) || b.TryReserve(PendingOutput, 1) {
-		t.Error("what was given back is not free, or more than that is")
+		t.Error("the released bytes are not free, or more than those are")
 	}
 	if b.Release(PendingOutput, 900); !b.TryReserve(PendingOutput, 500) || b.TryReserve(PendingOutput, 1) {
-		t.Error("more was given back than was held")
+		t.Error("releasing more than was held was not bounded by it")
 	}
 }
 
-// Whatever is held: nobody gives more than is held or goes below the floor but for
-// the cap, and what all can give is enough, or all give what they can. Nobody new
-// is let in, and nothing grows past its floor, while it is critical.
+// For any bytes held: no consumer releases more than it holds, and at level Critical
+// enough is released or all consumers release what they can, no connection is
+// accepted, and no consumer grows past its floor.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := ByteLimits{Total: 1000}
@@ -137,22 +137,22 @@
 			release := b.Observe(held)
 			for p, n := range release {
 				if n < 0 || n > held[p] {
-					t.Fatalf("%d gives %d of %d", p, n, held[p])
+					t.Fatalf("consumer %d releases %d of %d", p, n, held[p])
 				}
 				if sum -= n; Consumer(p) < NodeResponses {
 					spare += max(0, held[p]-n-limits.Floor[p])
 				}
 			}
 			if b.Level() == Critical && sum > 850 && spare > 0 {
-				t.Fatalf("%d stay, and %d could go", sum, spare)
+				t.Fatalf("%d bytes stay, and %d more could be released", sum, spare)
 			}
 			if in := a.Acquire(prefixes[0]); in != (b.Level() != Critical) {
-				t.Fatalf("%v, and let in: %v", b.Level(), in)
+				t.Fatalf("level %v, accepted: %v", b.Level(), in)
 			} else if in {
 				a.Release(prefixes[0])
 			}
 			if b.Level() == Critical && b.TryReserve(PendingOutput, 1+max(0, limits.Floor[PendingOutput]-held[PendingOutput])) {
-				t.Fatal("answers may grow past their floor")
+				t.Fatal("pending output may grow past its floor")
 			}
 		}
 	})
@@ -160,38 +160,38 @@
 
 var prefixes = []netip.Prefix{netip.MustParsePrefix("10.0.0.0/24")}
 
-// A crowd of silent ones has less patience than a few have.
-func TestSilentYield(t *testing.T) {
+// The timeout of silent connections shrinks as their number grows.
+func TestSilentTimeoutShrinks(t *testing.T) {
 	a, last := New(Limits{MaxConns: 100}, nil), Micros(400)
 	for n := range 100 {
 		got := a.SilentTimeout(400, n)
 		if got > last || n <= 25 && got != 400 || n >= 75 && got != 0 {
-			t.Fatalf("%d for %d silent ones, %d for one less", got, n, last)
+			t.Fatalf("%d for %d silent connections, %d for one less", got, n, last)
 		}
 		last = got
 	}
 }
 
-// Clients yield to nodes where descriptors run short, and bytes shrink idle times
-// as places do.
-func TestPressureOfOthers(t *testing.T) {
+// Clients yield to nodes when descriptors run short, and held bytes shrink idle
+// timeouts as held connections do.
+func TestDescriptorAndMemoryPressure(t *testing.T) {
 	b := NewBudget(ByteLimits{Total: 1000})
 	a := New(Limits{MaxConns: 100, MaxDescriptors: 60, SpareDescriptors: 10}, b)
 	a.SetOtherDescriptors(45)
 	for range 5 {
 		if !a.Acquire(prefixes[0]) {
-			t.Fatal("there is room")
+			t.Fatal("refused, and there is room")
 		}
 	}
 	if a.Acquire(prefixes[0]) {
-		t.Error("a sixth was let in, and 45 + 10 of 60 are others'")
+		t.Error("a sixth connection was accepted with 45 + 10 of 60 descriptors not available")
 	}
 	a.SetOtherDescriptors(0)
 	if a.IdleTimeout(1_000_000) != 1_000_000 {
-		t.Error("shrunk, and all is easy")
+		t.Error("the idle timeout shrank without pressure")
 	}
 	b.Observe([NumConsumers]int64{CachedCopies: 750})
 	if got := a.IdleTimeout(1_000_000); got < 500_000 || got > 600_000 {
-		t.Errorf("%d left of a second at three quarters of the bytes", got)
+		t.Errorf("idle timeout of %d us of a second at three quarters of the bytes", got)
 	}
 }
