--- a/internal/decide/sites/sites.go
+++ b/internal/decide/sites/sites.go
@@ -1,15 +1,15 @@
-// Package sites decides whether a request is served at this site or carried to the
-// other one. What it believes comes from the front's own traffic, the register and
-// the link; it asks nobody.
+// Package sites decides whether a request is served at this site or forwarded to the
+// other one. Its state comes from the front's own traffic, the register of hubs and
+// the link alone; it sends no messages.
 //
-// Failing over is gradual and by object: at a share s those objects cross whose hash
-// lies below s. So the set only grows while a site is in trouble and only shrinks
-// while it recovers, each object keeps its parent within the site that serves it, and
-// the far side's caches are warmed no faster than the share rises. Two marks with a
-// time each keep it from flapping.
+// Failover is gradual and by object: at a remote share s the objects whose hash lies
+// below s are forwarded. So the set of forwarded objects only grows while a site is
+// unhealthy and only shrinks while it recovers, each object keeps its parent within
+// the site that serves it, and the remote caches are warmed no faster than the share
+// rises. Two health thresholds, each with a hold time, prevent flapping.
 //
-// It does not know what ran: that is the ledger's, whose word is asked before
-// anything is carried again.
+// The package does not know which requests were executed: that is the ledger's task,
+// which has to be consulted before a request is forwarded again.
 package sites
 
 import (
@@ -20,113 +20,114 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
-// Where is where a request is served.
+// Destination is where a request is served.
 type Destination uint8
 
-// The places.
+// The destinations.
 const (
-	Local Destination = iota
-	Remote
-	Refused // refused at once
+	Local   Destination = iota // this site
+	Remote                     // the other site
+	Refused                    // neither: the request is refused at once
 )
 
-// Why says what led to a verdict.
+// Reason is why a verdict was reached.
 type Reason uint8
 
 // The reasons.
 const (
-	LocalHealthy   Reason = iota // this site serves the object
-	LocalUnhealthy               // the object's share has gone across
-	StoreRemote                  // what writes runs where the store is
-	LoopPrevented                // it came from there, or has hopped too often
-	LinkDown
-	DeadlineTooShort // it can't be there and back in time
-	BudgetExhausted  // more may not cross now, or for that worth
-	RemoteUnhealthy  // the other site fails what it is sent
+	LocalHealthy     Reason = iota // this site serves the object
+	LocalUnhealthy                 // the object is in the share that is forwarded
+	StoreRemote                    // writes are served where the store is
+	LoopPrevented                  // the request came from the other site, or made too many hops
+	LinkDown                       // the link is down
+	DeadlineTooShort               // the answer would not be back in time
+	BudgetExhausted                // the budget is spent, or reserved for classes of more worth per byte
+	RemoteUnhealthy                // the other site fails the requests that it is sent
 )
 
-// Class is what the decision knows of a class.
+// Class describes a class of requests.
 type Class struct {
 	Write          bool
-	Worth          float64
-	InitialBytes   float64 // that an answer has before any was seen
-	InitialLatency Micros  // that the other site takes before any was seen
+	Worth          float64 // of an answer
+	InitialBytes   float64 // estimated size of an answer before one was seen
+	InitialLatency Micros  // estimated latency of the other site before an answer was seen
 }
 
-// Config is a site's. Zero is good for none of its figures.
+// Config configures a Selector. None of its numbers may be zero but Seed.
 type Config struct {
 	Classes                      []Class
 	StoreLocal                   bool    // the head office store is at this site
-	UnhealthyBelow, HealthyAbove float64 // health below which this site is in trouble, and above which it is well
-	UnhealthyAfter               Micros  // that it must be so
-	HealthyAfter                 Micros
-	RampUp                       Micros  // in which the share that crosses may go from none to all
-	RampDown                     Micros  // and back
-	RequestRate                  float64 // a second, that may cross
-	ByteRate                     float64 // a second
-	MaxHops                      int     // that a request may have made
+	UnhealthyBelow, HealthyAbove float64 // health thresholds
+	UnhealthyAfter               Micros  // how long health must be below UnhealthyBelow
+	HealthyAfter                 Micros  // how long health must be above HealthyAbove
+	RampUp                       Micros  // minimum time for the remote share to rise from 0 to 1
+	RampDown                     Micros  // minimum time for it to fall from 1 to 0
+	RequestRate                  float64 // forwarded requests per second, at most
+	ByteRate                     float64 // forwarded bytes per second, at most
+	MaxHops                      int     // hops of a request from which it is not forwarded
 	Seed                         uint64  // the same on all fronts of a site, so that they move the same objects
 }
 
-// Check names the first thing that can't be.
+// Check returns an error for the first invalid setting.
 func (c Config) Check() error {
 	switch {
 	case len(c.Classes) == 0:
 		return errors.New("sites: no classes")
 	case !(c.UnhealthyBelow > 0 && c.UnhealthyBelow < c.HealthyAbove && c.HealthyAbove < 1):
-		return fmt.Errorf("sites: marks of %v and %v; 0 < low < high < 1 is needed", c.UnhealthyBelow, c.HealthyAbove)
+		return fmt.Errorf("sites: health thresholds of %v and %v; 0 < low < high < 1 is needed", c.UnhealthyBelow, c.HealthyAbove)
 	case c.UnhealthyAfter <= 0 || c.HealthyAfter <= 0 || c.RampUp <= 0 || c.RampDown <= 0:
-		return errors.New("sites: times that are not above 0")
+		return errors.New("sites: hold and ramp times must be above 0")
 	case !(c.RequestRate > 0) || !(c.ByteRate > 0) || c.MaxHops < 1:
-		return fmt.Errorf("sites: %v requests and %v bytes a second over %d hops", c.RequestRate, c.ByteRate, c.MaxHops)
+		return fmt.Errorf("sites: rates and hops must be above 0, got %v requests/s, %v bytes/s, %d hops", c.RequestRate, c.ByteRate, c.MaxHops)
 	}
 	for i, x := range c.Classes {
 		if !(x.Worth >= 0) || !(x.InitialBytes > 0) || x.InitialLatency <= 0 {
-			return fmt.Errorf("sites: class %d: worth %v, %v bytes, %d us", i, x.Worth, x.InitialBytes, x.InitialLatency)
+			return fmt.Errorf("sites: class %d: invalid worth %v, size of %v bytes or latency of %d us", i, x.Worth, x.InitialBytes, x.InitialLatency)
 		}
 	}
 	return nil
 }
 
-// Request is one that is to be served.
+// Request is a request to select a destination for.
 type Request struct {
 	Class      int
 	Object     string
-	Remaining  Micros // of its client's time
-	Hops       int    // made so far
+	Remaining  Micros // time until its client stops waiting
+	Hops       int    // hops made so far
 	FromRemote bool   // it came from the other site
 }
 
-// Verdict is where a request goes.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Destination Destination
 	Reason      Reason
 }
 
-// How fast beliefs move.
+// Parameters of the estimators and the budget.
 const (
-	localHalfLife   = 500_000   // us in which what is old counts half
-	remoteHalfLife  = 1_000_000 // us, for the other site
-	meanGain        = 1.0 / 8   // of a round trip's mean, and
-	deviationGain   = 1.0 / 4   // of its deviation (RFC 6298, 2.3)
-	deviationFactor = 4         // deviations that are allowed for
-	minRemoteHealth = 0.5       // of what was carried must do well
-	probeShare      = 0.05      // of the share crosses all the same, to learn whether it is better
-	burstSeconds    = 0.25      // seconds of the budget that may go at once
-	minWorthGrowth  = 2.0       // a second, by which worth a byte gets dearer while the budget is spent
-	minWorthFloor   = 1e-12
-	priorWeight     = 4 // outcomes that the prior stands for
+	localHalfLife   = 500_000   // us, half-life of outcomes at this site
+	remoteHalfLife  = 1_000_000 // us, half-life of outcomes at the other site
+	meanGain        = 1.0 / 8   // gain of the mean latency, and
+	deviationGain   = 1.0 / 4   // of its deviation (RFC 6298, section 2.3)
+	deviationFactor = 4         // deviations added to the mean when a deadline is checked
+	minRemoteHealth = 0.5       // share of good outcomes below which the remote site is unhealthy
+	probeShare      = 0.05      // part of the share that is still forwarded then, to detect recovery
+	burstSeconds    = 0.25      // seconds of the budget that can accumulate
+	minWorthGrowth  = 2.0       // maximum doublings per second of MinWorthPerByte while the budget is spent
+	minWorthFloor   = 1e-12     // lower bound of MinWorthPerByte
+	priorWeight     = 4         // good outcomes assumed before any was seen
 )
 
-// average is a share of good ones that forgets.
+// average is an exponentially decaying share of good outcomes.
 type average struct {
 	Good, All float64
 	At        Micros
 }
 
+// decay reduces the weight of the outcomes so far.
 func (a *average) decay(now Micros, halfLife float64) {
 	if now > a.At {
 		f := math.Exp2(-float64(now-a.At) / halfLife)
@@ -134,6 +135,7 @@
 	}
 }
 
+// record adds an outcome.
 func (a *average) record(now Micros, halfLife float64, good bool) {
 	a.decay(now, halfLife)
 	a.All++
@@ -142,42 +144,43 @@
 	}
 }
 
-// share counts a few good ones beforehand.
+// share returns the share of good outcomes, with priorWeight good ones added.
 func (a *average) share() float64 { return (a.Good + priorWeight) / (a.All + priorWeight) }
 
-// path is what is known of the way across, for one class.
+// path holds the estimates for forwarded requests of one class.
 type path struct {
-	Latency, Deviation float64 // us until the whole answer was here
-	Bytes              float64
-	Seen               bool
+	Latency, Deviation float64 // us until the whole answer has arrived
+	Bytes              float64 // of an answer
+	Seen               bool    // there was an answer; until then these are the initial estimates
 }
 
-// State is all that a Chooser believes, to be written out and read back.
+// State is the complete state of a Selector, which Snapshot returns and Restore takes.
 type State struct {
 	Now             Micros
 	HubsUp          int
 	HubsTotal       int
 	LinkUp          bool
-	RemoteCapacity  float64
-	RemoteShare     float64
+	RemoteCapacity  float64 // share of the forwarded traffic that the other site accepts, 0 to 1
+	RemoteShare     float64 // share of the objects that is forwarded, 0 to 1
 	Unhealthy       bool
-	PassedSince     Micros // that the health has been past the mark that would change that; 0: it is not
+	PassedSince     Micros // since when health is past the threshold that would toggle Unhealthy; 0: it is not
 	Local, Remote   average
-	Paths           []path
+	Paths           []path  // by class
 	RequestTokens   float64 // left of the budget
-	ByteTokens      float64
-	MinWorthPerByte float64 // worth a byte that is asked for
-	Forwarded       int64
-	Transitions     int64 // into trouble and out of it
+	ByteTokens      float64 // left of the budget
+	MinWorthPerByte float64 // worth per byte that a request needs to be forwarded
+	Forwarded       int64   // requests
+	Transitions     int64   // changes of Unhealthy
 }
 
-// Chooser is the decision of one front.
+// Selector selects the destinations for the requests of one front. It is not safe
+// for concurrent use.
 type Selector struct {
 	cfg   Config
 	state State
 }
 
-// New makes a chooser for a site that is well, with a link that is down.
+// New returns a Selector for a healthy site with a link that is down.
 func New(cfg Config, now Micros) (*Selector, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -190,28 +193,30 @@
 	return sel, nil
 }
 
-// Snapshot gives a copy of the state.
+// Snapshot returns a copy of the state.
 func (sel *Selector) Snapshot() State {
 	s := sel.state
 	s.Paths = append([]path(nil), s.Paths...)
 	return s
 }
 
-// Restore takes a state over. What it says of the link and the budget is of then:
-// the link counts as down until it is told of.
+// Restore replaces the state by a snapshot. The link counts as down until SetLink,
+// since the snapshot may be old, and the shares and tokens are limited to their
+// bounds. It returns an error for a snapshot of another number of classes, or one with
+// negative or infinite values.
 func (sel *Selector) Restore(s State, now Micros) error {
 	if len(s.Paths) != len(sel.cfg.Classes) {
-		return fmt.Errorf("sites: a state of %d classes, there are %d", len(s.Paths), len(sel.cfg.Classes))
+		return fmt.Errorf("sites: snapshot of %d classes, want %d", len(s.Paths), len(sel.cfg.Classes))
 	}
 	for _, x := range []float64{s.RemoteShare, s.RemoteCapacity, s.Local.Good, s.Local.All, s.Remote.Good, s.Remote.All, s.MinWorthPerByte, s.RequestTokens, s.ByteTokens} {
 		if !(x >= 0) || math.IsInf(x, 0) {
-			return fmt.Errorf("sites: a state with %v in it", x)
+			return fmt.Errorf("sites: snapshot with an invalid value %v", x)
 		}
 	}
 	s.Paths = append([]path(nil), s.Paths...)
 	s.LinkUp, s.RemoteShare, s.RemoteCapacity = false, min(s.RemoteShare, 1), min(s.RemoteCapacity, 1)
 	s.RequestTokens, s.ByteTokens = min(s.RequestTokens, sel.cfg.RequestRate*burstSeconds), min(s.ByteTokens, sel.cfg.ByteRate*burstSeconds)
-	if s.Now > now { // by another clock
+	if s.Now > now { // the snapshot was taken by another clock
 		s.Now, s.PassedSince = now, 0
 		s.Local.At, s.Remote.At = min(s.Local.At, now), min(s.Remote.At, now)
 	}
@@ -219,41 +224,42 @@
 	return nil
 }
 
-// Hubs tells how many of the site's hubs serve, as the register has it.
+// SetHubs sets how many of the site's hubs serve, as the register lists them.
 func (sel *Selector) SetHubs(now Micros, up, total int) {
 	sel.advance(now)
 	sel.state.HubsUp, sel.state.HubsTotal = up, total
 }
 
-// Link tells that the link came up or went down.
+// SetLink sets whether the link is up.
 func (sel *Selector) SetLink(now Micros, up bool) {
 	sel.advance(now)
 	sel.state.LinkUp = up
 }
 
-// Offer tells what share of what could cross the other site takes now, as it says
-// itself: 1 where it is well, less while it is in trouble or its caches are cold.
+// SetRemoteCapacity sets which share of the forwarded traffic the other site accepts
+// now, as it reports itself: 1 if it is healthy, less while it is unhealthy or its
+// caches are cold. Shares outside 0 to 1 are ignored.
 func (sel *Selector) SetRemoteCapacity(now Micros, share float64) {
 	sel.advance(now)
-	if share >= 0 && share <= 1 { // a peer may say anything
+	if share >= 0 && share <= 1 { // peers are not trusted to be in range
 		sel.state.RemoteCapacity = share
 	}
 }
 
-// Served tells how a request that was served here ended.
+// RecordLocal records the outcome of a request served at this site.
 func (sel *Selector) RecordLocal(now Micros, good bool) {
 	sel.advance(now)
 	sel.state.Local.record(now, localHalfLife, good)
 }
 
-// Carried tells how a request that went across ended: how long it took and how many
-// bytes came.
+// RecordRemote records the outcome of a forwarded request, its latency and the bytes
+// of its answer.
 func (sel *Selector) RecordRemote(now Micros, class int, good bool, latency Micros, bytes float64) {
 	sel.advance(now)
 	sel.state.Remote.record(now, remoteHalfLife, good)
 	estimate := &sel.state.Paths[class]
 	switch x := float64(latency); {
-	case !good: // it took at least so long
+	case !good: // the latency is a lower bound
 		estimate.Latency = max(estimate.Latency, estimate.Latency+meanGain*(x-estimate.Latency))
 		return
 	case !estimate.Seen:
@@ -265,8 +271,8 @@
 	estimate.Bytes += meanGain * (bytes - estimate.Bytes)
 }
 
-// Health is how well this site serves, 0 to 1: the share of its hubs, times what its
-// requests came to.
+// Health returns the health of this site, 0 to 1: the share of its hubs that serve,
+// times the share of its requests with a good outcome.
 func (sel *Selector) Health() float64 {
 	hubs := 1.0
 	if sel.state.HubsTotal > 0 {
@@ -275,10 +281,10 @@
 	return hubs * sel.state.Local.share()
 }
 
-// Share is the part of the objects that crosses by now.
+// RemoteShare returns the share of the objects that is forwarded.
 func (sel *Selector) RemoteShare() float64 { return sel.state.RemoteShare }
 
-// move brings the state to a moment.
+// advance brings the state to the given time.
 func (sel *Selector) advance(now Micros) {
 	st := &sel.state
 	if now <= st.Now {
@@ -289,7 +295,7 @@
 	st.Now = now
 	st.Local.decay(now, localHalfLife)
 	st.Remote.decay(now, remoteHalfLife)
-	// A mark must be passed for a while before anything turns.
+	// A threshold must be passed for its hold time before Unhealthy changes.
 	health := sel.Health()
 	beyond, hold := health < sel.cfg.UnhealthyBelow, sel.cfg.UnhealthyAfter
 	if st.Unhealthy {
@@ -304,7 +310,7 @@
 		st.Unhealthy, st.PassedSince = !st.Unhealthy, 0
 		st.Transitions++
 	}
-	// As much crosses as this site lacks, and the other takes.
+	// Forward what this site lacks in health, as far as the other site accepts it.
 	target := 0.0
 	if st.Unhealthy && st.LinkUp {
 		target = min(1, 1-health+sel.cfg.UnhealthyBelow/2) * st.RemoteCapacity
@@ -317,16 +323,18 @@
 	} else {
 		st.RemoteShare = max(target, st.RemoteShare-elapsed/float64(sel.cfg.RampDown))
 	}
-	// The price rises while the budget is spent, and falls while it is not.
+	// The required worth per byte rises while more than half of the budget's burst is
+	// spent, and falls otherwise.
 	spent := 1 - min(st.RequestTokens/(sel.cfg.RequestRate*burstSeconds), st.ByteTokens/(sel.cfg.ByteRate*burstSeconds))
 	st.MinWorthPerByte = max(minWorthFloor, st.MinWorthPerByte*math.Exp2(minWorthGrowth*(2*spent-1)*min(seconds, 1)))
 	st.RequestTokens = min(sel.cfg.RequestRate*burstSeconds, st.RequestTokens+sel.cfg.RequestRate*seconds)
 	st.ByteTokens = min(sel.cfg.ByteRate*burstSeconds, st.ByteTokens+sel.cfg.ByteRate*seconds)
 }
 
+// remoteHealth returns the share of forwarded requests with a good outcome.
 func (sel *Selector) remoteHealth() float64 { return sel.state.Remote.share() }
 
-// Choose says where a request goes. One that goes across is counted against the
+// Select decides where a request is served. A forwarded request is charged to the
 // budget.
 func (sel *Selector) Select(now Micros, request Request) Verdict {
 	sel.advance(now)
@@ -351,7 +359,7 @@
 	return Verdict{Remote, reason}
 }
 
-// crosses tells whether an object is one of those that have gone across.
+// assignedRemote reports whether an object is in the share that is forwarded.
 func (sel *Selector) assignedRemote(object string) bool {
 	if sel.state.RemoteShare == 0 {
 		return false
@@ -362,7 +370,7 @@
 	return float64(d.Sum64()>>11)/(1<<53) < sel.state.RemoteShare
 }
 
-// can tells whether a request can go across, and if not, why.
+// checkRemote reports whether a request can be forwarded, and if not, why.
 func (sel *Selector) checkRemote(request Request, class *Class) (reason Reason, ok bool) {
 	estimate := &sel.state.Paths[request.Class]
 	switch {
