--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,40 +1,42 @@
-// Package fairqueue is the bounded queue before the pool that checks costly
-// signatures. It decides whose is checked next and, when it is full, who goes.
+// Package fairqueue implements the bounded, fair queue in front of the worker pool
+// that verifies expensive signatures. It decides which job is next and, when the
+// queue is full, which one is evicted.
 //
-// Tenants take turns, and within a tenant the prefixes of addresses do, so that
-// neither one tenant's clients nor one address can spend the pool. Prefixes that
-// brought forged signatures lately wait behind the others of their tenant, but
-// get every eighth of its turns, so that nobody starves. When the queue is full,
-// the last in the longest lane of the tenant that holds most has to go, suspects
-// first; that may be the newcomer.
+// Tenants are served round robin, and so are the address prefixes within a tenant,
+// so that neither one tenant's clients nor one address can use up the pool. Prefixes
+// that recently sent forged signatures (suspects) rank behind the others of their
+// tenant, but get every eighth of its turns, so that they do not starve. When the
+// queue is full, the last job of the longest lane of the tenant with the most jobs is
+// evicted, suspects first; that may be the new job.
 package fairqueue
 
 import "net/netip"
 
-// Job waits for its turn.
+// Job is a queued signature check.
 type Job struct {
 	Tenant  string
-	Prefix  netip.Prefix
-	Suspect bool
-	Value   any
+	Prefix  netip.Prefix // of the client's address
+	Suspect bool         // the prefix recently sent forged signatures
+	Value   any          // for the caller's use
 
 	lane       *lane
 	prev, next *Job // in its lane
 }
 
-// suspectTurn is the share of a tenant's turns that its suspects get while
-// others wait.
+// suspectTurn is the interval, in turns of a tenant, at which its suspects are
+// served while others wait.
 const suspectTurn = 8
 
-// Queue holds jobs, so many at most. It is used by one goroutine.
+// Queue is a bounded queue of jobs. It is not safe for concurrent use.
 type Queue struct {
 	maxJobs int
 	count   int
-	tenants []*tenant // in turn, those with jobs
-	current int
+	tenants []*tenant // those with jobs, in round-robin order
+	current int       // index of the tenant to serve next
 	byName  map[string]*tenant
 }
 
+// tenant holds the jobs of one tenant.
 type tenant struct {
 	name   string
 	count  int
@@ -42,15 +44,15 @@
 	groups [2]group // others, suspects
 }
 
-// row is the lanes of one rank.
+// group holds the lanes of either the suspects or the others of a tenant.
 type group struct {
 	lanes    map[netip.Prefix]*lane
-	ring     lane    // of lanes in turn
-	byLength []*lane // by length less one, the first of those that have it
-	count    int
+	ring     lane    // sentinel of the lanes in round-robin order
+	byLength []*lane // index: length minus 1; head of the list of lanes of that length
+	count    int     // jobs in all lanes
 }
 
-// lane is the jobs of one prefix.
+// lane is the queue of one prefix.
 type lane struct {
 	group              *group
 	tenant             *tenant
@@ -59,38 +61,38 @@
 	last               *Job
 	count              int
 	prev, next         *lane // in the ring
-	prevSame, nextSame *lane // of the same length
+	prevSame, nextSame *lane // list of the lanes of the same length
 }
 
-// New makes a queue.
+// New returns an empty queue for at most maxJobs jobs.
 func New(maxJobs int) *Queue { return &Queue{maxJobs: maxJobs, byName: map[string]*tenant{}} }
 
-// Len counts the jobs.
+// Len returns the number of jobs.
 func (q *Queue) Len() int { return q.count }
 
-// Push takes a job. Where there is no room, it gives the job that has to go
-// instead, which may be the same.
+// Push adds a job. If the queue is full, it evicts and returns a job, which may be
+// the new one.
 func (q *Queue) Push(j *Job) (evicted *Job) {
 	t := q.byName[j.Tenant]
 	if t == nil {
 		t = &tenant{name: j.Tenant}
 		for i := range t.groups {
-			r := &t.groups[i]
-			r.lanes = map[netip.Prefix]*lane{}
-			r.ring.prev, r.ring.next = &r.ring, &r.ring
+			g := &t.groups[i]
+			g.lanes = map[netip.Prefix]*lane{}
+			g.ring.prev, g.ring.next = &g.ring, &g.ring
 		}
 		q.byName[j.Tenant] = t
 		q.tenants = append(q.tenants, t)
 	}
-	r := &t.groups[0]
+	g := &t.groups[0]
 	if j.Suspect {
-		r = &t.groups[1]
+		g = &t.groups[1]
 	}
-	l := r.lanes[j.Prefix]
+	l := g.lanes[j.Prefix]
 	if l == nil {
-		l = &lane{group: r, tenant: t, prefix: j.Prefix}
-		r.lanes[j.Prefix] = l
-		l.prev, l.next = r.ring.prev, &r.ring
+		l = &lane{group: g, tenant: t, prefix: j.Prefix}
+		g.lanes[j.Prefix] = l
+		l.prev, l.next = g.ring.prev, &g.ring
 		l.prev.next, l.next.prev = l, l
 	}
 	j.lane, j.prev = l, l.last
@@ -111,7 +113,7 @@
 	return evicted
 }
 
-// least is the job that goes when there is no room.
+// victim returns the job to evict from a full queue.
 func (q *Queue) victim() *Job {
 	var largest *tenant
 	for _, t := range q.tenants { // few
@@ -119,44 +121,44 @@
 			largest = t
 		}
 	}
-	r := &largest.groups[1]
-	if r.count == 0 {
-		r = &largest.groups[0]
+	g := &largest.groups[1]
+	if g.count == 0 {
+		g = &largest.groups[0]
 	}
-	return r.byLength[len(r.byLength)-1].last
+	return g.byLength[len(g.byLength)-1].last
 }
 
-// grow changes a lane's length by one and keeps it among those of its length.
+// resize changes a lane's length by one and moves it to the list of its new length.
 func (l *lane) resize(delta int) {
-	r := l.group
+	g := l.group
 	if l.count > 0 {
 		if l.prevSame != nil {
 			l.prevSame.nextSame = l.nextSame
 		} else {
-			r.byLength[l.count-1] = l.nextSame
+			g.byLength[l.count-1] = l.nextSame
 		}
 		if l.nextSame != nil {
 			l.nextSame.prevSame = l.prevSame
 		}
 	}
 	l.count += delta
-	r.count += delta
+	g.count += delta
 	if l.count > 0 {
-		if l.count > len(r.byLength) {
-			r.byLength = append(r.byLength, nil)
+		if l.count > len(g.byLength) {
+			g.byLength = append(g.byLength, nil)
 		}
-		l.prevSame, l.nextSame = nil, r.byLength[l.count-1]
+		l.prevSame, l.nextSame = nil, g.byLength[l.count-1]
 		if l.nextSame != nil {
 			l.nextSame.prevSame = l
 		}
-		r.byLength[l.count-1] = l
+		g.byLength[l.count-1] = l
 	}
-	for len(r.byLength) > 0 && r.byLength[len(r.byLength)-1] == nil {
-		r.byLength = r.byLength[:len(r.byLength)-1]
+	for len(g.byLength) > 0 && g.byLength[len(g.byLength)-1] == nil {
+		g.byLength = g.byLength[:len(g.byLength)-1]
 	}
 }
 
-// Remove takes a job out that is still waiting.
+// Remove removes a job from the queue. It does nothing for a job that is not queued.
 func (q *Queue) Remove(j *Job) {
 	l := j.lane
 	if l == nil {
@@ -194,7 +196,7 @@
 	}
 }
 
-// Pop gives the next job, or nil.
+// Pop removes and returns the next job, or nil if the queue is empty.
 func (q *Queue) Pop() *Job {
 	if q.count == 0 {
 		return nil
@@ -203,13 +205,13 @@
 	t := q.tenants[q.current]
 	q.current++
 	t.turns++
-	r := &t.groups[0]
-	if r.count == 0 || t.groups[1].count > 0 && t.turns%suspectTurn == 0 {
-		r = &t.groups[1]
+	g := &t.groups[0]
+	if g.count == 0 || t.groups[1].count > 0 && t.turns%suspectTurn == 0 {
+		g = &t.groups[1]
 	}
-	l := r.ring.next
-	l.prev.next, l.next.prev = l.next, l.prev // to the end of its ring
-	l.prev, l.next = r.ring.prev, &r.ring
+	l := g.ring.next
+	l.prev.next, l.next.prev = l.next, l.prev // move the lane to the end of its ring
+	l.prev, l.next = g.ring.prev, &g.ring
 	l.prev.next, l.next.prev = l, l
 	j := l.first
 	q.Remove(j)
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -16,7 +16,7 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 24)
 }
 
-// Nothing is lost and nothing comes twice, in any order of steps; the bound holds.
+// For any sequence of operations, no job is lost or returned twice, and the bound holds.
 func TestEachJobOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, held := New(20), map[*Job]bool{}
@@ -28,20 +28,20 @@
 				held[j] = true
 				if out := q.Push(j); out != nil {
 					if !held[out] || len(held) != 21 {
-						t.Fatal("one went that was not there, or without need")
+						t.Fatal("a job was evicted that was not queued, or while there was room")
 					}
 					delete(held, out)
 				}
 			case 2:
 				j := q.Pop()
 				if j == nil != (len(held) == 0) || j != nil && !held[j] {
-					t.Fatal("popped what was not there")
+					t.Fatal("popped a job that was not queued")
 				}
 				delete(held, j)
 			case 3:
 				for j := range held {
 					q.Remove(j)
-					q.Remove(j) // again is nothing
+					q.Remove(j) // has no effect
 					delete(held, j)
 					break
 				}
@@ -53,16 +53,16 @@
 	})
 }
 
-// Two tenants, of which one would spend the pool: the other gets every second
-// turn, and loses nothing to the full queue.
-func TestOneTenantCantSpendThePool(t *testing.T) {
+// Guards against one tenant that floods the queue and uses up the pool: another
+// tenant gets every second turn, and none of its jobs is evicted.
+func TestTenantsShareThePool(t *testing.T) {
 	q := New(100)
 	for i := range 1000 {
 		q.Push(&Job{Tenant: "flooded", Prefix: prefix(i)})
 	}
 	for i := range 30 {
 		if out := q.Push(&Job{Tenant: "good", Prefix: prefix(i)}); out == nil || out.Tenant != "flooded" {
-			t.Fatalf("%+v went", out)
+			t.Fatalf("%+v was evicted", out)
 		}
 	}
 	good := 0
@@ -76,15 +76,16 @@
 	}
 }
 
-// One address among many of a tenant; then one that is suspect.
-func TestLanes(t *testing.T) {
+// Guards against one address that floods its tenant's queue, and against suspects
+// that either crowd out the others or starve.
+func TestPrefixesShareTheirTenantsTurns(t *testing.T) {
 	q := New(100)
 	for i := range 300 {
 		q.Push(&Job{Tenant: "a", Prefix: prefix(1), Value: i})
 	}
 	for i := range 10 {
 		if out := q.Push(&Job{Tenant: "a", Prefix: prefix(2), Value: fmt.Sprint(i)}); out.Prefix != prefix(1) {
-			t.Fatal("the short lane lost one")
+			t.Fatal("a job of the short lane was evicted")
 		}
 	}
 	short := 0
@@ -100,7 +101,7 @@
 		q.Push(&Job{Tenant: "a", Prefix: prefix(3), Suspect: true})
 	}
 	if out := q.Push(&Job{Tenant: "a", Prefix: prefix(4)}); out == nil || !out.Suspect {
-		t.Errorf("%+v went before the suspects", out)
+		t.Errorf("%+v was evicted before the suspects", out)
 	}
 	suspects := 0
 	for range 64 {
--- a/internal/decide/flowcontrol/flowcontrol.go
+++ b/internal/decide/flowcontrol/flowcontrol.go
@@ -1,11 +1,11 @@
-// Package flowcontrol shares a connection among its streams: whose bytes go next, how
-// many each may send, and when the other side may send more.
+// Package flowcontrol multiplexes the streams of a connection: which stream sends
+// next, how many bytes each may send, and when the peer may send more.
 //
-// A stream sends what it has credit for, so that a reader that is slow stops its own
-// stream and no other. Classes take turns by their weights (deficit round robin,
-// Shreedhar and Varghese, 1996), streams of a class one after another. What a peer
-// may claim and send is bounded; one that does otherwise is told apart by an error,
-// on which its connection ends.
+// Flow control is credit-based per stream and per connection, so that a slow reader
+// blocks its own stream and no other. Classes are scheduled by their weights (deficit
+// round robin, Shreedhar and Varghese, 1996), the streams of a class round robin.
+// What a peer may claim and send is bounded; a violation is reported as an error, on
+// which the caller closes the connection.
 package flowcontrol
 
 import (
@@ -14,66 +14,67 @@
 	"fmt"
 )
 
-// Errors of a peer that does not keep to what was agreed.
+// Protocol violations of a peer.
 var (
-	ErrCreditExceeded = errors.New("streams: credit beyond the greatest window")
-	ErrNoCredit       = errors.New("streams: bytes without credit")
-	ErrStreamExists   = errors.New("streams: a stream is opened twice")
-	ErrTooManyStreams = errors.New("streams: too many are open")
+	ErrCreditExceeded = errors.New("flowcontrol: credit not positive or beyond the maximum window")
+	ErrNoCredit       = errors.New("flowcontrol: bytes received without credit")
+	ErrStreamExists   = errors.New("flowcontrol: stream is already open")
+	ErrTooManyStreams = errors.New("flowcontrol: too many open streams")
 )
 
-// Config bounds a connection.
+// Config holds the parameters of a connection, the same at both ends.
 type Config struct {
-	Weights      []int // by class; a class that has twice the weight sends twice the bytes
-	StreamWindow int   // bytes that a stream may send ahead
-	ConnWindow   int   // that all may
-	MaxStreams   int   // streams
-	Quantum      int   // bytes of a weight's turn, and so the most that Next gives for a weight of 1
+	Weights      []int // by class; a class with twice the weight sends twice the bytes
+	StreamWindow int   // bytes that a stream may send before they are consumed
+	ConnWindow   int   // the same for all streams together
+	MaxStreams   int   // open streams
+	Quantum      int   // bytes per turn and unit of weight, the most that Next returns for a weight of 1
 }
 
-// Check names what can't be.
+// Check returns an error for an invalid setting.
 func (c Config) Check() error {
 	if len(c.Weights) == 0 || c.StreamWindow < 1 || c.ConnWindow < c.StreamWindow || c.MaxStreams < 1 || c.Quantum < 1 {
-		return fmt.Errorf("streams: %+v can't be", c)
+		return fmt.Errorf("flowcontrol: invalid configuration %+v", c)
 	}
 	for i, w := range c.Weights {
 		if w < 1 {
-			return fmt.Errorf("streams: class %d has a weight of %d", i, w)
+			return fmt.Errorf("flowcontrol: class %d has a weight of %d, less than 1", i, w)
 		}
 	}
 	return nil
 }
 
-// stream is one, with both directions.
+// stream is the state of one stream in both directions.
 type stream struct {
 	id         uint32
 	class      int
 	queued     int           // bytes to be sent
-	credit     int           // that may be
-	element    *list.Element // in its class's ring, while it could send
-	peerCredit int           // credit that the peer has of us
-	consumed   int           // bytes consumed since it was last told of credit
+	credit     int           // bytes that may be sent
+	element    *list.Element // in its class's ring, while it can send
+	peerCredit int           // bytes that the peer may send
+	consumed   int           // bytes consumed since credit was last granted to the peer
 }
 
-// class is the streams of one that could send.
+// class holds the streams of a class that can send.
 type class struct {
 	ring    *list.List
 	deficit int
 }
 
-// Mux is one end of a connection. Both ends begin with a window a stream.
+// Mux is one end of a connection. Both ends start with a full window for the
+// connection and for each stream. It is not safe for concurrent use.
 type Mux struct {
 	cfg         Config
 	streams     map[uint32]*stream
 	classes     []class
-	current     int  // the class whose turn it is
-	turnStarted bool // its turn has begun
-	credit      int  // of the connection
+	current     int  // class whose turn it is
+	turnStarted bool // the turn's quantum has been added
+	credit      int  // of the connection, as in stream
 	peerCredit  int
 	consumed    int
 }
 
-// New makes an end.
+// New returns one end of a connection without streams.
 func New(cfg Config) (*Mux, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -85,10 +86,11 @@
 	return m, nil
 }
 
-// Len counts the open streams.
+// Len returns the number of open streams.
 func (m *Mux) Len() int { return len(m.streams) }
 
-// Open opens a stream, of ours or of the peer.
+// Open opens a stream on behalf of either end. It returns ErrStreamExists,
+// ErrTooManyStreams, or an error for a class out of range.
 func (m *Mux) Open(id uint32, class int) error {
 	switch {
 	case m.streams[id] != nil:
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// Close ends a stream. What it has received and not consumed counts as consumed for
-// the connection; give is the connection's credit to tell the peer of, if any.
+// Close ends a stream. Bytes that it has received and not consumed count as consumed
+// for the connection; grant is the connection credit to grant to the peer, if any.
 func (m *Mux) Close(id uint32) (grant int) {
 	s := m.streams[id]
 	if s == nil {
@@ -115,7 +117,7 @@
 	return m.consume(held)
 }
 
-// Queue adds bytes that a stream has to send.
+// Queue adds n bytes to those that a stream has to send.
 func (m *Mux) Queue(id uint32, n int) {
 	if s := m.streams[id]; s != nil && n > 0 {
 		s.queued += n
@@ -123,7 +125,9 @@
 	}
 }
 
-// Credit takes in what the peer lets a stream send, or with 0 the connection.
+// Credit adds credit that the peer has granted to a stream, or to the connection if
+// id is 0. Credit for unknown streams is ignored. It returns ErrCreditExceeded for
+// credit below 1 or beyond the window.
 func (m *Mux) Credit(id uint32, n int) error {
 	if n < 1 {
 		return ErrCreditExceeded
@@ -137,7 +141,7 @@
 	}
 	s := m.streams[id]
 	if s == nil {
-		return nil // it has just ended
+		return nil // the stream has just been closed
 	}
 	if n > m.cfg.StreamWindow-s.credit {
 		return ErrCreditExceeded
@@ -147,13 +151,14 @@
 	return nil
 }
 
-// rise lets a stream take turns, rest takes it out.
+// activate adds a stream that can send to the ring of its class.
 func (m *Mux) activate(s *stream) {
 	if s.element == nil && s.queued > 0 && s.credit > 0 {
 		s.element = m.classes[s.class].ring.PushBack(s)
 	}
 }
 
+// deactivate removes a stream from the ring of its class.
 func (m *Mux) deactivate(s *stream) {
 	if s.element != nil {
 		m.classes[s.class].ring.Remove(s.element)
@@ -161,8 +166,8 @@
 	}
 }
 
-// Next gives the stream whose bytes go next, and how many, up to most. It counts
-// them as sent.
+// Next returns the stream that sends next and the number of its bytes, up to
+// maxBytes, and counts them as sent. ok is false if nothing can be sent.
 func (m *Mux) Next(maxBytes int) (id uint32, n int, ok bool) {
 	if m.credit == 0 || maxBytes < 1 {
 		return 0, 0, false
@@ -193,15 +198,17 @@
 	return 0, 0, false
 }
 
+// nextClass ends the turn of the current class.
 func (m *Mux) nextClass() { m.current, m.turnStarted = (m.current+1)%len(m.classes), false }
 
-// Received takes in bytes of a stream, which the peer must have had credit for.
+// Received counts bytes received on a stream. It returns ErrNoCredit if the peer had
+// no credit for them.
 func (m *Mux) Received(id uint32, n int) error {
 	if n < 0 || n > m.peerCredit {
 		return ErrNoCredit
 	}
 	s := m.streams[id]
-	if s == nil { // of one that we have just ended: only the connection counts
+	if s == nil { // just closed at this end: only the connection's credit counts
 		m.peerCredit -= n
 		return nil
 	}
@@ -212,8 +219,8 @@
 	return nil
 }
 
-// Consumed tells that bytes of a stream are no longer held here. It gives the credit
-// that the peer is to be told of, for the stream and for the connection: half a
+// Consumed counts bytes of a stream that are no longer held here. It returns the
+// credit to grant to the peer for the stream and for the connection, at least half a
 // window at a time, so that few frames are spent on it.
 func (m *Mux) Consumed(id uint32, n int) (streamGrant, connGrant int) {
 	if s := m.streams[id]; s != nil {
@@ -228,6 +235,7 @@
 	return streamGrant, m.consume(n)
 }
 
+// consume counts bytes consumed for the connection and returns the credit to grant.
 func (m *Mux) consume(n int) (grant int) {
 	if m.consumed += n; 2*m.consumed >= m.cfg.ConnWindow {
 		grant, m.consumed = m.consumed, 0
--- a/internal/decide/flowcontrol/flowcontrol_test.go
+++ b/internal/decide/flowcontrol/flowcontrol_test.go
@@ -21,8 +21,8 @@
 	return m
 }
 
-// Two ends that keep to the rules never fall out, whatever is read when: no bytes
-// are lost, and in the end all of them came.
+// Two ends that follow the protocol never report a violation, in any order of reads
+// and writes: no bytes are lost, and all of them arrive in the end.
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newMux(t, config), newMux(t, config)
@@ -91,14 +91,14 @@
 		}
 		for id, n := range queued {
 			if received[id] != n {
-				t.Fatalf("stream %d: %d of %d bytes came", id, received[id], n)
+				t.Fatalf("stream %d: %d of %d bytes arrived", id, received[id], n)
 			}
 		}
 	})
 }
 
-// A stream that nobody reads stops itself alone, classes get their weights, streams
-// of a class the same each.
+// A stream that is not read blocks only itself, classes share by their weights, and
+// the streams of a class get the same.
 func TestShares(t *testing.T) {
 	a, b := newMux(t, config), newMux(t, config)
 	for id := uint32(1); id <= 5; id++ {
@@ -109,7 +109,7 @@
 	for range 20_000 {
 		id, n, ok := a.Next(100)
 		if !ok {
-			t.Fatal("all stand still")
+			t.Fatal("no stream can send")
 		}
 		sent[id] += n
 		if err := b.Received(id, n); err != nil {
@@ -132,21 +132,21 @@
 	}
 }
 
-// A peer that claims credit without end, sends without it, or opens what is open, is
-// told apart.
-func TestPeersThatLie(t *testing.T) {
+// Guards against peers that grant too much credit, send without credit, or open too
+// many streams or one twice: each violation has its error.
+func TestProtocolViolations(t *testing.T) {
 	for name, x := range map[string]struct {
 		do   func(m *Mux) error
 		want error
 	}{
-		"credit for a full stream":     {func(m *Mux) error { return m.Credit(1, 1) }, ErrCreditExceeded},
-		"credit for a full connection": {func(m *Mux) error { return m.Credit(0, 1) }, ErrCreditExceeded},
-		"credit of nothing":            {func(m *Mux) error { return m.Credit(1, 0) }, ErrCreditExceeded},
-		"credit less than nothing":     {func(m *Mux) error { return m.Credit(0, -5) }, ErrCreditExceeded},
-		"more than a window":           {func(m *Mux) error { return m.Received(1, 1001) }, ErrNoCredit},
-		"more than the connection's":   {func(m *Mux) error { return m.Received(99, 4001) }, ErrNoCredit},
-		"a stream twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrStreamExists},
-		"too many": {func(m *Mux) error {
+		"credit for a full stream":          {func(m *Mux) error { return m.Credit(1, 1) }, ErrCreditExceeded},
+		"credit for a full connection":      {func(m *Mux) error { return m.Credit(0, 1) }, ErrCreditExceeded},
+		"credit of 0":                       {func(m *Mux) error { return m.Credit(1, 0) }, ErrCreditExceeded},
+		"negative credit":                   {func(m *Mux) error { return m.Credit(0, -5) }, ErrCreditExceeded},
+		"more than the stream's window":     {func(m *Mux) error { return m.Received(1, 1001) }, ErrNoCredit},
+		"more than the connection's window": {func(m *Mux) error { return m.Received(99, 4001) }, ErrNoCredit},
+		"stream opened twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrStreamExists},
+		"too many streams": {func(m *Mux) error {
 			var err error
 			for id := uint32(2); err == nil; id++ {
 				err = m.Open(id, 0)
@@ -163,12 +163,13 @@
 		}
 	}
 	if _, err := New(Config{}); err == nil {
-		t.Error("nothing is taken for a connection")
+		t.Error("an empty configuration is accepted")
 	}
 }
 
-// What a stream held when it ended comes back to the connection.
-func TestEndsGiveBack(t *testing.T) {
+// Guards against a connection that loses credit with each stream: bytes that a stream
+// holds when it is closed are granted again to the connection.
+func TestCloseReturnsCredit(t *testing.T) {
 	m := newMux(t, config)
 	given := 0
 	for id := uint32(1); id < 100; id++ {
@@ -182,6 +183,6 @@
 		given += all + m.Close(id)
 	}
 	if given < 99*900-config.ConnWindow || m.Len() != 0 {
-		t.Errorf("%d of %d bytes given back", given, 99*900)
+		t.Errorf("%d of %d bytes of credit granted again", given, 99*900)
 	}
 }
--- a/internal/decide/slowclient/slowclient.go
+++ b/internal/decide/slowclient/slowclient.go
@@ -1,11 +1,11 @@
-// Package slowclient decides which clients are too slow: whose request comes, or whose
-// answer goes, at less than a least pace. One that is behind for a moment lives on
-// credit. It tells a slow client from a slow network: where nearly all of a prefix
-// of addresses are slow at once, a lower pace holds for them, as long as what they
-// have waiting together stays within their part.
+// Package slowclient detects clients that send their request, or take their answer,
+// at less than a minimum rate. A transfer has credit for short stalls. Slow networks
+// are distinguished from slow clients: where nearly all transfers of an address prefix
+// are slow at once, a lower minimum rate applies to them, as long as their pending
+// bytes together stay within a bound.
 //
-// Nothing is timed here. Whoever holds the transfers looks at each once a window,
-// and keeps them in order of rank, so that the slowest are found at once.
+// The package has no timers. The owner of the transfers calls Observe for each once
+// per window, and keeps them ordered by rank, so that the slowest are found at once.
 package slowclient
 
 import (
@@ -13,108 +13,109 @@
 	"net/netip"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
-// Config says what is too slow.
+// Config defines which transfers are too slow.
 type Config struct {
-	MinRate        float64 // bytes a second
-	Window         Micros  // between two looks at a transfer
-	Credit         Micros  // for so long nothing may move
-	MaxPrefixBytes int64   // bytes that one prefix may have waiting while its network is slow
-	MaxPrefixes    int     // prefixes that are known at a time
+	MinRate        float64 // bytes per second; 0: none is too slow
+	Window         Micros  // time between two observations of a transfer
+	Credit         Micros  // how long a transfer may stall
+	MaxPrefixBytes int64   // pending bytes that a prefix may have while its network is slow
+	MaxPrefixes    int     // prefixes tracked at a time
 }
 
-// Rank orders transfers by their pace of late.
+// Rank orders transfers by their recent rate.
 type Rank uint8
 
-// The ranks: under the least pace, under 4 and 16 times that, and faster.
+// The ranks: below the minimum rate, below 4 times and 16 times that, and faster.
 const (
 	Crawling Rank = iota
 	Slow
 	Fair
 	Fast
-	NumRanks
+	NumRanks // number of ranks
 )
 
-// Meter is what is kept of one transfer. Begin makes one.
+// Meter is the state of one transfer. Begin returns a new one.
 type Meter struct {
 	observedAt Micros
-	moved      int64
-	pending    int64   // of what waits, as counted for its prefix
-	credit     float32 // s
-	rate       float32 // bytes a second, of the last windows
-	counted    bool    // it counts in its prefix
+	moved      int64   // bytes transferred
+	pending    int64   // bytes left to transfer
+	credit     float32 // seconds
+	rate       float32 // bytes per second, averaged over the last windows
+	counted    bool    // included in the statistics of its prefix
 }
 
 const (
-	rateWeight         = 0.5       // of the last window in the rate
-	halfLife           = 5_000_000 // us after which what is known of a prefix halves
-	minNetworkSamples  = 16        // looks at a prefix lately, from which it can be a network's fault
-	slowNetworkShare   = 0.75      // of them that were behind
-	slowNetworkDivisor = 8         // what is left of the least pace there: an eighth
+	rateWeight         = 0.5       // weight of the last window in the rate
+	halfLife           = 5_000_000 // us, half-life of a prefix's samples
+	minNetworkSamples  = 16        // recent samples of a prefix needed to find its network slow
+	slowNetworkShare   = 0.75      // share of slow samples from which the network is slow
+	slowNetworkDivisor = 8         // divisor of the minimum rate on a slow network
 )
 
-// crowd is what is known of a prefix.
+// prefixStats holds the statistics of one prefix.
 type prefixStats struct {
 	updatedAt     Micros
-	samples, slow float64 // lately, halving
-	pending       int64   // waiting, of the transfers that are metered
-	transfers     int
+	samples, slow float64 // all and slow samples, halved each half-life
+	pending       int64   // bytes left to transfer
+	transfers     int     // transfers between Begin and End
 }
 
-// Pacer judges transfers.
+// Detector detects slow transfers. It is not safe for concurrent use.
 type Detector struct {
 	cfg       Config
-	rankBase  float64 // the pace that ranks are counted from
+	rankBase  float64 // bytes per second, rate that the ranks are multiples of
 	prefixes  map[netip.Prefix]*prefixStats
 	lastSweep Micros
-	pending   int64 // that all transfers have left
+	pending   int64 // bytes that all transfers have left
 }
 
-// rankLeast is where ranks begin when no least pace is set, bytes a second.
+// defaultRankBase is the rate, in bytes per second, that ranks are multiples of when
+// no minimum rate is set.
 const defaultRankBase = 1000
 
-// New makes a pacer. Without a least pace it ranks and ends nothing.
+// New returns a Detector. Without a minimum rate it ranks transfers and finds none too slow.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg, rankBase: cmp.Or(cfg.MinRate, defaultRankBase), prefixes: map[netip.Prefix]*prefixStats{}}
 }
 
-// Window is the time between two looks at a transfer.
+// Window returns the time between two observations of a transfer.
 func (d *Detector) Window() Micros { return d.cfg.Window }
 
-// Begin meters a transfer that has moved so much and has so much left. It must be
-// ended.
+// Begin starts to track a transfer of which the given bytes have been moved and are
+// pending. The caller must call End.
 func (d *Detector) Begin(prefix netip.Prefix, moved, pending int64, now Micros) Meter {
-	c := d.stats(prefix, now)
-	if c != nil {
-		c.transfers++
-		c.pending += pending
+	stats := d.stats(prefix, now)
+	if stats != nil {
+		stats.transfers++
+		stats.pending += pending
 	}
 	d.pending += pending
-	return Meter{observedAt: now, pending: pending, moved: moved, credit: d.maxCredit(), rate: float32(16 * d.rankBase), counted: c != nil}
+	return Meter{observedAt: now, pending: pending, moved: moved, credit: d.maxCredit(), rate: float32(16 * d.rankBase), counted: stats != nil}
 }
 
-// End takes a transfer off its prefix's account.
+// End stops tracking a transfer and resets its meter.
 func (d *Detector) End(m *Meter, prefix netip.Prefix) {
 	if m.counted {
-		c := d.prefixes[prefix]
-		c.transfers--
-		c.pending -= m.pending
+		stats := d.prefixes[prefix]
+		stats.transfers--
+		stats.pending -= m.pending
 	}
 	d.pending -= m.pending
 	*m = Meter{}
 }
 
-// most is the credit that a transfer has at most, in seconds at the least pace that
-// holds for it.
+// maxCredit returns the maximum credit of a transfer, in seconds at the minimum rate
+// that applies to it.
 func (d *Detector) maxCredit() float32 { return float32(float64(d.cfg.Credit) / 1e6) }
 
-// Look judges a transfer that has moved so much in all and has so much left. Over
-// tells that it is to be ended.
-func (d *Detector) Observe(m *Meter, prefix netip.Prefix, moved, pending int64, now Micros) (r Rank, tooSlow bool) {
+// Observe updates a transfer by the bytes that it has moved in all and has pending.
+// It returns its rank and whether it is too slow and has to be ended.
+func (d *Detector) Observe(m *Meter, prefix netip.Prefix, moved, pending int64, now Micros) (rank Rank, tooSlow bool) {
 	elapsed := float64(now-m.observedAt) / 1e6
-	if elapsed <= 0 { // the clock was set back: nothing is known of this window
+	if elapsed <= 0 { // the clock was set back: this window can't be measured
 		m.observedAt, m.moved = now, moved
 		return d.rank(m), false
 	}
@@ -125,16 +126,16 @@
 	m.pending = pending
 	d.pending += added
 	if m.counted {
-		c := d.stats(prefix, now)
-		c.pending += added
-		c.samples++
+		stats := d.stats(prefix, now)
+		stats.pending += added
+		stats.samples++
 		if rate < minRate {
-			c.slow++
+			stats.slow++
 		}
-		if c.samples >= minNetworkSamples && c.slow >= slowNetworkShare*c.samples {
+		if stats.samples >= minNetworkSamples && stats.slow >= slowNetworkShare*stats.samples {
 			minRate /= slowNetworkDivisor
-			if rate < d.cfg.MinRate && c.pending > d.cfg.MaxPrefixBytes {
-				return d.rank(m), true // more than its part: it is not for the others to wait for
+			if rate < d.cfg.MinRate && stats.pending > d.cfg.MaxPrefixBytes {
+				return d.rank(m), true // the prefix holds more than its bound, at the expense of others
 			}
 		}
 	}
@@ -145,6 +146,7 @@
 	return d.rank(m), m.credit < 0
 }
 
+// rank returns the rank of a transfer's recent rate.
 func (d *Detector) rank(m *Meter) Rank {
 	switch rate := float64(m.rate); {
 	case rate < d.rankBase:
@@ -157,11 +159,11 @@
 	return Fast
 }
 
-// crowd gives what is known of a prefix, halved for the time since; nil where
-// there is no room for one more.
+// stats returns the statistics of a prefix, decayed to now, or nil if the table is
+// full.
 func (d *Detector) stats(prefix netip.Prefix, now Micros) *prefixStats {
-	c := d.prefixes[prefix]
-	if c == nil {
+	stats := d.prefixes[prefix]
+	if stats == nil {
 		if len(d.prefixes) >= d.cfg.MaxPrefixes && now-d.lastSweep >= halfLife {
 			d.lastSweep = now
 			d.sweep()
@@ -169,29 +171,29 @@
 		if len(d.prefixes) >= d.cfg.MaxPrefixes {
 			return nil
 		}
-		c = &prefixStats{updatedAt: now}
-		d.prefixes[prefix] = c
+		stats = &prefixStats{updatedAt: now}
+		d.prefixes[prefix] = stats
 	}
-	for now-c.updatedAt >= halfLife {
-		c.samples, c.slow, c.updatedAt = c.samples/2, c.slow/2, c.updatedAt+halfLife
-		if c.samples < 1 {
-			c.samples, c.slow, c.updatedAt = 0, 0, now
+	for now-stats.updatedAt >= halfLife {
+		stats.samples, stats.slow, stats.updatedAt = stats.samples/2, stats.slow/2, stats.updatedAt+halfLife
+		if stats.samples < 1 {
+			stats.samples, stats.slow, stats.updatedAt = 0, 0, now
 		}
 	}
-	return c
+	return stats
 }
 
-// sweep forgets the prefixes of which nothing is metered.
+// sweep removes the prefixes without transfers.
 func (d *Detector) sweep() {
-	for prefix, c := range d.prefixes {
-		if c.transfers == 0 {
+	for prefix, stats := range d.prefixes {
+		if stats.transfers == 0 {
 			delete(d.prefixes, prefix)
 		}
 	}
 }
 
-// Left is what all transfers have left, as last looked at.
+// PendingBytes returns the bytes that all transfers have left, as last observed.
 func (d *Detector) PendingBytes() int64 { return d.pending }
 
-// Known counts the prefixes of which something is kept.
+// Prefixes returns the number of prefixes in the table.
 func (d *Detector) Prefixes() int { return len(d.prefixes) }
--- a/internal/decide/slowclient/slowclient_test.go
+++ b/internal/decide/slowclient/slowclient_test.go
@@ -21,7 +21,7 @@
 	return Config{MinRate: 4000, Window: second, Credit: 5 * second, MaxPrefixBytes: 10 << 20, MaxPrefixes: 1000}
 }
 
-// client is a transfer with a pace of its own.
+// client is a transfer at a constant rate.
 type client struct {
 	m                 Meter
 	from              netip.Prefix
@@ -31,7 +31,7 @@
 	endedAt           Micros // when it ended
 }
 
-// run looks at all once a second, for so many seconds.
+// run observes all clients once a second for a number of seconds.
 func run(d *Detector, all []*client, seconds int) {
 	for _, c := range all {
 		c.m = d.Begin(c.from, 0, c.remaining, 0)
@@ -54,8 +54,8 @@
 	}
 }
 
-// A client that is too slow goes when its credit is spent; one just fast enough
-// stays, and so does one that stalls for less than the credit.
+// A client that is too slow is ended when its credit is spent; one just fast enough
+// is not, nor is one that stalls for less than the credit.
 func TestSlowClient(t *testing.T) {
 	d := New(config())
 	slow, still, good := &client{rate: 1000, remaining: 240_000}, &client{remaining: 240_000}, &client{rate: 4000, remaining: 240_000}
@@ -64,23 +64,23 @@
 	}
 	run(d, []*client{slow, still, good}, 70)
 	if !slow.tooSlow || slow.endedAt != 7*second || !still.tooSlow || still.endedAt != 6*second || !good.finished {
-		t.Errorf("slow ended at %d, still at %d; good whole: %v", slow.endedAt, still.endedAt, good.finished)
+		t.Errorf("slow ended at %d, stalled at %d; good finished: %v", slow.endedAt, still.endedAt, good.finished)
 	}
 	m := d.Begin(prefix(9), 0, 1, 0)
 	moved := int64(0)
 	for now := Micros(second); now < 100*second; now += second {
-		if now/second%10 >= 4 { // four seconds of ten nothing moves
+		if now/second%10 >= 4 { // stalls for four seconds of ten
 			moved += 8000
 		}
 		if _, over := d.Observe(&m, prefix(9), moved, 1, now); over {
-			t.Fatalf("one that stalls now and then was ended at %d", now)
+			t.Fatalf("a client with short stalls was ended at %d", now)
 		}
 	}
 }
 
-// A slow network of a whole prefix is not its clients' fault, as long as what they
-// have waiting stays within their part; a few slow ones of a prefix that is
-// otherwise well are.
+// Guards against ending the clients of a slow network: none is ended where all of a
+// prefix are slow and their pending bytes stay within the bound. Beyond the bound,
+// and for a few slow clients of an otherwise fast prefix, they are.
 func TestSlowNetwork(t *testing.T) {
 	var few, many, mixed []*client
 	for i := range 400 {
@@ -105,7 +105,7 @@
 	d := New(config())
 	run(d, append(append(append([]*client{}, few...), many...), mixed...), 60)
 	if n := count(few); n != 0 {
-		t.Errorf("%d of a slow network's 40 were ended", n)
+		t.Errorf("%d of 40 clients of a slow network were ended", n)
 	}
 	var left int64
 	for _, c := range many {
@@ -114,19 +114,20 @@
 		}
 	}
 	if n := count(many); n < 300 || left > config().MaxPrefixBytes {
-		t.Errorf("of 400 of a slow network %d were ended, %d bytes wait", n, left)
+		t.Errorf("of 400 clients of a slow network %d were ended, %d bytes are pending", n, left)
 	}
 	if n := count(mixed); n != 5 {
-		t.Errorf("%d of a prefix with 5 slow ones were ended", n)
+		t.Errorf("%d clients of a prefix with 5 slow ones were ended", n)
 	}
 	if d.prefixes[prefix(1)].pending < 0 || d.prefixes[prefix(2)].transfers != 400-count(many) {
-		t.Error("the account of a prefix does not add up")
+		t.Error("the statistics of a prefix do not add up")
 	}
 }
 
-// Ranks follow the pace; the table of prefixes is bounded; a clock that is set
-// back ends nobody; what has ended is on no account.
-func TestPacerHolds(t *testing.T) {
+// For any sequence of observations: ranks are valid, the table of prefixes is
+// bounded, a clock that is set back ends no transfer, and ended transfers leave
+// nothing in the statistics.
+func TestDetectorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.MaxPrefixes = 8
@@ -153,7 +154,7 @@
 				all = append(all, c)
 			}
 			if d.Prefixes() > cfg.MaxPrefixes {
-				t.Fatalf("%d prefixes are known", d.Prefixes())
+				t.Fatalf("%d prefixes are tracked", d.Prefixes())
 			}
 		}
 		for _, c := range all {
@@ -170,7 +171,7 @@
 	})
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkObserve(b *testing.B) {
 	d := New(config())
 	m := d.Begin(prefix(0), 0, 0, 0)
 	b.ReportAllocs()
