--- a/internal/decide/abuse/abuse.go
+++ b/internal/decide/abuse/abuse.go
@@ -1,11 +1,11 @@
-// Package abuse keeps how often addresses brought forged signatures lately,
-// in a fixed number of bytes however many addresses there are.
+// Package abuse counts events by address prefix, such as forged signatures, with
+// exponential decay, in a fixed number of bytes for any number of addresses.
 //
 // It is a count-min sketch (Cormode and Muthukrishnan, 2005) with conservative
-// update, of counters that halve every so often by themselves: each remembers
-// the period it was last touched in. An address may be held for more suspect
-// than it is, where it shares all its counters with others, and never for less.
-// That costs it a later turn and not its request.
+// update. The counters decay lazily: each stores the half-life period in which it was
+// last updated. A prefix that shares all its counters with others is overestimated;
+// none is underestimated. For forged signatures an overestimate costs a later turn in
+// the queue and not the request.
 package abuse
 
 import (
@@ -14,10 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a point in time in microseconds of the Unix clock, or a duration in
+// microseconds.
 type Micros = int64
 
-// Period is after which counts halve.
+// HalfLife is the period after which counts halve.
 const HalfLife Micros = 10_000_000
 
 const (
@@ -25,22 +26,24 @@
 	width = 1 << 10 // counters in a row; a power of two
 )
 
+// counter is a count as of an epoch, the number of a half-life period.
 type counter struct {
 	epoch uint32
 	count uint32
 }
 
-// Sketch keeps the counts.
+// Sketch holds the counts. It is not safe for concurrent use.
 type Sketch struct {
 	counters [rows][width]counter
 	seed     uint64
 }
 
-// New makes a sketch; the seed keeps others from choosing what falls together.
+// New returns an empty sketch. An unpredictable seed keeps attackers from choosing
+// prefixes that collide.
 func New(seed uint64) *Sketch { return &Sketch{seed: seed} }
 
-// Prefix is the part of an address that is held responsible: a household or a
-// site has a /24 (IPv4) or a /56 (IPv6) at least.
+// Prefix returns the prefix of an address that is held responsible for it: a
+// household or a site has at least a /24 (IPv4) or a /56 (IPv6).
 func Prefix(a netip.Addr) netip.Prefix {
 	a = a.Unmap()
 	bits := 24
@@ -51,6 +54,7 @@
 	return p
 }
 
+// indexes returns a prefix's counter in each row.
 func (s *Sketch) indexes(p netip.Prefix) (index [rows]uint32) {
 	var buf [17 + 8]byte
 	a := p.Addr().As16()
@@ -66,6 +70,7 @@
 	return index
 }
 
+// decayed returns the count as of an epoch.
 func (c *counter) decayed(epoch uint32) uint32 {
 	if age := epoch - c.epoch; age >= 32 {
 		return 0
@@ -74,7 +79,7 @@
 	}
 }
 
-// Count gives about how many forged signatures came from a prefix lately.
+// Count returns the estimated decayed count of a prefix.
 func (s *Sketch) Count(p netip.Prefix, now Micros) uint32 {
 	epoch, lowest := uint32(now/HalfLife), ^uint32(0)
 	for i, index := range s.indexes(p) {
@@ -83,7 +88,7 @@
 	return lowest
 }
 
-// Add counts one more.
+// Add counts one event of a prefix.
 func (s *Sketch) Add(p netip.Prefix, now Micros) {
 	epoch, n := uint32(now/HalfLife), s.Count(p, now)+1
 	for i, index := range s.indexes(p) {
@@ -92,5 +97,5 @@
 	}
 }
 
-// Bytes is what a sketch takes.
+// Size is the size of a sketch's counters in bytes.
 const Size = rows * width * 8
--- a/internal/decide/abuse/abuse_test.go
+++ b/internal/decide/abuse/abuse_test.go
@@ -14,8 +14,8 @@
 	return Prefix(netip.AddrFrom4(b))
 }
 
-// Never less than what was counted; more than that by little for most, even
-// with far more prefixes than counters; and gone after a while.
+// No prefix is underestimated, few are overestimated by much even with far more
+// prefixes than counters, and counts decay to 0.
 func TestSketchAgainstExactCounts(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	s, exact := New(99), map[netip.Prefix]uint32{}
@@ -33,27 +33,27 @@
 	for p, n := range exact {
 		got := s.Count(p, now)
 		if got < n {
-			t.Fatalf("%v: %d of %d", p, got, n)
+			t.Fatalf("%v: counted %d of %d", p, got, n)
 		}
 		if got > n+20 {
 			over++
 		}
 	}
 	if over > len(exact)/100 {
-		t.Errorf("%d of %d are held for much more suspect than they are", over, len(exact))
+		t.Errorf("%d of %d prefixes are overestimated by more than 20", over, len(exact))
 	}
 	if got := s.Count(heavy, now); got < 5000 || got > 5100 {
-		t.Errorf("the heavy one: %d", got)
+		t.Errorf("the heavy prefix: %d", got)
 	}
 	if got := s.Count(heavy, now+3*HalfLife); got > 640 {
-		t.Errorf("after three periods: %d", got)
+		t.Errorf("after three half-lives: %d", got)
 	}
 	if got := s.Count(heavy, now+40*HalfLife); got != 0 {
-		t.Errorf("after forty: %d", got)
+		t.Errorf("after forty half-lives: %d", got)
 	}
 }
 
-// Run with -bench Million: the sketch against an exact map, a million prefixes.
+// BenchmarkMillion compares the sketch with an exact map at a million prefixes.
 func BenchmarkMillion(b *testing.B) {
 	list := make([]netip.Prefix, 1_000_000)
 	r := rand.New(rand.NewPCG(7, 7))
--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -1,33 +1,35 @@
-// Package clockoffset tells for how long a link held something, of two sites whose
-// clocks differ: not the way's whole time, which they can't know, but what it took
-// more than the quickest that ever came.
+// Package clockoffset estimates how long frames were delayed on a link between two
+// sites whose clocks differ: not the whole one-way time, which can't be known, but the
+// excess over the fastest frame.
 //
-// Every frame says when it left by its sender's clock. The least difference to when
-// it came holds the clocks' difference and the quickest way; what a frame has above
-// that it was held. Clocks also drift, so the least is let grow by as much as two good
-// clocks drift apart. It never adapts to a link that has become slow: a delay that
-// lasts stays a delay, since the ledger's rules hang on it.
+// Every frame carries its send time by the sender's clock. The minimum difference
+// between receive and send time contains the clock offset and the fastest one-way
+// time; the excess over it is the delay. Clocks also drift, so the minimum grows over
+// time by as much as two good clocks can drift apart. It does not adapt to a link that
+// has become slow: a lasting delay must still count as one, since the ledger's rules
+// depend on it.
 package clockoffset
 
 import "math"
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
-// drift is what two clocks may drift apart, in parts of time: twice what is allowed
-// of a quartz of 100 ppm.
+// maxDrift is the rate at which two clocks may drift apart: twice the tolerance of a
+// quartz of 100 ppm.
 const maxDrift = 200e-6
 
-// Held measures one direction of one connection.
+// DelayEstimator estimates the delays of one direction of one connection. The zero
+// value is ready for use.
 type DelayEstimator struct {
-	minDiff   float64 // of came less sent
+	minDiff   float64 // us, minimum of receive time minus send time, growing by maxDrift
 	updatedAt Micros
 	seen      bool
 }
 
-// Came takes in a frame that was sent at a moment of the sender's clock and came at
-// one of ours, and tells for how long it was held; 0 for the first. Moments that run
-// wild give what no rule lets pass.
+// Observe takes a frame's send time by the sender's clock and its receive time by the
+// local clock, and returns its delay; 0 for the first frame. For absurd send times the
+// result is a delay longer than any that the rules accept.
 func (e *DelayEstimator) Observe(sent, now Micros) Micros {
 	diff := float64(now) - float64(sent)
 	if !e.seen {
--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -10,10 +10,10 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever the clocks' difference and drift, a frame that was held for long is never
-// said to have been held for much less, and on a steady link none is said to be held
-// by more than its jitter.
-func TestHeld(t *testing.T) {
+// For any clock offset and drift, the estimated delay of a frame differs from the real
+// one by no more than the drift allows, and a sender's clock that jumps gives a long
+// delay.
+func TestDelayEstimator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := rapid.Int64Range(-1<<50, 1<<50).Draw(t, "offset")
 		rate := 1 + rapid.Float64Range(-100e-6, 100e-6).Draw(t, "rate")
@@ -31,16 +31,16 @@
 			got := h.Observe(theirs(now), now+way)
 			now += way
 			quickest = min(quickest, way)
-			// The sender's clock may gain or lose on ours while the least is old.
+			// The sender's clock may gain or lose on the local one while the minimum is old.
 			slack := Micros(float64(now)*4e-4) + 2
 			if over := way - quickest; got < over-slack || got > over+slack {
-				t.Fatalf("held %d, said %d, slack %d", over, got, slack)
+				t.Fatalf("delay of %d, estimated %d, slack %d", over, got, slack)
 			}
 		}
 	})
 	var h DelayEstimator
 	h.Observe(0, 0)
 	if h.Observe(-1<<62, 1<<62) < 1<<60 {
-		t.Error("a sender's clock that runs wild is believed")
+		t.Error("a sender's clock that jumps is trusted")
 	}
 }
--- a/internal/decide/compactmap/compactmap_test.go
+++ b/internal/decide/compactmap/compactmap_test.go
@@ -15,14 +15,15 @@
 
 func keyOf(i int) (n Key) {
 	if i == 0 {
-		return n // the zero name is one like others
+		return n // the zero key is valid
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint(i)))
 	copy(n[:], sum[:])
 	return n
 }
 
-// A table does what a map does, within its bound, through sweeps and a snapshot.
+// For any sequence of operations, a table behaves as a map of bounded size, through
+// sweeps and snapshots.
 func TestAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, want := New[int64](100), map[Key]int64{}
@@ -32,13 +33,13 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				if x.Find(n) == nil && (x.Add(n, int64(i)) != nil) != (len(want) < 100) {
-					t.Fatal("the bound does not hold")
+					t.Fatal("an entry was added beyond the bound, or not within it")
 				} else if len(want) < 100 {
 					want[n] = int64(i)
 				}
 			case 2:
 				if _, there := want[n]; x.Remove(n) != there {
-					t.Fatal("removal")
+					t.Fatal("Remove reported the wrong presence")
 				}
 				delete(want, n)
 			case 3:
@@ -56,7 +57,7 @@
 					t.Fatal(err, err2)
 				}
 				if _, err := New[int64](100).Read(b[:len(b)-1]); err == nil && len(b) > 4 {
-					t.Fatal("a cut snapshot was read")
+					t.Fatal("a truncated snapshot was read")
 				}
 				x = y
 			}
@@ -65,7 +66,7 @@
 			}
 			for n, v := range want {
 				if got := x.Find(n); got == nil || *got != v {
-					t.Fatalf("%v is lost", v)
+					t.Fatalf("the entry of value %v is lost", v)
 				}
 			}
 		}
@@ -78,7 +79,7 @@
 	Count, Open  uint32
 }
 
-// Run with -bench Million: a table against a plain map, at a million entries.
+// BenchmarkMillion compares a table with plain maps at a million entries.
 func BenchmarkMillion(b *testing.B) {
 	const n = 1_000_000
 	names := make([]Key, 2*n)
@@ -100,7 +101,7 @@
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
-		for range b.N { // one found, one added, one removed
+		for range b.N { // one lookup, one insertion, one removal
 			t.Find(names[i])
 			t.Add(names[n+i], record{})
 			t.Remove(names[n+i])
--- a/internal/decide/counters/counters.go
+++ b/internal/decide/counters/counters.go
@@ -1,9 +1,8 @@
-// Package counters counts what a front has done, for the operators' door: the
-// answers of each class, the attempts written to nodes, and the files that
-// SIGHUP took or turned down. It is state only, with no clock, socket or lock:
-// the event loop owns it, and it is read there. Counts start at 0 with the
-// process and only grow; a class is counted by its place in the settings, which
-// costs no look-up on the way of a request.
+// Package counters holds the counters of a front for the admin endpoint: the answers
+// of each class, the attempts sent to nodes, and the configuration reloads on SIGHUP
+// that succeeded or failed. It has no clock, socket or lock: the event loop updates
+// and reads it. Counters start at 0 with the process and only grow; a class is counted
+// by its index in the settings, which saves a lookup per request.
 package counters
 
 import (
@@ -11,32 +10,32 @@
 	"fmt"
 )
 
-// Outcome is how a request was ended.
+// Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes that are counted.
+// The outcomes. Their numbers are recorded in the audit.
 const (
-	Passed     Outcome = iota // served, or the client's own copy was the one
-	Dropped                   // refused: 429 or 503, surely not done
+	Passed     Outcome = iota // served, or the client's copy was still valid
+	Dropped                   // refused with 429 or 503, certainly not executed
 	BadGateway                // failed, in time or late
 )
 
-// Class holds the counts of one class.
+// ClassCounts holds the counts of one class.
 type ClassCounts struct {
 	Passed     uint64 `json:"passed"`
 	Dropped    uint64 `json:"dropped"`
 	BadGateway uint64 `json:"bad_gateway"`
-	Attempts   uint64 `json:"upstream_tries"` // attempts written whole to nodes
+	Attempts   uint64 `json:"upstream_tries"` // attempts completely written to nodes
 }
 
-// Gauges are what is true at the moment of a report; the caller looks them up.
+// Gauges are the current values of a report, which the caller provides.
 type Gauges struct {
-	InProgress   int // requests taken and not ended
-	KnownNodes   int // cache nodes in the list, parents and origin among them
-	SkippedNodes int // of those, what the front now avoids: draining or found down
+	InProgress   int // requests admitted and not ended
+	KnownNodes   int // cache nodes in the list, including parents and origin
+	SkippedNodes int // of those, the ones that the front now avoids: draining or found down
 }
 
-// Figures holds the counts of one process: 40 bytes a class.
+// Counters holds the counters of one process: 40 bytes per class.
 type Counters struct {
 	names        []string
 	classes      []ClassCounts
@@ -44,21 +43,21 @@
 	reloadErrors uint64
 }
 
-// New makes figures with a count for each class, all at 0; names are the
-// classes' in the order of the settings.
+// New returns counters at 0 for each class; names are those of the classes in the
+// order of the settings.
 func New(names []string) *Counters {
 	return &Counters{names: names, classes: make([]ClassCounts, len(names))}
 }
 
-// Renew takes the names of further classes; those known so far must keep their
-// places. Classes of one name are reported as one.
+// UpdateClasses sets the names of all classes, which may have grown in number. The
+// known classes must keep their indexes. Classes of the same name are reported as one.
 func (c *Counters) UpdateClasses(names []string) {
 	c.names = names
 	c.classes = append(c.classes, make([]ClassCounts, len(names)-len(c.classes))...)
 }
 
-// Answered counts a request of a class, by its place, that was ended. A place
-// out of range is a fault of the caller's and panics.
+// CountOutcome counts a request that ended, by the index of its class. It panics for
+// an index or an outcome out of range.
 func (c *Counters) CountOutcome(class int, o Outcome) {
 	counts := &c.classes[class]
 	switch o {
@@ -69,14 +68,15 @@
 	case BadGateway:
 		counts.BadGateway++
 	default:
-		panic(fmt.Sprintf("figures: outcome %d", o))
+		panic(fmt.Sprintf("counters: unknown outcome %d", o))
 	}
 }
 
-// Tried counts an attempt of a class, by its place, that left for a node.
+// CountAttempt counts an attempt sent to a node, by the index of its class.
 func (c *Counters) CountAttempt(class int) { c.classes[class].Attempts++ }
 
-// Totals are the requests of all classes that were served, and those refused or failed.
+// Totals returns the requests of all classes that were served, and those that were
+// refused or failed.
 func (c *Counters) Totals() (good, bad uint64) {
 	for _, counts := range c.classes {
 		good, bad = good+counts.Passed, bad+counts.Dropped+counts.BadGateway
@@ -84,7 +84,7 @@
 	return good, bad
 }
 
-// Loaded counts a file that SIGHUP brought: taken where ok, else turned down.
+// CountReload counts a configuration reload on SIGHUP, which succeeded if ok.
 func (c *Counters) CountReload(ok bool) {
 	if ok {
 		c.reloads++
@@ -93,32 +93,32 @@
 	}
 }
 
-// report is the form of AppendJSON.
+// report is the JSON object that AppendJSON writes.
 type report struct {
-	Handled    map[string]ClassCounts `json:"handled"`
-	Tries      uint64                 `json:"upstream_tries"` // of all classes
-	InProgress int                    `json:"in_progress"`
-	Known      int                    `json:"known_cache_nodes"`
-	Skipped    int                    `json:"skipped_cache_nodes"`
-	Loads      uint64                 `json:"loads"`
-	LoadErrors uint64                 `json:"load_errors"`
+	Handled      map[string]ClassCounts `json:"handled"`
+	Attempts     uint64                 `json:"upstream_tries"` // of all classes
+	InProgress   int                    `json:"in_progress"`
+	KnownNodes   int                    `json:"known_cache_nodes"`
+	SkippedNodes int                    `json:"skipped_cache_nodes"`
+	Reloads      uint64                 `json:"loads"`
+	ReloadErrors uint64                 `json:"load_errors"`
 }
 
-// AppendJSON appends the counts and the gauges as one line of JSON, without its
-// line end: {"handled":{"CLASS":{"passed":N,...},...},"upstream_tries":N,"in_progress":N,...}.
+// AppendJSON appends the counters and the gauges as one line of JSON without the
+// newline: {"handled":{"CLASS":{"passed":N,...},...},"upstream_tries":N,"in_progress":N,...}.
 func (c *Counters) AppendJSON(b []byte, g Gauges) []byte {
-	var tries uint64
+	var attempts uint64
 	handled := make(map[string]ClassCounts, len(c.names))
 	for i, counts := range c.classes {
-		tries += counts.Attempts
+		attempts += counts.Attempts
 		sum := handled[c.names[i]]
 		handled[c.names[i]] = ClassCounts{Passed: sum.Passed + counts.Passed, Dropped: sum.Dropped + counts.Dropped,
 			BadGateway: sum.BadGateway + counts.BadGateway, Attempts: sum.Attempts + counts.Attempts}
 	}
-	out, err := json.Marshal(report{Handled: handled, Tries: tries, InProgress: g.InProgress, Known: g.KnownNodes,
-		Skipped: g.SkippedNodes, Loads: c.reloads, LoadErrors: c.reloadErrors})
+	out, err := json.Marshal(report{Handled: handled, Attempts: attempts, InProgress: g.InProgress, KnownNodes: g.KnownNodes,
+		SkippedNodes: g.SkippedNodes, Reloads: c.reloads, ReloadErrors: c.reloadErrors})
 	if err != nil { // maps of strings to plain numbers always encode
-		panic(fmt.Sprintf("figures: %v", err))
+		panic(fmt.Sprintf("counters: %v", err))
 	}
 	return append(b, out...)
 }
--- a/internal/decide/counters/counters_test.go
+++ b/internal/decide/counters/counters_test.go
@@ -11,8 +11,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever is counted in whatever order, the report reads back as the sum of it,
-// class by class.
+// For any sequence of counted events, the decoded report equals their sum by class.
 func TestReportIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"page-asset", "guide-video", "payout-confirm"}
@@ -53,16 +52,16 @@
 		if err := json.Unmarshal(f.AppendJSON(nil, g), &got); err != nil {
 			t.Fatal(err)
 		}
-		if len(got.Handled) != len(names) || got.Loads != loads || got.LoadErrors != errs ||
-			got.InProgress != g.InProgress || got.Known != 7 || got.Skipped != 2 {
+		if len(got.Handled) != len(names) || got.Reloads != loads || got.ReloadErrors != errs ||
+			got.InProgress != g.InProgress || got.KnownNodes != 7 || got.SkippedNodes != 2 {
 			t.Fatalf("got %+v", got)
 		}
-		var tries uint64
+		var attempts uint64
 		for _, c := range want {
-			tries += c.Attempts
+			attempts += c.Attempts
 		}
-		if got.Tries != tries {
-			t.Fatalf("upstream_tries %d, want %d", got.Tries, tries)
+		if got.Attempts != attempts {
+			t.Fatalf("upstream_tries %d, want %d", got.Attempts, attempts)
 		}
 		for n, c := range want {
 			if got.Handled[n] != c {
