--- a/internal/decide/content/content.go
+++ b/internal/decide/content/content.go
@@ -1,7 +1,7 @@
-// Package content decides which answer a client gets of an object whose bytes
-// and tag are known: the whole, some ranges, the news that its own copy holds,
-// and in which encoding. It follows RFC 9110: section 8.8.3 for tags, 12.5.3 for
-// encodings, 13 for conditions and 14 for ranges.
+// Package content decides how to answer a request for an object whose bytes and
+// entity tag are known: with the whole object, with ranges, or with 304, and in which
+// encoding. It follows RFC 9110: section 8.8.3 for entity tags, 12.5.3 for encodings,
+// 13 for conditional requests and 14 for ranges.
 package content
 
 import (
@@ -12,39 +12,41 @@
 	"cherryramp/internal/httpwire"
 )
 
-// Bounds of what a request may ask for.
+// Bounds of a request.
 const (
-	MaxRanges = 8  // more are refused
-	maxTags   = 32 // in If-None-Match; more are passed over
+	MaxRanges = 8  // more are refused with 416
+	maxTags   = 32 // in If-None-Match; more are ignored
 )
 
-// Encodings are those that answers may have, the best first where a client
-// likes them alike. The words are IANA's.
+// Encodings are the supported content codings by their IANA names, in order of
+// preference among those that a client weights equally.
 var Encodings = []string{"br", "zstd", "gzip"}
 
-// suffixes part the tags of encoded answers from the tag of the bytes.
+// tagSuffixes distinguish the entity tags of encoded answers from the tag of the
+// unencoded bytes.
 var tagSuffixes = map[string]string{"br": "-br", "zstd": "-zs", "gzip": "-gz"}
 
-// Ask is what a request says of the answer that it wants.
+// Request holds the fields of a request that select the answer.
 type Request struct {
 	anyTag        bool     // If-None-Match: *
-	tags          []string // opaque tags, weak or not: for reads the comparison is weak
+	tags          []string // opaque tags of If-None-Match; weak ones too, since its comparison is weak
 	ranges        []span
-	hasRange      bool // ranges were asked for in a form that can be used
-	tooManyRanges bool // too many of them
+	hasRange      bool // there is a valid Range field
+	tooManyRanges bool // more than MaxRanges
 	ifRange       string
 	hasIfRange    bool
-	Encoding      string // the best that the client takes; empty: none
+	Encoding      string // best encoding that the client accepts; empty: identity
 }
 
-// span is a range as asked for; from -1 is a suffix of to bytes, to -1 is open.
+// span is a range as requested. If first is -1, it is a suffix of last bytes; if last
+// is -1, it extends to the end.
 type span struct{ first, last int64 }
 
-// Part is a range of bytes of an object, both ends in it.
+// ByteRange is a range of bytes of an object; both ends are inclusive.
 type ByteRange struct{ First, Last int }
 
-// Read reads a request's header. Fields that can't be used are passed over, as
-// the RFC has it, but for ranges that are too many.
+// ParseRequest parses a request's header. Invalid fields are ignored, as the RFC
+// requires; too many ranges lead to a Plan of status 416.
 func ParseRequest(method string, h httpwire.Header) (r Request) {
 	for _, f := range h {
 		switch {
@@ -60,11 +62,12 @@
 		r.parseRanges(h.Get("Range"))
 	}
 	if r.hasRange {
-		r.Encoding = "" // a range is always of the bytes themselves
+		r.Encoding = "" // ranges are served of the unencoded bytes only
 	}
 	return r
 }
 
+// parseTags adds the entity tags of an If-None-Match field.
 func (r *Request) parseTags(list string) {
 	for list != "" && len(r.tags) < maxTags {
 		list = strings.TrimLeft(list, " \t,")
@@ -85,8 +88,9 @@
 	}
 }
 
-// Known gives the tag of a copy that the client holds, bare, to be asked for
-// further in; empty: none, or more than one, of which nobody knows which holds.
+// KnownTag returns the tag, without suffix, of the copy that the client holds, for a
+// conditional request to the next server. It is empty if the client names none, or
+// several, of which any may be the current one.
 func (r *Request) KnownTag() string {
 	known := ""
 	for _, tag := range r.tags {
@@ -99,7 +103,7 @@
 	return known
 }
 
-// bare takes the suffix of the encoding off that this request would get.
+// stripSuffix removes the suffix of the encoding that this request would get.
 func (r *Request) stripSuffix(tag string) string {
 	if s := tagSuffixes[r.Encoding]; s != "" {
 		return strings.TrimSuffix(tag, s)
@@ -107,11 +111,12 @@
 	return tag
 }
 
-// Holds tells whether the client's own copy is the one with a tag.
+// Matches reports whether the client holds the copy with the given tag.
 func (r *Request) Matches(tag string) bool {
 	return r.anyTag || tag != "" && slices.ContainsFunc(r.tags, func(t string) bool { return r.stripSuffix(t) == tag })
 }
 
+// parseRanges parses a Range field. An invalid field is ignored.
 func (r *Request) parseRanges(text string) {
 	unit, list, ok := strings.Cut(text, "=")
 	if !ok || !strings.EqualFold(unit, "bytes") {
@@ -133,7 +138,7 @@
 		}
 		if !good || s.first >= 0 && s.last >= 0 && s.last < s.first {
 			r.ranges = nil
-			return // one that can't be read spoils the field
+			return // one invalid range invalidates the field
 		}
 		if len(r.ranges) == MaxRanges {
 			r.tooManyRanges = true
@@ -144,7 +149,9 @@
 	r.hasRange = len(r.ranges) > 0
 }
 
-// position reads a number of any length; what no object can have is a large one.
+// parsePosition parses a decimal number of any length; those beyond int64 become
+// 1<<62, which is beyond the end of any object. It returns false for other text, and
+// else passes good on.
 func parsePosition(text string, good bool) (int64, bool) {
 	for i := range len(text) {
 		if text[i] < '0' || text[i] > '9' {
@@ -158,18 +165,18 @@
 	return n, good
 }
 
-// Plan is what to answer.
+// Plan is the decision how to answer.
 type Plan struct {
 	Status int         // 200, 206, 304 or 416
-	Ranges []ByteRange // with 206
+	Ranges []ByteRange // for 206
 }
 
-// Plan decides on an object of so many bytes under a tag.
+// Plan decides how to answer for an object of the given size in bytes and tag.
 func (r *Request) Plan(size int, tag string) Plan {
 	if r.Matches(tag) {
 		return Plan{Status: 304}
 	}
-	if !r.hasRange || r.hasIfRange && (tag == "" || r.ifRange != `"`+tag+`"`) { // the comparison is strong
+	if !r.hasRange || r.hasIfRange && (tag == "" || r.ifRange != `"`+tag+`"`) { // If-Range requires a strong comparison
 		return Plan{Status: 200}
 	}
 	var ranges []ByteRange
@@ -194,8 +201,8 @@
 	return Plan{Status: 206, Ranges: ranges}
 }
 
-// overlapping tells whether a byte is asked for more than twice (RFC 9110,
-// section 17.15, leaves what is too much to the server).
+// overlapsTooMuch reports whether a byte is requested more than twice (RFC 9110,
+// section 17.15, leaves the limit to the server).
 func overlapsTooMuch(ranges []ByteRange) bool {
 	for i, p := range ranges {
 		n := 0
@@ -211,10 +218,11 @@
 	return false
 }
 
-// Tagged gives the tag of an object in an encoding.
+// EncodedTag returns the tag of an object in an encoding.
 func EncodedTag(tag, encoding string) string { return tag + tagSuffixes[encoding] }
 
-// choose gives the best encoding that an Accept-Encoding field takes.
+// chooseEncoding returns the preferred encoding of an Accept-Encoding field, or best
+// if it accepts none.
 func chooseEncoding(field, best string) string {
 	weights := [...]float64{-1, -1, -1}
 	wildcard, identity := -1.0, -1.0
@@ -252,8 +260,8 @@
 	return best
 }
 
-// AppendParts writes several ranges of a body as multipart/byteranges (RFC
-// 9110, section 14.6).
+// AppendMultipart appends ranges of a body as multipart/byteranges (RFC 9110, section
+// 14.6). An empty contentType leaves the field out.
 func AppendMultipart(b, body []byte, ranges []ByteRange, contentType, boundary string) []byte {
 	for _, r := range ranges {
 		b = append(b, "\r\n--"...)
@@ -272,7 +280,8 @@
 	return append(b, "--\r\n"...)
 }
 
-// AppendRange writes a Content-Range.
+// AppendContentRange appends the value of a Content-Range field for an object of the
+// given size.
 func AppendContentRange(b []byte, r ByteRange, size int) []byte {
 	b = append(b, "bytes "...)
 	b = strconv.AppendInt(b, int64(r.First), 10)
--- a/internal/decide/content/content_test.go
+++ b/internal/decide/content/content_test.go
@@ -82,7 +82,7 @@
 	}
 	a := ParseRequest("HEAD", header("Range: bytes=0-1"))
 	if p := a.Plan(100, "t"); p.Status != 200 {
-		t.Error("HEAD with a range:", p)
+		t.Error("a range is applied to HEAD:", p)
 	}
 }
 
@@ -97,13 +97,13 @@
 		}
 	}
 	if a := ParseRequest("GET", header("Accept-Encoding: gzip", "Range: bytes=0-1")); a.Encoding != "" {
-		t.Error("a range of an encoding")
+		t.Error("a range request gets an encoding")
 	}
 }
 
-// Whatever is asked for, what is planned lies in the object, and several parts
-// read back as they were by another parser.
-func TestRangesLieWithin(t *testing.T) {
+// For any Range field, the planned ranges lie within the object, and an independent
+// parser reads the multipart body back.
+func TestRangesLieWithinTheObject(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		field := "bytes=" + rapid.StringMatching(`[0-9]{0,3}-[0-9]{0,3}(,[0-9]{0,3}-[0-9]{0,3}){0,9}`).Draw(t, "ranges")
 		body := []byte(rapid.StringN(1, 300, 300).Draw(t, "body"))
@@ -128,7 +128,7 @@
 			got, _ := io.ReadAll(part)
 			if !bytes.Equal(got, body[want.First:want.Last+1]) || part.Header.Get("Content-Range") !=
 				fmt.Sprintf("bytes %d-%d/%d", want.First, want.Last, len(body)) {
-				t.Fatalf("part %+v came as %q", want, got)
+				t.Fatalf("range %+v was read back as %q", want, got)
 			}
 		}
 	})
--- a/internal/decide/counters/counters.go
+++ b/internal/decide/counters/counters.go
@@ -13,7 +13,7 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The outcomes. Their numbers are recorded in the audit.
+// The outcomes.
 const (
 	Passed     Outcome = iota // served, or the client's copy was still valid
 	Dropped                   // refused with 429 or 503, certainly not executed
--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -11,16 +11,17 @@
 	"testing"
 )
 
-// pure are the packages that decisions may use, beside those below them here.
+// allowedImports are the packages that decision packages may import besides each other.
 var allowedImports = []string{"bytes", "cmp", "container/heap", "container/list", "crypto", "crypto/ecdsa", "crypto/ed25519",
 	"crypto/elliptic", "crypto/hmac", "crypto/md5", "crypto/rsa", "crypto/sha1", "crypto/sha256", "crypto/x509",
 	"encoding/base64", "encoding/binary", "encoding/hex", "encoding/json", "encoding/pem", "errors", "fmt", "hash",
 	"io", "maps", "math", "math/bits", "net/netip", "net/url", "regexp", "slices", "sort", "strconv", "strings",
 	"github.com/cespare/xxhash/v2", "github.com/fxamacker/cbor/v2", "github.com/DataDog/sketches-go/ddsketch", "github.com/DataDog/sketches-go/ddsketch/mapping", "github.com/DataDog/sketches-go/ddsketch/store",
 	"iter", "github.com/go-jose/go-jose/v4",
-	"cherryramp/internal/httpwire"} // which is a parser alone
+	"cherryramp/internal/httpwire"} // only its parsers
 
-// Guards against decisions that do I/O, ask a clock, start or lock anything.
+// Guards against decision packages that do I/O, read a clock, or use goroutines,
+// channels or locks.
 func TestDecisionsArePure(t *testing.T) {
 	allowed := map[string]bool{}
 	for _, p := range allowedImports {
@@ -45,7 +46,7 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			switch n.(type) {
 			case *ast.GoStmt, *ast.ChanType, *ast.SelectStmt:
-				t.Errorf("%s starts or waits for something", path)
+				t.Errorf("%s uses a goroutine, a channel or select", path)
 			}
 			return true
 		})
--- a/internal/decide/doc.go
+++ b/internal/decide/doc.go
@@ -1,6 +1,5 @@
-// Package decide holds no code of its own. The packages below it are the
-// program's decisions beside rules: each takes moments and events and gives
-// verdicts or actions, and none does I/O, asks a clock, starts a goroutine,
-// locks, logs or draws from a global source of random numbers. A test over
-// their imports keeps it so.
+// Package decide contains no code. Its subpackages are the program's decision logic
+// besides package rules: each takes times and events and returns verdicts or actions.
+// None does I/O, reads a clock, starts a goroutine, locks, logs or uses a global
+// source of random numbers. A test of their imports and statements enforces that.
 package decide
--- a/internal/decide/readiness/readiness.go
+++ b/internal/decide/readiness/readiness.go
@@ -1,32 +1,33 @@
-// Package readiness is the readiness state of one front, as its health checks and the
-// operators' door tell it: a front is ready once it has started and heard the notice
-// board (or waited long enough for it), and not while it is draining or ending.
+// Package readiness holds the readiness state of one front, as its health checks and
+// the admin endpoint report it: a front is ready once it has started and the notice
+// board has answered (or it has waited long enough for it), and not while it is
+// draining or shutting down.
 //
-// Inputs are the orders to drain, rejoin and end, the moment, and whether the board has
-// answered; the output is a yes or no with its reason. Draining ends with a rejoin; an
-// end is for good. The state is of fixed size. It carries nothing out: the program closes
-// listeners and connections.
+// Inputs are the orders to drain, rejoin and shut down, the time, and whether the board
+// has answered; the output is whether the front is ready, with the reason if not.
+// Rejoin ends draining; shutdown is final. The state is of fixed size. The package only
+// keeps state: the program closes listeners and connections.
 package readiness
 
 import "errors"
 
-// ErrEnding is why a front that is ending can't rejoin.
+// ErrEnding is returned by Rejoin for a front that is shutting down.
 var ErrEnding = errors.New("ending")
 
 // State is one front's readiness. The zero value is not usable; see New.
 type State struct {
 	started   int64 // us, when the front began to listen
-	boardWait int64 // us that a start waits for the notice board; 0: there is none
+	boardWait int64 // us, how long startup waits for the notice board; 0: there is none
 	draining  bool
-	ending    bool
+	ending    bool // shutting down
 }
 
-// New begins the readiness of a front that listens from now on, in us. Where
-// wait is above 0 the front waits that long at most for the board's first answer.
+// New returns the state of a front that begins to listen at the time now and waits at
+// most boardWait for the board's first answer, if boardWait is above 0; both in us.
 func New(now, boardWait int64) *State { return &State{started: now, boardWait: boardWait} }
 
-// Ready tells whether the front takes clients and its start is over at a moment, given
-// whether the board has answered once; if not, why, in a few words.
+// Ready reports whether the front accepts clients and has completed its startup at the
+// time now, in us, given whether the board has answered once; if not, also the reason.
 func (s *State) Ready(now int64, boardAnswered bool) (bool, string) {
 	if ok, reason := s.Accepting(); !ok {
 		return false, reason
@@ -37,7 +38,8 @@
 	return true, ""
 }
 
-// Takes tells whether the front takes clients, its start aside; if not, why, in a few words.
+// Accepting reports whether the front accepts clients, regardless of its startup; if
+// not, also the reason.
 func (s *State) Accepting() (bool, string) {
 	switch {
 	case s.ending:
@@ -48,8 +50,8 @@
 	return true, ""
 }
 
-// Drain has the front say no from now on. It tells whether the front has to empty itself:
-// not where it already does.
+// Drain makes the front not ready. It reports whether this starts a drain: false if
+// the front is already draining or shutting down.
 func (s *State) Drain() (started bool) {
 	if s.draining || s.ending {
 		return false
@@ -58,7 +60,7 @@
 	return true
 }
 
-// Rejoin takes a drain back; a front that is ending can't be.
+// Rejoin cancels draining. It returns ErrEnding if the front is shutting down.
 func (s *State) Rejoin() error {
 	if s.ending {
 		return ErrEnding
@@ -67,12 +69,12 @@
 	return nil
 }
 
-// End says no for good. It tells whether this is the first word of the end.
+// Shutdown makes the front not ready for good. It reports whether this is the first call.
 func (s *State) Shutdown() (first bool) {
 	first = !s.ending
 	s.ending = true
 	return first
 }
 
-// Draining tells whether the front was told to drain.
+// Draining reports whether the front was ordered to drain.
 func (s *State) Draining() bool { return s.draining }
--- a/internal/decide/readiness/readiness_test.go
+++ b/internal/decide/readiness/readiness_test.go
@@ -10,13 +10,12 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever operators and signals do in whatever order, the front is ready just
-// where no end came, it does not drain, and its start is over; a drain
-// empties once, and an end is for good.
-func TestReadyFollowsWhatWasSaid(t *testing.T) {
+// For any sequence of orders, the front is ready exactly if it is not shutting down, is
+// not draining and has completed its startup; a drain starts once, and shutdown is final.
+func TestReadyFollowsOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const wait = 2_000_000
-		s := New(0, wait)
+		const boardWait = 2_000_000
+		s := New(0, boardWait)
 		var draining, ending bool
 		now := int64(0)
 		for range rapid.IntRange(0, 50).Draw(t, "steps") {
@@ -24,24 +23,24 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				if got := s.Drain(); got != (!draining && !ending) {
-					t.Fatalf("drain empties: %v", got)
+					t.Fatalf("Drain returned %v", got)
 				}
 				draining = draining || !ending
 			case 1:
 				if err := s.Rejoin(); (err != nil) != ending {
-					t.Fatalf("rejoin: %v", err)
+					t.Fatalf("Rejoin returned %v", err)
 				}
 				draining = draining && ending
 			case 2:
 				if first := s.Shutdown(); first == ending {
-					t.Fatalf("end first: %v", first)
+					t.Fatalf("Shutdown returned %v", first)
 				}
 				ending = true
 			}
-			heard := rapid.Bool().Draw(t, "heard")
-			want := !ending && !draining && (heard || now >= wait)
-			if ok, why := s.Ready(now, heard); ok != want || ok != (why == "") {
-				t.Fatalf("at %d: ready %v (%q), want %v", now, ok, why, want)
+			boardAnswered := rapid.Bool().Draw(t, "heard")
+			want := !ending && !draining && (boardAnswered || now >= boardWait)
+			if ok, reason := s.Ready(now, boardAnswered); ok != want || ok != (reason == "") {
+				t.Fatalf("at %d: ready %v (%q), want %v", now, ok, reason, want)
 			}
 		}
 	})
