--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -17,9 +17,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		offset := rapid.Int64Range(-1<<50, 1<<50).Draw(t, "offset")
 		rate := 1 + rapid.Float64Range(-100e-6, 100e-6).Draw(t, "rate")
-		least := rapid.Int64Range(100, 200_000).Draw(t, "way")
+		minDelay := rapid.Int64Range(100, 200_000).Draw(t, "way")
 		jitter := rapid.Int64Range(0, 20_000).Draw(t, "jitter")
-		theirs := func(now Micros) Micros { return offset + Micros(float64(now)*rate) }
+		senderClock := func(now Micros) Micros { return offset + Micros(float64(now)*rate) }
 		var h DelayEstimator
 		now, slow, quickest := Micros(0), Micros(0), Micros(1<<60)
 		for i := range rapid.IntRange(2, 200).Draw(t, "frames") {
@@ -27,14 +27,14 @@
 			if i > 5 && rapid.IntRange(0, 20).Draw(t, "turn") == 0 {
 				slow = rapid.Int64Range(0, 5_000_000).Draw(t, "slow")
 			}
-			way := least + rapid.Int64Range(0, jitter).Draw(t, "late") + slow
-			got := h.Observe(theirs(now), now+way)
-			now += way
-			quickest = min(quickest, way)
+			oneWay := minDelay + rapid.Int64Range(0, jitter).Draw(t, "late") + slow
+			got := h.Observe(senderClock(now), now+oneWay)
+			now += oneWay
+			quickest = min(quickest, oneWay)
 			// The sender's clock may gain or lose on the local one while the minimum is old.
 			slack := Micros(float64(now)*4e-4) + 2
-			if over := way - quickest; got < over-slack || got > over+slack {
-				t.Fatalf("delay of %d, estimated %d, slack %d", over, got, slack)
+			if excess := oneWay - quickest; got < excess-slack || got > excess+slack {
+				t.Fatalf("delay of %d, estimated %d, slack %d", excess, got, slack)
 			}
 		}
 	})
--- a/internal/decide/resources/arrival.go
+++ b/internal/decide/resources/conn.go
@@ -20,7 +20,7 @@
 
 // DecideConn decides on a new connection, with which held of at most maxConns are
 // open, and whether another has to make room for it. clientGone is only called when
-// connections run short: a client that has left needs no place, but finding that out
+// connections run short: a client that has left needs no slot, but finding that out
 // costs a system call.
 func DecideConn(held, maxConns int64, clientGone func() bool) (decision ConnDecision, makeRoom bool) {
 	crowded := float64(held) > crowdedThreshold*float64(maxConns)
--- a/internal/decide/resources/arrival_test.go
+++ b/internal/decide/resources/conn_test.go
@@ -23,12 +23,12 @@
 		{108, 100, stays, RefuseConn, true},
 		{109, 100, stays, CloseConn, true},
 		{109, 100, left, ClientGone, false},
-		{18, 16, stays, RefuseConn, true}, // one refusal for each eight places
+		{18, 16, stays, RefuseConn, true}, // one refusal for each eight of maxConns
 		{19, 16, stays, CloseConn, true},
 		{2, 1, stays, CloseConn, true},
 	} {
 		if a, room := DecideConn(x.held, x.maxConns, x.gone); a != x.want || room != x.room {
-			t.Errorf("%d held, %d places: %d, room %v", x.held, x.maxConns, a, room)
+			t.Errorf("%d held of %d connections: decision %d, make room %v", x.held, x.maxConns, a, room)
 		}
 	}
 }
@@ -37,22 +37,22 @@
 // more than maxConns and a few refused ones are held, and none is turned away below maxConns.
 func TestHeldConnsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places, held := rapid.Int64Range(1, 50).Draw(t, "places"), int64(0)
-		for _, comes := range rapid.SliceOfN(rapid.Bool(), 0, 200).Draw(t, "comes") {
-			if !comes {
+		maxConns, held := rapid.Int64Range(1, 50).Draw(t, "places"), int64(0)
+		for _, arrives := range rapid.SliceOfN(rapid.Bool(), 0, 200).Draw(t, "comes") {
+			if !arrives {
 				held = max(0, held-1)
 				continue
 			}
 			gone := rapid.Bool().Draw(t, "gone")
-			a, _ := DecideConn(held+1, places, func() bool { return gone })
-			if held < places && (a == RefuseConn || a == CloseConn) {
-				t.Fatalf("turned away with %d of %d places held", held, places)
+			a, _ := DecideConn(held+1, maxConns, func() bool { return gone })
+			if held < maxConns && (a == RefuseConn || a == CloseConn) {
+				t.Fatalf("turned away with %d of %d connections held", held, maxConns)
 			}
 			if a == AcceptConn || a == RefuseConn {
 				held++
 			}
-			if held > places+places/placesPerRefusal {
-				t.Fatalf("%d held for %d places", held, places)
+			if held > maxConns+maxConns/placesPerRefusal {
+				t.Fatalf("%d held for a limit of %d connections", held, maxConns)
 			}
 		}
 	})
--- a/internal/decide/resources/resources.go
+++ b/internal/decide/resources/resources.go
@@ -49,7 +49,7 @@
 }
 
 // SilentTimeout returns how long a connection without a first request is kept when
-// others need its place, given how many such connections there are: the whole
+// others need its slot, given how many such connections there are: the whole
 // timeout while they are few, down to 0 as their share grows, since so many are not
 // clients whose first request is on its way.
 func (a *Account) SilentTimeout(timeout Micros, silent int) Micros {
--- a/internal/decide/slowclient/slowclient_test.go
+++ b/internal/decide/slowclient/slowclient_test.go
@@ -58,13 +58,13 @@
 // is not, nor is one that stalls for less than the credit.
 func TestSlowClient(t *testing.T) {
 	d := New(config())
-	slow, still, good := &client{rate: 1000, remaining: 240_000}, &client{remaining: 240_000}, &client{rate: 4000, remaining: 240_000}
-	for i, c := range []*client{slow, still, good} {
+	slow, stalled, good := &client{rate: 1000, remaining: 240_000}, &client{remaining: 240_000}, &client{rate: 4000, remaining: 240_000}
+	for i, c := range []*client{slow, stalled, good} {
 		c.from = prefix(i)
 	}
-	run(d, []*client{slow, still, good}, 70)
-	if !slow.tooSlow || slow.endedAt != 7*second || !still.tooSlow || still.endedAt != 6*second || !good.finished {
-		t.Errorf("slow ended at %d, stalled at %d; good finished: %v", slow.endedAt, still.endedAt, good.finished)
+	run(d, []*client{slow, stalled, good}, 70)
+	if !slow.tooSlow || slow.endedAt != 7*second || !stalled.tooSlow || stalled.endedAt != 6*second || !good.finished {
+		t.Errorf("slow ended at %d, stalled at %d; good finished: %v", slow.endedAt, stalled.endedAt, good.finished)
 	}
 	m := d.Begin(prefix(9), 0, 1, 0)
 	moved := int64(0)
