--- a/rules/api.go
+++ b/rules/api.go
@@ -1,21 +1,22 @@
-// Package rules decides for a gateway in front of caches of large objects:
-// which cache answers a request, where that cache fills a miss from, whether
-// the copy stays, and when a request is tried again, refused or failed.
+// Package rules makes the routing decisions of a gateway in front of caches of
+// large objects: which cache answers a request, where that cache fills a miss
+// from, whether the copy is kept, and when a request is retried, refused or failed.
 //
-// The package does no I/O, keeps no clock and starts no goroutines. The host
-// calls [New] once per gateway and then [Router.Step] with the time and what
-// happened since; it carries out the actions that come back. This file is the
-// interface; a request's way is in rules.go, what is learnt of how servers answer in
-// pace.go, who is left out in health.go, and what has just started in slowstart.go.
+// The package does no I/O, has no clock and starts no goroutines. The host
+// calls [New] once per gateway and then [Router.Step] with the time and the
+// events since; it carries out the actions that come back. Equal seeds and events
+// give equal actions. This file has the interface; the path of a request is in
+// rules.go, estimates of server response times in pace.go, ejection of failing
+// servers in health.go, and limits for servers that just started in slowstart.go.
 package rules
 
-// Micros is a time or a span in microseconds. Only differences mean anything.
+// Micros is a time or a duration in microseconds. The zero of times is arbitrary.
 type Micros = int64
 
-// ServerID names a cache, a parent cache or the origin. It is opaque.
+// ServerID identifies a cache, a parent cache or the origin. It is opaque.
 type ServerID uint64
 
-// RequestID names a request held by the gateway.
+// RequestID identifies a request held by the gateway.
 type RequestID uint32
 
 // Effect says what running a request twice does.
@@ -38,7 +39,7 @@
 	ScopeCell
 )
 
-// Siblings says which caches may supply another cache's fill.
+// Siblings says which other caches may supply a cache's fill.
 type Siblings uint8
 
 // The reach of fills between caches.
@@ -48,25 +49,25 @@
 	SiblingsAny
 )
 
-// Notes says which remarks come with outcomes.
+// Notes says which notes come with outcomes.
 type Notes uint8
 
-// The levels of remarks.
+// The levels of notes.
 const (
 	NotesOff Notes = iota
 	NotesHit
 	NotesAll
 )
 
-// Weights tells what the weight of a listed member means.
+// Weights says what the weight of a listed member means.
 type Weights uint8
 
 // The meanings of a member's weight.
 const (
 	WeightsOff     Weights = iota // always 1
-	WeightsNominal                // registered size, in transfers at full pace
-	WeightsRough                  // about the size
-	WeightsLive                   // size over recent load; changes from list to list
+	WeightsNominal                // registered capacity, in transfers at full rate
+	WeightsRough                  // about the capacity
+	WeightsLive                   // capacity over recent load; changes from list to list
 )
 
 // Class is a class of requests, as the settings give it.
@@ -74,41 +75,42 @@
 	Name       string
 	Effect     Effect
 	Scope      Scope   // for Keyed
-	MemorySpan Micros  // for Keyed: how long the scope remembers, from the first send that may have run
-	Aim        Micros  // answered within it, a request earns its full worth
-	AimStretch float64 // the aim grows by this multiple of the request's own work
-	GiveUp     Micros  // how long a client waits in all
+	MemorySpan Micros  // for Keyed: how long repeats are discarded, from the first send that may have run
+	Aim        Micros  // latency target: a request answered within it earns its full worth
+	AimStretch float64 // the aim grows by this multiple of the request's transfer time
+	GiveUp     Micros  // how long a client waits in total
 	Worth      float64
 	LateWorth  float64 // share of the worth earned after the aim
 	Stream     bool
 	Write      bool    // never kept, runs at the origin
 	Parts      bool    // objects have several parts
-	Fresh      Micros  // fresh time of a copy; 0 is no limit
-	Grace      Micros  // how much older than fresh a copy may be when asked for
-	OldWorth   float64 // share of the worth that a copy past its fresh time earns
+	Fresh      Micros  // freshness lifetime of a copy; 0 is no limit
+	Grace      Micros  // how far past Fresh a copy may be accepted
+	OldWorth   float64 // share of the worth that a stale copy earns
 }
 
-// Prices are points taken off the result, each per unit of its share or rate.
+// Prices are the penalties of the deployment's score, each per unit of its share or rate. No decision
+// uses them.
 type Prices struct {
 	LateFail, Link, Origin, Probe, Waste, CrossZone float64
 }
 
-// Settings is what a gateway is told once, at its start.
+// Settings configures a Router. See [Router.UpdateSettings] for changes.
 type Settings struct {
 	Classes     []Class
-	Gateways    int       // gateways in all
-	Rank        int       // own number among them, from 1; 0 if untold
+	Gateways    int       // gateways in total
+	Rank        int       // own number among them, from 1; 0 if unknown
 	Zone        int       // own zone
-	ZoneGates   []int     // gateways in each zone; nil if untold
-	ZoneHub     []int     // the hub each zone is tied to; nil if untold
-	ZoneLink    []float64 // link into each zone, KB/s; 0 where untold
+	ZoneGates   []int     // gateways in each zone; nil if unknown
+	ZoneHub     []int     // the hub of each zone; nil if unknown
+	ZoneLink    []float64 // link into each zone, KB/s; 0 where unknown
 	ParentKind  int       // kind of the parent caches; -1 for none
 	OriginKind  int       // kind of the origin; -1 if it is not listed
-	Flow        float64   // top pace of one answer, KB/s; 0 if untold
+	Flow        float64   // maximum rate of one transfer, KB/s; 0 if unknown
 	Weights     Weights
-	OnRequest   bool // the list must be asked for
-	Direct      bool // parents and the origin take requests too
-	Joins       bool // a request may join a fill under way
+	OnRequest   bool // the server list must be subscribed to
+	Direct      bool // requests may go straight to parents and the origin
+	Joins       bool // a request may join a fill in progress
 	Siblings    Siblings
 	Notes       Notes
 	Cancel      bool
@@ -117,9 +119,9 @@
 	RetryAfter  bool // clients are told when to come back
 	MaxAttempts int
 	MaxHeld     int
-	MaxAway     Micros // longest wait that a client follows
+	MaxAway     Micros // longest retry delay that a client respects
 	ConnectTime Micros
-	ReportAt    map[string]int // place of each field in a load report
+	ReportAt    map[string]int // index of each field in a load report
 	Tick        Micros
 
 	DrainGrace   Micros
@@ -135,7 +137,7 @@
 	ParentColdFrom     float64
 	ParentWarmUp       Micros
 	ParentFallMultiple float64
-	OriginFallMultiple float64 // 0: it never stops
+	OriginFallMultiple float64 // 0: the origin never falls over
 	OriginFallTime     Micros
 
 	Prices Prices
@@ -144,7 +146,7 @@
 // Event is something that happened at or around the gateway.
 type Event interface{ event() }
 
-// MemberState is what discovery knows of a member.
+// MemberState is the state of a member as discovery reports it.
 type MemberState uint8
 
 // The states of a listed member.
@@ -154,7 +156,7 @@
 	Draining
 )
 
-// Member is one line of the list of servers.
+// Member is an entry of the server list.
 type Member struct {
 	ID        ServerID
 	Kind      int
@@ -165,10 +167,10 @@
 	Weight    float64
 }
 
-// Members brings news of the list.
+// Members is an update of the server list.
 type Members struct {
 	Full   bool // the whole list; members not in it are gone
-	Failed bool // a call to discovery failed; the list stays
+	Failed bool // a call to discovery failed; the list is unchanged
 	List   []Member
 }
 
@@ -179,8 +181,8 @@
 	Object  uint64
 	Part    int
 	Group   int
-	Expires Micros  // time before the client stops waiting
-	Size    float64 // KB; 0 if untold
+	Expires Micros  // time until the client stops waiting
+	Size    float64 // KB; 0 if unknown
 	Repeat  bool
 }
 
@@ -190,36 +192,36 @@
 // The ends of an attempt.
 const (
 	OK               Code = 200
-	Miss             Code = 404 // nothing suitable held; never ran
+	Miss             Code = 404 // no suitable copy; never ran
 	NotSent          Code = 410 // never sent
 	Cancelled        Code = 499 // may have run
 	ServerError      Code = 500 // may have run
 	ConnectFailed    Code = 502 // never ran
-	Full             Code = 503 // not taken, never ran
-	Timeout          Code = 504 // may have run, may still
+	Full             Code = 503 // server at capacity; never ran
+	Timeout          Code = 504 // may have run, or still run
 	Reset            Code = 598 // may have run
-	ConnectionBroken Code = 599 // may have run; its connection went for no fault of its server's
+	ConnectionBroken Code = 599 // may have run; no sign of bad health of its server
 )
 
-// Note is the remark on an outcome.
+// Note is how the server says that it handled an attempt.
 type Note uint8
 
-// The remarks.
+// The notes. Those from NoteSourceRefused on are failures of a fill.
 const (
 	NoteNone Note = iota
 	NoteHit
-	NoteFilled
-	NoteOriginFetched
-	NoteJoined
+	NoteFilled        // from a copy of the source
+	NoteOriginFetched // filled, and the origin had to be asked
+	NoteJoined        // a fill in progress
 	NoteStale
 	NoteSourceRefused
 	NoteSourceFailed
-	NoteSourceMiss
+	NoteSourceMiss // the source was asked only for what it holds
 	NoteNoSlot
 	NoteOriginFailed
 )
 
-// Outcome ends one attempt.
+// Outcome is the end of one attempt.
 type Outcome struct {
 	ID         RequestID
 	Attempt    int // counted from 0
@@ -228,16 +230,16 @@
 	Elapsed    Micros
 	Closed     bool // the request is over
 	Note       Note
-	SourceWait Micros // until the source's first byte or failure; 0 if untold
+	SourceWait Micros // until the source's first byte or failure; 0 if unknown
 }
 
-// Started tells that a stream has begun; it has no deadline from here on.
+// Started says that a stream has begun. The request has no deadline from then on.
 type Started struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Expired tells that the client has gone; nothing more is owed.
+// Expired says that the client has gone. No answer is due any more.
 type Expired struct{ ID RequestID }
 
 // Report is the result of a probe.
@@ -248,14 +250,14 @@
 	Load    []float64
 }
 
-// Purge tells that an object, or with Object 0 a whole group, was purged.
+// Purge says that an object, or with Object 0 a whole group, was purged.
 type Purge struct {
 	Object uint64
 	Group  int
 	Age    Micros // how long ago
 }
 
-// Timer is the end of a Wake.
+// Timer says that the time of a Wake is up.
 type Timer struct{ Tag uint32 }
 
 func (Members) event() {}
@@ -275,14 +277,14 @@
 	ID          RequestID
 	Attempt     int // its number among the request's, from 0
 	Server      ServerID
-	Timeout     Micros   // time-out; 0 is until the client stops waiting
-	Source      ServerID // who supplies a miss; the server itself for no fill
-	KeepRank    int      // rank of the copy, 1 to 3; 0 keeps none
-	MaxAge      Micros   // oldest copy that will do; 0 is the class's fresh time
-	Join        bool     // join a fill under way
+	Timeout     Micros   // 0 is until the client stops waiting
+	Source      ServerID // fills a miss; the server itself for no fill
+	KeepRank    int      // priority of the kept copy, 1 to 3; 0 keeps none
+	MaxAge      Micros   // maximum age of the copy; 0 is the class's default
+	Join        bool     // join a fill in progress
 	HeldOnly    bool     // the source gives only what it holds
 	PassThrough bool     // the parent keeps no copy
-	Revalidate  bool     // an ageing copy is served and fetched anew behind
+	Revalidate  bool     // an ageing copy is served and refreshed in the background
 }
 
 // Cancel stops one attempt.
@@ -291,59 +293,59 @@
 	Attempt int
 }
 
-// Refuse is a final answer: not done, a new try does no harm.
+// Refuse is a final answer: not done, and a retry does no harm.
 type Refuse struct {
 	ID         RequestID
-	RetryAfter Micros // how long the client should stay away; 0 is no advice
+	RetryAfter Micros // when the client should come back; 0 is no advice
 	Cause      Cause
 }
 
-// Reason says why the module ended a request itself.
+// Reason says why the router refused a request.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonDeadline    Reason = iota // its time has run out
-	ReasonAttempts                  // it has had all attempts that it may have
-	ReasonRetryBudget               // further attempts are used up for now
-	ReasonCrowded                   // few places for open requests are left
-	ReasonNoServer                  // no server may take it
-	ReasonServerSlow                // the server is expected to answer past the aim
-	ReasonFillSlow                  // a hit is unlikely, and every fill is expected to end past the aim
-	ReasonOutcome                   // its last attempt ended in a way after which it may not go again
+	ReasonDeadline    Reason = iota // its deadline has passed
+	ReasonAttempts                  // it has used all its attempts
+	ReasonRetryBudget               // the gateway's retry budget is used up
+	ReasonCrowded                   // few slots for open requests are left
+	ReasonNoServer                  // no server is usable
+	ReasonServerSlow                // the server is expected to answer after the aim
+	ReasonFillSlow                  // a hit is unlikely, and every fill is expected to end after the aim
+	ReasonOutcome                   // its last attempt ended in a way that forbids a retry
 	NumReasons        int    = iota
 )
 
-// String is the reason as logs have it.
+// String returns the reason as logged.
 func (r Reason) String() string {
 	return [NumReasons]string{"deadline", "attempts", "retry budget", "crowded", "no server", "server slow",
 		"fill slow", "outcome"}[r]
 }
 
-// Cause is why a request was refused, with the estimate that decided: it is 0 but for the reason where
-// none did.
+// Cause says why a request was refused, with the estimate that decided. Without such an estimate only
+// Reason is set.
 type Cause struct {
 	Reason    Reason
-	Server    ServerID // whose time was estimated: the server's, or the source's of a fill
-	Expected  Micros   // until the answer
-	Remaining Micros   // of the aim
-	Slowdown  float64  // excess of the server's time over what is expected of it idle, as believed
+	Server    ServerID // the server, or source of a fill, whose time was estimated
+	Expected  Micros   // time until the answer
+	Remaining Micros   // time left within the aim
+	Slowdown  float64  // estimated excess of the server's time over its time when idle, as a multiple
 	InFlight  int      // attempts of this gateway at the server
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer: the request may or may not have run.
 type Fail struct{ ID RequestID }
 
 // Probe asks a server for its load.
 type Probe struct{ Server ServerID }
 
-// Wake asks for a Timer event after In.
+// Wake requests a Timer event after In.
 type Wake struct {
 	Tag uint32
 	In  Micros
 }
 
-// Watch subscribes to the list where it must be asked for.
+// Watch subscribes to the server list, where that is required.
 type Watch struct{}
 
 // Log writes a line to the host's log.
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -6,8 +6,8 @@
 	"cherryramp/rules"
 )
 
-// A host makes a router, tells it the list of servers, and hands it each
-// request; what comes back is what to do.
+// A host makes a router, passes it the server list and each request, and
+// carries out the actions that come back.
 func Example() {
 	router, err := rules.New(rules.Settings{
 		Classes: []rules.Class{{
--- a/rules/guards_test.go
+++ b/rules/guards_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gets lists the sends among actions.
+// gets returns the Get actions.
 func gets(actions []Action) (out []Get) {
 	for _, a := range actions {
 		if g, ok := a.(Get); ok {
@@ -33,7 +33,7 @@
 	return refused, failed
 }
 
-// What may be done after each outcome of an unsafe request's only attempt.
+// Checks after which outcomes an unsafe request may be sent again or refused.
 func TestEffectsByOutcome(t *testing.T) {
 	tests := []struct {
 		code  Code
@@ -43,7 +43,7 @@
 		{ServerError, false}, {Reset, false}, {ConnectionBroken, false}, {Timeout, false}, {Cancelled, false},
 	}
 	for _, tt := range tests {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		get, _ := g.ask(Request{Class: 2, Object: 5})
 		if get.Server != 200 {
 			t.Fatalf("write went to %d, want the origin", get.Server)
@@ -63,9 +63,9 @@
 		late  Micros
 		ok    bool // a refusal is allowed
 	}{{ScopeAll, 0, true}, {ScopeAll, 5 * second, false},
-		{ScopeAll, 2900 * milli, true}, {ScopeAll, 3500 * milli, false}, // it comes back up to 1 s later
+		{ScopeAll, 2900 * milli, true}, {ScopeAll, 3500 * milli, false}, // back up to 1 s later
 		{ScopeZone, 0, false}, {ScopeCell, 0, false}} {
-		g := newRig(t, func(s *Settings) {
+		g := newHarness(t, func(s *Settings) {
 			s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].MemorySpan = Keyed, tt.scope, 4*second
 		})
 		get, _ := g.ask(Request{Object: 5, Expires: 20 * second})
@@ -78,10 +78,10 @@
 }
 
 func TestOneFinalAnswerAndNothingAfter(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	get, _ := g.ask(Request{Object: 5, Expires: 2 * second})
 	g.now += 2 * second
-	out := g.answer(get, 0, Timeout, NoteNone) // at the deadline: still owed
+	out := g.answer(get, 0, Timeout, NoteNone) // at the deadline: an answer is still due
 	if refused, failed := finals(out, get.ID); refused+failed != 1 || len(gets(out)) != 0 {
 		t.Errorf("at the deadline: %v", out)
 	}
@@ -93,8 +93,8 @@
 	if out := g.answer(get, 0, Full, NoteNone); len(out) != 0 {
 		t.Errorf("after the client left: %v", out)
 	}
-	if len(g.r.reqs) != 0 {
-		t.Errorf("%d requests kept", len(g.r.reqs))
+	if len(g.r.requests) != 0 {
+		t.Errorf("%d requests kept", len(g.r.requests))
 	}
 	if out := g.step(Outcome{ID: 9999, Code: OK}, Expired{9999}, Timer{1}); len(out) != 0 {
 		t.Errorf("unknown ids: %v", out)
@@ -102,7 +102,7 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.MaxAttempts = 3 })
+	g := newHarness(t, func(s *Settings) { s.MaxAttempts = 3 })
 	get, _ := g.ask(Request{Object: 5})
 	for n := 0; ; n++ {
 		next := gets(g.answer(get, n, ConnectFailed, NoteNone))
@@ -117,7 +117,7 @@
 }
 
 func TestRetriesAreBudgeted(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	sent := 0
 	const asked = 300
 	for i := range asked {
@@ -130,14 +130,14 @@
 			}
 		}
 	}
-	if most := asked*(1+retryShare) + retryBurst; float64(sent) > most {
+	if most := asked*(1+retryRatio) + retryBurst; float64(sent) > most {
 		t.Errorf("%d attempts for %d requests, at most %.0f", sent, asked, most)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	for _, state := range []MemberState{Draining, Gone} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		g.step(Members{List: []Member{
 			{ID: 2, State: state, Zone: 1, Weight: 8}, {ID: 102, Kind: 7, State: state, Weight: 16}}})
 		for object := uint64(1); object < 300; object++ {
@@ -167,7 +167,7 @@
 		{"object 0 of group 0", Purge{}, 0, 0, 0},
 	}
 	for _, tt := range tests {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		g.step(tt.purge)
 		g.now += tt.after
 		get, _ := g.ask(Request{Class: tt.class, Object: 5, Group: 3})
@@ -186,11 +186,11 @@
 }
 
 func TestOverfullPurgeTableErrsOnTheSafeSide(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for object := uint64(1); object <= 3*tableCap; object++ {
 		g.step(Purge{Object: object})
 	}
-	if n := len(g.r.purged.young) + len(g.r.purged.old); n > 2*tableCap {
+	if n := len(g.r.purges.young) + len(g.r.purges.old); n > 2*tableCap {
 		t.Errorf("%d purges kept", n)
 	}
 	get, _ := g.ask(Request{Object: 1})
@@ -199,10 +199,10 @@
 	}
 }
 
-// The budget of a cold member, over every window, for all who share it.
+// Checks the budget of a cold member in every window, for the share of one gateway.
 func TestColdMembersStayUnderTheFallMultiple(t *testing.T) {
 	for _, weights := range []Weights{WeightsNominal, WeightsRough} {
-		g := newRig(t, func(s *Settings) { s.Weights = weights })
+		g := newHarness(t, func(s *Settings) { s.Weights = weights })
 		born := g.now
 		g.step(Members{List: []Member{
 			{ID: 2, State: Ready, Zone: 1, Weight: 8, StartedAt: born},
@@ -215,7 +215,7 @@
 		sent := map[ServerID][]load{}
 		for g.now < born+s.WarmUp {
 			get, _ := g.ask(Request{Object: mix(uint64(g.now)), Class: int(g.now/1000) % 2, Size: 800})
-			work := g.r.mean[int(g.now/1000)%2]
+			work := g.r.meanWork[int(g.now/1000)%2]
 			for _, id := range []ServerID{get.Server, get.Source} {
 				if id == 2 || id == 102 {
 					sent[id] = append(sent[id], load{g.now, work})
@@ -252,21 +252,20 @@
 	}
 }
 
-// Guards against means that were learnt from small hits alone, as in a rush where the
-// large ones are refused: a cold member is still not sent more than fits what its
-// class's requests may well take. Found by random days of the laboratory (chaos 511,
-// 2095), where boxes alone in their branch were pushed over.
+// Guards against a cold member that is overloaded because the mean work was learnt from small hits
+// alone, as under overload where the large ones are refused. The budget assumes at least the class's
+// prior. It happened to caches that were alone in their branch (simulator days chaos 511 and 2095).
 func TestSmallHitsDoNotPushColdMembersOver(t *testing.T) {
-	g := newRig(t, nil)
-	for i := range 400 { // answered in 10 ms each
+	g := newHarness(t, nil)
+	for i := range 400 { // each answered in 10 ms
 		get, _ := g.ask(Request{Object: uint64(1000 + i)})
 		g.answer(get, 0, OK, NoteHit)
 		g.now += 5 * milli
 	}
 	s, born := g.r.cfg, g.now
 	prior := workPriorShare * float64(s.Classes[0].Aim)
-	if g.r.mean[0] > prior/2 {
-		t.Fatalf("the mean is %.0f of %.0f: nothing is tested", g.r.mean[0], prior)
+	if g.r.meanWork[0] > prior/2 {
+		t.Fatalf("the mean is %.0f of %.0f: nothing is tested", g.r.meanWork[0], prior)
 	}
 	g.step(Members{List: []Member{{ID: 2, State: Ready, Zone: 1, Weight: 8, StartedAt: born}}})
 	var sent []Micros
@@ -296,9 +295,10 @@
 	}
 }
 
-// Incident i1f4f17: many caches that break a third of their work each.
+// Incident i1f4f17: many caches failed a third of their requests each. They must not be ejected, since
+// retries there are cheaper.
 func TestPartialFailureIsRetriedNotEjected(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	var get Get
 	for i := range 100 {
 		get, _ = g.ask(Request{Object: 77, Part: i % 2})
@@ -313,14 +313,14 @@
 			g.answer(next[0], 1, OK, NoteHit)
 		}
 	}
-	if m := g.r.members[get.Server]; m.ejected != 0 {
+	if m := g.r.members[get.Server]; m.ejectedUntil != 0 {
 		t.Error("ejected at a third of failures")
 	}
 }
 
-// A member that fails everything gets single trials, and comes back.
+// A member that fails everything gets single trials, and is readmitted when it recovers.
 func TestEjectionTrialAndReturn(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	home, _ := g.ask(Request{Object: 9})
 	g.answer(home, 0, OK, NoteHit)
 	m := g.r.members[home.Server]
@@ -359,10 +359,10 @@
 	return 0
 }
 
-// Jams of fills (i1a85c1, orari overload): where fills are too slow the cache
-// is asked for what it holds, and what it can't hold is refused.
+// Guards against overload by slow fills (incident i1a85c1): where fills are too slow the cache is asked
+// only for what it holds, and certain misses are refused.
 func TestSlowFillsAreNotStarted(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for i := range 60 {
 		get, _ := g.ask(Request{Object: 5, Part: 1, Size: 500})
 		g.answer(get, 0, OK, NoteHit)
@@ -387,7 +387,7 @@
 	}
 }
 
-func TestSettingsAndListsThatCannotWork(t *testing.T) {
+func TestInvalidSettingsAndIncompleteLists(t *testing.T) {
 	for key, change := range map[string]func(*Settings){
 		"Classes":           func(s *Settings) { s.Classes = nil },
 		"Classes[0].Effect": func(s *Settings) { s.Classes[0].Effect = 9 },
@@ -408,7 +408,7 @@
 		"no origin": {{ID: 1, State: Ready, Zone: 1, Weight: 8},
 			{ID: 101, Kind: 7, State: Ready, Weight: 16}},
 	} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		g.step(Members{Full: true, List: list})
 		for class := range 3 {
 			get, out := g.ask(Request{Class: class, Object: 5})
@@ -427,7 +427,7 @@
 
 func TestDirectOnlyWherePermitted(t *testing.T) {
 	for _, direct := range []bool{true, false} {
-		g := newRig(t, func(s *Settings) { s.Direct = direct })
+		g := newHarness(t, func(s *Settings) { s.Direct = direct })
 		g.step(Members{Full: true, List: []Member{
 			{ID: 101, Kind: 7, State: Ready, Weight: 16}, {ID: 200, Kind: 8, State: Ready, Weight: 1}}})
 		get, _ := g.ask(Request{Object: 5})
@@ -437,10 +437,10 @@
 	}
 }
 
-// A part whose cache was drained is taken from the cache that had it, never
-// from the draining one, and by way of the parent where the sibling lacks it.
+// A part that moved to another cache is filled from its former cache, but not from one that drains, and
+// from a parent where the former cache has no copy.
 func TestMovedPartIsFilledFromItsFormerCache(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	home, _ := g.ask(Request{Object: 9})
 	g.answer(home, 0, OK, NoteFilled)
 	old := g.r.members[home.Server]
@@ -461,10 +461,10 @@
 	}
 }
 
-// Weights that tell no size must not pass for tiny caches.
-func TestUntoldSizesDoNotRefuse(t *testing.T) {
+// Guards against weights that give no capacity being taken for tiny caches.
+func TestUnknownSizesDoNotRefuse(t *testing.T) {
 	for _, weights := range []Weights{WeightsOff, WeightsLive} {
-		g := newRig(t, func(s *Settings) { s.Weights = weights })
+		g := newHarness(t, func(s *Settings) { s.Weights = weights })
 		m := testMembers()
 		for i := range m.List {
 			m.List[i].Weight = 1
@@ -478,13 +478,12 @@
 	}
 }
 
-// Guards against chance deciding who is turned away when every place for an open
-// request is taken: a front whose clients hold all their connections lost short
-// and long requests alike. The long ones make way a little before.
-func TestFullHouseTakesShortWorkFirst(t *testing.T) {
+// Guards against short and long requests being refused at random once all slots for open requests are
+// taken, as happened to a front whose clients held all its connections. Long ones are refused earlier.
+func TestShortWorkIsTakenFirstWhenSlotsAreScarce(t *testing.T) {
 	taken := func(open int, size float64) bool {
-		g := newRig(t, func(s *Settings) { s.MaxHeld = 100 })
-		for i := range 400 { // usual work, answered
+		g := newHarness(t, func(s *Settings) { s.MaxHeld = 100 })
+		for i := range 400 { // to learn the usual work
 			get, _ := g.ask(Request{Object: uint64(i), Size: 500})
 			g.answer(get, 0, OK, NoteHit)
 		}
@@ -506,11 +505,11 @@
 	}
 }
 
-// Guards against repeats that can only be late taking the last places: what a
-// first try gets when places run short, a repeat of the same does not.
-func TestFullHousePrefersFirstTries(t *testing.T) {
+// Guards against repeats that can only be late taking the last slots: when slots are scarce, a first
+// try is taken and a repeat of the same request is not.
+func TestRepeatsYieldWhenSlotsAreScarce(t *testing.T) {
 	for _, repeat := range []bool{false, true} {
-		g := newRig(t, func(s *Settings) { s.MaxHeld = 100 })
+		g := newHarness(t, func(s *Settings) { s.MaxHeld = 100 })
 		for i := range 400 {
 			get, _ := g.ask(Request{Object: uint64(i), Size: 500, Class: 1})
 			g.answer(get, 0, OK, NoteHit)
@@ -525,11 +524,11 @@
 	}
 }
 
-// Guards against a cache that is left out for answers spoilt on their way: they
-// tell nothing of it, while a reset does.
-func TestSpoiltAnswersCountForNoHealth(t *testing.T) {
+// Guards against ejecting a cache for answers that broke with their connection: they are no sign of its
+// health, while a reset is.
+func TestBrokenConnectionsDoNotCountAgainstHealth(t *testing.T) {
 	for code, samples := range map[Code]int{ConnectionBroken: 0, Reset: 1} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		get, _ := g.ask(Request{Object: 5})
 		m := g.r.members[get.Server]
 		g.answer(get, 0, code, NoteNone)
@@ -539,17 +538,17 @@
 	}
 }
 
-// Guards against an answer that never comes: while a hit can still be in time, a
-// second look goes to the same cache, if that answers others, only one and without a
-// fill, which would double the origin's bytes; what must not run twice gets none.
-func TestSecondCopyOfWhatIsOverdue(t *testing.T) {
+// Guards against answers that never come: while a hit can still be in time, one second attempt goes to
+// the same cache if that answers others. It has no fill, which would double the origin's bytes. Unsafe
+// requests are not hedged.
+func TestOverdueReadIsHedgedOnce(t *testing.T) {
 	for _, class := range []int{0, 2} {
-		g := newRig(t, func(s *Settings) { s.Hedges = true })
+		g := newHarness(t, func(s *Settings) { s.Hedges = true })
 		get, out := g.ask(Request{Class: class, Object: 5})
 		if slices.ContainsFunc(out, func(a Action) bool { _, ok := a.(Wake); return ok }) {
 			t.Fatal("a second copy is planned though no answer was ever spoilt")
 		}
-		g.r.spoilt = g.now
+		g.r.brokenAt = g.now
 		get, out = g.ask(Request{Class: class, Object: 5})
 		var wake *Wake
 		for _, a := range out {
@@ -564,7 +563,7 @@
 			continue
 		}
 		g.now += wake.In
-		g.r.members[get.Server].heard = g.now - 1
+		g.r.members[get.Server].answeredAt = g.now - 1
 		second := gets(g.step(Timer{wake.Tag}))
 		if len(second) != 1 || second[0].ID != get.ID || second[0].Server != get.Server ||
 			second[0].Source != get.Server {
--- a/rules/hashing.go
+++ b/rules/hashing.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Hashing: weighted rendezvous scores, and draws that every gateway makes alike.
+// Hashing: weighted rendezvous scores, and pseudo-random numbers that are equal at every gateway.
 
 // score is the weighted rendezvous score of a key at a member.
 func (r *Router) score(key uint64, m *member) float64 {
 	w := 1.0
 	if r.cfg.Weights == WeightsNominal || r.cfg.Weights == WeightsRough {
-		w = m.size()
+		w = m.capacity()
 	}
-	return -w / math.Log(unit(key, m.ID, 1))
+	return -w / math.Log(hashUnit(key, m.ID, 1))
 }
 
-// unit hashes a key and a member to a number above 0 and below 1.
-func unit(key uint64, id ServerID, salt uint64) float64 {
+// hashUnit hashes a key and a member to a number above 0 and below 1.
+func hashUnit(key uint64, id ServerID, salt uint64) float64 {
 	return (float64(mix(mix(key+salt)^uint64(id)*0xd6e8feb86659fd93)>>11) + 0.5) / (1 << 53)
 }
 
@@ -26,4 +26,5 @@
 	return x ^ x>>31
 }
 
+// groupKey returns the key of a group, apart from those of objects by its top bit.
 func groupKey(g int) uint64 { return 1<<63 | uint64(g) }
--- a/rules/large_test.go
+++ b/rules/large_test.go
@@ -6,37 +6,37 @@
 	"testing"
 )
 
-// Fleets of hundreds: each gateway's even share of a cache is under one transfer.
+// Fleets of hundreds of gateways, where the even share of a cache is less than one transfer each.
 
-// Incident i4d691e: idle caches turned requests away because the request itself
-// was more than an even share.
+// Incident i4d691e: requests to idle caches were refused because one request was more than the
+// gateway's even share.
 func TestIdleCacheOfManyGatewaysTakesALargePart(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Gateways, s.ZoneGates = 450, []int{0, 15, 435} })
+	g := newHarness(t, func(s *Settings) { s.Gateways, s.ZoneGates = 450, []int{0, 15, 435} })
 	if get, out := g.ask(Request{Object: 7, Size: 20000}); get.ID == 0 {
 		t.Errorf("idle cache: %v, want the part sent", out)
 	}
 }
 
-// A cache that turns requests away is full, however little this gateway has there;
-// what can't wait is not sent until the sign has faded.
-func TestFullCacheIsGivenRoom(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Gateways, s.ZoneGates = 450, []int{0, 15, 435} })
+// A cache that refuses requests counts as full, however few this gateway has there. Requests with short
+// aims are not sent until that estimate has decayed.
+func TestFullCacheIsSpared(t *testing.T) {
+	g := newHarness(t, func(s *Settings) { s.Gateways, s.ZoneGates = 450, []int{0, 15, 435} })
 	get, _ := g.ask(Request{Object: 7, Size: 12000})
 	full := g.r.members[get.Server]
 	g.answer(get, 0, Full, NoteNone)
-	q := &request{class: &g.r.cfg.Classes[0], came: g.now, deadline: g.now + 5*second, work: 1.2e6}
-	if g.r.fits(full, q) {
+	q := &request{class: &g.r.cfg.Classes[0], receivedAt: g.now, deadline: g.now + 5*second, work: 1.2e6}
+	if g.r.fitsAim(full, q) {
 		t.Error("a cache that just turned work away is held to have room")
 	}
 	g.now += 20 * second
-	q.came, q.deadline = g.now, g.now+5*second
-	if !g.r.fits(full, q) {
+	q.receivedAt, q.deadline = g.now, g.now+5*second
+	if !g.r.fitsAim(full, q) {
 		t.Error("20 s later it is still held to have none")
 	}
 }
 
-// Deploys (i4d691e): with hundreds of gateways a cold member's bucket holds less than one request
-// in each. It must get some work, and from all together less than it can bear.
+// Incident i4d691e, deployments: with hundreds of gateways the bucket of a cold member holds less than
+// one request each. It must get some work, but from all together no more than it can bear.
 func TestColdMemberOfManyGateways(t *testing.T) {
 	const gateways = 15
 	var work, most float64
@@ -56,7 +56,7 @@
 			q := Request{ID: id, Object: mix(uint64(id) + seed*1000), Size: 2500, Expires: second}
 			for _, get := range gets(r.Step(now, []Event{q})) {
 				if get.Server == 2 {
-					work += r.mean[0]
+					work += r.meanWork[0]
 				}
 				r.Step(now, []Event{Outcome{ID: id, Server: get.Server, Code: OK, Note: NoteHit,
 					Elapsed: 250 * milli, Closed: true}})
@@ -69,13 +69,13 @@
 	}
 }
 
-// A tier's pace stands in for that of a member not seen lately.
+// The pace of a tier stands in for that of a member without recent samples.
 func TestUnseenParentHasThePaceOfItsTier(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for range 20 {
-		g.r.gauge(g.r.members[101], 2e6, 5, 1)
+		g.r.recordPace(g.r.members[101], 2e6, 5, 1)
 	}
-	if p := g.r.paceOf(g.r.members[102]); p.wait < 1e6 || p.slow < 2 {
+	if p := g.r.paceOf(g.r.members[102]); p.wait < 1e6 || p.slowdown < 2 {
 		t.Errorf("parent 102: %+v, want about the pace seen at 101", p)
 	}
 	g.now += 20 * second
@@ -85,9 +85,9 @@
 	}
 }
 
-// Oman, slow origin: an origin that turns fetches away is asked for fewer, and for all again later.
+// An origin that refuses fetches is asked for fewer of them, and later for all again.
 func TestRefusingOriginIsAskedForLess(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	held := func() (n int) {
 		for range 200 {
 			if get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100}); get.HeldOnly {
@@ -113,9 +113,9 @@
 	}
 }
 
-// A request that the origin failed does not ask it again.
-func TestFailedByTheOriginDoesNotAskAgain(t *testing.T) {
-	g := newRig(t, nil)
+// After the origin failed a request, its next attempt asks only for what the parent holds.
+func TestRequestFailedByOriginDoesNotAskItAgain(t *testing.T) {
+	g := newHarness(t, nil)
 	get, _ := g.ask(Request{Object: 77, Size: 100})
 	again := gets(g.answer(get, 0, Full, NoteOriginFailed))
 	if len(again) != 1 || !again[0].HeldOnly {
@@ -123,9 +123,9 @@
 	}
 }
 
-// Ageing: a cache slower than its peers loses keys, not all of them, and gets them back.
+// A cache slower than its peers loses some of its keys, not all, and gets them back.
 func TestSlowCacheKeepsKeysByItsPace(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	keys := func() (n int) {
 		for u := range 100 {
 			if g.r.usable(g.r.members[1], &request{class: &g.r.cfg.Classes[0]}, float64(u)/100) {
@@ -136,7 +136,7 @@
 	}
 	for range 40 {
 		for id := ServerID(1); id <= 4; id++ {
-			g.r.gauge(g.r.members[id], 0, map[bool]float64{true: 9, false: 0}[id == 1], 1)
+			g.r.recordPace(g.r.members[id], 0, map[bool]float64{true: 9, false: 0}[id == 1], 1)
 		}
 	}
 	if n := keys(); n > 70 || n < 5 {
@@ -149,10 +149,10 @@
 	}
 }
 
-// Incident ib27e0f: a third of the answers never came. Once that shows, an attempt ends in time for a
-// second one at the same cache, which has the copy.
+// Incident ib27e0f: a third of the answers never came. Once that is measured, attempts time out early
+// enough for a second one at the same cache, which has the copy.
 func TestLostAnswersGetATimeoutAndASecondTry(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	if get, _ := g.ask(Request{Object: 9, Size: 1000}); get.Timeout != 0 {
 		t.Fatalf("no answers lost: time-out %d", get.Timeout)
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestSettingsThatCannotBeAreNamed(t *testing.T) {
+func TestInvalidSettingIsNamed(t *testing.T) {
 	for key, change := range map[string]func(*Settings){
 		"Gateways":              func(s *Settings) { s.Gateways = -1 },
 		"ZoneGates[1]":          func(s *Settings) { s.ZoneGates = []int{0, -2} },
@@ -200,14 +200,14 @@
 	}
 }
 
-// Counts that are zero or untold, a location without gateways, thousands of members: taken as they are.
+// Zero or unknown counts, a zone without gateways and thousands of members must not cause refusals.
 func TestZeroCountsAndThousandsOfMembers(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no gateways":               func(s *Settings) { s.Gateways, s.ZoneGates = 0, nil },
 		"location without gateways": func(s *Settings) { s.ZoneGates = []int{0, 0, 450} },
 		"short list of locations":   func(s *Settings) { s.ZoneGates = []int{1} },
 	} {
-		g := newRig(t, change)
+		g := newHarness(t, change)
 		m := testMembers()
 		for id := ServerID(1000); id < 4000; id++ {
 			one := Member{ID: id, State: Ready, Zone: int(id % 300), Weight: float64(id % 3)}
@@ -233,25 +233,25 @@
 	}
 }
 
-// Oman, slow origin (hunt --scale): a time-out tells of the time when its attempt was sent. Where samples are
-// rare, a late one must not shut out a source that has recovered since.
+// A timeout is a sample from the time when its attempt was sent. Where samples are rare, a late one must
+// not exclude a source that has recovered since.
 func TestOldTimeoutsCountLess(t *testing.T) {
 	slow := func(spent Micros) float64 {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		get, _ := g.ask(Request{Object: 77, Size: 2000, Expires: 6 * second})
 		g.now += spent
 		g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Elapsed: spent, Closed: true})
-		return g.r.paceOf(g.r.origin).slow
+		return g.r.paceOf(g.r.origin).slowdown
 	}
 	if fresh, old := slow(second), slow(6*second); fresh <= 0 || old >= fresh {
 		t.Errorf("after 1 s the origin counts as %.2f slower, after 6 s as %.2f", fresh, old)
 	}
 }
 
-// Guards against reads that are refused since the origin turns payouts away: that is a limit that
-// fills through parents do not meet, and what they meet they tell themselves.
-func TestRefusedWritesSayNothingOfFills(t *testing.T) {
-	g := newRig(t, nil)
+// Guards against fills that are limited because the origin refuses writes: that limit is on direct
+// calls, and fills through parents report their own refusals.
+func TestRefusedWritesDoNotLimitFills(t *testing.T) {
+	g := newHarness(t, nil)
 	for range 20 {
 		get, _ := g.ask(Request{Class: 2, Object: mix(uint64(g.id))})
 		if get.Server != 200 {
@@ -269,12 +269,12 @@
 	}
 }
 
-// Guards against two attempts of one request out together where a site allows neither that nor a
-// cancel: one that ran out early would still be out at its server. It has until its client leaves.
-func TestNothingRunsOutEarlyWhereItCannotBeGivenUp(t *testing.T) {
+// Guards against two attempts of one request in flight together where the settings allow neither hedges
+// nor cancels: one that timed out early would still run at its server. Its timeout is the client's.
+func TestNoEarlyTimeoutWithoutCancelOrHedges(t *testing.T) {
 	for _, x := range []struct{ cancel, hedges, early bool }{{false, false, false}, {true, false, true},
 		{false, true, true}, {true, true, true}} {
-		g := newRig(t, func(s *Settings) { s.Cancel, s.Hedges = x.cancel, x.hedges })
+		g := newHarness(t, func(s *Settings) { s.Cancel, s.Hedges = x.cancel, x.hedges })
 		home, _ := g.ask(Request{Object: 9, Size: 1000})
 		for i := range 60 { // answers get lost
 			get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
@@ -290,7 +290,7 @@
 			t.Errorf("%+v: time-out %d where answers get lost", x, get.Timeout)
 		}
 		m := g.r.members[home.Server]
-		m.ejected, m.backoff, m.trial, g.r.lost = 1, second, false, 0 // it comes back
+		m.ejectedUntil, m.backoff, m.trialOut, g.r.lostShare = 1, second, false, 0 // its ejection is over
 		get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
 		if (get.Timeout > 0) != x.early || get.Server != m.ID {
 			t.Errorf("%+v: time-out %d of a trial at %d", x, get.Timeout, get.Server)
@@ -298,11 +298,11 @@
 	}
 }
 
-// Guards against an origin that is asked on until it stops: where it refuses fills too, the
-// writes that it refuses tell of the same want.
-func TestRefusedWritesCountWhereFillsAreRefused(t *testing.T) {
+// Guards against an origin that gets requests until it stops: where it refuses fills, its refusals of
+// writes count as overload too.
+func TestRefusedWritesLimitFillsWhereFillsAreRefused(t *testing.T) {
 	held := func(code Code) (n int) {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		for i := range 20 {
 			if i < 2 {
 				get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100})
@@ -327,10 +327,10 @@
 	}
 }
 
-// Guards against writes that ask the origin straight again and again where it turns such calls
-// away by a limit: it takes what a parent passes on. Nothing is sent on after one that may have run.
+// Guards against writes that go to the origin directly again and again where a limit refuses such calls:
+// the retry goes through a parent. A write that may have run is not retried.
 func TestRefusedWriteGoesThroughAParent(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for code, want := range map[Code]bool{Full: true, Miss: true, ConnectFailed: true, ServerError: false} {
 		first, _ := g.ask(Request{Class: 2, Object: mix(uint64(g.id))})
 		if first.Server != 200 || first.Source != 200 {
@@ -349,9 +349,9 @@
 	}
 }
 
-// Guards deployments whose origin has no parent before it, or none that is fit.
+// Covers deployments whose origin has no parent, or no usable one.
 func TestRefusedWriteWithoutAParent(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for id, m := range g.r.members {
 		if m.tier == tierParent {
 			m.State = Draining
--- a/rules/path_test.go
+++ b/rules/path_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestEdgeSpreadsPartsAndKeepsEachInPlace(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	used := map[ServerID]int{}
 	for part := range 40 {
 		g.now += 10 * second // so that no object is hot
@@ -27,7 +27,7 @@
 
 func TestHotObjectUsesTwoCaches(t *testing.T) {
 	for _, hot := range []bool{true, false} {
-		g := newRig(t, nil)
+		g := newHarness(t, nil)
 		used := map[ServerID]int{}
 		for i := range 60 { // nothing is answered, so the first cache gets busier
 			for other := range 30 {
@@ -47,20 +47,20 @@
 }
 
 func TestRunnerUpTakesOverForADrainingFirst(t *testing.T) {
-	g := newRig(t, nil)
-	first, runnerUp := g.r.topTwo(42)
+	g := newHarness(t, nil)
+	first, runnerUp := g.r.topParents(42)
 	m := first.Member
 	m.State = Draining
 	g.step(Members{List: []Member{m}})
 	if get, _ := g.ask(Request{Object: 42}); get.Source != runnerUp.ID {
 		t.Errorf("source %d, want the runner-up %d", get.Source, runnerUp.ID)
 	}
-	if a, b := g.r.topTwo(42); a != first || b != runnerUp {
+	if a, b := g.r.topParents(42); a != first || b != runnerUp {
 		t.Error("a drain changed first and runner-up")
 	}
 }
 
-func TestListIsAskedForWhereItMustBe(t *testing.T) {
+func TestListIsSubscribedToWhereRequired(t *testing.T) {
 	r, err := New(func() Settings { s := testSettings(); s.OnRequest = true; return s }(), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// world feeds a router legal but arbitrary events and checks the rules that
-// show in its actions. It models no servers.
-type world struct {
-	rnd     *rand.Rand
-	cfg     Settings
-	r       *Router
-	now     Micros
-	members map[ServerID]*seenMember
-	open    map[RequestID]*seenRequest
-	sends   []seenSend
-	purges  map[uint64]Micros // by object, or group with the top bit set
-	next    RequestID
-	mend    func(Action) Action // tampering, to show that a broken guard is found
-	bad     []string
+// fuzzer feeds a router valid but arbitrary events and checks the invariants that are visible in its
+// actions. It models no servers.
+type fuzzer struct {
+	rnd        *rand.Rand
+	cfg        Settings
+	r          *Router
+	now        Micros
+	members    map[ServerID]*seenMember
+	open       map[RequestID]*seenRequest
+	sends      []seenSend
+	purges     map[uint64]Micros // by object, or group with the top bit set
+	next       RequestID
+	tamper     func(Action) Action // changes actions, to show that a broken guard is detected
+	violations []string
 }
 
 type seenMember struct {
@@ -29,11 +29,11 @@
 
 type seenRequest struct {
 	Request
-	deadline Micros
-	tries    []seenSend
-	inFlight int
-	ranAt    Micros
-	ran      bool
+	deadline   Micros
+	attempts   []seenSend
+	inFlight   int
+	firstRunAt Micros
+	mayHaveRun bool
 }
 
 type seenSend struct {
@@ -42,14 +42,14 @@
 	done   bool
 }
 
-func (w *world) complain(format string, args ...any) {
-	if len(w.bad) < 5 {
-		w.bad = append(w.bad, fmt.Sprintf("at %d: ", w.now)+fmt.Sprintf(format, args...))
+func (w *fuzzer) violation(format string, args ...any) {
+	if len(w.violations) < 5 {
+		w.violations = append(w.violations, fmt.Sprintf("at %d: ", w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func newWorld(seed uint64, mend func(Action) Action) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 7)), mend: mend, now: Micros(seed) * 1000003}
+func newFuzzer(seed uint64, tamper func(Action) Action) *fuzzer {
+	w := &fuzzer{rnd: rand.New(rand.NewPCG(seed, 7)), tamper: tamper, now: Micros(seed) * 1000003}
 	s := testSettings()
 	p := func() bool { return w.rnd.IntN(2) == 0 }
 	s.Direct, s.Joins, s.Cancel, s.RetryAfter, s.Probes = p(), p(), p(), p(), p()
@@ -63,7 +63,7 @@
 	if p() {
 		s.Flow = 0
 	}
-	if seed%2 == 0 { // a fleet of hundreds, where this gateway's shares are under one request
+	if seed%2 == 0 { // a fleet of hundreds, where this gateway's share is less than one request
 		s.Gateways, s.ZoneGates = 450, make([]int, 80)
 		for zone := 1; zone < len(s.ZoneGates); zone++ {
 			s.ZoneGates[zone] = w.rnd.IntN(16)
@@ -74,8 +74,8 @@
 	return w
 }
 
-// restart begins a new instance, which knows nothing but list and purges.
-func (w *world) restart() {
+// restart replaces the router by a new one, which knows only the server list.
+func (w *fuzzer) restart() {
 	r, err := New(w.cfg, w.rnd.Uint64())
 	if err != nil {
 		panic(err)
@@ -89,7 +89,7 @@
 	w.step(m)
 }
 
-func (w *world) step(events ...Event) {
+func (w *fuzzer) step(events ...Event) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case Request:
@@ -103,18 +103,18 @@
 		}
 	}
 	for _, a := range w.r.Step(w.now, events) {
-		if w.mend != nil {
-			a = w.mend(a)
+		if w.tamper != nil {
+			a = w.tamper(a)
 		}
 		w.check(a)
 	}
 }
 
-func (w *world) check(action Action) {
+func (w *fuzzer) check(action Action) {
 	final := func(id RequestID) {
 		q := w.open[id]
 		if q == nil {
-			w.complain("final answer for a request not held")
+			w.violation("final answer for a request not held")
 			return
 		}
 		delete(w.open, id)
@@ -125,63 +125,63 @@
 	case Fail:
 		final(a.ID)
 	case Refuse:
-		if q := w.open[a.ID]; q != nil && (q.ran || q.inFlight > 0) {
+		if q := w.open[a.ID]; q != nil && (q.mayHaveRun || q.inFlight > 0) {
 			c := w.cfg.Classes[q.Class]
 			if c.Effect == Unsafe ||
-				c.Effect == Keyed && (c.Scope != ScopeAll || w.now-q.ranAt > c.MemorySpan) {
-				w.complain("a request that may have run is refused")
+				c.Effect == Keyed && (c.Scope != ScopeAll || w.now-q.firstRunAt > c.MemorySpan) {
+				w.violation("a request that may have run is refused")
 			}
 		}
 		final(a.ID)
 	}
 }
 
-func (w *world) checkGet(a Get) {
+func (w *fuzzer) checkGet(a Get) {
 	q := w.open[a.ID]
 	if q == nil {
-		w.complain("send for a request not held")
+		w.violation("send for a request not held")
 		return
 	}
 	if q.inFlight > 0 && (!w.cfg.Hedges || w.cfg.Classes[q.Class].Effect != Safe || q.inFlight > 1) {
-		w.complain("%d attempts out at a time", q.inFlight+1)
+		w.violation("%d attempts out at a time", q.inFlight+1)
 	}
-	if len(q.tries) >= w.cfg.MaxAttempts {
-		w.complain("attempt %d", len(q.tries)+1)
+	if len(q.attempts) >= w.cfg.MaxAttempts {
+		w.violation("attempt %d", len(q.attempts)+1)
 	}
-	if q.ran && w.cfg.Classes[q.Class].Effect != Safe {
-		w.complain("sent again though it may have run")
+	if q.mayHaveRun && w.cfg.Classes[q.Class].Effect != Safe {
+		w.violation("sent again though it may have run")
 	}
 	for _, id := range []ServerID{a.Server, a.Source} {
 		m := w.members[id]
 		if m == nil {
-			w.complain("server %d was never listed", id)
+			w.violation("server %d was never listed", id)
 		} else if m.State != Ready && w.now-m.since > w.cfg.DrainGrace {
-			w.complain("server %d is in state %d since %d us", id, m.State, w.now-m.since)
+			w.violation("server %d is in state %d since %d us", id, m.State, w.now-m.since)
 		}
 	}
 	if a.Server > 100 && !w.cfg.Direct {
-		w.complain("passes the caches by where that is not permitted")
+		w.violation("passes the caches by where that is not permitted")
 	}
 	if a.Join && !w.cfg.Joins {
-		w.complain("joins where that is not permitted")
+		w.violation("joins where that is not permitted")
 	}
 	for _, key := range []uint64{q.Object, 1<<63 | uint64(q.Group)} {
 		at, known := w.purges[key]
 		if known && w.now-at < w.cfg.PurgeSettle && (a.MaxAge == 0 || a.MaxAge > max(1, w.now-at)) {
-			w.complain("an age of %d for what was purged %d us ago", a.MaxAge, w.now-at)
+			w.violation("an age of %d for what was purged %d us ago", a.MaxAge, w.now-at)
 		}
 	}
-	q.tries = append(q.tries, seenSend{at: w.now, server: a.Server})
+	q.attempts = append(q.attempts, seenSend{at: w.now, server: a.Server})
 	q.inFlight++
 }
 
-// finish ends one attempt in some legal way.
-func (w *world) finish(q *seenRequest, id RequestID) {
-	for i := range q.tries {
-		if q.tries[i].done {
+// finish ends one attempt in a random valid way.
+func (w *fuzzer) finish(q *seenRequest, id RequestID) {
+	for i := range q.attempts {
+		if q.attempts[i].done {
 			continue
 		}
-		t := &q.tries[i]
+		t := &q.attempts[i]
 		t.done = true
 		q.inFlight--
 		codes := []Code{OK, OK, OK, Miss, NotSent, Cancelled, ServerError, ConnectFailed, Full,
@@ -195,8 +195,8 @@
 			delete(w.open, id)
 		case Miss, NotSent, ConnectFailed, Full:
 		default:
-			if !q.ran {
-				q.ran, q.ranAt = true, t.at
+			if !q.mayHaveRun {
+				q.mayHaveRun, q.firstRunAt = true, t.at
 			}
 		}
 		w.step(o)
@@ -204,12 +204,12 @@
 	}
 }
 
-func (w *world) turn() {
+func (w *fuzzer) turn() {
 	w.now += Micros(w.rnd.IntN(1 << (1 + w.rnd.IntN(21))))
 	for id := RequestID(1); id <= w.next; id++ { // the client's time is up
 		if q := w.open[id]; q != nil && w.now >= q.deadline {
 			if q.inFlight == 0 {
-				w.complain("request %d is held with nothing out until its deadline", id)
+				w.violation("request %d is held with nothing out until its deadline", id)
 			}
 			delete(w.open, id)
 			w.step(Expired{id})
@@ -251,29 +251,29 @@
 	}
 }
 
-func (w *world) run(turns int) []string {
+func (w *fuzzer) run(turns int) []string {
 	for range turns {
 		w.turn()
 	}
 	for name, n := range map[string]int{"objects": len(w.r.objects.young), "parts": len(w.r.parts.young),
-		"purges": len(w.r.purged.young)} {
+		"purges": len(w.r.purges.young)} {
 		if n > tableCap {
-			w.complain("%d %s kept", n, name)
+			w.violation("%d %s kept", n, name)
 		}
 	}
-	return w.bad
+	return w.violations
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		for _, complaint := range newWorld(seed, nil).run(3000) {
+		for _, complaint := range newFuzzer(seed, nil).run(3000) {
 			t.Errorf("seed %d: %s", seed, complaint)
 		}
 	}
 }
 
-// Each guard, taken out of the actions, must be noticed.
-func TestRandomEventsNoticeBrokenGuards(t *testing.T) {
+// Checks that the fuzzer detects each guard that is undone in the actions.
+func TestRandomEventsDetectBrokenGuards(t *testing.T) {
 	get := func(change func(*Get)) func(Action) Action {
 		return func(a Action) Action {
 			if g, ok := a.(Get); ok {
@@ -283,7 +283,7 @@
 			return a
 		}
 	}
-	for name, mend := range map[string]func(Action) Action{
+	for name, tamper := range map[string]func(Action) Action{
 		"age dropped":      get(func(g *Get) { g.MaxAge = 0 }),
 		"drain forgotten":  get(func(g *Get) { g.Server = 2 }),
 		"source forgotten": get(func(g *Get) { g.Source = 102 }),
@@ -298,7 +298,7 @@
 	} {
 		found := false
 		for seed := uint64(1); seed <= 20 && !found; seed++ {
-			found = len(newWorld(seed, mend).run(1500)) > 0
+			found = len(newFuzzer(seed, tamper).run(1500)) > 0
 		}
 		if !found {
 			t.Errorf("%s: not noticed", name)
@@ -308,8 +308,8 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (all []string) {
-		w := newWorld(11, nil)
-		w.mend = func(a Action) Action {
+		w := newFuzzer(11, nil)
+		w.tamper = func(a Action) Action {
 			all = append(all, fmt.Sprintf("%T%v", a, a))
 			return a
 		}
@@ -329,7 +329,7 @@
 
 func BenchmarkRequest(b *testing.B) { benchmark(b, testMembers()) }
 
-// The largest location and list of parents that the grown deployments have.
+// Uses the largest zone and list of parents of the large deployments.
 func BenchmarkRequestAtSize(b *testing.B) {
 	m := testMembers()
 	for i := range ServerID(80) {
--- a/rules/refusal_test.go
+++ b/rules/refusal_test.go
@@ -10,25 +10,22 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// What happens: a gateway with nothing in flight refuses request after request for seconds, though
-// all servers answer in milliseconds.
-//
-// Why: one slow answer, or one "full", of one server counted at once as the pace of all servers of its tier.
-// By that pace no request could be answered within its aim, so each was refused; nothing was sent, so
-// nothing corrected the belief but its fading.
-//
-// What showed it: the log's "request refused" lines of the soak: reason="server slow", in_flight=0,
-// slow=3 (the constant for one "full") or slow=1.09 to 2.77 (one slow answer), expected_us above left_us.
+// The next tests guard against a gateway with nothing in flight that refuses request after request for
+// seconds, though all servers answer in milliseconds. One slow answer, or one "full", of one server counted
+// at once as the pace of its whole tier. By that pace no request fitted its aim, so none was sent, and
+// nothing but decay corrected the estimate. The log showed "request refused" with reason="server slow",
+// in_flight=0, slow=3 (the constant for one "full") or 1.09 to 2.77 (one slow answer), and expected_us
+// above left_us.
 
-// shortAims has classes whose aim does not grow with the work.
+// shortAims makes the aims of all classes independent of the work.
 func shortAims(s *Settings) {
 	for i := range s.Classes {
 		s.Classes[i].AimStretch = 0
 	}
 }
 
-// askAlone sends requests for new objects, each alone on the gateway, and counts those not sent.
-func (g *rig) askAlone(n int) (refused int) {
+// askAlone makes requests for new objects, one at a time, and counts those refused.
+func (g *harness) askAlone(n int) (refused int) {
 	for i := range n {
 		get, _ := g.ask(Request{Object: uint64(1000 + i)})
 		if get.ID == 0 {
@@ -42,7 +39,7 @@
 }
 
 func TestOneSlowAnswerRefusesNothing(t *testing.T) {
-	g := newRig(t, shortAims)
+	g := newHarness(t, shortAims)
 	for _, spent := range []Micros{20 * milli, 300 * milli} {
 		get, _ := g.ask(Request{Object: 5})
 		g.now += spent
@@ -56,9 +53,9 @@
 }
 
 func TestOneFullServerRefusesNothing(t *testing.T) {
-	g := newRig(t, shortAims)
+	g := newHarness(t, shortAims)
 	get, _ := g.ask(Request{Object: 5})
-	for n := 0; get.ID != 0; n++ { // the server that it is tried at next is not full
+	for n := 0; get.ID != 0; n++ { // the next server is not full
 		code := Full
 		if n > 0 {
 			code = OK
@@ -76,11 +73,11 @@
 	}
 }
 
-// Whatever was learnt before, a read that is alone on the gateway is sent: a belief that refuses is
-// put to the test while it refuses.
-func TestRequestAloneIsSentWhateverWasLearnt(t *testing.T) {
+// Whatever was learnt before, a read that is alone on the gateway is sent, to test an estimate that would
+// refuse it.
+func TestLoneReadIsAlwaysSent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		g := newRig(t, shortAims)
+		g := newHarness(t, shortAims)
 		outcomes := []Code{OK, OK, Miss, ServerError, Full, Timeout, Reset}
 		for range rapid.IntRange(1, 40).Draw(rt, "requests") {
 			g.now += Micros(rapid.IntRange(0, 3000).Draw(rt, "pause, ms")) * milli
@@ -98,10 +95,10 @@
 	})
 }
 
-// A server that is slow for all is still spared: beside the one request that tests it, others that would
-// come too late are refused, and they are let in again soon after it has answered in time.
+// Servers that are slow for everyone are still spared: besides the one request that tests them, requests
+// that would be late are refused, and they are sent again soon after answers come in time.
 func TestSlowServersAreTestedByOneRequestAtATime(t *testing.T) {
-	g := newRig(t, shortAims)
+	g := newHarness(t, shortAims)
 	for i := range 40 {
 		get, _ := g.ask(Request{Object: 5})
 		if get.ID == 0 {
@@ -140,11 +137,11 @@
 	}
 }
 
-// Of many requests at once, after one answer of a server that was held up, only those of that server
-// may be refused: what one server did is no proof of the others.
-func TestOneServersAnswerIsNoProofOfTheOthers(t *testing.T) {
+// Of many requests at once, after one slow or full answer of a server, only requests to that server may
+// be refused: the answer says nothing of other servers.
+func TestOneSlowServerDoesNotRefuseForOthers(t *testing.T) {
 	for name, code := range map[string]Code{"slow": OK, "full": Full} {
-		g := newRig(t, shortAims)
+		g := newHarness(t, shortAims)
 		get, _ := g.ask(Request{Object: 5})
 		g.answer(get, 0, OK, NoteHit)
 		g.now += 10 * second
@@ -164,22 +161,19 @@
 	}
 }
 
-// What happens: short requests are refused for the first tens of requests of a class, though answers
-// take milliseconds.
-//
-// Why: until a class has answers its work is taken to be half its aim, and each answer moved that by a
-// twentieth.
-//
-// What showed it: lines "request refused" with slow=0 and expected_us=38430 where answers took 3 to 7 ms.
-func TestFirstAnswersOfAClassTellItsWork(t *testing.T) {
-	g := newRig(t, shortAims)
+// Guards against short requests being refused for the first tens of requests of a class, though answers
+// take milliseconds. The initial estimate of a class's work is half its aim, and each answer corrected
+// only a twentieth of it. The log showed "request refused" with slow=0 and expected_us=38430 where
+// answers took 3 to 7 ms.
+func TestFirstAnswersOfAClassSetItsWork(t *testing.T) {
+	g := newHarness(t, shortAims)
 	for i := range 10 {
 		get, _ := g.ask(Request{Object: uint64(i)})
 		g.now += 5 * milli
 		g.step(Outcome{ID: get.ID, Server: get.Server, Code: OK, Note: NoteHit, Elapsed: 5 * milli,
 			Closed: true})
 	}
-	for i := range 4 { // at once, so that none is alone
+	for i := range 4 { // at once, so that none is alone on the gateway
 		if get, out := g.ask(Request{Object: uint64(100 + i), Expires: 60 * milli}); get.ID == 0 {
 			t.Errorf("a request with 60 ms left is refused, answers take 5 ms: %+v", out)
 		}
--- a/rules/renew_test.go
+++ b/rules/renew_test.go
@@ -2,10 +2,9 @@
 
 import "testing"
 
-// Further settings hold for what comes from then on: an open request keeps its
-// class and number of attempts, a class of the same name what was learnt of it,
-// and a place never means another class.
-func TestRenew(t *testing.T) {
+// New settings apply to later requests: an open request keeps its class and number of attempts, a class
+// of the same name keeps its estimates, and the index of a class never changes.
+func TestUpdateSettings(t *testing.T) {
 	read := Class{Name: "a", GiveUp: second, Aim: 100 * milli, Worth: 1}
 	r, err := New(Settings{Classes: []Class{read}, Gateways: 1, MaxAttempts: 3,
 		ParentKind: -1, OriginKind: -1, Tick: milli}, 1)
@@ -25,13 +24,13 @@
 	if gets(1, list, Request{ID: 1, Object: 7, Expires: second}) != 1 {
 		t.Fatal("the first request went nowhere")
 	}
-	r.mean[0] = 12345
+	r.meanWork[0] = 12345
 	unsafe := read
 	unsafe.Effect = Unsafe
 	next := r.cfg
 	next.Classes, next.MaxAttempts = []Class{read, unsafe}, 1
-	if err := r.UpdateSettings(next); err != nil || r.mean[1] != 12345 {
-		t.Fatalf("%v, learnt %v", err, r.mean)
+	if err := r.UpdateSettings(next); err != nil || r.meanWork[1] != 12345 {
+		t.Fatalf("%v, learnt %v", err, r.meanWork)
 	}
 	wrong := next
 	wrong.Classes = []Class{unsafe}
@@ -41,16 +40,16 @@
 	fail := func(id RequestID, by ServerID) Outcome {
 		return Outcome{ID: id, Server: by, Code: ServerError, Elapsed: milli}
 	}
-	first := r.reqs[1].tries[0].server.ID
+	first := r.requests[1].attempts[0].server.ID
 	if gets(2, fail(1, first)) != 1 {
 		t.Error("the open read was not tried again")
 	}
 	if gets(3, Request{ID: 2, Class: 1, Object: 7, Expires: second}) != 1 ||
-		gets(4, fail(2, r.reqs[2].tries[0].server.ID)) != 0 {
+		gets(4, fail(2, r.requests[2].attempts[0].server.ID)) != 0 {
 		t.Error("what must not run twice was tried again")
 	}
 	if gets(5, Request{ID: 3, Object: 7, Expires: second}) != 1 ||
-		gets(6, fail(3, r.reqs[3].tries[0].server.ID)) != 0 {
+		gets(6, fail(3, r.requests[3].attempts[0].server.ID)) != 0 {
 		t.Error("a read under one attempt was tried again")
 	}
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// testSettings is a location with caches 1 to 4, parents 101 to 103 and origin 200.
+// testSettings returns settings for a zone with caches 1 to 4, parents 101 to 103 and origin 200.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -35,15 +35,15 @@
 	return m
 }
 
-// rig drives one router and keeps count of ids and time.
-type rig struct {
+// harness drives one router and keeps the time and the last request id.
+type harness struct {
 	t   *testing.T
 	r   *Router
 	now Micros
 	id  RequestID
 }
 
-func newRig(t *testing.T, change func(*Settings)) *rig {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
 	if change != nil {
@@ -53,17 +53,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, r: r, now: 100 * second}
+	g := &harness{t: t, r: r, now: 100 * second}
 	g.step(testMembers())
 	return g
 }
 
-func (g *rig) step(events ...Event) []Action {
+func (g *harness) step(events ...Event) []Action {
 	return append([]Action(nil), g.r.Step(g.now, events)...)
 }
 
-// ask sends a request in and gives the Get that it leads to.
-func (g *rig) ask(q Request) (Get, []Action) {
+// ask passes a request to the router and returns the Get for it, if any, and all actions.
+func (g *harness) ask(q Request) (Get, []Action) {
 	g.id++
 	q.ID = g.id
 	if q.Expires == 0 {
@@ -78,16 +78,16 @@
 	return Get{}, out
 }
 
-// answer ends the attempt of a Get.
-func (g *rig) answer(get Get, attempt int, code Code, note Note) []Action {
+// answer ends the attempt of a Get after 10 ms.
+func (g *harness) answer(get Get, attempt int, code Code, note Note) []Action {
 	return g.step(Outcome{ID: get.ID, Attempt: attempt, Server: get.Server, Code: code, Note: note,
 		Elapsed: 10 * milli, Closed: code == OK})
 }
 
 func TestFirstParentIsTheTopScoreWhateverTheHealth(t *testing.T) {
-	g := newRig(t, nil)
+	g := newHarness(t, nil)
 	for object := uint64(1); object < 200; object++ {
-		first, second := g.r.topTwo(object)
+		first, second := g.r.topParents(object)
 		get, _ := g.ask(Request{Object: object})
 		if get.Source != first.ID || first == second {
 			t.Fatalf("object %d: source %d, first parent %d", object, get.Source, first.ID)
@@ -96,18 +96,18 @@
 	}
 	before := map[uint64][2]*member{}
 	for object := uint64(1); object < 200; object++ {
-		a, b := g.r.topTwo(object)
+		a, b := g.r.topParents(object)
 		before[object] = [2]*member{a, b}
 	}
 	sick := g.r.members[101]
 	for range 20 {
-		g.r.judge(sick, false, 1)
+		g.r.recordHealth(sick, false, 1)
 	}
-	if sick.ejected == 0 {
+	if sick.ejectedUntil == 0 {
 		t.Fatal("twenty failures did not eject")
 	}
 	for object := uint64(1); object < 200; object++ {
-		a, b := g.r.topTwo(object)
+		a, b := g.r.topParents(object)
 		if before[object] != [2]*member{a, b} {
 			t.Fatalf("object %d: health changed first or runner-up", object)
 		}
@@ -124,8 +124,8 @@
 }
 
 func TestRunnerUpIsWarmedOncePerInterval(t *testing.T) {
-	g := newRig(t, nil)
-	first, runnerUp := g.r.topTwo(42)
+	g := newHarness(t, nil)
+	first, runnerUp := g.r.topParents(42)
 	var sources []ServerID
 	for range 12 {
 		get, _ := g.ask(Request{Object: 42})
@@ -135,7 +135,7 @@
 	}
 	for i, s := range sources {
 		want := first.ID
-		if i == warmHits {
+		if i == warmupMinHits {
 			want = runnerUp.ID
 		}
 		if s != want {
@@ -144,10 +144,10 @@
 	}
 }
 
-func TestJamIsRefusedLargestFirst(t *testing.T) {
-	g := newRig(t, nil)
+func TestOverloadRefusesLargestFirst(t *testing.T) {
+	g := newHarness(t, nil)
 	taken, refused := map[float64]int{}, map[float64]int{}
-	for i := range 4000 { // nothing is answered: the caches fill up
+	for i := range 4000 { // nothing is answered, so the caches fill up
 		size := []float64{300, 12000}[i%2]
 		get, out := g.ask(Request{Object: uint64(i), Size: size})
 		if get.ID != 0 {
--- a/rules/support.go
+++ b/rules/support.go
@@ -6,10 +6,9 @@
 	"math"
 )
 
-// What the module needs and decides nothing: a check of the settings and a
-// bounded table.
+// Support code without decisions: checks of the settings and a bounded table.
 
-// check names the first setting that cannot work.
+// check returns an error that names the first invalid setting.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: Classes is empty")
@@ -42,7 +41,7 @@
 	return s.checkNumbers()
 }
 
-// extends tells whether settings keep every class of earlier ones in its place.
+// extends returns an error unless s keeps every class of the earlier settings at its index.
 func (s *Settings) extends(o *Settings) error {
 	for i, c := range o.Classes {
 		if i >= len(s.Classes) || s.Classes[i] != c {
@@ -52,21 +51,21 @@
 	return nil
 }
 
-// Avoided counts the listed members that get no ordinary work now: those that drain and those ejected.
+// Avoided returns how many listed members get no ordinary requests now: those draining or ejected.
 func (r *Router) Avoided() (n int) {
 	for _, m := range r.members {
-		if m.listed && (m.State != Ready || m.ejected > 0) {
+		if m.listed && (m.State != Ready || m.ejectedUntil > 0) {
 			n++
 		}
 	}
 	return n
 }
 
-// checkCounts names the first count or code that cannot be.
+// checkCounts returns an error that names the first count or enum value out of range.
 func (s *Settings) checkCounts() error {
 	type count struct {
 		key   string
-		n, at int // at: the most it may be
+		n, at int // at: the maximum
 	}
 	counts := []count{{"Gateways", s.Gateways, math.MaxInt},
 		{"Rank", s.Rank, math.MaxInt}, {"MaxAttempts", s.MaxAttempts, math.MaxInt},
@@ -87,8 +86,8 @@
 	return nil
 }
 
-// checkNumbers names the first number that is negative, endless, no number, or a
-// share above 1.
+// checkNumbers returns an error that names the first number that is negative, infinite, NaN, or a share
+// above 1.
 func (s *Settings) checkNumbers() error {
 	type number struct {
 		key   string
@@ -119,26 +118,27 @@
 	return nil
 }
 
-// aged is a table of two generations: what was not used in the last one or two
-// spans is forgotten, and neither generation outgrows its cap.
-type aged[K comparable, V any] struct {
+// agedTable is a map of two generations: entries not used for one to two spans are dropped, and
+// neither generation outgrows its limit.
+type agedTable[K comparable, V any] struct {
 	young, old map[K]*V
-	turned     Micros
+	rotatedAt  Micros
 }
 
-func (t *aged[K, V]) get(k K) *V {
+func (t *agedTable[K, V]) get(k K) *V {
 	if v := t.young[k]; v != nil {
 		return v
 	}
 	return t.old[k]
 }
 
-// at finds an entry or makes it, and keeps it young.
-func (t *aged[K, V]) at(k K, limit int, now, span Micros) (v *V, full bool) {
+// ensure returns an entry, created if missing, and moves it to the young generation. full says that the
+// limit, not age, started a new generation, so that older entries may be lost.
+func (t *agedTable[K, V]) ensure(k K, limit int, now, span Micros) (v *V, full bool) {
 	v = t.get(k)
-	if t.young == nil || len(t.young) >= limit || now-t.turned > span {
+	if t.young == nil || len(t.young) >= limit || now-t.rotatedAt > span {
 		full = len(t.young) >= limit
-		t.young, t.old, t.turned = make(map[K]*V), t.young, now
+		t.young, t.old, t.rotatedAt = make(map[K]*V), t.young, now
 	}
 	if v == nil {
 		v = new(V)
@@ -147,8 +147,8 @@
 	return v, full
 }
 
-func (t *aged[K, V]) put(k K, val V, limit int, now, span Micros) (full bool) {
-	v, full := t.at(k, limit, now, span)
+func (t *agedTable[K, V]) put(k K, val V, limit int, now, span Micros) (full bool) {
+	v, full := t.ensure(k, limit, now, span)
 	*v = val
 	return full
 }
