--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays gateways on the simulator's wire: it reads batches of
-// events on standard input, steps each gateway's module, and writes replies.
+// Command adapter runs the routers of a simulator's gateways: it reads batches of events from
+// standard input, steps the router of each gateway, and writes the replies to standard output.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the end of the input. It fails on a batch that can't be read or handled.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -38,7 +38,7 @@
 			return err
 		}
 		reply.Reset(batch.Number)
-		if err := play(batch, gateways, &reply); err != nil {
+		if err := stepBatch(batch, gateways, &reply); err != nil {
 			return fmt.Errorf("batch %d: %w", batch.Number, err)
 		}
 		if _, err := w.Write(reply.Bytes()); err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// play hands each gateway its events in the order they came.
-func play(batch *wire.Batch, gateways map[uint16]*rules.Router, reply *wire.Reply) error {
+// stepBatch passes each gateway its events of a batch, in the order in which they came.
+func stepBatch(batch *wire.Batch, gateways map[uint16]*rules.Router, reply *wire.Reply) error {
 	var order []uint16
 	pending := make(map[uint16][]rules.Event)
 	for _, e := range batch.Events {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// step runs the module once; a panic in it is told to the host as it is.
+// step runs the router once. A panic in it is reported to the host as it is.
 func step(id uint16, g *rules.Router, now rules.Micros, events []rules.Event, reply *wire.Reply) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -42,8 +42,8 @@
 }
 
 func TestRun(t *testing.T) {
-	// Gateway 1 starts without members and refuses; gateway 2 is not running;
-	// a restart within one batch is a new instance.
+	// Gateway 1 starts without members and refuses. Gateway 2 is not running. A
+	// restart within one batch gives a new router.
 	in := append(frame(1, 1), frame(2, 2, start(1, facts), request(1, 7), request(2, 8))...)
 	in = append(in, frame(3, 3, record(16, 1), start(1, facts), request(1, 9))...)
 	var out bytes.Buffer
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the thin front for the platform's own protocol: HTTP/1.1
-// whose target names class, object and part, and whose headers hold the rest.
+// Package platform is the front for the platform's own protocol: HTTP/1.1 requests
+// whose target names class, object and part, and whose headers have the rest.
 package platform
 
 import (
@@ -14,102 +14,104 @@
 )
 
 const (
-	path        = "/call/"
-	health      = "/ping"
-	longestWait = 60_000 // ms
+	callPath   = "/call/"
+	healthPath = "/ping"
+	maxWaitMs  = 60_000 // ms
 )
 
-// Limits bound a request: a write carries up to 48,000 bytes.
+// Limits bounds the size of a request. The body of a write has up to 48,000 bytes.
 var Limits = httpwire.Limits{Head: 8 << 10, Body: 48_000}
 
 // Class is a class of requests.
 type Class struct {
 	Name  string
-	Index int // by which the gateway knows it
+	Index int // of the class in the gateway's settings
 	Write bool
-	Keyed bool // repeats are dropped by their key, which every request has
+	Keyed bool // repeats are discarded by their key, which every request must have
 }
 
-// mostKB is the size of the largest part that can be told, in KB.
-const mostKB = 1e9
+// maxKB is the maximum size of a part that a request can give, in KB.
+const maxKB = 1e9
 
-// Front reads the platform's requests and words its answers.
+// Front parses the platform's requests and builds the responses.
 type Front struct {
 	classes []Class
 	ready   func() (ok bool, why string)
 	log     *slog.Logger
 }
 
-// New makes a front for the classes that requests may name. Health checks are answered by
-// ready: 200, or 503 with the reason.
+// New returns a front for the classes that requests may name. Health checks are answered with 200, or with
+// 503 and the reason, as ready says.
 func New(classes []Class, ready func() (ok bool, why string), log *slog.Logger) *Front {
 	return &Front{classes: classes, ready: ready, log: log}
 }
 
-// Reload has requests that come from now on name other classes.
+// Reload sets the classes that later requests may name.
 func (f *Front) Reload(classes []Class) { f.classes = classes }
 
-// Take answers a health check, and turns any other request into a call.
+// Take answers a health check or an invalid request, and turns any other request into a call.
 func (f *Front) Take(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
-	if r.Target == health && r.Method == "GET" {
-		if ok, why := f.ready(); !ok {
-			return nil, &httpwire.Response{Status: 503, Body: []byte(why + "\n")}
+	if r.Target == healthPath && r.Method == "GET" {
+		if ok, reason := f.ready(); !ok {
+			return nil, &httpwire.Response{Status: 503, Body: []byte(reason + "\n")}
 		}
 		return nil, &httpwire.Response{Status: 200}
 	}
-	call, wrong := f.read(r, x.Came())
-	if wrong != nil {
-		f.log.Info("request rejected", "status", wrong.Status, "reason", wrong.Reason)
-		return nil, &httpwire.Response{Status: wrong.Status, Body: []byte(wrong.Reason + "\n"), Close: true}
+	call, invalid := f.read(r, x.Came())
+	if invalid != nil {
+		f.log.Info("request rejected", "status", invalid.Status, "reason", invalid.Reason)
+		return nil, &httpwire.Response{Status: invalid.Status, Body: []byte(invalid.Reason + "\n"), Close: true}
 	}
 	return call, nil
 }
 
-func bad(reason string) *httpwire.Error { return &httpwire.Error{Status: 400, Reason: reason} }
+// badRequest returns an error with status 400.
+func badRequest(reason string) *httpwire.Error { return &httpwire.Error{Status: 400, Reason: reason} }
 
-func (f *Front) read(r *httpwire.Request, came gateway.Micros) (*gateway.Call, *httpwire.Error) {
+// read parses a request that came at the given time into a call.
+func (f *Front) read(r *httpwire.Request, receivedAt gateway.Micros) (*gateway.Call, *httpwire.Error) {
 	target, query, _ := strings.Cut(r.Target, "?")
-	rest, ok := strings.CutPrefix(target, path)
+	rest, ok := strings.CutPrefix(target, callPath)
 	if !ok {
-		return nil, bad("target is unknown")
+		return nil, badRequest("target is unknown")
 	}
 	name, object, _ := strings.Cut(rest, "/")
 	class := f.class(name)
 	id := r.Header.Get("Req-Id")
 	switch {
 	case class < 0:
-		return nil, bad("class is unknown")
+		return nil, badRequest("class is unknown")
 	case !gateway.IsName(object):
-		return nil, bad("object is malformed")
+		return nil, badRequest("object is malformed")
 	case r.Header.Count("Req-Id") > 1 || r.Header.Count("Req-Wait-Ms") > 1 || r.Header.Count("X-Bucket") > 1 ||
 		r.Header.Count("Req-Token") > 1 || r.Header.Count("Req-Kb") > 1:
-		return nil, bad("a field stands twice")
+		return nil, badRequest("a field stands twice")
 	case len(id) != 16 || strings.Trim(id, "0123456789abcdefABCDEF") != "":
-		return nil, bad("Req-Id is not 16 hex digits")
+		return nil, badRequest("Req-Id is not 16 hex digits")
 	case r.Method != "GET" && r.Method != "PUT" || f.classes[class].Write != (r.Method == "PUT"):
 		return nil, &httpwire.Error{Status: 405, Reason: "method does not fit the class"}
 	case r.Method == "GET" && len(r.Body) > 0:
-		return nil, bad("a read has no body")
+		return nil, badRequest("a read has no body")
 	}
 	c := &gateway.Call{ID: id, Class: f.classes[class].Index, Object: object, Body: r.Body,
 		Repeat: r.Header.Get("Req-Retry") == "1"}
 	wait, err := strconv.ParseUint(r.Header.Get("Req-Wait-Ms"), 10, 32)
-	if err != nil || wait == 0 || wait > longestWait {
-		return nil, bad("Req-Wait-Ms is not 1 to 60000")
+	if err != nil || wait == 0 || wait > maxWaitMs {
+		return nil, badRequest("Req-Wait-Ms is not 1 to 60000")
 	}
-	c.Deadline = came + int64(wait)*1000
+	c.Deadline = receivedAt + int64(wait)*1000
 	if f.classes[class].Keyed {
 		if c.Token = r.Header.Get("Req-Token"); !gateway.IsName(c.Token) {
-			return nil, bad("Req-Token is missing or malformed: the class is keyed")
+			return nil, badRequest("Req-Token is missing or malformed: the class is keyed")
 		}
 	}
 	if text := r.Header.Get("Req-Kb"); text != "" {
-		if c.Size, err = strconv.ParseFloat(text, 64); err != nil || !(c.Size >= 0 && c.Size <= mostKB) {
-			return nil, bad("Req-Kb is no size in KB")
+		if c.Size, err = strconv.ParseFloat(text, 64); err != nil || !(c.Size >= 0 && c.Size <= maxKB) {
+			return nil, badRequest("Req-Kb is no size in KB")
 		}
 	}
 	if fault := session.ReadCopy(c, query, r.Header.Get("X-Bucket")); fault != "" {
-		return nil, bad(fault)
+		return nil, badRequest(fault)
 	}
 	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); gateway.IsName(tag) {
 		c.Tag = tag
@@ -117,6 +119,7 @@
 	return c, nil
 }
 
+// class returns the index of a class in f.classes, or -1.
 func (f *Front) class(name string) int {
 	for i, c := range f.classes {
 		if c.Name == name {
@@ -126,7 +129,7 @@
 	return -1
 }
 
-// Reply words the final answer to a call.
+// Reply returns the response for the final answer to a call.
 func (f *Front) Reply(_ *session.Exchange, a gateway.Answer) *httpwire.Response {
 	r := &httpwire.Response{Status: 502}
 	if a.Tag != "" {
@@ -145,11 +148,11 @@
 	return r
 }
 
-// Full words a refusal.
+// Full returns the response for a refusal, with the time after which to come back.
 func (f *Front) Full(away loop.Micros) *httpwire.Response {
 	return &httpwire.Response{Status: 503,
 		Header: httpwire.Header{{Name: "Srv-Wait-Ms", Value: strconv.FormatInt((away+999)/1000, 10)}}}
 }
 
-// Left has nothing to do: the front keeps nothing of a request.
+// Left does nothing: the front keeps no state of a request.
 func (f *Front) Left(*session.Exchange) {}
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -11,14 +11,13 @@
 	"cherryramp/internal/httpwire"
 )
 
-// takes is the readiness of a front that takes clients.
-func takes() (bool, string) { return true, "" }
+// alwaysReady reports that the front accepts clients.
+func alwaysReady() (bool, string) { return true, "" }
 
-// Guards what a deployment with keyed classes and told sizes carries: the key and the
-// size pass on as they came, a key that is missing and a size that is none are turned
-// down with the field at fault, and other classes take no key.
+// Guards requests with idempotency keys and sizes: both are passed on unchanged, a missing key
+// or an invalid size is rejected with the name of the field, and other classes ignore the key.
 func TestKeysAndSizes(t *testing.T) {
-	f := New([]Class{{Name: "part", Index: 0}, {Name: "save", Index: 1, Write: true, Keyed: true}}, takes, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	f := New([]Class{{Name: "part", Index: 0}, {Name: "save", Index: 1, Write: true, Keyed: true}}, alwaysReady, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	read := func(method, target string, more ...httpwire.Field) (*gateway.Call, string) {
 		r := &httpwire.Request{Method: method, Target: target, Header: append(httpwire.Header{{Name: "Req-Id", Value: "9b1f03aa5c7e2d41"},
 			{Name: "Req-Wait-Ms", Value: "1500"}, {Name: "X-Bucket", Value: "17"}}, more...)}
--- a/internal/gateway/drainoverride.go
+++ b/internal/gateway/drainoverride.go
@@ -2,72 +2,74 @@
 
 import "cherryramp/rules"
 
-// Bars stands before a gateway's list of servers and has nothing new go to some of
-// them, as to ones that drain, whatever the list says: servers in work that the
-// whole fleet leaves.
+// DrainOverride is a Gateway that treats some listed servers as draining, whatever
+// the server list says: servers under maintenance, to which no front of the fleet
+// sends new requests.
 type DrainOverride struct {
 	*Gateway
-	told   map[string]Member // as the list has them
-	barred map[string]bool
+	listed  map[string]Member // by name, with the state that the list gives
+	drained map[string]bool
 }
 
-// NewBars makes bars before a gateway, none of which are down.
+// NewDrainOverride returns an override of the gateway's list with no server drained.
 func NewDrainOverride(g *Gateway) *DrainOverride {
-	return &DrainOverride{Gateway: g, told: map[string]Member{}, barred: map[string]bool{}}
+	return &DrainOverride{Gateway: g, listed: map[string]Member{}, drained: map[string]bool{}}
 }
 
-// Members passes the list on, with those barred as draining.
-func (b *DrainOverride) Members(full bool, list []Member) {
+// Members passes an update of the list to the gateway, with the overridden servers as
+// draining.
+func (d *DrainOverride) Members(full bool, list []Member) {
 	if full {
-		clear(b.told)
+		clear(d.listed)
 	}
 	out := make([]Member, 0, len(list))
 	for _, m := range list {
 		if m.State == rules.Gone {
-			delete(b.told, m.Name)
+			delete(d.listed, m.Name)
 		} else {
-			b.told[m.Name] = m
+			d.listed[m.Name] = m
 		}
-		out = append(out, b.seen(m))
+		out = append(out, d.effective(m))
 	}
-	b.Gateway.Members(full, out)
+	d.Gateway.Members(full, out)
 }
 
-func (b *DrainOverride) seen(m Member) Member {
-	if b.barred[m.Name] && m.State == rules.Ready {
+// effective returns a member with the state that the gateway is to see.
+func (d *DrainOverride) effective(m Member) Member {
+	if d.drained[m.Name] && m.State == rules.Ready {
 		m.State = rules.Draining
 	}
 	return m
 }
 
-// Share tells where a server stands, and which part of the pace of its kind there it
-// has by the list's weights, in percent; of what is listed as ready.
-func (b *DrainOverride) CapacityShare(name string) (zone string, percent int, ok bool) {
-	m, ok := b.told[name]
+// CapacityShare returns a listed server's zone, and its share of the weights of all
+// ready servers of its kind in the zone, in percent.
+func (d *DrainOverride) CapacityShare(name string) (zone string, percent int, ok bool) {
+	m, ok := d.listed[name]
 	if !ok {
 		return "", 0, false
 	}
-	own, all := m.Weight, 0.0
-	for _, o := range b.told {
+	weight, total := m.Weight, 0.0
+	for _, o := range d.listed {
 		if o.Zone == m.Zone && o.Kind == m.Kind && (o.State == rules.Ready || o.Name == name) {
-			all += o.Weight
+			total += o.Weight
 		}
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return m.Zone, 0, true
 	}
-	return m.Zone, int(100*own/all + 0.5), true
+	return m.Zone, int(100*weight/total + 0.5), true
 }
 
-// Place tells where a listed server stands, and of what kind it is.
-func (b *DrainOverride) ZoneAndKind(name string) (zone, kind string, known bool) {
-	m, known := b.told[name]
+// ZoneAndKind returns the zone and kind of a listed server.
+func (d *DrainOverride) ZoneAndKind(name string) (zone, kind string, known bool) {
+	m, known := d.listed[name]
 	return m.Zone, m.Kind, known
 }
 
-// Count counts the listed servers of a kind in a zone.
-func (b *DrainOverride) Count(zone, kind string) (n int) {
-	for _, m := range b.told {
+// Count returns the number of listed servers of a kind in a zone.
+func (d *DrainOverride) Count(zone, kind string) (n int) {
+	for _, m := range d.listed {
 		if m.Zone == zone && m.Kind == kind {
 			n++
 		}
@@ -75,44 +77,45 @@
 	return n
 }
 
-// Hubs counts the listed servers by zone and kind, as ZONE/KIND.
-func (b *DrainOverride) CountByZoneAndKind() map[string]int {
+// CountByZoneAndKind returns the number of listed servers by zone and kind, with keys
+// ZONE/KIND.
+func (d *DrainOverride) CountByZoneAndKind() map[string]int {
 	out := map[string]int{}
-	for _, m := range b.told {
+	for _, m := range d.listed {
 		out[m.Zone+"/"+m.Kind]++
 	}
 	return out
 }
 
-// Listed counts the servers of the list.
-func (b *DrainOverride) Listed() int { return len(b.told) }
+// Listed returns the number of servers on the list.
+func (d *DrainOverride) Listed() int { return len(d.listed) }
 
-// Set bars the servers named and no others. It tells of each whether anything is
-// still open there.
-func (b *DrainOverride) SetDrained(names []string) (open map[string]bool) {
+// SetDrained overrides the state of exactly the named servers. It returns for each
+// whether an attempt there has not ended.
+func (d *DrainOverride) SetDrained(names []string) (open map[string]bool) {
 	open = map[string]bool{}
-	if len(names) == 0 && len(b.barred) == 0 {
+	if len(names) == 0 && len(d.drained) == 0 {
 		return open
 	}
-	was := b.barred
-	b.barred = map[string]bool{}
+	before := d.drained
+	d.drained = map[string]bool{}
 	for _, n := range names {
-		b.barred[n] = true
-		open[n] = b.HasOpenAttempts(n)
+		d.drained[n] = true
+		open[n] = d.HasOpenAttempts(n)
 	}
 	var changed []Member
-	for n, m := range b.told {
-		if was[n] != b.barred[n] {
-			changed = append(changed, b.seen(m))
+	for n, m := range d.listed {
+		if before[n] != d.drained[n] {
+			changed = append(changed, d.effective(m))
 		}
 	}
 	if len(changed) > 0 {
-		b.Gateway.Members(false, changed)
+		d.Gateway.Members(false, changed)
 	}
 	return open
 }
 
-// OpenAt tells whether an attempt at a server has not ended.
+// HasOpenAttempts reports whether an attempt at a server has not ended.
 func (g *Gateway) HasOpenAttempts(name string) bool {
 	for _, c := range g.calls {
 		for _, a := range c.attempts {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the core: requests, attempts, outcomes and deadlines, round
-// the one rules.Router that decides. It knows no wire, socket or header; fronts
-// hand it calls, a Nodes carries its attempts, and whoever follows the list of
-// servers tells it of members and purges. All of it runs on the event loop.
+// Package gateway tracks the calls of a front with their attempts, outcomes and
+// deadlines, and carries out the decisions of a rules.Router. It has no protocol or
+// socket code: fronts submit calls, an Upstream sends the attempts, and a client of
+// the server list passes on members and purges. All of it runs on the event loop.
 package gateway
 
 import (
@@ -19,38 +19,38 @@
 	"cherryramp/rules"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a time in microseconds of the Unix clock, or a duration in microseconds.
 type Micros = rules.Micros
 
-// Kind says how a call was answered.
+// AnswerKind says how a call was answered.
 type AnswerKind uint8
 
 // The final answers.
 const (
 	Served      AnswerKind = iota // with the object's bytes
-	NotModified                   // the client's own copy is the one
-	Refused                       // surely not done: trying again is harmless
+	NotModified                   // the client's copy is current
+	Refused                       // certainly not done: a retry does no harm
 	Failed
 )
 
-// Answer is the one final answer to a call.
+// Answer is the final answer to a call.
 type Answer struct {
 	Kind       AnswerKind
 	Body       []byte
-	Tag        string // names the copy, for the client's next time
-	CreatedAt  Micros // with Served: when the origin gave the copy out; 0 if untold
-	RetryAfter Micros // with Refused: how long to stay away; 0 is no advice
-	TimedOut   bool   // with Failed: time ran out
+	Tag        string // entity tag of the copy
+	CreatedAt  Micros // with Served: when the origin sent the copy; 0 if unknown
+	RetryAfter Micros // with Refused: when the client should come back; 0 is no advice
+	TimedOut   bool   // with Failed: the deadline passed
 }
 
-// Caller gets the answer to a call, once, on the loop. One that also has a method
-// Gone() bool is asked before further attempts, and before those that waited, whether it has
-// gone: its end may stand behind events that the loop takes first.
+// Caller receives the answer to a call, once, on the loop. If it also has a method
+// Gone() bool, that is asked before retries and before attempts that waited: the event of
+// the client's disconnect may be queued behind events that the loop handles first.
 type Caller interface {
 	Answer(a Answer)
 }
 
-// Call is what a front asks for. The gateway owns it until it is answered or
+// Call is a client's request. The gateway owns it from Submit until it is answered or
 // left.
 type Call struct {
 	ID       string // the client's id of the request, passed on unchanged
@@ -60,20 +60,20 @@
 	HasPart  bool
 	Group    int
 	Body     []byte
-	Tag      string  // of the copy that the client holds
-	Token    string  // of a keyed class: the same for all tries of one request, passed on unchanged
-	Size     float64 // KB of the part as the settings count; 0: not told
+	Tag      string  // entity tag of the client's copy
+	Token    string  // idempotency key of a keyed class, equal for all tries of a request, passed on unchanged
+	Size     float64 // of the part in KB, as the settings count; 0 if unknown
 	Repeat   bool
 	Deadline Micros // when the client stops waiting
 	Caller   Caller
-	Version  uint64     // of what its front acts on, under which it came
-	Peer     netip.Addr // of its client, where calls are followed
+	Version  uint64     // configuration version of the front when it came
+	Peer     netip.Addr // address of its client, where calls are audited
 
-	id       rules.RequestID
-	attempts []*Attempt
-	out      int
-	over     bool
-	left     bool // a byte of an attempt may have left for a node
+	id          rules.RequestID
+	attempts    []*Attempt
+	inFlight    int
+	ended       bool
+	mayHaveSent bool // a byte of an attempt may have been sent
 }
 
 // Server is a listed server.
@@ -82,18 +82,18 @@
 	Name      string
 	Addr      string
 	State     rules.MemberState
-	StartedAt Micros // when it last started, not in the future
+	StartedAt Micros // time of its last start, not in the future
 
-	announced Micros // Born as discovery tells it
+	announced Micros // time of its last start as discovery gives it
 }
 
-// purge is what is known of the last purge of an object or a group.
+// purge is the last purge of an object or a group.
 type purge struct {
-	stamp Micros // as it was told: copies given out until then are from before it
-	at    Micros // the loop's moment for it, not in the future
+	stamp Micros // as announced: copies sent by the origin until then are older
+	at    Micros // by the loop's clock, not in the future
 }
 
-// Attempt is one send of a call to a server.
+// Attempt is one send of a call to a server. See rules.Get for its options.
 type Attempt struct {
 	Call        *Call
 	Server      *Server
@@ -105,16 +105,16 @@
 	PassThrough bool
 	Revalidate  bool
 
-	number  int
-	started Micros
-	born    Micros // of the server, when the module chose it
-	srcBorn Micros
-	maxAge  Micros
-	due     *loop.Deadline
-	done    bool
+	number      int
+	chosenAt    Micros
+	serverStart Micros // StartedAt of the server when it was chosen
+	sourceStart Micros
+	maxAge      Micros
+	timer       *loop.Deadline
+	done        bool
 }
 
-// End says how an attempt ended.
+// AttemptResult says how an attempt ended.
 type AttemptResult struct {
 	Code       rules.Code
 	Note       rules.Note
@@ -122,19 +122,19 @@
 	Answer     Answer // with OK
 }
 
-// Nodes carries attempts to servers.
+// Upstream sends attempts to servers.
 type Upstream interface {
-	// Start sends an attempt once a connection takes it. Before its first byte
-	// it asks Gateway.Clear; how the attempt ends it tells Gateway.End.
+	// Start sends an attempt once a connection can take it. Before the first byte it
+	// calls Gateway.PrepareSend, and at the end of the attempt Gateway.EndAttempt.
 	Start(a *Attempt)
-	// Stop gives an attempt up. It tells whether any of it may have been sent
-	// whole; nothing more is told of it.
+	// Stop abandons an attempt and reports whether it may have been sent as a whole.
+	// There is no EndAttempt after it.
 	Stop(a *Attempt) (sent bool)
-	// Follow tells of a server that is new, has started anew or has gone.
+	// ServerChanged reports a server that is new, has restarted or has gone.
 	ServerChanged(s *Server)
 }
 
-// Member is a line of the list of servers, in the operators' words.
+// Member is an entry of the server list, with the operators' names.
 type Member struct {
 	Name, Addr, Zone, Kind string
 	Cell                   int
@@ -143,45 +143,46 @@
 	StartedAt              Micros
 }
 
-// Purge names an object or, where Object is empty, a group.
+// Purge is the purge of an object or, where Object is empty, of a group.
 type Purge struct {
 	Object string
 	Group  int
 	At     Micros
 }
 
-// Config is what a gateway is told at its start.
+// Config configures a gateway.
 type Config struct {
 	Settings   rules.Settings
 	Zones      []string
 	Kinds      []string
 	Seed       uint64
 	LocalCache LocalCacheLimits
-	Counters   *counters.Counters // where attempts that leave are counted; nil: a gateway's own
+	Counters   *counters.Counters // counts the attempts sent; nil: counters of its own
 }
 
 // Gateway owns the router and the calls it holds.
 type Gateway struct {
-	cfg     Config
-	loop    *loop.Loop
-	router  *rules.Router
-	nodes   Upstream
-	events  []rules.Event
-	calls   map[rules.RequestID]*Call
-	open    map[string]struct{} // the clients' ids of the calls
-	last    rules.RequestID
-	servers map[rules.ServerID]*Server
-	purges  map[uint64]purge // of objects and groups
-	swept   Micros
-	copies  *copies
-	guard   func() (ok bool, away Micros) // nil: the gateway may always act
-	bounds  FleetPolicy                   // nil: none
-	log     *slog.Logger
+	cfg      Config
+	loop     *loop.Loop
+	router   *rules.Router
+	upstream Upstream
+	events   []rules.Event
+	calls    map[rules.RequestID]*Call
+	openIDs  map[string]struct{} // the clients' ids of the open calls
+	lastID   rules.RequestID
+	servers  map[rules.ServerID]*Server
+	purges   map[uint64]purge // of objects and groups
+	sweptAt  Micros
+	cache    *localCache
+	guard    func() (ok bool, away Micros) // nil: no guard
+	policy   FleetPolicy                   // nil: none
+	log      *slog.Logger
 
 	refusals refusals
 }
 
-// New makes a gateway whose attempts nodes will carry.
+// New returns a gateway. It fails on settings that rules.New doesn't take. Call SetUpstream
+// before anything else.
 func New(cfg Config, l *loop.Loop, log *slog.Logger) (*Gateway, error) {
 	router, err := rules.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -191,53 +192,53 @@
 		cfg.Counters = counters.New(make([]string, len(cfg.Settings.Classes)))
 	}
 	return &Gateway{cfg: cfg, loop: l, router: router, log: log, calls: map[rules.RequestID]*Call{},
-		open: map[string]struct{}{}, servers: map[rules.ServerID]*Server{}, purges: map[uint64]purge{},
-		copies: newCopies(cfg.LocalCache)}, nil
+		openIDs: map[string]struct{}{}, servers: map[rules.ServerID]*Server{}, purges: map[uint64]purge{},
+		cache: newLocalCache(cfg.LocalCache)}, nil
 }
 
-// Use gives the gateway its nodes; it must come before anything else.
-func (g *Gateway) SetUpstream(nodes Upstream) { g.nodes = nodes }
+// SetUpstream sets what sends the attempts. It must be called before anything else.
+func (g *Gateway) SetUpstream(upstream Upstream) { g.upstream = upstream }
 
-// Guard has the gateway ask before each act whether it may: before it takes a call,
-// and before any byte of an attempt leaves. Where it may not, a call of which nothing
-// has left is refused at once, with away as the time to come back; others end by the
-// rules, with nothing new sent.
+// SetGuard sets a check that the gateway makes before it takes a call and before any byte
+// of an attempt is sent. While the check fails, calls of which nothing was sent are refused
+// at once, with away as the time to come back; others end without further sends.
 func (g *Gateway) SetGuard(may func() (ok bool, away Micros)) { g.guard = may }
 
-// Bounds are what the whole fleet holds of copies, beside the notice board's purges.
+// FleetPolicy adds the purges and retry times of the whole fleet to those of the notice
+// board and the router, and observes attempts.
 type FleetPolicy interface {
-	// Since is the moment up to which a copy of an object counts as purged; ok is false
-	// where none does.
+	// PurgedUntil returns the time until which copies of an object, or of its group, count
+	// as purged; ok is false without a purge.
 	PurgedUntil(object string, group int) (at Micros, ok bool)
-	// Tagged is the same of copies under a tag, which only an answer tells.
+	// TagPurgedUntil is PurgedUntil for copies with a tag, which only an answer gives.
 	TagPurgedUntil(tag string) (at Micros, ok bool)
-	// Ended tells how an attempt ended, and after what time.
+	// AttemptEnded reports how an attempt ended, and after what time.
 	AttemptEnded(a *Attempt, code rules.Code, took Micros)
-	// Away is how long a refused client is told to stay away, of what the module says.
+	// RetryAfter returns when a refused client should come back, given the router's advice.
 	RetryAfter(base Micros) Micros
 }
 
-// Bound has the gateway keep to bounds.
-func (g *Gateway) SetFleetPolicy(b FleetPolicy) { g.bounds = b }
+// SetFleetPolicy sets the policy of the fleet.
+func (g *Gateway) SetFleetPolicy(b FleetPolicy) { g.policy = b }
 
-// since is the moment up to which a copy that a call is answered with counts as purged
-// by the whole fleet; 0: none does.
-func (g *Gateway) since(c *Call, tag string) Micros {
-	if g.bounds == nil {
+// purgedUntil returns the time until which copies for a call count as purged by the fleet;
+// 0 without a purge.
+func (g *Gateway) purgedUntil(c *Call, tag string) Micros {
+	if g.policy == nil {
 		return 0
 	}
-	at, _ := g.bounds.PurgedUntil(c.Object, c.Group)
+	at, _ := g.policy.PurgedUntil(c.Object, c.Group)
 	if tag != "" {
-		if t, ok := g.bounds.TagPurgedUntil(tag); ok {
+		if t, ok := g.policy.TagPurgedUntil(tag); ok {
 			at = max(at, t)
 		}
 	}
 	return max(0, at)
 }
 
-// Renew takes settings for the calls that come from now on; open ones keep what
-// they came under. The classes of the settings must keep those known so far in
-// their places; else, or where the settings can't be used, nothing changes.
+// UpdateSettings applies settings to later calls; open ones keep theirs. It fails without
+// effect where the settings are invalid, or don't keep the classes known so far at their
+// indexes.
 func (g *Gateway) UpdateSettings(s rules.Settings) error {
 	if err := g.router.UpdateSettings(s); err != nil {
 		return fmt.Errorf("gateway: %w", err)
@@ -246,11 +247,11 @@
 	return nil
 }
 
-// Open counts the calls that are not answered yet.
+// Open returns the number of calls that are not answered yet.
 func (g *Gateway) Open() int { return len(g.calls) }
 
-// Servers counts the listed servers, and of those the ones that are avoided now:
-// told as draining, or found down by the module.
+// Servers returns the number of listed servers, and of those avoided now: draining, or
+// ejected by the router.
 func (g *Gateway) Servers() (listed, avoided int) {
 	for _, s := range g.servers {
 		if s.State != rules.Gone {
@@ -260,115 +261,115 @@
 	return listed, g.router.Avoided()
 }
 
-// Kept is the bytes of the own copies.
-func (g *Gateway) CachedBytes() int { return g.copies.bytes }
+// CachedBytes returns the size of the local copies.
+func (g *Gateway) CachedBytes() int { return g.cache.bytes }
 
-// Limit bounds the own copies anew.
-func (g *Gateway) SetCacheLimits(c LocalCacheLimits) { g.copies.bound(c) }
+// SetCacheLimits sets new limits of the local copies.
+func (g *Gateway) SetCacheLimits(c LocalCacheLimits) { g.cache.setLimits(c) }
 
-// Abandon fails every open call, for a program that has to end.
+// Abandon fails every open call, for a program that must exit.
 func (g *Gateway) Abandon() {
-	for _, id := range slices.Sorted(maps.Keys(g.calls)) { // like events have like effects
+	for _, id := range slices.Sorted(maps.Keys(g.calls)) { // sorted, so that equal events have equal effects
 		g.events = append(g.events, rules.Expired{ID: id})
 		g.finish(id, Answer{Kind: Failed})
 	}
 }
 
-// key maps a name to 64 bits, alike at every front and every start.
-func key(name string) uint64 {
+// hashKey maps a name to 64 bits, equal at every front and after every start.
+func hashKey(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
-	return max(1, h.Sum64()) // 0 means none to the module
+	return max(1, h.Sum64()) // 0 means none to the router
 }
 
-func groupKey(group int) uint64 { return key(fmt.Sprintf("group %d", group)) }
+func groupKey(group int) uint64 { return hashKey(fmt.Sprintf("group %d", group)) }
 
-// Heard tells that the notice board has just answered.
-func (g *Gateway) BoardAnswered() { g.copies.heard = g.loop.Now() }
+// BoardAnswered records that the notice board has just answered.
+func (g *Gateway) BoardAnswered() { g.cache.boardAnsweredAt = g.loop.Now() }
 
-// Submit takes a call; exactly one answer follows, unless the call is left.
-// A call under the id of one that is open has failed: to the nodes they would be one.
+// Submit takes a call. Exactly one answer follows, unless Leave is called first. A call
+// with the id of an open one fails: to the servers the two would be the same.
 func (g *Gateway) Submit(c *Call) {
-	if _, open := g.open[c.ID]; open {
-		c.over = true
+	if _, open := g.openIDs[c.ID]; open {
+		c.ended = true
 		c.Caller.Answer(Answer{Kind: Failed})
 		return
 	}
 	if g.guard != nil {
 		if ok, away := g.guard(); !ok {
-			c.over = true
+			c.ended = true
 			c.Caller.Answer(Answer{Kind: Refused, RetryAfter: away})
 			return
 		}
 	}
-	if x := g.copies.find(c, &g.cfg.Settings.Classes[c.Class], g.loop.Now()); x != nil && x.born > g.since(c, x.tag) {
-		c.over = true
-		a := Answer{Kind: Served, Body: x.body, Tag: x.tag, CreatedAt: x.born}
+	if x := g.cache.find(c, &g.cfg.Settings.Classes[c.Class], g.loop.Now()); x != nil && x.createdAt > g.purgedUntil(c, x.tag) {
+		c.ended = true
+		a := Answer{Kind: Served, Body: x.body, Tag: x.tag, CreatedAt: x.createdAt}
 		if c.Tag != "" && c.Tag == x.tag {
-			a = Answer{Kind: NotModified, Tag: x.tag, CreatedAt: x.born}
+			a = Answer{Kind: NotModified, Tag: x.tag, CreatedAt: x.createdAt}
 		}
 		c.Caller.Answer(a)
 		return
 	}
-	g.last++
-	c.id = g.last
+	g.lastID++
+	c.id = g.lastID
 	g.calls[c.id] = c
-	g.open[c.ID] = struct{}{}
-	g.events = append(g.events, rules.Request{ID: c.id, Class: c.Class, Object: key(c.Object),
+	g.openIDs[c.ID] = struct{}{}
+	g.events = append(g.events, rules.Request{ID: c.id, Class: c.Class, Object: hashKey(c.Object),
 		Part: c.Part, Group: c.Group, Size: c.Size, Expires: max(0, c.Deadline-g.loop.Now()), Repeat: c.Repeat})
 }
 
-// Leave ends a call whose client has gone; its attempts are given up.
+// Leave ends a call whose client has gone, without an answer, and stops its attempts.
 func (g *Gateway) Leave(c *Call) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	g.events = append(g.events, rules.Expired{ID: c.id})
-	g.giveUp(c)
+	g.stopAttempts(c)
 }
 
-// giveUp stops what a finished call still has out.
-func (g *Gateway) giveUp(c *Call) {
+// stopAttempts stops the attempts in flight of an ended call and forgets the call.
+func (g *Gateway) stopAttempts(c *Call) {
 	for _, a := range c.attempts {
 		if a.done {
 			continue
 		}
 		code := rules.NotSent
-		if g.nodes.Stop(a) {
+		if g.upstream.Stop(a) {
 			code = rules.Cancelled
 		}
-		g.end(a, AttemptResult{Code: code})
+		g.recordEnd(a, AttemptResult{Code: code})
 	}
 	delete(g.calls, c.id)
-	delete(g.open, c.ID)
+	delete(g.openIDs, c.ID)
 }
 
-// Members tells of the list of servers: all of it, or what changed.
+// Members updates the server list: all of it, if full, or the changed entries.
 func (g *Gateway) Members(full bool, list []Member) {
 	e := rules.Members{Full: full}
-	seen := map[rules.ServerID]bool{}
+	listed := map[rules.ServerID]bool{}
 	for _, m := range list {
-		zone, kind := index(g.cfg.Zones, m.Zone), index(g.cfg.Kinds, m.Kind)
+		zone, kind := indexOf(g.cfg.Zones, m.Zone), indexOf(g.cfg.Kinds, m.Kind)
 		if zone < 0 || kind < 0 {
 			g.log.Warn("member of an unknown place or kind is left out", "server", m.Name,
 				"zone", m.Zone, "kind", m.Kind)
 			continue
 		}
-		id := rules.ServerID(key(m.Name))
-		seen[id] = true
+		id := rules.ServerID(hashKey(m.Name))
+		listed[id] = true
 		announced := m.StartedAt
-		m.StartedAt = g.started(id, announced)
+		m.StartedAt = g.startTime(id, announced)
 		e.List = append(e.List, rules.Member{ID: id, Kind: kind, StartedAt: m.StartedAt, State: m.State,
 			Cell: m.Cell, Zone: zone, Weight: m.Weight})
-		g.follow(id, m, announced)
+		g.updateServer(id, m, announced)
 	}
 	if full {
 		for _, id := range slices.Sorted(maps.Keys(g.servers)) {
-			if s := g.servers[id]; !seen[id] {
+			if s := g.servers[id]; !listed[id] {
 				s.State = rules.Gone
 				g.log.Info("server changed", "server", s.Name, "state", stateName(s.State))
-				g.nodes.ServerChanged(s)
+				g.upstream.ServerChanged(s)
 				delete(g.servers, id)
 			}
 		}
@@ -376,18 +377,18 @@
 	g.events = append(g.events, e)
 }
 
-// started is when a server last started, as the loop's clock has it. A moment in the future
-// is of a clock that differs from ours: the server has started by now.
-func (g *Gateway) started(id rules.ServerID, announced Micros) Micros {
+// startTime returns the time of a server's last start by the loop's clock. An announced time
+// in the future is of a clock ahead of ours, and counts as now.
+func (g *Gateway) startTime(id rules.ServerID, announced Micros) Micros {
 	if s := g.servers[id]; s != nil && s.announced == announced {
 		return s.StartedAt
 	}
 	return min(announced, g.loop.Now())
 }
 
-// follow keeps a server's state. One that is gone is forgotten; attempts that
-// still name it see its last state.
-func (g *Gateway) follow(id rules.ServerID, m Member, announced Micros) {
+// updateServer records a server's state. One that is gone is forgotten; attempts that
+// still refer to it see its last state.
+func (g *Gateway) updateServer(id rules.ServerID, m Member, announced Micros) {
 	s := g.servers[id]
 	if s == nil {
 		s = &Server{ID: id, Name: m.Name}
@@ -400,17 +401,18 @@
 	if m.Addr != "" {
 		s.Addr = m.Addr
 	}
-	g.nodes.ServerChanged(s)
+	g.upstream.ServerChanged(s)
 	if s.State == rules.Gone {
 		delete(g.servers, id)
 	}
 }
 
+// stateName returns a state's name for the log.
 func stateName(s rules.MemberState) string {
 	return [...]string{"gone", "ready", "draining"}[s]
 }
 
-func index(list []string, name string) int {
+func indexOf(list []string, name string) int {
 	for i, x := range list {
 		if x == name {
 			return i
@@ -419,49 +421,50 @@
 	return -1
 }
 
-// Purge tells of a purge.
+// Purge records a purge and drops the local copies that it covers.
 func (g *Gateway) Purge(p Purge) {
 	now := g.loop.Now()
-	at := min(p.At, now) // the stamp is of another clock
+	at := min(p.At, now) // the time is from another clock
 	k, e := groupKey(p.Group), rules.Purge{Group: p.Group, Age: now - at}
 	if p.Object != "" {
-		k = key(p.Object)
+		k = hashKey(p.Object)
 		e = rules.Purge{Object: k, Age: e.Age}
 	}
-	g.purged(k, purge{stamp: p.At, at: at})
-	g.copies.purge(p)
-	if g.events = append(g.events, e); now-g.swept > g.cfg.Settings.PurgeSettle {
-		g.swept = now
-		maps.DeleteFunc(g.purges, func(_ uint64, p purge) bool { return g.settled(p.at, now) })
+	g.notePurge(k, purge{stamp: p.At, at: at})
+	g.cache.purge(p)
+	if g.events = append(g.events, e); now-g.sweptAt > g.cfg.Settings.PurgeSettle {
+		g.sweptAt = now
+		maps.DeleteFunc(g.purges, func(_ uint64, p purge) bool { return g.purgeSettled(p.at, now) })
 	}
 }
 
-// purged notes a purge of an object or a group; the latest counts.
-func (g *Gateway) purged(k uint64, p purge) {
+// notePurge records a purge of an object or a group; the latest counts.
+func (g *Gateway) notePurge(k uint64, p purge) {
 	last := g.purges[k]
 	g.purges[k] = purge{stamp: max(last.stamp, p.stamp), at: max(last.at, p.at)}
 }
 
-// settled tells whether no copy from before a purge can be left anywhere.
-func (g *Gateway) settled(at, now Micros) bool {
+// purgeSettled reports whether no copy from before a purge can be left anywhere.
+func (g *Gateway) purgeSettled(at, now Micros) bool {
 	return now-at > g.cfg.Settings.PurgeSettle+1_000_000
 }
 
-// Settle runs the router until nothing new has come of what it asked for.
+// ProcessEvents runs the router until its actions cause no further events.
 func (g *Gateway) ProcessEvents() {
 	for len(g.events) > 0 {
 		events := g.events
 		g.events = nil
 		for _, a := range g.router.Step(g.loop.Now(), events) {
-			g.act(a)
+			g.perform(a)
 		}
 	}
 }
 
-func (g *Gateway) act(a rules.Action) {
+// perform carries out an action of the router.
+func (g *Gateway) perform(a rules.Action) {
 	switch a := a.(type) {
 	case rules.Get:
-		g.get(a)
+		g.startAttempt(a)
 	case rules.Refuse:
 		g.refuse(a)
 	case rules.Fail:
@@ -469,8 +472,8 @@
 	case rules.Cancel:
 		if c := g.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) && !c.attempts[a.Attempt].done {
 			x := c.attempts[a.Attempt]
-			g.nodes.Stop(x)
-			g.end(x, AttemptResult{Code: rules.Cancelled})
+			g.upstream.Stop(x)
+			g.recordEnd(x, AttemptResult{Code: rules.Cancelled})
 		}
 	case rules.Wake:
 		g.loop.At(g.loop.Now()+a.In, func() { g.events = append(g.events, rules.Timer{Tag: a.Tag}) })
@@ -479,31 +482,32 @@
 	}
 }
 
+// finish answers a call, if it is still open.
 func (g *Gateway) finish(id rules.RequestID, a Answer) {
 	c := g.calls[id]
-	if c == nil || c.over {
+	if c == nil || c.ended {
 		return
 	}
-	c.over = true
-	if a.Kind == Refused && g.bounds != nil {
-		a.RetryAfter = g.bounds.RetryAfter(a.RetryAfter)
+	c.ended = true
+	if a.Kind == Refused && g.policy != nil {
+		a.RetryAfter = g.policy.RetryAfter(a.RetryAfter)
 	}
 	a.TimedOut = g.loop.Now() >= c.Deadline
-	g.giveUp(c)
+	g.stopAttempts(c)
 	c.Caller.Answer(a)
 }
 
-// get carries out the module's choice.
-func (g *Gateway) get(x rules.Get) {
+// startAttempt starts the attempt that the router chose.
+func (g *Gateway) startAttempt(x rules.Get) {
 	c, now := g.calls[x.ID], g.loop.Now()
-	if c == nil || c.over {
-		// Its client went in the moment in which the module chose. The module books every attempt on
-		// its request and server until it has ended, so it is told that this one never left.
+	if c == nil || c.ended {
+		// The client left in the same turn. The router counts every attempt on its request and
+		// server until it has ended, so it must hear that this one was never sent.
 		g.events = append(g.events, rules.Outcome{ID: x.ID, Attempt: x.Attempt, Server: x.Server,
 			Code: rules.NotSent, Closed: true})
 		return
 	}
-	if g.guard != nil && !c.left {
+	if g.guard != nil && !c.mayHaveSent {
 		if ok, away := g.guard(); !ok {
 			g.events = append(g.events, rules.Expired{ID: c.id}, rules.Outcome{ID: x.ID, Attempt: x.Attempt,
 				Server: x.Server, Code: rules.NotSent, Closed: true})
@@ -513,46 +517,46 @@
 	}
 	a := &Attempt{Call: c, Server: g.servers[x.Server], Deadline: c.Deadline, KeepRank: x.KeepRank,
 		Join: x.Join, HeldOnly: x.HeldOnly, PassThrough: x.PassThrough, Revalidate: x.Revalidate, number: len(c.attempts),
-		started: now, maxAge: x.MaxAge}
+		chosenAt: now, maxAge: x.MaxAge}
 	c.attempts = append(c.attempts, a)
-	c.out++
+	c.inFlight++
 	if x.Timeout > 0 {
 		a.Deadline = min(a.Deadline, now+x.Timeout)
 	}
 	if a.Server != nil {
-		a.born = a.Server.StartedAt
+		a.serverStart = a.Server.StartedAt
 	}
 	if x.Source != x.Server {
 		if a.Source = g.servers[x.Source]; a.Source != nil {
-			a.srcBorn = a.Source.StartedAt
+			a.sourceStart = a.Source.StartedAt
 		}
 	}
 	if a.Server == nil || x.Source != x.Server && a.Source == nil || a.Deadline <= now {
-		g.end(a, AttemptResult{Code: rules.NotSent})
+		g.recordEnd(a, AttemptResult{Code: rules.NotSent})
 		return
 	}
-	a.due = g.loop.At(a.Deadline, func() { g.expire(a) })
-	g.nodes.Start(a)
+	a.timer = g.loop.At(a.Deadline, func() { g.expire(a) })
+	g.upstream.Start(a)
 }
 
-// expire ends an attempt whose time is up.
+// expire ends an attempt whose deadline has passed.
 func (g *Gateway) expire(a *Attempt) {
 	if a.done {
 		return
 	}
 	code := rules.NotSent
-	if g.nodes.Stop(a) {
+	if g.upstream.Stop(a) {
 		code = rules.Timeout
 	}
-	g.end(a, AttemptResult{Code: code})
+	g.recordEnd(a, AttemptResult{Code: code})
 }
 
-// May tells whether an attempt that waits for a connection or a full socket may
-// still leave. It may have been overtaken by its deadline, or by a drain or restart of
-// the server or the source.
+// CanSend reports whether an attempt that waited for a connection or a full socket may
+// still be sent: its deadline may have passed, its client left, or its server or source
+// may be draining or restarted.
 func (g *Gateway) CanSend(a *Attempt) bool {
-	if a.done || g.loop.Now() >= a.Deadline || a.Server.State != rules.Ready || a.Server.StartedAt != a.born ||
-		a.Source != nil && (a.Source.State != rules.Ready || a.Source.StartedAt != a.srcBorn) {
+	if a.done || g.loop.Now() >= a.Deadline || a.Server.State != rules.Ready || a.Server.StartedAt != a.serverStart ||
+		a.Source != nil && (a.Source.State != rules.Ready || a.Source.StartedAt != a.sourceStart) {
 		return false
 	}
 	if g.guard != nil {
@@ -560,7 +564,7 @@
 			return false
 		}
 	}
-	if a.number > 0 || g.loop.Now()-a.started > waitedFrom {
+	if a.number > 0 || g.loop.Now()-a.chosenAt > waitedThreshold {
 		if c, ok := a.Call.Caller.(interface{ Gone() bool }); ok && c.Gone() {
 			return false
 		}
@@ -568,25 +572,26 @@
 	return true
 }
 
-// clockSlack is how far the moment at which the origin gave a copy out may lie ahead of our
-// clock, in us, for the copy's age to be believed.
-const clockSlack = 50_000
+// maxClockSkew is how far the time at which the origin sent a copy may be ahead of our
+// clock, in us, for the copy's age to count as known.
+const maxClockSkew = 50_000
 
-// waitedFrom is how long after its choice an attempt counts as one that waited, in us.
-const waitedFrom = 1000
+// waitedThreshold is how long after its choice an attempt counts as one that waited, in us.
+const waitedThreshold = 1000
 
-// Clear tells, just before an attempt's first byte leaves, whether it still may (see
-// May), and the oldest copy that will do, by what was purged meanwhile (0: the
-// class's default). An attempt that may not leave must be ended as never sent.
+// PrepareSend is called just before the first byte of an attempt is sent. It returns whether
+// the attempt may still be sent (see CanSend), and the maximum age of the copy, by the
+// purges since (0: the class's default). An attempt that may not be sent must be ended with
+// rules.NotSent.
 func (g *Gateway) PrepareSend(a *Attempt) (maxAge Micros, ok bool) {
 	if !g.CanSend(a) {
 		return 0, false
 	}
 	now := g.loop.Now()
-	a.Call.left = true
+	a.Call.mayHaveSent = true
 	maxAge = a.maxAge
-	for _, k := range []uint64{key(a.Call.Object), groupKey(a.Call.Group)} {
-		if p, known := g.purges[k]; known && !g.settled(p.at, now) {
+	for _, k := range []uint64{hashKey(a.Call.Object), groupKey(a.Call.Group)} {
+		if p, found := g.purges[k]; found && !g.purgeSettled(p.at, now) {
 			if age := max(1000, now-p.at); maxAge == 0 || age < maxAge {
 				maxAge = age
 			}
@@ -595,8 +600,8 @@
 			}
 		}
 	}
-	if at := g.since(a.Call, ""); at > 0 && !g.cfg.Settings.Classes[a.Call.Class].Write {
-		if a.Call.Tag != "" { // the client's own copy may be one from before
+	if at := g.purgedUntil(a.Call, ""); at > 0 && !g.cfg.Settings.Classes[a.Call.Class].Write {
+		if a.Call.Tag != "" { // the client's copy may be older than the purge
 			a.Call.Tag = ""
 		}
 		if age := max(1000, now-at); maxAge == 0 || age < maxAge {
@@ -610,47 +615,47 @@
 	return maxAge, true
 }
 
-// End tells how an attempt ended.
+// EndAttempt records how an attempt ended. After the first end of an attempt it does nothing.
 func (g *Gateway) EndAttempt(a *Attempt, e AttemptResult) {
 	if !a.done {
-		if e.Code == rules.OK && g.bounds != nil && !g.cfg.Settings.Classes[a.Call.Class].Write {
-			if at := g.since(a.Call, e.Answer.Tag); at > 0 && e.Answer.CreatedAt <= at {
-				// From before a purge that came meanwhile, or of a tag that only the answer
-				// tells: as if nothing suitable had been held. It goes again for a newer one.
-				g.purged(key(a.Call.Object), purge{stamp: at, at: at})
-				g.events = append(g.events, rules.Purge{Object: key(a.Call.Object), Age: max(0, g.loop.Now()-at)})
+		if e.Code == rules.OK && g.policy != nil && !g.cfg.Settings.Classes[a.Call.Class].Write {
+			if at := g.purgedUntil(a.Call, e.Answer.Tag); at > 0 && e.Answer.CreatedAt <= at {
+				// The copy is older than a purge that came meanwhile, or has a purged tag, which
+				// only the answer gives. It counts as a miss, and the request is retried.
+				g.notePurge(hashKey(a.Call.Object), purge{stamp: at, at: at})
+				g.events = append(g.events, rules.Purge{Object: hashKey(a.Call.Object), Age: max(0, g.loop.Now()-at)})
 				e = AttemptResult{Code: rules.Miss, SourceWait: e.SourceWait}
 			}
 		}
-		g.end(a, e)
+		g.recordEnd(a, e)
 	}
 }
 
-func (g *Gateway) end(a *Attempt, e AttemptResult) {
+func (g *Gateway) recordEnd(a *Attempt, e AttemptResult) {
 	c := a.Call
 	a.done = true
-	c.out--
-	g.loop.Stop(a.due)
-	if g.bounds != nil && a.Server != nil {
-		g.bounds.AttemptEnded(a, e.Code, g.loop.Now()-a.started)
+	c.inFlight--
+	g.loop.Stop(a.timer)
+	if g.policy != nil && a.Server != nil {
+		g.policy.AttemptEnded(a, e.Code, g.loop.Now()-a.chosenAt)
 	}
-	serves := e.Code == rules.OK && !c.over
+	serves := e.Code == rules.OK && !c.ended
 	g.events = append(g.events, rules.Outcome{ID: c.id, Attempt: a.number, Server: serverID(a.Server),
-		Code: e.Code, Elapsed: g.loop.Now() - a.started, Closed: c.over || serves, Note: e.Note,
+		Code: e.Code, Elapsed: g.loop.Now() - a.chosenAt, Closed: c.ended || serves, Note: e.Note,
 		SourceWait: e.SourceWait})
 	if serves {
-		c.over = true
-		g.giveUp(c)
-		if aheadOf := e.Answer.CreatedAt - g.loop.Now(); aheadOf <= clockSlack { // else its age can't be known
-			g.copies.keep(c, &g.cfg.Settings.Classes[c.Class], &e.Answer, g.purgedSince(c, e.Answer.CreatedAt))
+		c.ended = true
+		g.stopAttempts(c)
+		if aheadOf := e.Answer.CreatedAt - g.loop.Now(); aheadOf <= maxClockSkew { // else its age is unknown
+			g.cache.add(c, &g.cfg.Settings.Classes[c.Class], &e.Answer, g.purgedSince(c, e.Answer.CreatedAt))
 		}
 		c.Caller.Answer(e.Answer)
 	}
 }
 
-// purgedSince tells whether a call's object was purged after a moment.
-func (g *Gateway) purgedSince(c *Call, born Micros) bool {
-	return g.purges[key(c.Object)].stamp >= born || g.purges[groupKey(c.Group)].stamp >= born || g.since(c, "") >= born
+// purgedSince reports whether a call's object was purged at or after a time.
+func (g *Gateway) purgedSince(c *Call, createdAt Micros) bool {
+	return g.purges[hashKey(c.Object)].stamp >= createdAt || g.purges[groupKey(c.Group)].stamp >= createdAt || g.purgedUntil(c, "") >= createdAt
 }
 
 func serverID(s *Server) rules.ServerID {
@@ -660,13 +665,13 @@
 	return s.ID
 }
 
-// Before compares calls by the order in which they came.
+// Compare orders calls by when they came, as cmp.Compare does.
 func (c *Call) Compare(o *Call) int { return cmp.Compare(c.id, o.id) }
 
-const longestName = 128
+const maxNameLength = 128
 
-// IsName tells whether a word can name an object or a copy: visible ASCII, and
-// none of the signs that part fields, paths and queries.
+// IsName reports whether a string can name an object or a copy: 1 to 128 visible ASCII
+// characters, without those that separate fields, paths and queries.
 func IsName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -674,5 +679,5 @@
 			return false
 		}
 	}
-	return s != "" && len(s) <= longestName
+	return s != "" && len(s) <= maxNameLength
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,30 +10,30 @@
 	"cherryramp/rules"
 )
 
-// nodes keeps what the gateway starts and stops.
-type nodes struct {
+// fakeUpstream records the attempts that the gateway starts and stops.
+type fakeUpstream struct {
 	started, stopped []*Attempt
-	sent             bool // what Stop says
+	maySent          bool // result of Stop
 }
 
-func (n *nodes) Start(a *Attempt)      { n.started = append(n.started, a) }
-func (n *nodes) Stop(a *Attempt) bool  { n.stopped = append(n.stopped, a); return n.sent }
-func (n *nodes) ServerChanged(*Server) {}
+func (n *fakeUpstream) Start(a *Attempt)      { n.started = append(n.started, a) }
+func (n *fakeUpstream) Stop(a *Attempt) bool  { n.stopped = append(n.stopped, a); return n.maySent }
+func (n *fakeUpstream) ServerChanged(*Server) {}
 
-// caller counts answers.
-type caller struct{ got []Answer }
+// caller records the answers.
+type caller struct{ answers []Answer }
 
-func (c *caller) Answer(a Answer) { c.got = append(c.got, a) }
+func (c *caller) Answer(a Answer) { c.answers = append(c.answers, a) }
 
 const second = 1_000_000
 
-func newGateway(t *testing.T) (*Gateway, *nodes) {
+func newGateway(t *testing.T) (*Gateway, *fakeUpstream) {
 	t.Helper()
-	return newGatewayOf(t, func(*rules.Settings) {})
+	return newGatewayWith(t, func(*rules.Settings) {})
 }
 
-// newGatewayOf makes a gateway whose settings are changed first.
-func newGatewayOf(t *testing.T, change func(*rules.Settings)) (*Gateway, *nodes) {
+// newGatewayWith returns a gateway with changed settings.
+func newGatewayWith(t *testing.T, change func(*rules.Settings)) (*Gateway, *fakeUpstream) {
 	t.Helper()
 	settings := rules.Settings{
 		Classes: []rules.Class{
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &nodes{sent: true}
+	n := &fakeUpstream{maySent: true}
 	g.SetUpstream(n)
 	g.Members(true, []Member{member("s-1", "box", rules.Ready), member("s-2", "box", rules.Ready),
 		member("s-p", "parent", rules.Ready), member("s-o", "origin", rules.Ready)})
@@ -73,9 +73,9 @@
 	return c, a
 }
 
-// Guards against what waited for a connection leaving after its moment: each
-// change must be seen just before the first byte.
-func TestClearLooksAgain(t *testing.T) {
+// Guards against an attempt that waited for a connection being sent too late: each of these changes must
+// be seen just before the first byte.
+func TestPrepareSendChecksAgain(t *testing.T) {
 	for name, change := range map[string]func(*Gateway, *Attempt){
 		"deadline":      func(g *Gateway, a *Attempt) { a.Deadline = g.loop.Now() },
 		"server drains": func(g *Gateway, a *Attempt) { g.Members(false, []Member{member(a.Server.Name, "box", rules.Draining)}) },
@@ -101,9 +101,9 @@
 	}
 }
 
-// Guards against an age that was right when the module chose it and is not when
-// the bytes leave: a purge came between.
-func TestClearHeedsLatePurge(t *testing.T) {
+// Guards against a maximum age that is out of date when the bytes are sent, because a purge came after
+// the router chose it.
+func TestPrepareSendHeedsLatePurge(t *testing.T) {
 	for _, p := range []Purge{{Object: "a"}, {Group: 17}} {
 		g, n := newGateway(t)
 		submit(g, 0, "a")
@@ -123,27 +123,27 @@
 	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
 	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
 	g.ProcessEvents()
-	if len(got.got) != 1 || got.got[0].Kind != Served || g.Open() != 0 {
-		t.Errorf("answers %v, %d open", got.got, g.Open())
+	if len(got.answers) != 1 || got.answers[0].Kind != Served || g.Open() != 0 {
+		t.Errorf("answers %v, %d open", got.answers, g.Open())
 	}
 	c, got := submit(g, 2, "b")
-	g.EndAttempt(n.started[1], AttemptResult{Code: rules.Reset}) // it may have run: failed, and not tried again
+	g.EndAttempt(n.started[1], AttemptResult{Code: rules.Reset}) // it may have run: failed without a retry
 	g.ProcessEvents()
-	if len(got.got) != 1 || got.got[0].Kind != Failed || len(n.started) != 2 {
-		t.Errorf("unsafe: answers %v, %d attempts", got.got, len(n.started))
+	if len(got.answers) != 1 || got.answers[0].Kind != Failed || len(n.started) != 2 {
+		t.Errorf("unsafe: answers %v, %d attempts", got.answers, len(n.started))
 	}
 	g.Leave(c)
 	c, got = submit(g, 0, "c")
 	g.Leave(c)
 	g.ProcessEvents()
-	if len(got.got) != 0 || len(n.stopped) != 1 || g.Open() != 0 {
-		t.Errorf("left: answers %v, stopped %d, open %d", got.got, len(n.stopped), g.Open())
+	if len(got.answers) != 0 || len(n.stopped) != 1 || g.Open() != 0 {
+		t.Errorf("left: answers %v, stopped %d, open %d", got.answers, len(n.stopped), g.Open())
 	}
 }
 
-// Guards against a copy of our own that breaks the rules on purges or age, or
-// is served while a purge may have been missed.
-func TestOwnCopies(t *testing.T) {
+// Guards against a local copy that is served though it is purged or stale, or while a purge may have been
+// missed.
+func TestLocalCache(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		class   int
@@ -154,10 +154,10 @@
 		{"object purged", 0, func(g *Gateway) { g.Purge(Purge{Object: "a", At: g.loop.Now()}) }, false},
 		{"group purged", 0, func(g *Gateway) { g.Purge(Purge{Group: 17, At: g.loop.Now()}) }, false},
 		{"other group purged", 0, func(g *Gateway) { g.Purge(Purge{Group: 18, At: g.loop.Now()}) }, true},
-		{"purges must be heeded sooner", 0, func(g *Gateway) { g.copies.limit.MaxPurgeDelay = second / 10; g.copies.heard -= second / 5 }, false},
-		{"purges may be heeded later", 0, func(g *Gateway) { g.copies.limit.MaxPurgeDelay = 2 * second; g.copies.heard -= second }, true},
-		{"board silent", 0, func(g *Gateway) { g.copies.heard -= second }, false},
-		{"link busy", 0, func(g *Gateway) { g.copies.freeAt = g.loop.Now() + second }, false},
+		{"purges must be heeded sooner", 0, func(g *Gateway) { g.cache.limits.MaxPurgeDelay = second / 10; g.cache.boardAnsweredAt -= second / 5 }, false},
+		{"purges may be heeded later", 0, func(g *Gateway) { g.cache.limits.MaxPurgeDelay = 2 * second; g.cache.boardAnsweredAt -= second }, true},
+		{"board silent", 0, func(g *Gateway) { g.cache.boardAnsweredAt -= second }, false},
+		{"link busy", 0, func(g *Gateway) { g.cache.linkFreeAt = g.loop.Now() + second }, false},
 		{"fresh", 1, func(*Gateway) {}, true},
 		{"past its fresh time", 1, func(g *Gateway) { age(g, 9*second) }, false},
 		{"old, of a class without an age", 0, func(g *Gateway) { age(g, 99*second) }, true},
@@ -170,31 +170,31 @@
 			g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc"), Tag: "t", CreatedAt: g.loop.Now()}})
 			x.between(g)
 			_, got := submit(g, x.class, "a")
-			if served := len(got.got) == 1 && string(got.got[0].Body) == "abc"; served != x.served {
+			if served := len(got.answers) == 1 && string(got.answers[0].Body) == "abc"; served != x.served {
 				t.Errorf("served %v, want %v", served, x.served)
 			}
 		})
 	}
-	// An answer that was under way when the purge came is passed on, but not kept.
+	// An answer in flight when the purge came is passed on, but not kept.
 	g, n := newGateway(t)
 	g.BoardAnswered()
 	submit(g, 0, "a")
 	born := g.loop.Now()
 	g.Purge(Purge{Object: "a", At: born + 1})
 	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc"), CreatedAt: born}})
-	if len(g.copies.byKey) > 0 {
+	if len(g.cache.byKey) > 0 {
 		t.Error("a copy from before a purge was kept")
 	}
 }
 
 func age(g *Gateway, by Micros) {
-	for e := g.copies.order.Front(); e != nil; e = e.Next() {
-		e.Value.(*ownCopy).born -= by
+	for e := g.cache.lru.Front(); e != nil; e = e.Next() {
+		e.Value.(*cachedCopy).createdAt -= by
 	}
 }
 
-// Guards against copies that outgrow the memory limit.
-func TestOwnCopiesAreBounded(t *testing.T) {
+// Guards against local copies that exceed the memory limit.
+func TestLocalCacheIsBounded(t *testing.T) {
 	g, n := newGateway(t)
 	for i := range 200 {
 		submit(g, 0, string(rune('a'+i%26))+string(rune('a'+i/26)))
@@ -202,29 +202,29 @@
 		g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Body: make([]byte, 60_000), CreatedAt: g.loop.Now()}})
 		g.ProcessEvents()
 	}
-	if g.copies.bytes > 1<<20 || g.copies.order.Len() != len(g.copies.byKey) || g.copies.bytes == 0 {
-		t.Errorf("%d bytes in %d copies", g.copies.bytes, g.copies.order.Len())
+	if g.cache.bytes > 1<<20 || g.cache.lru.Len() != len(g.cache.byKey) || g.cache.bytes == 0 {
+		t.Errorf("%d bytes in %d copies", g.cache.bytes, g.cache.lru.Len())
 	}
 }
 
-// Guards against what a client leaves behind that goes in the very moment in which the
-// module chooses: neither a place among the open requests nor work at a server may stay
-// booked for it, or a burst of such clients has the front refuse good ones for ever.
-func TestClientsThatGoAtOnceLeaveNothing(t *testing.T) {
-	leave := map[string]func(g *Gateway, n *nodes){
-		"before the first attempt": func(g *Gateway, _ *nodes) {
+// Guards against leaks by clients that leave in the turn in which the router chooses a server: neither a
+// slot for open requests nor an attempt at a server may stay counted, or a burst of such clients makes
+// the front refuse others for ever.
+func TestClientsThatGoAtOnceLeaveNothingBooked(t *testing.T) {
+	leave := map[string]func(g *Gateway, n *fakeUpstream){
+		"before the first attempt": func(g *Gateway, _ *fakeUpstream) {
 			c := &Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: &caller{}}
 			g.Submit(c)
 			g.Leave(c)
 			g.ProcessEvents()
 		},
-		"between two attempts": func(g *Gateway, n *nodes) {
+		"between two attempts": func(g *Gateway, n *fakeUpstream) {
 			c, _ := submit(g, 0, "a")
 			g.EndAttempt(n.started[len(n.started)-1], AttemptResult{Code: rules.Reset})
 			g.Leave(c)
 			g.ProcessEvents()
 		},
-		"while a guard shuts the front out": func(g *Gateway, _ *nodes) {
+		"while a guard shuts the front out": func(g *Gateway, _ *fakeUpstream) {
 			shut := false
 			g.SetGuard(func() (bool, Micros) { return !shut, 0 })
 			c := &Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: &caller{}}
@@ -236,7 +236,7 @@
 	}
 	for name, one := range leave {
 		t.Run(name, func(t *testing.T) {
-			g, n := newGatewayOf(t, func(s *rules.Settings) { s.MaxHeld = 10 })
+			g, n := newGatewayWith(t, func(s *rules.Settings) { s.MaxHeld = 10 })
 			for range 50 {
 				started := len(n.started)
 				one(g, n)
@@ -244,16 +244,16 @@
 					t.Fatalf("%d attempts were begun for clients that had gone", more)
 				}
 			}
-			if _, got := submit(g, 0, "b"); len(got.got) > 0 {
-				t.Errorf("a good client was answered %+v at once", got.got[0])
+			if _, got := submit(g, 0, "b"); len(got.answers) > 0 {
+				t.Errorf("a good client was answered %+v at once", got.answers[0])
 			}
 		})
 	}
 }
 
-// Guards against two answers, or none, where an answer and its deadline, or the client's end,
-// fall into one turn of the loop: whichever comes first counts, and the other changes nothing.
-func TestOneTurnOneEnd(t *testing.T) {
+// Guards against two answers, or none, where an answer and the deadline or the client's disconnect fall
+// into one turn of the loop: the first counts, and the other changes nothing.
+func TestFirstEndInATurnCounts(t *testing.T) {
 	answer := func(g *Gateway, a *Attempt) {
 		g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Body: []byte("abc")}})
 	}
@@ -281,7 +281,7 @@
 			x.second(g, a)
 			g.ProcessEvents()
 			var kinds []AnswerKind
-			for _, k := range got.got {
+			for _, k := range got.answers {
 				kinds = append(kinds, k.Kind)
 			}
 			if !slices.Equal(kinds, x.want) || g.Open() != 0 {
@@ -294,30 +294,30 @@
 	}
 }
 
-// leaver is a caller whose end the loop has not heard of yet.
-type leaver struct {
+// goneCaller is a caller whose disconnect the loop has not handled yet.
+type goneCaller struct {
 	caller
 	gone bool
 }
 
-func (l *leaver) Gone() bool { return l.gone }
+func (l *goneCaller) Gone() bool { return l.gone }
 
-// Guards against an attempt, further or held up, that begins for a client whose end stands
-// behind what the loop takes first, as when the front was stopped for a while.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
-	for name, wait := range map[string]func(g *Gateway, n *nodes) *Attempt{
-		"a further attempt": func(g *Gateway, n *nodes) *Attempt {
+// Guards against a retry, or an attempt that waited, being sent for a client whose disconnect is queued
+// behind other events, as when the front was suspended for a while.
+func TestNoSendForAClientThatHasGone(t *testing.T) {
+	for name, wait := range map[string]func(g *Gateway, n *fakeUpstream) *Attempt{
+		"a further attempt": func(g *Gateway, n *fakeUpstream) *Attempt {
 			g.EndAttempt(n.started[0], AttemptResult{Code: rules.Reset})
 			g.ProcessEvents()
 			return n.started[1]
 		},
-		"one that waited": func(_ *Gateway, n *nodes) *Attempt {
-			n.started[0].started -= waitedFrom + 1
+		"one that waited": func(_ *Gateway, n *fakeUpstream) *Attempt {
+			n.started[0].chosenAt -= waitedThreshold + 1
 			return n.started[0]
 		},
 	} {
 		g, n := newGateway(t)
-		l := &leaver{}
+		l := &goneCaller{}
 		g.Submit(&Call{ID: "1", Object: "a", Group: 17, Deadline: g.loop.Now() + 4*second, Caller: l})
 		g.ProcessEvents()
 		a := wait(g, n)
@@ -331,19 +331,19 @@
 	}
 }
 
-// Guards against moments of another clock, an hour ahead of ours: a server's start, a purge and
-// a copy's age are reckoned from when they were heard of, and none from the future.
-func TestMomentsOfAClockThatIsAhead(t *testing.T) {
+// Guards against times of another clock, an hour ahead of ours: a server's start, a purge and a copy's age
+// count from when they were received, never from the future.
+func TestTimesOfAClockThatIsAhead(t *testing.T) {
 	const hour = 3600 * second
 	g, n := newGateway(t)
 	ahead := g.loop.Now() + hour
 	starting := member("s-1", "box", rules.Ready)
 	starting.StartedAt = ahead
-	for range 2 { // a list that comes again changes nothing
+	for range 2 { // receiving the list again changes nothing
 		g.Members(false, []Member{starting})
 		g.ProcessEvents()
 	}
-	id := rules.ServerID(key("s-1"))
+	id := rules.ServerID(hashKey("s-1"))
 	if s := g.servers[id]; s.StartedAt > g.loop.Now() || s.StartedAt < g.loop.Now()-second {
 		t.Errorf("started %d us from now", s.StartedAt-g.loop.Now())
 	}
@@ -353,7 +353,7 @@
 	if age, ok := g.PrepareSend(a); !ok || age > second {
 		t.Errorf("the oldest copy that will do: %d us, %v", age, ok)
 	}
-	if !g.settled(g.purges[key("9f3a")].at, g.loop.Now()+g.cfg.Settings.PurgeSettle+2*second) {
+	if !g.purgeSettled(g.purges[hashKey("9f3a")].at, g.loop.Now()+g.cfg.Settings.PurgeSettle+2*second) {
 		t.Error("the purge is never over")
 	}
 	g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("old"), Tag: "t", CreatedAt: ahead - second}})
--- a/internal/gateway/localcache.go
+++ b/internal/gateway/localcache.go
@@ -7,117 +7,119 @@
 	"cherryramp/rules"
 )
 
-// heardWithin is how lately the notice board must have answered for copies of our own
-// to be served, where the settings give no time to heed a purge: one that the board holds
-// counts as told, heard or not.
-const heardWithin = 300_000 // us
+// defaultMaxPurgeDelay is how recently the notice board must have answered for local
+// copies to be served, where the settings give no time to obey a purge. A purge counts
+// from when the board holds it, whether the front has received it or not.
+const defaultMaxPurgeDelay = 300_000 // us
 
-// linkWait is how long an answer may stand behind others on the own link.
-const linkWait = 20_000 // us
+// maxLinkWait is how long an answer may wait for others on the front's link.
+const maxLinkWait = 20_000 // us
 
-// Copies bounds the gateway's own copies. Zero bytes: none are kept.
+// LocalCacheLimits bounds the copies that the gateway keeps itself. With zero Bytes it
+// keeps none.
 type LocalCacheLimits struct {
-	Bytes         int     // held at most
-	Flow          float64 // bytes a second of one transfer
-	Link          float64 // bytes a second of all together
-	MaxPurgeDelay Micros  // time to heed a purge; 0: heardWithin
+	Bytes         int     // maximum size of all copies
+	Flow          float64 // bytes per second of one transfer
+	Link          float64 // bytes per second of all transfers together
+	MaxPurgeDelay Micros  // time to obey a purge, in us; 0: defaultMaxPurgeDelay
 }
 
-// copyKey names a part of an object.
+// copyKey identifies a part of an object.
 type copyKey struct {
 	object string
 	part   int
 }
 
-// ownCopy is an answer that was passed on and may be given again.
-type ownCopy struct {
-	key   copyKey
-	class int
-	group int
-	body  []byte
-	tag   string
-	born  Micros // when the origin gave it out
+// cachedCopy is an answer that was passed on and may be served again.
+type cachedCopy struct {
+	key       copyKey
+	class     int
+	group     int
+	body      []byte
+	tag       string
+	createdAt Micros // when the origin sent it
 }
 
-// copies holds what was passed on lately. It saves a client's connection for the
-// time of a transfer: connections are the first thing that a busy front runs out
-// of. Purges drop copies, and none is used past its class's fresh time.
-type copies struct {
-	limit  LocalCacheLimits
-	byKey  map[copyKey]*list.Element
-	order  *list.List // of *ownCopy, the latest used first
-	bytes  int
-	freeAt Micros // when the link has sent all that it was given
-	heard  Micros // when the notice board last answered
+// localCache holds recent answers. Serving one spares a client's connection the time of
+// a transfer from a cache node: connections are what a busy front runs out of first.
+// Purges drop copies, and none is served past the freshness lifetime of its class.
+type localCache struct {
+	limits          LocalCacheLimits
+	byKey           map[copyKey]*list.Element
+	lru             *list.List // of *cachedCopy, the latest used first
+	bytes           int
+	linkFreeAt      Micros // when the link will have sent all answers so far
+	boardAnsweredAt Micros // when the notice board last answered
 }
 
-func newCopies(limit LocalCacheLimits) *copies {
-	return &copies{limit: limit, byKey: map[copyKey]*list.Element{}, order: list.New()}
+func newLocalCache(limits LocalCacheLimits) *localCache {
+	return &localCache{limits: limits, byKey: map[copyKey]*list.Element{}, lru: list.New()}
 }
 
-// bound sets the limits anew and drops what they no longer hold.
-func (s *copies) bound(limit LocalCacheLimits) {
-	s.limit = limit
-	s.shrink()
+// setLimits sets new limits and drops the copies that exceed them.
+func (lc *localCache) setLimits(limits LocalCacheLimits) {
+	lc.limits = limits
+	lc.evict()
 }
 
-func (s *copies) shrink() {
-	for s.bytes > s.limit.Bytes {
-		s.drop(s.order.Back())
+// evict drops the least recently used copies until the limit on bytes holds.
+func (lc *localCache) evict() {
+	for lc.bytes > lc.limits.Bytes {
+		lc.remove(lc.lru.Back())
 	}
 }
 
-// find gives a copy that a call may be answered with now, or nil: one that is
-// fresh, in a moment when the link is all but free and no purge can have been missed.
-func (s *copies) find(c *Call, class *rules.Class, now Micros) *ownCopy {
-	e := s.byKey[copyKey{c.Object, c.Part}]
-	if e == nil || s.limit.Bytes == 0 || class.Write || now-s.heard > cmp.Or(s.limit.MaxPurgeDelay, heardWithin) || s.freeAt > now+linkWait {
+// find returns a copy to answer a call with now, or nil. The copy must be fresh, the link
+// nearly idle, and the board heard recently enough that no purge was missed.
+func (lc *localCache) find(c *Call, class *rules.Class, now Micros) *cachedCopy {
+	e := lc.byKey[copyKey{c.Object, c.Part}]
+	if e == nil || lc.limits.Bytes == 0 || class.Write || now-lc.boardAnsweredAt > cmp.Or(lc.limits.MaxPurgeDelay, defaultMaxPurgeDelay) || lc.linkFreeAt > now+maxLinkWait {
 		return nil
 	}
-	x := e.Value.(*ownCopy)
-	if class.Fresh > 0 && now-x.born >= class.Fresh {
-		s.drop(e)
+	x := e.Value.(*cachedCopy)
+	if class.Fresh > 0 && now-x.createdAt >= class.Fresh {
+		lc.remove(e)
 		return nil
 	}
-	need := Micros(float64(len(x.body)) / s.limit.Flow * 1e6)
-	if x.class != c.Class || x.group != c.Group || now+linkWait+need >= c.Deadline {
+	transfer := Micros(float64(len(x.body)) / lc.limits.Flow * 1e6)
+	if x.class != c.Class || x.group != c.Group || now+maxLinkWait+transfer >= c.Deadline {
 		return nil
 	}
-	s.order.MoveToFront(e)
-	s.freeAt = max(now, s.freeAt) + Micros(float64(len(x.body))/s.limit.Link*1e6)
+	lc.lru.MoveToFront(e)
+	lc.linkFreeAt = max(now, lc.linkFreeAt) + Micros(float64(len(x.body))/lc.limits.Link*1e6)
 	return x
 }
 
-// keep takes an answer in; purged tells whether it may be older than a purge.
-func (s *copies) keep(c *Call, class *rules.Class, a *Answer, purged bool) {
-	if s.limit.Bytes == 0 || class.Write || a.Kind != Served || a.CreatedAt == 0 || purged ||
-		len(a.Body) > s.limit.Bytes/16 {
+// add stores an answer, unless it may be older than a purge, as purged says.
+func (lc *localCache) add(c *Call, class *rules.Class, a *Answer, purged bool) {
+	if lc.limits.Bytes == 0 || class.Write || a.Kind != Served || a.CreatedAt == 0 || purged ||
+		len(a.Body) > lc.limits.Bytes/16 {
 		return
 	}
 	k := copyKey{c.Object, c.Part}
-	if e := s.byKey[k]; e != nil {
-		s.drop(e)
+	if e := lc.byKey[k]; e != nil {
+		lc.remove(e)
 	}
-	s.byKey[k] = s.order.PushFront(&ownCopy{key: k, class: c.Class, group: c.Group, body: a.Body,
-		tag: a.Tag, born: a.CreatedAt})
-	s.bytes += len(a.Body)
-	s.shrink()
+	lc.byKey[k] = lc.lru.PushFront(&cachedCopy{key: k, class: c.Class, group: c.Group, body: a.Body,
+		tag: a.Tag, createdAt: a.CreatedAt})
+	lc.bytes += len(a.Body)
+	lc.evict()
 }
 
-func (s *copies) drop(e *list.Element) {
-	x := s.order.Remove(e).(*ownCopy)
-	delete(s.byKey, x.key)
-	s.bytes -= len(x.body)
+func (lc *localCache) remove(e *list.Element) {
+	x := lc.lru.Remove(e).(*cachedCopy)
+	delete(lc.byKey, x.key)
+	lc.bytes -= len(x.body)
 }
 
-// purge drops the copies of an object, or of a group, from before a purge.
-func (s *copies) purge(p Purge) {
+// purge drops the copies of an object or a group that are older than a purge.
+func (lc *localCache) purge(p Purge) {
 	var next *list.Element
-	for e := s.order.Front(); e != nil; e = next {
+	for e := lc.lru.Front(); e != nil; e = next {
 		next = e.Next()
-		x := e.Value.(*ownCopy)
-		if x.born <= p.At && (x.key.object == p.Object || p.Object == "" && x.group == p.Group) {
-			s.drop(e)
+		x := e.Value.(*cachedCopy)
+		if x.createdAt <= p.At && (x.key.object == p.Object || p.Object == "" && x.group == p.Group) {
+			lc.remove(e)
 		}
 	}
 }
--- a/internal/gateway/refusals.go
+++ b/internal/gateway/refusals.go
@@ -2,35 +2,35 @@
 
 import "cherryramp/rules"
 
-// refusalSpan is how long after a line on a reason the next one on it may stand in the log, in us.
-const refusalSpan = 1_000_000
+// refusalLogInterval is the minimum time between two log lines on the same reason, in us.
+const refusalLogInterval = 1_000_000
 
-// refusals counts the requests that the module refused, by reason, and says when one of them is told.
-// It holds a fixed number of counts.
+// refusals counts the requests that the router refused, by reason, and limits how often one is logged.
 type refusals [rules.NumReasons]struct {
 	total  uint64
-	logged Micros // when a line last told of it; 0: never
+	logged Micros // time of the last log line on it; 0: never
 }
 
-// count adds a refusal. It gives how many there were for its reason since the start, and whether
-// a line is due.
+// count adds a refusal. It returns the number for its reason since the start, and whether a log line
+// is due.
 func (r *refusals) count(reason rules.Reason, now Micros) (total uint64, due bool) {
 	x := &r[reason]
 	x.total++
-	if due = x.logged == 0 || now-x.logged >= refusalSpan; due {
+	if due = x.logged == 0 || now-x.logged >= refusalLogInterval; due {
 		x.logged = now
 	}
 	return x.total, due
 }
 
-// refuse answers a call with the module's refusal.
+// refuse answers a call with the router's refusal.
 func (g *Gateway) refuse(a rules.Refuse) {
-	if c := g.calls[a.ID]; c != nil && !c.over {
+	if c := g.calls[a.ID]; c != nil && !c.ended {
 		g.logRefusal(c, a.Cause)
 	}
 	g.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 }
 
+// logRefusal logs a refusal with its cause, unless one with its reason was logged just before.
 func (g *Gateway) logRefusal(c *Call, cause rules.Cause) {
 	total, due := g.refusals.count(cause.Reason, g.loop.Now())
 	if !due {
--- a/internal/gateway/refusals_test.go
+++ b/internal/gateway/refusals_test.go
@@ -6,13 +6,13 @@
 	"cherryramp/rules"
 )
 
-// Guards against refusals that fill the log, and against ones that no count tells of: a line a
-// second for each reason, with the number since the start.
+// Guards against refusals that flood the log, and against uncounted ones: there is one line a second
+// for each reason, with the number since the start.
 func TestRefusalsAreCountedByReason(t *testing.T) {
 	var r refusals
 	now, lines := Micros(1_000_000_000), 0
-	for range 50 { // 5 s of them
-		now += refusalSpan / 10
+	for range 50 { // over 5 s
+		now += refusalLogInterval / 10
 		for _, reason := range []rules.Reason{rules.ReasonServerSlow, rules.ReasonCrowded} {
 			if _, due := r.count(reason, now); due {
 				lines++
