--- a/rules/pace.go
+++ b/rules/pace.go
@@ -27,8 +27,8 @@
 // among hundreds has recent samples of few members.
 func (r *Router) paceOf(m *member) pace {
 	own, t := decay(r.now-m.pace.at, paceHalfLife), &r.tierPace[m.tier]
-	rest := (1 - own) * decay(r.now-t.at, paceHalfLife)
-	return pace{slowdown: max(0, own*m.slowdown+rest*t.slowdown), wait: own*m.wait + rest*t.wait}
+	tierShare := (1 - own) * decay(r.now-t.at, paceHalfLife)
+	return pace{slowdown: max(0, own*m.slowdown+tierShare*t.slowdown), wait: own*m.wait + tierShare*t.wait}
 }
 
 // aim returns the time from its arrival within which an answer earns the full worth.
@@ -74,13 +74,13 @@
 // one would last until it decays. One such attempt per tier is in flight at a time, to a server where the
 // gateway has no other attempt; a further one may go when no sample has come for the length of an aim.
 func (r *Router) mayProbe(m *member, q *request) bool {
-	heard := r.tierPace[m.tier].at
+	sampledAt := r.tierPace[m.tier].at
 	if r.now-m.pace.at < paceHalfLife { // then its own pace counts, not its tier's
-		heard = m.pace.at
+		sampledAt = m.pace.at
 	}
 	p := &r.probing[m.tier]
-	free := p.inFlight == 0 && m.inFlight == 0
-	if !free && r.now-max(heard, p.sentAt) < q.aim() {
+	alone := p.inFlight == 0 && m.inFlight == 0
+	if !alone && r.now-max(sampledAt, p.sentAt) < q.aim() {
 		return false
 	}
 	q.probes[m.tier] = true
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -314,18 +314,18 @@
 	if maxAge > 0 {
 		bound = maxAge
 	}
-	see := func(at Micros) {
+	apply := func(at Micros) {
 		if r.now-at < r.cfg.PurgeSettle+second {
 			bound = min(bound, max(1, r.now-at)) // 0 would mean "the class's default"
 		}
 	}
 	for _, key := range []uint64{q.Object, groupKey(q.Group)} {
 		if at := r.purges.get(key); at != nil {
-			see(*at)
+			apply(*at)
 		}
 	}
 	if r.hasPurgeFloor {
-		see(r.purgeFloor)
+		apply(r.purgeFloor)
 	}
 	if bound == math.MaxInt64 || bound == q.class.Fresh {
 		return 0
@@ -399,13 +399,13 @@
 
 // startAttempt starts the next attempt of a request that has none in flight, or ends the request.
 func (r *Router) startAttempt(q *request) {
-	left, again := q.deadline-r.now, len(q.attempts) > 0
+	left, retry := q.deadline-r.now, len(q.attempts) > 0
 	if reason, ends := r.exhausted(q); ends {
 		q.cause.Reason = reason
 		r.refuseOrFail(q)
 		return
 	}
-	if again {
+	if retry {
 		r.retryTokens--
 	}
 	g := Get{ID: q.ID, Attempt: len(q.attempts), MaxAge: r.ageBound(q, q.class.Fresh)}
@@ -417,7 +417,7 @@
 	case r.origin == nil || !r.origin.listed: // a write runs only at the origin
 	case r.cfg.Direct: // retries go through a parent, which the limit on direct calls does not affect
 		server, source = r.origin, r.origin
-		if p := r.chooseSource(q); again && p != nil && p.tier == tierParent {
+		if p := r.chooseSource(q); retry && p != nil && p.tier == tierParent {
 			server = p
 		}
 	default:
@@ -440,7 +440,7 @@
 		g.Timeout = max(left/2, r.cfg.Tick)
 	} else if ends && server.tier == tierCache && r.lostShare > lostThreshold && r.retryTokens >= 1 {
 		g.Timeout, t.shortTimeout = r.waitTime(q, &t, lostWaitFactor, 1), true
-	} else if in := r.waitTime(q, &t, 1, hedgeRoomFactor); !again && server.tier == tierCache &&
+	} else if in := r.waitTime(q, &t, 1, hedgeRoomFactor); !retry && server.tier == tierCache &&
 		r.cfg.Hedges && q.class.Effect == Safe && r.brokenAt > 0 && r.now-r.brokenAt < brokenWindow &&
 		in+Micros(r.pacedHitTime(&t)) <= q.receivedAt+q.aim()-r.now {
 		r.emit(Wake{Tag: uint32(q.ID), In: in})
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -26,23 +26,23 @@
 // has just learnt of the member has no saved-up tokens. Example: with N = 37 and 300 gateways, 15 may
 // send one call in a second; at random, 15 +- 4. Fills and retries count the same.
 func (r *Router) withinColdBudget(m *member, q *request) bool {
-	w, span, usual := r.slowStartShare(m), max(r.cfg.FallTime, milli), r.usualWork(q)
+	share, span, work := r.slowStartShare(m), max(r.cfg.FallTime, milli), r.usualWork(q)
 	multiple := [...]float64{r.cfg.FallMultiple, r.cfg.ParentFallMultiple, 0}[m.tier]
-	capacity := w * m.capacity() * multiple * float64(span)
-	if w >= 1 || capacity == 0 { // without a multiple there is no limit
+	capacity := share * m.capacity() * multiple * float64(span)
+	if share >= 1 || capacity == 0 { // without a multiple there is no limit
 		return true
 	}
 	if r.cfg.Weights == WeightsRough {
 		capacity *= roughWeightTrust
 	}
-	draw := m.rounding
+	rounding := m.rounding
 	if r.cfg.Rank > 0 {
-		_, draw = math.Modf(hashUnit(uint64(m.StartedAt), m.ID, 3) + float64(r.cfg.Rank)*math.Phi)
+		_, rounding = math.Modf(hashUnit(uint64(m.StartedAt), m.ID, 3) + float64(r.cfg.Rank)*math.Phi)
 	}
-	calls, weight := math.Floor(capacity*coldBudgetShare/r.gatewaysSharing(m)/usual+draw), r.coldCost(m, q)
-	burst := max(1, calls/2) * usual // as much is earned per FallTime
-	return calls > 0 && weight <= max(capacity*maxColdRequestShare, r.meanWork[q.Class]) &&
-		r.hasTokens(m, burst/float64(span), burst, min(weight, usual))
+	calls, cost := math.Floor(capacity*coldBudgetShare/r.gatewaysSharing(m)/work+rounding), r.coldCost(m, q)
+	burst := max(1, calls/2) * work // as much is earned per FallTime
+	return calls > 0 && cost <= max(capacity*maxColdRequestShare, r.meanWork[q.Class]) &&
+		r.hasTokens(m, burst/float64(span), burst, min(cost, work))
 }
 
 // hasTokens refills a member's tokens and reports whether they cover the cost.
