--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -91,11 +91,11 @@
 			submit(g, 0, "a")
 			a := n.started[0]
 			if _, ok := g.PrepareSend(a); !ok || a.Source == nil {
-				t.Fatalf("not cleared at first: %+v", a)
+				t.Fatalf("not permitted at first: %+v", a)
 			}
 			change(g, a)
 			if _, ok := g.PrepareSend(a); ok {
-				t.Error("cleared all the same")
+				t.Error("still permitted")
 			}
 		})
 	}
@@ -156,11 +156,11 @@
 		{"other group purged", 0, func(g *Gateway) { g.Purge(Purge{Group: 18, At: g.loop.Now()}) }, true},
 		{"purges must be heeded sooner", 0, func(g *Gateway) { g.cache.limits.MaxPurgeDelay = second / 10; g.cache.boardAnsweredAt -= second / 5 }, false},
 		{"purges may be heeded later", 0, func(g *Gateway) { g.cache.limits.MaxPurgeDelay = 2 * second; g.cache.boardAnsweredAt -= second }, true},
-		{"board silent", 0, func(g *Gateway) { g.cache.boardAnsweredAt -= second }, false},
+		{"board not heard", 0, func(g *Gateway) { g.cache.boardAnsweredAt -= second }, false},
 		{"link busy", 0, func(g *Gateway) { g.cache.linkFreeAt = g.loop.Now() + second }, false},
 		{"fresh", 1, func(*Gateway) {}, true},
-		{"past its fresh time", 1, func(g *Gateway) { age(g, 9*second) }, false},
-		{"old, of a class without an age", 0, func(g *Gateway) { age(g, 99*second) }, true},
+		{"stale", 1, func(g *Gateway) { age(g, 9*second) }, false},
+		{"old, of a class without a lifetime", 0, func(g *Gateway) { age(g, 99*second) }, true},
 		{"a write", 2, func(*Gateway) {}, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -241,11 +241,11 @@
 				started := len(n.started)
 				one(g, n)
 				if more := len(n.started) - started; name != "between two attempts" && more > 0 {
-					t.Fatalf("%d attempts were begun for clients that had gone", more)
+					t.Fatalf("%d attempts were started for clients that had gone", more)
 				}
 			}
 			if _, got := submit(g, 0, "b"); len(got.answers) > 0 {
-				t.Errorf("a good client was answered %+v at once", got.answers[0])
+				t.Errorf("a client that stays was answered %+v at once", got.answers[0])
 			}
 		})
 	}
@@ -322,11 +322,11 @@
 		g.ProcessEvents()
 		a := wait(g, n)
 		if _, ok := g.PrepareSend(a); !ok {
-			t.Errorf("%s: not cleared while its client waits", name)
+			t.Errorf("%s: not permitted while its client waits", name)
 		}
 		l.gone = true
 		if _, ok := g.PrepareSend(a); ok {
-			t.Errorf("%s: cleared for a client that has gone", name)
+			t.Errorf("%s: permitted for a client that has gone", name)
 		}
 	}
 }
@@ -351,10 +351,10 @@
 	submit(g, 0, "9f3a")
 	a := n.started[0]
 	if age, ok := g.PrepareSend(a); !ok || age > second {
-		t.Errorf("the oldest copy that will do: %d us, %v", age, ok)
+		t.Errorf("maximum age of the copy: %d us, %v", age, ok)
 	}
 	if !g.purgeSettled(g.purges[hashKey("9f3a")].at, g.loop.Now()+g.cfg.Settings.PurgeSettle+2*second) {
-		t.Error("the purge is never over")
+		t.Error("the purge never settles")
 	}
 	g.EndAttempt(a, AttemptResult{Code: rules.OK, Answer: Answer{Kind: Served, Body: []byte("old"), Tag: "t", CreatedAt: ahead - second}})
 	submit(g, 0, "9f3b")
--- a/internal/gateway/localcache.go
+++ b/internal/gateway/localcache.go
@@ -70,7 +70,7 @@
 }
 
 // find returns a copy to answer a call with now, or nil. The copy must be fresh, the link
-// nearly idle, and the board heard recently enough that no purge was missed.
+// nearly idle, and the last answer of the board recent enough that no purge was missed.
 func (lc *localCache) find(c *Call, class *rules.Class, now Micros) *cachedCopy {
 	e := lc.byKey[copyKey{c.Object, c.Part}]
 	if e == nil || lc.limits.Bytes == 0 || class.Write || now-lc.boardAnsweredAt > cmp.Or(lc.limits.MaxPurgeDelay, defaultMaxPurgeDelay) || lc.linkFreeAt > now+maxLinkWait {
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -135,7 +135,7 @@
 // was 37 (100 and 300 routers, five seeds of ten).
 func TestColdMemberHoldsUnderAllInstances(t *testing.T) {
 	for ranks, rank := range map[string]func(i int) int{
-		"untold":        func(int) int { return 0 },
+		"unknown":       func(int) int { return 0 },
 		"in a row":      func(i int) int { return i + 1 },
 		"every third":   func(i int) int { return 3*i + 2 },
 		"in two halves": func(i int) int { return i + 1 + i%2*500 },
@@ -147,15 +147,15 @@
 				f.run(seed%2 == 1)
 				worst, text := f.worstExcess()
 				if worst > 1 {
-					t.Errorf("ranks %s, %d instances, seed %d: %s", ranks, n, seed, text)
+					t.Errorf("ranks %s, %d routers, seed %d: %s", ranks, n, seed, text)
 				}
 				if len(f.coldSends) < 10 { // else the test is vacuous
-					t.Errorf("ranks %s, %d instances, seed %d: %d calls in all", ranks, n, seed,
+					t.Errorf("ranks %s, %d routers, seed %d: %d calls in total", ranks, n, seed,
 						len(f.coldSends))
 				}
 				most = max(most, worst)
 			}
-			t.Logf("ranks %s, %d instances: over N by %.2f of what is put down to chance", ranks, n, most)
+			t.Logf("ranks %s, %d routers: over N by %.2f of the random deviation allowed", ranks, n, most)
 		}
 	}
 }
--- a/rules/guards_test.go
+++ b/rules/guards_test.go
@@ -162,7 +162,7 @@
 		{"group", Purge{Group: 3, Age: 100 * milli}, 0, 1, 100 * milli},
 		{"another group", Purge{Group: 4, Age: 100 * milli}, 0, 0, 0},
 		{"another object", Purge{Object: 6, Group: 3}, 0, 0, 0},
-		{"this moment: never the default", Purge{Object: 5}, 0, 0, 1},
+		{"purged just now: never the default", Purge{Object: 5}, 0, 0, 1},
 		{"settled", Purge{Object: 5}, 9 * second, 0, 0},
 		{"object 0 of group 0", Purge{}, 0, 0, 0},
 	}
@@ -175,7 +175,7 @@
 			t.Errorf("%s: age %d, want %d", tt.name, get.MaxAge, tt.want)
 		}
 		if tt.want > 0 && get.Join {
-			t.Errorf("%s: joins a fill that may be older", tt.name)
+			t.Errorf("%s: joins a fill that may be older than the purge", tt.name)
 		}
 		for n, next := 1, gets(g.answer(get, 0, Reset, NoteNone)); n < 2 && len(next) > 0; n++ {
 			if next[0].MaxAge != tt.want {
@@ -308,13 +308,13 @@
 		}
 		out := g.answer(get, 0, code, NoteHit)
 		if next := gets(out); code == Reset && (len(next) != 1 || next[0].Server != get.Server) {
-			t.Fatalf("request %d: a cache that fails now and then was left: %v", i, out)
+			t.Fatalf("request %d: not retried at a cache that fails some requests: %v", i, out)
 		} else if len(next) == 1 {
 			g.answer(next[0], 1, OK, NoteHit)
 		}
 	}
 	if m := g.r.members[get.Server]; m.ejectedUntil != 0 {
-		t.Error("ejected at a third of failures")
+		t.Error("ejected at a failure rate of one third")
 	}
 }
 
@@ -375,11 +375,11 @@
 	}
 	hit, _ := g.ask(Request{Object: 5, Part: 1, Size: 500})
 	if hit.ID == 0 || hit.Source != hit.Server {
-		t.Errorf("likely hit: %+v, want a look without a fill", hit)
+		t.Errorf("likely hit: %+v, want an attempt without a fill", hit)
 	}
 	miss, out := g.ask(Request{Object: 999999, Size: 500})
 	if refused, _ := finals(out, g.id); miss.ID != 0 || refused != 1 {
-		t.Errorf("sure miss: %v, want a refusal", out)
+		t.Errorf("certain miss: %v, want a refusal", out)
 	}
 	g.now += 20 * second
 	if miss, _ = g.ask(Request{Object: 999998, Size: 500}); miss.Source == miss.Server || miss.ID == 0 {
@@ -457,7 +457,7 @@
 	}
 	again := gets(g.answer(back, 0, Miss, NoteSourceMiss))
 	if len(again) != 1 || again[0].Server != old.ID || again[0].Source < 100 {
-		t.Errorf("the sibling lacks it: %+v, want the same cache filled by a parent", again)
+		t.Errorf("the sibling has no copy: %+v, want the same cache filled by a parent", again)
 	}
 }
 
@@ -500,7 +500,7 @@
 		want bool
 	}{{0, 2000, true}, {60, 2000, true}, {90, 2000, false}, {90, 100, true}, {99, 400, false}} {
 		if got := taken(x.open, x.size); got != x.want {
-			t.Errorf("%d of 100 places taken, %v KB: taken %v, want %v", x.open, x.size, got, x.want)
+			t.Errorf("%d of 100 slots in use, %v KB: taken %v, want %v", x.open, x.size, got, x.want)
 		}
 	}
 }
@@ -546,7 +546,7 @@
 		g := newHarness(t, func(s *Settings) { s.Hedges = true })
 		get, out := g.ask(Request{Class: class, Object: 5})
 		if slices.ContainsFunc(out, func(a Action) bool { _, ok := a.(Wake); return ok }) {
-			t.Fatal("a second copy is planned though no answer was ever spoilt")
+			t.Fatal("a hedge is planned though no connection ever broke")
 		}
 		g.r.brokenAt = g.now
 		get, out = g.ask(Request{Class: class, Object: 5})
@@ -567,15 +567,15 @@
 		second := gets(g.step(Timer{wake.Tag}))
 		if len(second) != 1 || second[0].ID != get.ID || second[0].Server != get.Server ||
 			second[0].Source != get.Server {
-			t.Fatalf("second copy: %+v, first %+v", second, get)
+			t.Fatalf("hedge: %+v, first attempt %+v", second, get)
 		}
 		if more := gets(g.step(Timer{wake.Tag})); len(more) > 0 {
-			t.Errorf("a third copy: %+v", more)
+			t.Errorf("a third attempt: %+v", more)
 		}
 		g.answer(get, 1, OK, NoteHit)
 		g.answer(get, 0, Cancelled, NoteNone)
 		if m := g.r.members[get.Server]; m.inFlight != 0 {
-			t.Errorf("%d attempts are still booked", m.inFlight)
+			t.Errorf("%d attempts are still counted", m.inFlight)
 		}
 	}
 }
--- a/rules/large_test.go
+++ b/rules/large_test.go
@@ -26,12 +26,12 @@
 	g.answer(get, 0, Full, NoteNone)
 	q := &request{class: &g.r.cfg.Classes[0], receivedAt: g.now, deadline: g.now + 5*second, work: 1.2e6}
 	if g.r.fitsAim(full, q) {
-		t.Error("a cache that just turned work away is held to have room")
+		t.Error("a cache that just refused counts as having capacity")
 	}
 	g.now += 20 * second
 	q.receivedAt, q.deadline = g.now, g.now+5*second
 	if !g.r.fitsAim(full, q) {
-		t.Error("20 s later it is still held to have none")
+		t.Error("20 s later it still counts as having none")
 	}
 }
 
@@ -97,7 +97,7 @@
 		return n
 	}
 	if n := held(); n != 0 {
-		t.Fatalf("%d of 200 fills may not ask a healthy origin", n)
+		t.Fatalf("%d of 200 fills must not ask a healthy origin", n)
 	}
 	for range 10 {
 		get, _ := g.ask(Request{Object: mix(uint64(g.id)), Size: 100})
@@ -105,11 +105,11 @@
 		g.now += 110 * milli
 	}
 	if n := held(); n < 60 {
-		t.Errorf("only %d of 200 fills are kept from an origin that refuses", n)
+		t.Errorf("only %d of 200 fills don't ask an origin that refuses", n)
 	}
 	g.now += 30 * second
 	if n := held(); n > 5 {
-		t.Errorf("30 s later %d of 200 fills are still kept from it", n)
+		t.Errorf("30 s later %d of 200 fills still don't ask it", n)
 	}
 }
 
@@ -154,7 +154,7 @@
 func TestLostAnswersGetATimeoutAndASecondTry(t *testing.T) {
 	g := newHarness(t, nil)
 	if get, _ := g.ask(Request{Object: 9, Size: 1000}); get.Timeout != 0 {
-		t.Fatalf("no answers lost: time-out %d", get.Timeout)
+		t.Fatalf("no answers lost: timeout %d", get.Timeout)
 	}
 	for i := range 60 {
 		get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
@@ -167,12 +167,12 @@
 	}
 	get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
 	if get.Timeout < 150*milli || get.Timeout > 700*milli {
-		t.Fatalf("answers lost: time-out %d us, want it to leave time within the aim", get.Timeout)
+		t.Fatalf("answers lost: timeout %d us, want it to leave time within the aim", get.Timeout)
 	}
 	g.now += get.Timeout
 	again := gets(g.step(Outcome{ID: get.ID, Server: get.Server, Code: Timeout, Elapsed: get.Timeout}))
 	if len(again) != 1 || again[0].Server != get.Server {
-		t.Errorf("after the time-out: %+v, want the same cache once more", again)
+		t.Errorf("after the timeout: %+v, want the same cache once more", again)
 	}
 }
 
@@ -203,9 +203,9 @@
 // Zero or unknown counts, a zone without gateways and thousands of members must not cause refusals.
 func TestZeroCountsAndThousandsOfMembers(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no gateways":               func(s *Settings) { s.Gateways, s.ZoneGates = 0, nil },
-		"location without gateways": func(s *Settings) { s.ZoneGates = []int{0, 0, 450} },
-		"short list of locations":   func(s *Settings) { s.ZoneGates = []int{1} },
+		"no gateways":              func(s *Settings) { s.Gateways, s.ZoneGates = 0, nil },
+		"zone without gateways":    func(s *Settings) { s.ZoneGates = []int{0, 0, 450} },
+		"short list of zone sizes": func(s *Settings) { s.ZoneGates = []int{1} },
 	} {
 		g := newHarness(t, change)
 		m := testMembers()
@@ -287,13 +287,13 @@
 		}
 		if get, _ := g.ask(Request{Object: 9, Size: 1000,
 			Expires: 5 * second}); (get.Timeout > 0) != x.early {
-			t.Errorf("%+v: time-out %d where answers get lost", x, get.Timeout)
+			t.Errorf("%+v: timeout %d where answers get lost", x, get.Timeout)
 		}
 		m := g.r.members[home.Server]
 		m.ejectedUntil, m.backoff, m.trialOut, g.r.lostShare = 1, second, false, 0 // its ejection is over
 		get, _ := g.ask(Request{Object: 9, Size: 1000, Expires: 5 * second})
 		if (get.Timeout > 0) != x.early || get.Server != m.ID {
-			t.Errorf("%+v: time-out %d of a trial at %d", x, get.Timeout, get.Server)
+			t.Errorf("%+v: timeout %d of a trial at %d", x, get.Timeout, get.Server)
 		}
 	}
 }
--- a/rules/path_test.go
+++ b/rules/path_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("source %d, want the runner-up %d", get.Source, runnerUp.ID)
 	}
 	if a, b := g.r.topParents(42); a != first || b != runnerUp {
-		t.Error("a drain changed first and runner-up")
+		t.Error("a drain changed the first parent or the runner-up")
 	}
 }
 
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -24,7 +24,7 @@
 
 type seenMember struct {
 	Member
-	since Micros // when the router was told of its state
+	since Micros // when the router received its state
 }
 
 type seenRequest struct {
@@ -143,7 +143,7 @@
 		return
 	}
 	if q.inFlight > 0 && (!w.cfg.Hedges || w.cfg.Classes[q.Class].Effect != Safe || q.inFlight > 1) {
-		w.violation("%d attempts out at a time", q.inFlight+1)
+		w.violation("%d attempts in flight at a time", q.inFlight+1)
 	}
 	if len(q.attempts) >= w.cfg.MaxAttempts {
 		w.violation("attempt %d", len(q.attempts)+1)
@@ -160,7 +160,7 @@
 		}
 	}
 	if a.Server > 100 && !w.cfg.Direct {
-		w.violation("passes the caches by where that is not permitted")
+		w.violation("sent past the caches where that is not permitted")
 	}
 	if a.Join && !w.cfg.Joins {
 		w.violation("joins where that is not permitted")
@@ -209,7 +209,7 @@
 	for id := RequestID(1); id <= w.next; id++ { // the client's time is up
 		if q := w.open[id]; q != nil && w.now >= q.deadline {
 			if q.inFlight == 0 {
-				w.violation("request %d is held with nothing out until its deadline", id)
+				w.violation("request %d is held without an attempt until its deadline", id)
 			}
 			delete(w.open, id)
 			w.step(Expired{id})
@@ -301,7 +301,7 @@
 			found = len(newFuzzer(seed, tamper).run(1500)) > 0
 		}
 		if !found {
-			t.Errorf("%s: not noticed", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/rules/refusal_test.go
+++ b/rules/refusal_test.go
@@ -62,7 +62,7 @@
 		}
 		next := gets(g.answer(get, n, code, NoteNone))
 		if n == 0 && len(next) == 0 {
-			t.Fatal("one full server, and the request is refused")
+			t.Fatal("the request is refused because of one full server")
 		}
 		if get = (Get{}); len(next) > 0 {
 			get = next[0]
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(out) != 1 {
-		t.Errorf("%d of 20 requests at once went to servers that all are slow, want 1", len(out))
+		t.Errorf("%d of 20 requests at once went to servers that are all slow, want 1", len(out))
 	}
 	for range 10 {
 		for _, get := range out {
@@ -153,7 +153,7 @@
 			_, out := g.ask(Request{Object: uint64(1000 + i)})
 			for _, a := range out {
 				if refused, ok := a.(Refuse); ok && refused.Cause.Server != get.Server {
-					t.Errorf("%s: refused by what is believed of %d, %d answered: %+v", name,
+					t.Errorf("%s: refused by the estimate of %d, though only %d answered: %+v", name,
 						refused.Cause.Server, get.Server, refused.Cause)
 				}
 			}
--- a/rules/renew_test.go
+++ b/rules/renew_test.go
@@ -22,7 +22,7 @@
 		return n
 	}
 	if gets(1, list, Request{ID: 1, Object: 7, Expires: second}) != 1 {
-		t.Fatal("the first request went nowhere")
+		t.Fatal("the first request was not sent")
 	}
 	r.meanWork[0] = 12345
 	unsafe := read
@@ -30,26 +30,26 @@
 	next := r.cfg
 	next.Classes, next.MaxAttempts = []Class{read, unsafe}, 1
 	if err := r.UpdateSettings(next); err != nil || r.meanWork[1] != 12345 {
-		t.Fatalf("%v, learnt %v", err, r.meanWork)
+		t.Fatalf("%v, mean work %v", err, r.meanWork)
 	}
 	wrong := next
 	wrong.Classes = []Class{unsafe}
 	if r.UpdateSettings(wrong) == nil || r.UpdateSettings(Settings{}) == nil {
-		t.Error("settings that move a class were taken")
+		t.Error("settings that move a class were accepted")
 	}
 	fail := func(id RequestID, by ServerID) Outcome {
 		return Outcome{ID: id, Server: by, Code: ServerError, Elapsed: milli}
 	}
 	first := r.requests[1].attempts[0].server.ID
 	if gets(2, fail(1, first)) != 1 {
-		t.Error("the open read was not tried again")
+		t.Error("the open read was not retried")
 	}
 	if gets(3, Request{ID: 2, Class: 1, Object: 7, Expires: second}) != 1 ||
 		gets(4, fail(2, r.requests[2].attempts[0].server.ID)) != 0 {
-		t.Error("what must not run twice was tried again")
+		t.Error("an unsafe request was retried")
 	}
 	if gets(5, Request{ID: 3, Object: 7, Expires: second}) != 1 ||
 		gets(6, fail(3, r.requests[3].attempts[0].server.ID)) != 0 {
-		t.Error("a read under one attempt was tried again")
+		t.Error("a read limited to one attempt was retried")
 	}
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -709,7 +709,7 @@
 	r.finish(q)
 }
 
-// mayRefuse reports whether the client may be told that a new try does no harm.
+// mayRefuse reports whether a retry by the client does no harm.
 func (r *Router) mayRefuse(q *request) bool {
 	return q.mayRepeat() || q.class.Effect == Keyed && q.class.Scope == ScopeAll &&
 		r.now+r.cfg.MaxAway-q.firstRunAt < q.class.MemorySpan // also when the client is back
