--- a/internal/decide/invalidation/index.go
+++ b/internal/decide/invalidation/index.go
@@ -14,19 +14,19 @@
 // cover them, as long as that pays; then all copies older than the oldest go. So memory
 // is bounded, and what was purged stays so.
 type Index struct {
-	most        int
-	floor       Micros
-	objects     map[string]Micros
-	prefixes    map[string]Micros
-	groups      map[int]Micros
-	tags        map[string]Micros
-	lengths     []int // of prefixes, each once
-	Compactions int   // how often names were folded into wider ones
+	maxScopes     int
+	floor         Micros
+	objects       map[string]Micros
+	prefixes      map[string]Micros
+	groups        map[int]Micros
+	tags          map[string]Micros
+	prefixLengths []int // of prefixes, each once
+	Compactions   int   // how often names were folded into wider ones
 }
 
 // NewIndex makes room for so many scopes.
-func NewIndex(most int) *Index {
-	return &Index{most: max(16, most), objects: map[string]Micros{}, prefixes: map[string]Micros{}, groups: map[int]Micros{}, tags: map[string]Micros{}, floor: math.MinInt64}
+func NewIndex(maxScopes int) *Index {
+	return &Index{maxScopes: max(16, maxScopes), objects: map[string]Micros{}, prefixes: map[string]Micros{}, groups: map[int]Micros{}, tags: map[string]Micros{}, floor: math.MinInt64}
 }
 
 // Len counts the scopes held.
@@ -41,22 +41,22 @@
 		x.RaiseFloor(at)
 		return
 	case Object:
-		x.objects[s.Name] = later(x.objects, s.Name, at)
+		x.objects[s.Name] = latest(x.objects, s.Name, at)
 	case Prefix:
 		x.addPrefix(s.Name, at)
 	case Tag:
-		x.tags[s.Name] = later(x.tags, s.Name, at)
+		x.tags[s.Name] = latest(x.tags, s.Name, at)
 	case Group:
 		if n, err := strconv.Atoi(s.Name); err == nil {
-			x.groups[n] = later(x.groups, n, at)
+			x.groups[n] = latest(x.groups, n, at)
 		}
 	}
-	if x.Len() > x.most {
-		x.fold()
+	if x.Len() > x.maxScopes {
+		x.compact()
 	}
 }
 
-func later[K comparable](m map[K]Micros, k K, at Micros) Micros {
+func latest[K comparable](m map[K]Micros, k K, at Micros) Micros {
 	if old, ok := m[k]; ok {
 		return max(old, at)
 	}
@@ -68,9 +68,9 @@
 		x.RaiseFloor(at)
 		return
 	}
-	x.prefixes[p] = later(x.prefixes, p, at)
-	if i, ok := slices.BinarySearch(x.lengths, len(p)); !ok {
-		x.lengths = slices.Insert(x.lengths, i, len(p))
+	x.prefixes[p] = latest(x.prefixes, p, at)
+	if i, ok := slices.BinarySearch(x.prefixLengths, len(p)); !ok {
+		x.prefixLengths = slices.Insert(x.prefixLengths, i, len(p))
 	}
 }
 
@@ -81,26 +81,26 @@
 	}
 	x.floor = at
 	over := func(_ string, a Micros) bool { return a <= at }
-	del(x.objects, over)
-	del(x.prefixes, over)
-	del(x.tags, over)
-	del(x.groups, func(_ int, a Micros) bool { return a <= at })
-	x.measure()
+	deleteIf(x.objects, over)
+	deleteIf(x.prefixes, over)
+	deleteIf(x.tags, over)
+	deleteIf(x.groups, func(_ int, a Micros) bool { return a <= at })
+	x.updatePrefixLengths()
 }
 
-func del[K comparable](m map[K]Micros, over func(K, Micros) bool) {
+func deleteIf[K comparable](m map[K]Micros, expired func(K, Micros) bool) {
 	for k, a := range m {
-		if over(k, a) {
+		if expired(k, a) {
 			delete(m, k)
 		}
 	}
 }
 
-func (x *Index) measure() {
-	x.lengths = x.lengths[:0]
+func (x *Index) updatePrefixLengths() {
+	x.prefixLengths = x.prefixLengths[:0]
 	for p := range x.prefixes {
-		if i, ok := slices.BinarySearch(x.lengths, len(p)); !ok {
-			x.lengths = slices.Insert(x.lengths, i, len(p))
+		if i, ok := slices.BinarySearch(x.prefixLengths, len(p)); !ok {
+			x.prefixLengths = slices.Insert(x.prefixLengths, i, len(p))
 		}
 	}
 }
@@ -117,7 +117,7 @@
 			at = max(at, a)
 		}
 	}
-	for _, n := range x.lengths {
+	for _, n := range x.prefixLengths {
 		if n > len(object) {
 			break
 		}
@@ -136,7 +136,7 @@
 
 // fold makes room: the older half of the names, and of the prefixes that are no better,
 // become what they share.
-func (x *Index) fold() {
+func (x *Index) compact() {
 	x.Compactions++
 	var all []Micros
 	for _, m := range []map[string]Micros{x.objects, x.prefixes} {
@@ -144,12 +144,12 @@
 			all = append(all, a)
 		}
 	}
-	target := x.most * 3 / 4
+	target := x.maxScopes * 3 / 4
 	if len(all) > 0 {
 		slices.Sort(all)
 		half := all[(len(all)-1)/2]
 		for n := 6; n >= 1 && x.Len() > target; n-- {
-			x.shorten(n, half)
+			x.widen(n, half)
 		}
 	}
 	if x.Len() <= target {
@@ -170,7 +170,7 @@
 }
 
 // shorten has names from up to a moment become prefixes of a length, where several share one.
-func (x *Index) shorten(n int, upTo Micros) {
+func (x *Index) widen(n int, upTo Micros) {
 	share := map[string]int{}
 	each := func(do func(m map[string]Micros, k string, a Micros)) {
 		for _, m := range []map[string]Micros{x.objects, x.prefixes} {
@@ -185,12 +185,12 @@
 	wide := map[string]Micros{}
 	each(func(m map[string]Micros, k string, a Micros) {
 		if p := k[:n]; share[p] >= 4 {
-			wide[p] = later(wide, p, a)
+			wide[p] = latest(wide, p, a)
 			delete(m, k)
 		}
 	})
 	for p, a := range wide {
-		x.prefixes[p] = later(x.prefixes, p, a)
+		x.prefixes[p] = latest(x.prefixes, p, a)
 	}
-	x.measure()
+	x.updatePrefixLengths()
 }
--- a/internal/decide/invalidation/invalidation.go
+++ b/internal/decide/invalidation/invalidation.go
@@ -48,9 +48,9 @@
 
 // Bounds.
 const (
-	mostName = 128
-	MaxBatch = 200 // purges of one message
-	mostLate = 8   // fronts named that lag behind
+	maxNameBytes = 128
+	MaxBatch     = 200 // purges of one message
+	maxLaggards  = 8   // fronts named that lag behind
 )
 
 // ErrScope tells of a purge of nothing that can be named.
@@ -59,7 +59,7 @@
 // ParseScope reads a scope from its words.
 func ParseScope(kind, name string) (Scope, error) {
 	i := slices.Index(kindNames[:], kind)
-	if i < 0 || len(name) > mostName || (Kind(i) == All) != (name == "") || strings.ContainsAny(name, " \t\r\n") {
+	if i < 0 || len(name) > maxNameBytes || (Kind(i) == All) != (name == "") || strings.ContainsAny(name, " \t\r\n") {
 		return Scope{}, ErrScope
 	}
 	if Kind(i) == Group && strings.Trim(name, "0123456789") != "" {
@@ -76,7 +76,7 @@
 
 func (o Origin) String() string { return fmt.Sprintf("%s#%d", cmp.Or(o.Site, "/"), o.Owner) }
 
-func compare(a, b Origin) int {
+func compareOrigins(a, b Origin) int {
 	return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Owner, b.Owner))
 }
 
@@ -104,7 +104,7 @@
 
 // Of is the number of an origin; 0: nothing is there.
 func (m Watermarks) Of(o Origin) uint64 {
-	i, ok := slices.BinarySearchFunc(m, o, func(x Watermark, o Origin) int { return compare(x.Origin, o) })
+	i, ok := slices.BinarySearchFunc(m, o, func(x Watermark, o Origin) int { return compareOrigins(x.Origin, o) })
 	if !ok {
 		return 0
 	}
@@ -125,27 +125,27 @@
 }
 
 // held is a purge as a book has it.
-type held struct {
+type logEntry struct {
 	Purge
-	at   Micros // when it was asked, at the earliest
-	kept bool
+	requestedAt Micros // when it was asked, at the earliest
+	stored      bool
 }
 
 // line is what a book has of one origin.
-type line struct {
-	gone  uint64 // up to here nothing is told any more
-	have  uint64 // up to here all is there
-	kept  uint64 // and on disk
-	list  []*held
-	whole uint64 // up to here complete
+type originLog struct {
+	forgotten uint64 // up to here nothing is told any more
+	received  uint64 // up to here all is there
+	stored    uint64 // and on disk
+	entries   []*logEntry
+	completed uint64 // up to here complete
 }
 
-func (l *line) find(n uint64) *held {
-	i, ok := slices.BinarySearchFunc(l.list, n, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
+func (l *originLog) find(n uint64) *logEntry {
+	i, ok := slices.BinarySearchFunc(l.entries, n, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
 	if !ok {
 		return nil
 	}
-	return l.list[i]
+	return l.entries[i]
 }
 
 // Config bounds a book.
@@ -156,12 +156,12 @@
 
 // Book is all purges that one process knows.
 type PurgeLog struct {
-	cfg   Config
-	lines map[Origin]*line
-	asked map[string]*held
-	count int
+	cfg          Config
+	origins      map[Origin]*originLog
+	byRequestKey map[string]*logEntry
+	count        int
 	// To be obeyed and kept; each comes once.
-	apply []Purge
+	pending []Purge
 	// No copy from before is trusted; it only grows.
 	floor Micros
 	lost  bool // purges went by that this process was never told of
@@ -169,14 +169,14 @@
 
 // NewBook makes an empty one.
 func NewPurgeLog(cfg Config) *PurgeLog {
-	return &PurgeLog{cfg: cfg, lines: map[Origin]*line{}, asked: map[string]*held{}}
+	return &PurgeLog{cfg: cfg, origins: map[Origin]*originLog{}, byRequestKey: map[string]*logEntry{}}
 }
 
-func (b *PurgeLog) line(o Origin) *line {
-	l := b.lines[o]
+func (b *PurgeLog) origin(o Origin) *originLog {
+	l := b.origins[o]
 	if l == nil {
-		l = &line{}
-		b.lines[o] = l
+		l = &originLog{}
+		b.origins[o] = l
 	}
 	return l
 }
@@ -184,107 +184,107 @@
 // Ask gives a purge its number at an origin of this process. One that was asked before
 // is the same.
 func (b *PurgeLog) Submit(o Origin, s Scope, asked, why string, now Micros) Purge {
-	if h := b.asked[asked]; h != nil {
-		return h.told(now)
+	if h := b.byRequestKey[asked]; h != nil {
+		return h.withAge(now)
 	}
-	l := b.line(o)
-	p := Purge{Origin: o, Number: max(l.have, l.gone) + 1, Scope: s, RequestKey: asked, Reason: why}
-	b.take(p, now)
+	l := b.origin(o)
+	p := Purge{Origin: o, Number: max(l.received, l.forgotten) + 1, Scope: s, RequestKey: asked, Reason: why}
+	b.insert(p, now)
 	return p
 }
 
-func (h *held) told(now Micros) Purge {
+func (h *logEntry) withAge(now Micros) Purge {
 	p := h.Purge
-	p.Age = max(0, now-h.at)
+	p.Age = max(0, now-h.requestedAt)
 	return p
 }
 
 // Find gives a purge by the name of its asking.
 func (b *PurgeLog) Find(asked string, now Micros) (Purge, bool) {
-	h := b.asked[asked]
+	h := b.byRequestKey[asked]
 	if h == nil {
 		return Purge{}, false
 	}
-	return h.told(now), true
+	return h.withAge(now), true
 }
 
 // Told takes purges in that a neighbour told.
 func (b *PurgeLog) Receive(list []Purge, now Micros) {
 	for _, p := range list[:min(len(list), MaxBatch)] {
-		if p.Number > 0 && p.Age >= 0 && len(p.RequestKey) <= mostName && len(p.Scope.Name) <= mostName && int(p.Scope.Kind) < len(kindNames) {
-			b.take(p, now)
+		if p.Number > 0 && p.Age >= 0 && len(p.RequestKey) <= maxNameBytes && len(p.Scope.Name) <= maxNameBytes && int(p.Scope.Kind) < len(kindNames) {
+			b.insert(p, now)
 		}
 	}
 }
 
-func (b *PurgeLog) take(p Purge, now Micros) {
-	l := b.line(p.Origin)
-	if p.Number <= l.have || p.Number <= l.gone || l.find(p.Number) != nil {
+func (b *PurgeLog) insert(p Purge, now Micros) {
+	l := b.origin(p.Origin)
+	if p.Number <= l.received || p.Number <= l.forgotten || l.find(p.Number) != nil {
 		return
 	}
-	h := &held{Purge: p, at: now - p.Age}
-	i, _ := slices.BinarySearchFunc(l.list, p.Number, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
-	l.list = slices.Insert(l.list, i, h)
+	h := &logEntry{Purge: p, requestedAt: now - p.Age}
+	i, _ := slices.BinarySearchFunc(l.entries, p.Number, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
+	l.entries = slices.Insert(l.entries, i, h)
 	if p.RequestKey != "" {
-		b.asked[p.RequestKey] = h
+		b.byRequestKey[p.RequestKey] = h
 	}
 	b.count++
-	b.apply = append(b.apply, p)
+	b.pending = append(b.pending, p)
 	b.advance(l)
 }
 
 // advance moves marks on over what stands without a gap.
-func (b *PurgeLog) advance(l *line) {
-	l.have = max(l.have, l.gone)
-	for h := l.find(l.have + 1); h != nil; h = l.find(l.have + 1) {
-		l.have++
+func (b *PurgeLog) advance(l *originLog) {
+	l.received = max(l.received, l.forgotten)
+	for h := l.find(l.received + 1); h != nil; h = l.find(l.received + 1) {
+		l.received++
 	}
-	l.kept = max(l.kept, l.gone)
-	for h := l.find(l.kept + 1); h != nil && h.kept && l.kept < l.have; h = l.find(l.kept + 1) {
-		l.kept++
+	l.stored = max(l.stored, l.forgotten)
+	for h := l.find(l.stored + 1); h != nil && h.stored && l.stored < l.received; h = l.find(l.stored + 1) {
+		l.stored++
 	}
 }
 
 // Apply gives the purges that came since it was last asked, to be obeyed and kept.
 func (b *PurgeLog) TakePending() []Purge {
-	list := b.apply
-	b.apply = nil
+	list := b.pending
+	b.pending = nil
 	return list
 }
 
 // Kept tells that a purge is on disk.
 func (b *PurgeLog) MarkStored(o Origin, n uint64) {
-	l := b.lines[o]
+	l := b.origins[o]
 	if l == nil {
 		return
 	}
 	if h := l.find(n); h != nil {
-		h.kept = true
+		h.stored = true
 		b.advance(l)
 	}
 }
 
 // Marks is what is here, all of it.
 func (b *PurgeLog) Received() Watermarks {
-	return b.watermarks(func(l *line) uint64 { return l.have })
+	return b.watermarks(func(l *originLog) uint64 { return l.received })
 }
 
 // Done is what is kept here, and obeyed.
 func (b *PurgeLog) Stored() Watermarks {
-	return b.watermarks(func(l *line) uint64 { return min(l.have, l.kept) })
+	return b.watermarks(func(l *originLog) uint64 { return min(l.received, l.stored) })
 }
 
 // Whole is what is known to be complete.
 func (b *PurgeLog) Completed() Watermarks {
-	return b.watermarks(func(l *line) uint64 { return l.whole })
+	return b.watermarks(func(l *originLog) uint64 { return l.completed })
 }
 
-func (b *PurgeLog) watermarks(of func(*line) uint64) Watermarks {
-	list := make(Watermarks, 0, len(b.lines))
-	for o, l := range b.lines {
+func (b *PurgeLog) watermarks(of func(*originLog) uint64) Watermarks {
+	list := make(Watermarks, 0, len(b.origins))
+	for o, l := range b.origins {
 		list = append(list, Watermark{o, of(l)})
 	}
-	slices.SortFunc(list, func(x, y Watermark) int { return compare(x.Origin, y.Origin) })
+	slices.SortFunc(list, func(x, y Watermark) int { return compareOrigins(x.Origin, y.Origin) })
 	return list
 }
 
@@ -292,20 +292,20 @@
 // tells the numbers up to which nothing can be told any more, where it lacks those.
 func (b *PurgeLog) MissingFrom(has Watermarks, now Micros) (list []Purge, gone Watermarks) {
 	for _, m := range b.Received() {
-		l := b.lines[m.Origin]
+		l := b.origins[m.Origin]
 		n := has.Of(m.Origin)
-		if n < l.gone {
-			gone = append(gone, Watermark{m.Origin, l.gone})
+		if n < l.forgotten {
+			gone = append(gone, Watermark{m.Origin, l.forgotten})
 		}
-		if n >= l.have && len(l.list) > 0 && l.list[len(l.list)-1].Number <= n {
+		if n >= l.received && len(l.entries) > 0 && l.entries[len(l.entries)-1].Number <= n {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(l.list, n+1, func(h *held, n uint64) int { return cmp.Compare(h.Number, n) })
-		for _, h := range l.list[i:] {
+		i, _ := slices.BinarySearchFunc(l.entries, n+1, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
+		for _, h := range l.entries[i:] {
 			if len(list) >= MaxBatch {
 				return list, gone
 			}
-			list = append(list, h.told(now))
+			list = append(list, h.withAge(now))
 		}
 	}
 	return list, gone
@@ -315,20 +315,20 @@
 // lacks any of those it trusts no copy from before now.
 func (b *PurgeLog) HandleForgotten(marks Watermarks, now Micros) {
 	for _, m := range marks {
-		if l := b.line(m.Origin); m.Number > l.have {
-			l.gone = m.Number
-			l.list = slices.DeleteFunc(l.list, func(h *held) bool { return b.forget(h, h.Number <= m.Number) })
+		if l := b.origin(m.Origin); m.Number > l.received {
+			l.forgotten = m.Number
+			l.entries = slices.DeleteFunc(l.entries, func(h *logEntry) bool { return b.unlink(h, h.Number <= m.Number) })
 			b.advance(l)
 			b.DistrustBefore(now)
 		}
 	}
 }
 
-func (b *PurgeLog) forget(h *held, do bool) bool {
+func (b *PurgeLog) unlink(h *logEntry, do bool) bool {
 	if do {
 		b.count--
-		if b.asked[h.RequestKey] == h {
-			delete(b.asked, h.RequestKey)
+		if b.byRequestKey[h.RequestKey] == h {
+			delete(b.byRequestKey, h.RequestKey)
 		}
 	}
 	return do
@@ -345,8 +345,8 @@
 // Complete takes in up to where purges are complete.
 func (b *PurgeLog) MarkComplete(marks Watermarks) {
 	for _, m := range marks {
-		if l := b.lines[m.Origin]; l != nil {
-			l.whole = max(l.whole, min(m.Number, l.have))
+		if l := b.origins[m.Origin]; l != nil {
+			l.completed = max(l.completed, min(m.Number, l.received))
 		}
 	}
 }
@@ -355,28 +355,28 @@
 // too many are held; then the oldest at all. Nobody is told of those any more, and no
 // copy older than the newest of them is trusted here.
 func (b *PurgeLog) Compact(now Micros) {
-	for o, l := range b.lines {
+	for o, l := range b.origins {
 		drop := 0
-		for drop < len(l.list) && l.list[drop].Number == l.gone+uint64(drop)+1 {
-			h := l.list[drop]
-			over := now-h.at > b.cfg.Retention
-			crowded := b.count-drop > b.cfg.MaxPurges && (h.Number <= l.whole || b.count-drop > 2*b.cfg.MaxPurges)
+		for drop < len(l.entries) && l.entries[drop].Number == l.forgotten+uint64(drop)+1 {
+			h := l.entries[drop]
+			over := now-h.requestedAt > b.cfg.Retention
+			crowded := b.count-drop > b.cfg.MaxPurges && (h.Number <= l.completed || b.count-drop > 2*b.cfg.MaxPurges)
 			if !over && !crowded {
 				break
 			}
-			b.floor = max(b.floor, h.at)
-			b.forget(h, true)
+			b.floor = max(b.floor, h.requestedAt)
+			b.unlink(h, true)
 			b.count++ // counted below
 			drop++
 		}
 		if drop > 0 {
-			l.gone += uint64(drop)
-			l.list = slices.Clone(l.list[drop:])
+			l.forgotten += uint64(drop)
+			l.entries = slices.Clone(l.entries[drop:])
 			b.count -= drop
 			b.advance(l)
 		}
-		if len(l.list) == 0 && l.gone == 0 {
-			delete(b.lines, o)
+		if len(l.entries) == 0 && l.forgotten == 0 {
+			delete(b.origins, o)
 		}
 	}
 }
@@ -397,16 +397,16 @@
 
 // List gives the newest purges, at most so many.
 func (b *PurgeLog) List(most int, now Micros) (list []PurgeStatus) {
-	var all []*held
-	for _, l := range b.lines {
-		all = append(all, l.list...)
+	var all []*logEntry
+	for _, l := range b.origins {
+		all = append(all, l.entries...)
 	}
-	slices.SortFunc(all, func(x, y *held) int {
-		return cmp.Or(cmp.Compare(y.at, x.at), compare(x.Origin, y.Origin), cmp.Compare(y.Number, x.Number))
+	slices.SortFunc(all, func(x, y *logEntry) int {
+		return cmp.Or(cmp.Compare(y.requestedAt, x.requestedAt), compareOrigins(x.Origin, y.Origin), cmp.Compare(y.Number, x.Number))
 	})
 	for _, h := range all[:min(len(all), most)] {
-		list = append(list, PurgeStatus{ID: h.ID(), RequestKey: h.RequestKey, Scope: h.Scope.String(), Reason: h.Reason, AgeS: float64(max(0, now-h.at)/1000) / 1000,
-			Stored: h.kept, Complete: h.Number <= b.lines[h.Origin].whole})
+		list = append(list, PurgeStatus{ID: h.ID(), RequestKey: h.RequestKey, Scope: h.Scope.String(), Reason: h.Reason, AgeS: float64(max(0, now-h.requestedAt)/1000) / 1000,
+			Stored: h.stored, Complete: h.Number <= b.origins[h.Origin].completed})
 	}
 	return list
 }
@@ -414,12 +414,12 @@
 // Snapshot gives what is to be written where the disk's file begins anew.
 func (b *PurgeLog) Snapshot(now Micros) (list []Purge, gone Watermarks) {
 	for _, m := range b.Received() {
-		l := b.lines[m.Origin]
-		if l.gone > 0 {
-			gone = append(gone, Watermark{m.Origin, l.gone})
+		l := b.origins[m.Origin]
+		if l.forgotten > 0 {
+			gone = append(gone, Watermark{m.Origin, l.forgotten})
 		}
-		for _, h := range l.list {
-			list = append(list, h.told(now))
+		for _, h := range l.entries {
+			list = append(list, h.withAge(now))
 		}
 	}
 	return list, gone
@@ -429,18 +429,18 @@
 // process; what is here counts as asked now, which trusts less and never more.
 func (b *PurgeLog) Recover(p Purge, now Micros) {
 	p.Age = 0
-	b.take(p, now)
+	b.insert(p, now)
 	b.MarkStored(p.Origin, p.Number)
 }
 
 // RecoveredGone takes in what the disk's file had let go.
 func (b *PurgeLog) RecoverForgotten(m Watermark) {
-	l := b.line(m.Origin)
-	l.gone = max(l.gone, m.Number)
+	l := b.origin(m.Origin)
+	l.forgotten = max(l.forgotten, m.Number)
 	b.advance(l)
 }
 
 // Sort orders marks by origin.
 func SortWatermarks(m Watermarks) {
-	slices.SortFunc(m, func(x, y Watermark) int { return compare(x.Origin, y.Origin) })
+	slices.SortFunc(m, func(x, y Watermark) int { return compareOrigins(x.Origin, y.Origin) })
 }
--- a/internal/decide/invalidation/invalidation_test.go
+++ b/internal/decide/invalidation/invalidation_test.go
@@ -16,7 +16,7 @@
 const second Micros = 1_000_000
 
 // front is one process in a day of purges: its book, and what it gathers for its sites.
-type front struct {
+type testFront struct {
 	topology.Front
 	book    *PurgeLog
 	gathers map[string]*AckCollector
@@ -28,12 +28,12 @@
 
 // play plays a day in which purges are asked for while messages are lost, doubled and
 // come late and fronts crash, sleep and join; it gives what was said too early.
-func play(seed uint64, rule Mutation) (early string, complete int) {
+func simulate(seed uint64, rule Mutation) (early string, complete int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	now, index := Micros(0), uint64(1)
 	sites := []string{"a", "b"}
 	keepers := map[string]string{"": "f0", "a": "f0", "b": "f1"}
-	var list []*front
+	var list []*testFront
 	var wire []struct {
 		at Micros
 		do func()
@@ -50,7 +50,7 @@
 	}
 	join := func() {
 		i := len(list)
-		f := &front{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, OwnerLease: second}, book: NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}),
+		f := &testFront{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, OwnerLease: second}, book: NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}),
 			gathers: map[string]*AckCollector{}, has: map[string]Watermarks{}}
 		// What serves already told it all before it serves itself.
 		if i > 0 {
@@ -63,14 +63,14 @@
 	for range 4 {
 		join()
 	}
-	view := func(f *front) *topology.View {
+	view := func(f *testFront) *topology.View {
 		v := &topology.View{Index: index, Self: f.Front, Registered: true}
 		for _, x := range list {
 			v.Fronts = append(v.Fronts, x.Front)
 		}
 		return v
 	}
-	find := func(name string) *front {
+	find := func(name string) *testFront {
 		for _, f := range list {
 			if f.Name == name {
 				return f
@@ -128,7 +128,7 @@
 			seq++
 			n, s := seq, Summary{Index: index, Stored: f.book.Stored(), FrontCount: 1}
 			role, k := topology.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(keepers[f.Site])
-			exchange := func(role topology.Role, k *front, site string, s Summary) {
+			exchange := func(role topology.Role, k *testFront, site string, s Summary) {
 				news, _ := f.book.MissingFrom(f.has[k.Name], now)
 				marks := f.book.Received()
 				start := f.Start
@@ -184,10 +184,10 @@
 }
 
 // Guards that a purge is never said to be complete too early, and is by and by.
-func TestCompleteIsTrue(t *testing.T) {
+func TestCompletionIsNeverEarly(t *testing.T) {
 	total := 0
 	for seed := range uint64(150) {
-		early, n := play(seed, "")
+		early, n := simulate(seed, "")
 		require.Empty(t, early)
 		total += n
 	}
@@ -195,9 +195,9 @@
 }
 
 // Guards the check above.
-func TestCompleteIsTrueFires(t *testing.T) {
+func TestCompletionCheckDetectsMutation(t *testing.T) {
 	for seed := range uint64(150) {
-		if early, _ := play(seed, DisableAcks); early != "" {
+		if early, _ := simulate(seed, DisableAcks); early != "" {
 			return
 		}
 	}
@@ -206,7 +206,7 @@
 
 // Guards the mutation: it leaves out who is late whether or not a word of it from before the
 // purge is known, of a front or of a site, and the rule as built waits for both.
-func TestLeftOutRuleHeedsNoOldWord(t *testing.T) {
+func TestMutationIgnoresStaleAcks(t *testing.T) {
 	origin := Origin{Site: "west", Owner: 3}
 	here := Watermarks{{Origin: origin, Number: 1}}
 	v := &topology.View{Index: 9, Fronts: []topology.Front{
@@ -225,12 +225,12 @@
 }
 
 // plain is an index that only remembers.
-type plain []struct {
+type referenceIndex []struct {
 	s  Scope
 	at Micros
 }
 
-func (p plain) since(object string, number int) (at Micros, ok bool) {
+func (p referenceIndex) since(object string, number int) (at Micros, ok bool) {
 	group := strconv.Itoa(number)
 	for _, x := range p {
 		hit := x.s.Kind == All || x.s.Kind == Object && x.s.Name == object || x.s.Kind == Prefix && strings.HasPrefix(object, x.s.Name) ||
@@ -246,7 +246,7 @@
 // never less.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, p := NewIndex(rapid.SampledFrom([]int{16, 40, 100_000}).Draw(t, "most")), plain{}
+		x, p := NewIndex(rapid.SampledFrom([]int{16, 40, 100_000}).Draw(t, "most")), referenceIndex{}
 		for i := range rapid.IntRange(0, 120).Draw(t, "n") {
 			kind := rapid.SampledFrom([]Kind{Object, Object, Object, Group, Prefix}).Draw(t, "kind")
 			name := fmt.Sprintf("o%d", rapid.IntRange(0, 400).Draw(t, "name"))
@@ -262,8 +262,8 @@
 				at Micros
 			}{s, Micros(i + 1)})
 		}
-		if x.Len() > x.most {
-			t.Fatalf("%d scopes held, %d may be", x.Len(), x.most)
+		if x.Len() > x.maxScopes {
+			t.Fatalf("%d scopes held, %d may be", x.Len(), x.maxScopes)
 		}
 		for i := range 50 {
 			object, group := fmt.Sprintf("o%d", i*9), i*7
@@ -278,7 +278,7 @@
 
 // The cost of a look at 10,000 purges: go test -bench Since ./internal/decide/invalidation
 func BenchmarkSince(b *testing.B) {
-	x, p := NewIndex(20_000), plain{}
+	x, p := NewIndex(20_000), referenceIndex{}
 	for i := range 10_000 {
 		s := Scope{Object, fmt.Sprintf("o%d", i)}
 		if i%20 == 0 {
--- a/internal/decide/invalidation/summary.go
+++ b/internal/decide/invalidation/summary.go
@@ -25,11 +25,11 @@
 }
 
 // said is what a role said last.
-type said struct {
-	s    Summary
-	seq  uint64
-	at   Micros
-	role topology.Role
+type ack struct {
+	summary    Summary
+	seq        uint64
+	receivedAt Micros
+	role       topology.Role
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
@@ -41,22 +41,22 @@
 
 // Gather is a keeper's view of who keeps and obeys what.
 type AckCollector struct {
-	site    string
-	said    map[string]*said
-	without Mutation
+	site     string
+	acks     map[string]*ack
+	mutation Mutation
 }
 
 // NewGather makes one for a site.
 func NewAckCollector(site string) *AckCollector {
-	return &AckCollector{site: site, said: map[string]*said{}}
+	return &AckCollector{site: site, acks: map[string]*ack{}}
 }
 
 // Without leaves a rule out.
-func (g *AckCollector) Disable(r Mutation) { g.without = r }
+func (g *AckCollector) Disable(r Mutation) { g.mutation = r }
 
 // name tells roles apart by whom they speak for: what a newer one says takes the place
 // of what an older one did.
-func name(r topology.Role) string {
+func roleKey(r topology.Role) string {
 	if r.Front != "" {
 		return "front " + r.Front
 	}
@@ -65,12 +65,12 @@
 
 // Heard takes a role's acknowledgement in, by number; a late one changes nothing.
 func (g *AckCollector) Record(r topology.Role, seq uint64, s Summary, now Micros) {
-	k := name(r)
-	old := g.said[k]
+	k := roleKey(r)
+	old := g.acks[k]
 	if old != nil && (r.Front == "" && r.Owner < old.role.Owner || r == old.role && seq <= old.seq) {
 		return
 	}
-	g.said[k] = &said{s: s, seq: seq, at: now, role: r}
+	g.acks[k] = &ack{summary: s, seq: seq, receivedAt: now, role: r}
 }
 
 // Sum adds up what is known for all of the site's fronts, as the log has them: known is
@@ -87,29 +87,29 @@
 	}
 	late := func(l Laggard) {
 		out.LaggardCount++
-		if len(out.Laggards) < mostLate {
+		if len(out.Laggards) < maxLaggards {
 			out.Laggards = append(out.Laggards, l)
 		}
 		least(l.Stored)
 	}
 	inside := map[string]bool{} // sites that speak for their fronts
-	for _, k := range slices.Sorted(maps.Keys(g.said)) {
-		x := g.said[k]
+	for _, k := range slices.Sorted(maps.Keys(g.acks)) {
+		x := g.acks[k]
 		site := x.role.Site
-		if x.role.Front != "" || site == g.site || !topology.Within(site, g.site) || x.s.Index < changed {
+		if x.role.Front != "" || site == g.site || !topology.Within(site, g.site) || x.summary.Index < changed {
 			continue
 		}
-		if now-x.at > stale {
+		if now-x.receivedAt > stale {
 			continue // its fronts speak for themselves, or are late
 		}
-		if within(site, inside) {
+		if withinAny(site, inside) {
 			continue
 		}
 		inside[site] = true
-		least(x.s.Stored)
-		out.LaggardCount += x.s.LaggardCount
-		for _, l := range x.s.Laggards {
-			if len(out.Laggards) < mostLate {
+		least(x.summary.Stored)
+		out.LaggardCount += x.summary.LaggardCount
+		for _, l := range x.summary.Laggards {
+			if len(out.Laggards) < maxLaggards {
 				out.Laggards = append(out.Laggards, l)
 			}
 		}
@@ -120,30 +120,30 @@
 			continue
 		}
 		out.FrontCount++
-		x := g.said["front "+f.Name]
+		x := g.acks["front "+f.Name]
 		speaks := x != nil && x.role.Start == f.Start
-		if within(f.Site, inside) && !(speaks && now-x.at <= stale) {
+		if withinAny(f.Site, inside) && !(speaks && now-x.receivedAt <= stale) {
 			speaks, x = true, nil
 		}
 		switch {
 		case speaks && x == nil: // by its site
-		case g.without == DisableAcks && (!speaks || now-x.at > stale):
+		case g.mutation == DisableAcks && (!speaks || now-x.receivedAt > stale):
 		case x == nil:
 			late(Laggard{Front: f.Name, Reason: cmp.Or(map[bool]string{true: "lost, and may serve on"}[f.Lost], "not heard")})
 		case x.role.Start != f.Start:
 			late(Laggard{Front: f.Name, Reason: "started anew, not heard since"})
 		default:
 			for _, m := range origins {
-				if x.s.Stored.Of(m.Origin) < m.Number {
+				if x.summary.Stored.Of(m.Origin) < m.Number {
 					why := "has not kept all"
-					if now-x.at > stale {
+					if now-x.receivedAt > stale {
 						why = "not heard for a while"
 					}
-					late(Laggard{Front: f.Name, Reason: why, Stored: x.s.Stored})
+					late(Laggard{Front: f.Name, Reason: why, Stored: x.summary.Stored})
 					break
 				}
 			}
-			least(x.s.Stored)
+			least(x.summary.Stored)
 		}
 	}
 	for i := range out.Stored {
@@ -152,7 +152,7 @@
 	return out
 }
 
-func within(site string, sites map[string]bool) bool {
+func withinAny(site string, sites map[string]bool) bool {
 	for s := range sites {
 		if topology.Within(site, s) {
 			return true
@@ -163,9 +163,9 @@
 
 // Drop forgets roles of fronts that are no longer in the fleet.
 func (g *AckCollector) Prune(v *topology.View) {
-	for k, x := range g.said {
+	for k, x := range g.acks {
 		if x.role.Front != "" && v.Find(x.role.Front) == nil {
-			delete(g.said, k)
+			delete(g.acks, k)
 		}
 	}
 }
@@ -173,33 +173,33 @@
 // Closing decides when a root says that purges are complete. It has a majority confirm,
 // after the last acknowledgement came, that it still knows all fronts.
 type CompletionTracker struct {
-	waits  Watermarks
-	since  Micros // when the acknowledgements of waits were there
-	closed Watermarks
+	pending      Watermarks
+	pendingSince Micros // when the acknowledgements of waits were there
+	completed    Watermarks
 }
 
 // Step takes in what all fronts keep and obey, as the root has it at a moment, and the
 // stamp of the newest confirmation of its lease: a moment of the root's own clock before
 // which it was asked for. It gives what is complete.
 func (c *CompletionTracker) Step(done Watermarks, confirmed, now Micros) Watermarks {
-	if c.waits != nil && confirmed > c.since {
+	if c.pending != nil && confirmed > c.pendingSince {
 		// Still so, with all fronts that were in the fleet when a majority confirmed it.
-		for _, m := range c.waits {
+		for _, m := range c.pending {
 			n := min(m.Number, done.Of(m.Origin))
-			if n > c.closed.Of(m.Origin) {
-				c.closed = c.closed.with(Watermark{m.Origin, n})
+			if n > c.completed.Of(m.Origin) {
+				c.completed = c.completed.withWatermark(Watermark{m.Origin, n})
 			}
 		}
-		c.waits = nil
+		c.pending = nil
 	}
-	if c.waits == nil && slices.ContainsFunc(done, func(m Watermark) bool { return m.Number > c.closed.Of(m.Origin) }) {
-		c.waits, c.since = done, now
+	if c.pending == nil && slices.ContainsFunc(done, func(m Watermark) bool { return m.Number > c.completed.Of(m.Origin) }) {
+		c.pending, c.pendingSince = done, now
 	}
-	return c.closed
+	return c.completed
 }
 
-func (m Watermarks) with(x Watermark) Watermarks {
-	i, ok := slices.BinarySearchFunc(m, x.Origin, func(y Watermark, o Origin) int { return compare(y.Origin, o) })
+func (m Watermarks) withWatermark(x Watermark) Watermarks {
+	i, ok := slices.BinarySearchFunc(m, x.Origin, func(y Watermark, o Origin) int { return compareOrigins(y.Origin, o) })
 	m = slices.Clone(m)
 	if ok {
 		m[i] = x
--- a/internal/decide/latency/latency.go
+++ b/internal/decide/latency/latency.go
@@ -35,11 +35,11 @@
 
 // Bounds.
 const (
-	MaxPairs = 4096 // regions times edges that one process knows
-	accuracy = 0.02 // relative, of a sketch's quantiles
-	mostBins = 512
-	shrink   = 20 // requests that what is known of the region above counts as
-	least    = 0.05
+	MaxPairs    = 4096 // regions times edges that one process knows
+	accuracy    = 0.02 // relative, of a sketch's quantiles
+	maxBins     = 512
+	priorWeight = 20 // requests that what is known of the region above counts as
+	minWeight   = 0.05
 )
 
 // Pair is a region and an edge.
@@ -61,7 +61,7 @@
 	Sketch []byte  `cbor:"3,keyasint"`
 }
 
-var shape = func() mapping.IndexMapping {
+var indexMapping = func() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(accuracy)
 	if err != nil {
 		panic(err) // the accuracy is a constant
@@ -70,28 +70,28 @@
 }()
 
 func newSketch() *ddsketch.DDSketch {
-	return ddsketch.NewDDSketch(shape, store.NewCollapsingLowestDenseStore(mostBins), store.NewCollapsingLowestDenseStore(1))
+	return ddsketch.NewDDSketch(indexMapping, store.NewCollapsingLowestDenseStore(maxBins), store.NewCollapsingLowestDenseStore(1))
 }
 
 // known is one pair as a process has it.
-type known struct {
-	s  *ddsketch.DDSketch
-	at Micros
+type pairSketch struct {
+	sketch    *ddsketch.DDSketch
+	decayedAt Micros
 }
 
 // Model is what one front measured itself.
 type Model struct {
 	rules Rules
-	pairs map[Pair]*known
+	pairs map[Pair]*pairSketch
 }
 
 // NewModel makes an empty one.
-func NewModel(r Rules) *Model { return &Model{rules: r, pairs: map[Pair]*known{}} }
+func NewModel(r Rules) *Model { return &Model{rules: r, pairs: map[Pair]*pairSketch{}} }
 
-func (m *Model) fade(k *known, now Micros) {
-	if f := math.Exp2(-float64(now-k.at) / float64(m.rules.HalfLife)); f < 0.98 {
-		_ = k.s.Reweight(f) // which only refuses what is not above 0
-		k.at = now
+func (m *Model) decay(k *pairSketch, now Micros) {
+	if f := math.Exp2(-float64(now-k.decayedAt) / float64(m.rules.HalfLife)); f < 0.98 {
+		_ = k.sketch.Reweight(f) // which only refuses what is not above 0
+		k.decayedAt = now
 	}
 }
 
@@ -106,19 +106,19 @@
 					continue
 				}
 			}
-			k = &known{newSketch(), now}
+			k = &pairSketch{newSketch(), now}
 			m.pairs[x.Pair] = k
 		}
-		m.fade(k, now)
-		_ = k.s.Add(float64(max(1, x.Latency))) // it is in range
+		m.decay(k, now)
+		_ = k.sketch.Add(float64(max(1, x.Latency))) // it is in range
 	}
 }
 
 // Sweep forgets what has faded.
 func (m *Model) Prune(now Micros) {
-	maps.DeleteFunc(m.pairs, func(_ Pair, k *known) bool {
-		m.fade(k, now)
-		return k.s.GetCount() < least
+	maps.DeleteFunc(m.pairs, func(_ Pair, k *pairSketch) bool {
+		m.decay(k, now)
+		return k.sketch.GetCount() < minWeight
 	})
 }
 
@@ -126,7 +126,7 @@
 func (m *Model) Summaries(now Micros) (list []Summary) {
 	m.Prune(now)
 	for p, k := range m.pairs {
-		list = append(list, summary(p, k.s))
+		list = append(list, summary(p, k.sketch))
 	}
 	sortSummaries(list)
 	return list
@@ -145,13 +145,13 @@
 }
 
 // mostSketch bounds a sketch on the wire, in bytes.
-const mostSketch = 8 << 10
+const maxSketchBytes = 8 << 10
 
 func (s *Summary) sketch() *ddsketch.DDSketch {
-	if len(s.Sketch) > mostSketch || !(s.Weight > 0 && s.Weight < 1e12) {
+	if len(s.Sketch) > maxSketchBytes || !(s.Weight > 0 && s.Weight < 1e12) {
 		return nil
 	}
-	x, err := ddsketch.DecodeDDSketch(s.Sketch, func() store.Store { return store.NewCollapsingLowestDenseStore(mostBins) }, shape)
+	x, err := ddsketch.DecodeDDSketch(s.Sketch, func() store.Store { return store.NewCollapsingLowestDenseStore(maxBins) }, indexMapping)
 	if err != nil || x.IsEmpty() {
 		return nil
 	}
@@ -215,7 +215,7 @@
 type Planner struct {
 	rules      Rules
 	shares     map[string]map[string]float64
-	at         Micros
+	steppedAt  Micros
 	TotalShift float64 // shares that moved, added up: swings
 }
 
@@ -223,7 +223,7 @@
 func NewPlanner(r Rules) *Planner { return &Planner{rules: r, shares: map[string]map[string]float64{}} }
 
 // estimate is a pair's median in us, and its weight.
-type estimate struct{ took, weight float64 }
+type estimate struct{ median, weight float64 }
 
 // Step gives every region's order. Room is what part of an edge can be used, 0 to 1, by
 // verdicts and limits; 1 where nothing is known.
@@ -248,19 +248,19 @@
 			above[Pair{r, s.Pair.Edge}] = append(above[Pair{r, s.Pair.Edge}], e)
 		}
 	}
-	span := float64(max(0, now-p.at)) / 1e6
-	if p.at == 0 {
+	span := float64(max(0, now-p.steppedAt)) / 1e6
+	if p.steppedAt == 0 {
 		span = 0
 	}
-	p.at = now
+	p.steppedAt = now
 	for _, r := range slices.Sorted(maps.Keys(regions)) {
 		o := Order{Region: r, Remaining: p.rules.OrderTTL}
 		for _, e := range slices.Sorted(maps.Keys(edges)) {
-			x := shrunk(own, above, r, e)
-			o.Edges = append(o.Edges, Share{Edge: e, Median: x.took, Weight: x.weight, Capacity: min(1, max(0, room(e)))})
+			x := shrunkEstimate(own, above, r, e)
+			o.Edges = append(o.Edges, Share{Edge: e, Median: x.median, Weight: x.weight, Capacity: min(1, max(0, room(e)))})
 		}
-		p.aim(&o)
-		p.move(&o, span)
+		p.setTargetShares(&o)
+		p.limitShift(&o, span)
 		slices.SortStableFunc(o.Edges, func(a, b Share) int { return cmp.Or(-cmp.Compare(a.Share, b.Share), cmp.Compare(a.Edge, b.Edge)) })
 		out = append(out, o)
 	}
@@ -270,7 +270,7 @@
 
 // shrunk is a pair's estimate, drawn to what is known of the regions above by how little
 // is known of it.
-func shrunk(own map[Pair]estimate, above map[Pair][]estimate, region, edge string) estimate {
+func shrunkEstimate(own map[Pair]estimate, above map[Pair][]estimate, region, edge string) estimate {
 	x := own[Pair{region, edge}]
 	for r := region; ; {
 		if r == "" {
@@ -280,23 +280,23 @@
 		total, sum := 0.0, 0.0
 		for _, e := range above[Pair{r, edge}] {
 			total += e.weight
-			sum += e.weight * math.Log(e.took)
+			sum += e.weight * math.Log(e.median)
 		}
 		if total < 1 {
 			continue
 		}
 		mean := math.Exp(sum / total)
 		if x.weight == 0 {
-			return estimate{took: mean}
+			return estimate{median: mean}
 		}
-		w := x.weight / (x.weight + shrink)
-		return estimate{math.Exp(w*math.Log(x.took) + (1-w)*math.Log(mean)), x.weight}
+		w := x.weight / (x.weight + priorWeight)
+		return estimate{math.Exp(w*math.Log(x.median) + (1-w)*math.Log(mean)), x.weight}
 	}
 }
 
 // aim sets the shares that an order should come to: mostly to the quickest with room, by
 // how much quicker it is, and a little to each so that it is seen.
-func (p *Planner) aim(o *Order) {
+func (p *Planner) setTargetShares(o *Order) {
 	best := math.Inf(1)
 	for _, s := range o.Edges {
 		if s.Capacity > 0 && s.Median > 0 {
@@ -326,7 +326,7 @@
 }
 
 // move has shares go to where they should be, no faster than they may.
-func (p *Planner) move(o *Order, span float64) {
+func (p *Planner) limitShift(o *Order, span float64) {
 	was := p.shares[o.Region]
 	next := map[string]float64{}
 	if was != nil {
@@ -353,32 +353,32 @@
 
 // Map is the orders that one process was told. The zero value holds none.
 type OrderCache struct {
-	by   map[string]Order
-	end  Micros
-	from Micros
+	byRegion  map[string]Order
+	expiresAt Micros
+	stamp     Micros
 }
 
 // Told takes in what a keeper told in answer to a stamp of this process's own clock.
 func (m *OrderCache) Update(list []Order, stamp, most Micros) {
-	if stamp <= m.from {
+	if stamp <= m.stamp {
 		return
 	}
-	m.from, m.by, m.end = stamp, map[string]Order{}, 0
+	m.stamp, m.byRegion, m.expiresAt = stamp, map[string]Order{}, 0
 	for _, o := range list[:min(len(list), MaxPairs)] {
-		m.by[o.Region] = o
-		m.end = stamp + min(o.Remaining, most)
+		m.byRegion[o.Region] = o
+		m.expiresAt = stamp + min(o.Remaining, most)
 	}
 }
 
 // Of is the order for a region; ok is false where there is none that holds: then by own
 // sight, and then by the static order. A region that is not known goes by the one above.
 func (m *OrderCache) Lookup(region string, now Micros) (o Order, ok bool) {
-	if now >= m.end {
+	if now >= m.expiresAt {
 		return o, false
 	}
 	for r := region; ; r = r[:max(0, strings.LastIndexByte(r, '/'))] {
-		if o, ok = m.by[r]; ok {
-			o.Remaining = m.end - now
+		if o, ok = m.byRegion[r]; ok {
+			o.Remaining = m.expiresAt - now
 			return o, true
 		}
 		if r == "" {
@@ -389,12 +389,12 @@
 
 // All gives the orders that hold, to be told on.
 func (m *OrderCache) All(now Micros) (list []Order) {
-	if now >= m.end {
+	if now >= m.expiresAt {
 		return nil
 	}
-	for _, r := range slices.Sorted(maps.Keys(m.by)) {
-		o := m.by[r]
-		o.Remaining = m.end - now
+	for _, r := range slices.Sorted(maps.Keys(m.byRegion)) {
+		o := m.byRegion[r]
+		o.Remaining = m.expiresAt - now
 		list = append(list, o)
 	}
 	return list
--- a/internal/decide/latency/latency_test.go
+++ b/internal/decide/latency/latency_test.go
@@ -21,7 +21,7 @@
 	m.Add(list, now)
 }
 
-func everywhere(string) float64 { return 1 }
+func fullCapacity(string) float64 { return 1 }
 
 func share(o []Order, region, edge string) Share {
 	for _, x := range o {
@@ -36,7 +36,7 @@
 
 // Guards the estimate against the truth, that it follows a change, that shares move at
 // their pace, and that an edge without room gets little.
-func TestFollows(t *testing.T) {
+func TestSharesFollowLatency(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	models := []*Model{NewModel(rules), NewModel(rules), NewModel(rules)}
 	p := NewPlanner(rules)
@@ -53,16 +53,16 @@
 		}
 		return last
 	}
-	o := run(40*second, 10, 60, everywhere)
+	o := run(40*second, 10, 60, fullCapacity)
 	require.InEpsilon(t, 10_000, share(o, "west/a", "near").Median, 0.1)
 	require.Greater(t, share(o, "west/a", "near").Share, 0.9)
 	before := share(o, "west/a", "near").Share
-	o = run(second, 200, 60, everywhere)
+	o = run(second, 200, 60, fullCapacity)
 	require.InDelta(t, before, share(o, "west/a", "near").Share, rules.MaxShiftPerSecond+1e-9, "never a jump")
-	o = run(60*second, 200, 60, everywhere)
+	o = run(60*second, 200, 60, fullCapacity)
 	require.Greater(t, share(o, "west/a", "far").Share, 0.9, "it follows")
 	moved := p.TotalShift
-	o = run(30*second, 200, 60, everywhere)
+	o = run(30*second, 200, 60, fullCapacity)
 	require.Less(t, p.TotalShift-moved, 0.05, "and comes to rest")
 	o = run(40*second, 200, 60, func(e string) float64 { return map[string]float64{"near": 1}[e] })
 	require.Less(t, share(o, "west/a", "far").Share, 0.05, "no room")
@@ -70,7 +70,7 @@
 
 // Guards that a front that lies moves an estimate no more than its weight allows, and
 // that a pair nobody has measured is drawn from the region above.
-func TestLiarAndUnknown(t *testing.T) {
+func TestOutlierFrontAndUnknownPair(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
 	now := second
 	var fronts [][]Summary
@@ -85,7 +85,7 @@
 	other := NewModel(rules)
 	measure(r, other, "west/b", "f", 20, 30, now)
 	fronts = append(fronts, other.Summaries(now))
-	o := NewPlanner(rules).Step(Merge(rules, fronts, nil), everywhere, now)
+	o := NewPlanner(rules).Step(Merge(rules, fronts, nil), fullCapacity, now)
 	require.InEpsilon(t, 50_000, share(o, "west/a", "e").Median, 0.15, "one of five says 1 ms")
 	require.InEpsilon(t, 50_000, share(o, "west/b", "e").Median, 0.15, "by the region above")
 	require.Zero(t, share(o, "west/b", "e").Weight)
--- a/internal/decide/outlier/bench.go
+++ b/internal/decide/outlier/evaluator.go
@@ -22,11 +22,11 @@
 }
 
 // standing is a verdict as the root has it.
-type standing struct {
-	v     Verdict
-	until Micros // by the root's clock
-	times int    // that it came again, for its span
-	ended Micros // 0: it holds
+type verdictState struct {
+	verdict  Verdict
+	until    Micros // by the root's clock
+	renewals int    // that it came again, for its span
+	endedAt  Micros // 0: it holds
 }
 
 // Rule is a rule that a mutation leaves out, for the checkers' own test.
@@ -37,19 +37,19 @@
 
 // Bench is the root's: it has verdicts stand on opinions.
 type Evaluator struct {
-	rules   Rules
-	without Mutation
-	all     map[key]*standing
-	number  uint64
+	rules      Rules
+	mutation   Mutation
+	verdicts   map[key]*verdictState
+	lastNumber uint64
 }
 
 // NewBench makes one under a keeper's number, so that numbers only grow.
 func NewEvaluator(r Rules, keeper uint64) *Evaluator {
-	return &Evaluator{rules: r, all: map[key]*standing{}, number: keeper << 24}
+	return &Evaluator{rules: r, verdicts: map[key]*verdictState{}, lastNumber: keeper << 24}
 }
 
 // Without leaves a rule out.
-func (b *Evaluator) Disable(r Mutation) { b.without = r }
+func (b *Evaluator) Disable(r Mutation) { b.mutation = r }
 
 // Step takes in what the fleet says now, of how many boxes each hub has, and gives the
 // verdicts that hold, each with what is left of it.
@@ -68,26 +68,26 @@
 		}
 	}
 	for _, o := range list {
-		if o.State == Healthy || !b.stands(o, well[o.Subject], len(possible[o.Subject])) {
+		if o.State == Healthy || !b.hasQuorum(o, well[o.Subject], len(possible[o.Subject])) {
 			continue
 		}
-		b.say(o, len(possible[o.Subject]), now)
+		b.renew(o, len(possible[o.Subject]), now)
 	}
 	// Witnesses that changed their minds take it back at once.
-	for k, s := range b.all {
-		if s.ended == 0 && (now >= s.until || k.state != Overloaded && k.state != Forging && well[k.thing].Count > s.v.Count) {
-			s.ended = now
+	for k, s := range b.verdicts {
+		if s.endedAt == 0 && (now >= s.until || k.state != Overloaded && k.state != Forging && well[k.thing].Count > s.verdict.Count) {
+			s.endedAt = now
 		}
-		if s.ended != 0 && now-s.ended > mostSpans*b.rules.Span {
-			delete(b.all, k)
+		if s.endedAt != 0 && now-s.endedAt > maxSpanMultiple*b.rules.Span {
+			delete(b.verdicts, k)
 		}
 	}
-	return b.hold(boxes, now)
+	return b.active(boxes, now)
 }
 
 // stands tells whether an opinion has the witnesses that it needs.
-func (b *Evaluator) stands(o, well Observation, possible int) bool {
-	if b.without == DisableWitnesses {
+func (b *Evaluator) hasQuorum(o, well Observation, possible int) bool {
+	if b.mutation == DisableWitnesses {
 		return true
 	}
 	switch o.State {
@@ -96,48 +96,48 @@
 	case Overloaded: // its own fronts alone can tell
 		return o.Count >= b.rules.Witnesses
 	}
-	return o.Count >= b.rules.Witnesses && o.Count > well.Count && sites(o.Witnesses) >= min(2, possible)
+	return o.Count >= b.rules.Witnesses && o.Count > well.Count && countSites(o.Witnesses) >= min(2, possible)
 }
 
-func (b *Evaluator) say(o Observation, possible int, now Micros) {
+func (b *Evaluator) renew(o Observation, possible int, now Micros) {
 	k := key{o.Subject, o.State}
-	s := b.all[k]
+	s := b.verdicts[k]
 	switch {
 	case s == nil:
-		if len(b.all) >= MaxSubjects {
+		if len(b.verdicts) >= MaxSubjects {
 			return
 		}
-		b.number++
-		s = &standing{v: Verdict{Subject: o.Subject, Hub: o.Hub, State: o.State, Number: b.number}}
-		b.all[k] = s
-	case s.ended != 0: // it comes again: it is tried less often
-		b.number++
-		s.v.Number, s.ended = b.number, 0
-		s.times = min(s.times+1, 3)
+		b.lastNumber++
+		s = &verdictState{verdict: Verdict{Subject: o.Subject, Hub: o.Hub, State: o.State, Number: b.lastNumber}}
+		b.verdicts[k] = s
+	case s.endedAt != 0: // it comes again: it is tried less often
+		b.lastNumber++
+		s.verdict.Number, s.endedAt = b.lastNumber, 0
+		s.renewals = min(s.renewals+1, 3)
 	}
-	s.v.Witnesses, s.v.Count, s.v.Sites, s.v.PossibleSites = o.Witnesses, o.Count, sites(o.Witnesses), possible
-	s.v.Span = min(b.rules.Span<<s.times, mostSpans*b.rules.Span)
+	s.verdict.Witnesses, s.verdict.Count, s.verdict.Sites, s.verdict.PossibleSites = o.Witnesses, o.Count, countSites(o.Witnesses), possible
+	s.verdict.Span = min(b.rules.Span<<s.renewals, maxSpanMultiple*b.rules.Span)
 	if o.State == Overloaded { // longer the longer it lasts, and shorter by itself when it is over
-		s.v.Factor = math.Min(64, math.Max(1, s.v.Factor)*1.1)
-		s.v.Span = b.rules.Span
+		s.verdict.Factor = math.Min(64, math.Max(1, s.verdict.Factor)*1.1)
+		s.verdict.Span = b.rules.Span
 	}
-	s.until = now + s.v.Span
+	s.until = now + s.verdict.Span
 }
 
 // hold gives what holds, without emptying any hub: those with the most witnesses first.
-func (b *Evaluator) hold(boxes map[string]int, now Micros) (out []Verdict) {
-	var list []*standing
-	for _, s := range b.all {
-		if s.ended == 0 {
+func (b *Evaluator) active(boxes map[string]int, now Micros) (out []Verdict) {
+	var list []*verdictState
+	for _, s := range b.verdicts {
+		if s.endedAt == 0 {
 			list = append(list, s)
 		}
 	}
-	slices.SortFunc(list, func(x, y *standing) int {
-		return cmp.Or(-cmp.Compare(x.v.State, y.v.State), -cmp.Compare(x.v.Count, y.v.Count), cmp.Compare(x.v.Subject, y.v.Subject))
+	slices.SortFunc(list, func(x, y *verdictState) int {
+		return cmp.Or(-cmp.Compare(x.verdict.State, y.verdict.State), -cmp.Compare(x.verdict.Count, y.verdict.Count), cmp.Compare(x.verdict.Subject, y.verdict.Subject))
 	})
 	taken := map[string]int{}
 	for _, s := range list {
-		v := s.v
+		v := s.verdict
 		if v.State == Failing {
 			n := boxes[v.Hub]
 			if most := min(max(1, int(float64(n)*b.rules.MaxEjectedShare)), n-1); taken[v.Hub] >= most { // one of two may go, never the last
@@ -159,18 +159,18 @@
 
 // Docket is the verdicts that one process was told. The zero value holds none.
 type VerdictCache struct {
-	list []HeldVerdict
-	from Micros // stamp of what told them
+	list  []HeldVerdict
+	stamp Micros // stamp of what told them
 }
 
 // Told takes in what a keeper told in answer to a stamp of this process's own clock: so
 // none holds longer than the root meant, whatever the way there took. What is older than
 // what was told before changes nothing.
 func (d *VerdictCache) Update(list []Verdict, stamp, most Micros) {
-	if stamp <= d.from {
+	if stamp <= d.stamp {
 		return
 	}
-	d.from, d.list = stamp, d.list[:0]
+	d.stamp, d.list = stamp, d.list[:0]
 	for _, v := range list[:min(len(list), MaxSubjects)] {
 		if v.Remaining > 0 {
 			d.list = append(d.list, HeldVerdict{v, stamp + min(v.Remaining, most)})
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -50,14 +50,14 @@
 }
 
 // Longest is the longest that any verdict holds.
-func (r Rules) MaxSpan() Micros { return mostSpans * r.Span }
+func (r Rules) MaxSpan() Micros { return maxSpanMultiple * r.Span }
 
 // Bounds.
 const (
-	MaxSubjects  = 2048 // boxes, hubs and prefixes that one process has opinions of
-	mostPrefixes = 256
-	mostNamed    = 6 // witnesses named of each state
-	mostSpans    = 8 // times the span, of a verdict that comes again and again
+	MaxSubjects     = 2048 // boxes, hubs and prefixes that one process has opinions of
+	maxPrefixes     = 256
+	maxWitnesses    = 6 // witnesses named of each state
+	maxSpanMultiple = 8 // times the span, of a verdict that comes again and again
 )
 
 // Witness is a front that says something.
@@ -84,90 +84,90 @@
 }
 
 // tally is what a front saw of one box.
-type tally struct {
-	hub       string
-	good, bad float64 // answers, by time: how much there is to go by
-	share     float64 // of bad ones among the last few, whenever they came: a box that fails is asked less and less
-	n         int
-	took      float64 // mean of the logarithm of what good answers took, in us
-	at        Micros
+type boxStats struct {
+	hub            string
+	good, bad      float64 // answers, by time: how much there is to go by
+	failureShare   float64 // of bad ones among the last few, whenever they came: a box that fails is asked less and less
+	shareSamples   int
+	meanLogLatency float64 // mean of the logarithm of what good answers took, in us
+	updatedAt      Micros
 }
 
 // lastFew is how many answers the share of bad ones is of, roughly.
-const lastFew = 3
+const recentAnswers = 3
 
 // Observer is what one front sees. It belongs to one goroutine.
 type Observer struct {
-	rules    Rules
-	boxes    map[string]*tally
-	prefixes map[string]*tally
-	good     float64 // requests of this front's own clients
-	refused  float64
-	at       Micros
+	rules     Rules
+	boxes     map[string]*boxStats
+	prefixes  map[string]*boxStats
+	answered  float64 // requests of this front's own clients
+	refused   float64
+	updatedAt Micros
 }
 
 // NewObserver makes one that has seen nothing.
 func NewObserver(r Rules) *Observer {
-	return &Observer{rules: r, boxes: map[string]*tally{}, prefixes: map[string]*tally{}}
+	return &Observer{rules: r, boxes: map[string]*boxStats{}, prefixes: map[string]*boxStats{}}
 }
 
-func (o *Observer) fade(span Micros) float64 {
+func (o *Observer) decay(span Micros) float64 {
 	if span <= 0 {
 		return 1
 	}
 	return math.Exp2(-float64(span) / float64(o.rules.HalfLife))
 }
 
-func (o *Observer) tally(m map[string]*tally, name string, most int, now Micros) *tally {
+func (o *Observer) stats(m map[string]*boxStats, name string, most int, now Micros) *boxStats {
 	t := m[name]
 	if t == nil {
 		if len(m) >= most {
-			maps.DeleteFunc(m, func(_ string, t *tally) bool { return (t.good+t.bad)*o.fade(now-t.at) < 0.5 })
+			maps.DeleteFunc(m, func(_ string, t *boxStats) bool { return (t.good+t.bad)*o.decay(now-t.updatedAt) < 0.5 })
 			if len(m) >= most {
 				return nil
 			}
 		}
-		t = &tally{at: now}
+		t = &boxStats{updatedAt: now}
 		m[name] = t
 	}
-	f := o.fade(now - t.at)
-	t.good, t.bad, t.at = t.good*f, t.bad*f, now
+	f := o.decay(now - t.updatedAt)
+	t.good, t.bad, t.updatedAt = t.good*f, t.bad*f, now
 	return t
 }
 
 // Answered notes how an attempt at a box ended, and what it took.
 func (o *Observer) RecordAnswer(box, hub string, ok bool, took, now Micros) {
-	t := o.tally(o.boxes, box, MaxSubjects, now)
+	t := o.stats(o.boxes, box, MaxSubjects, now)
 	if t == nil {
 		return
 	}
 	t.hub = hub
-	t.n = min(t.n+1, lastFew)
+	t.shareSamples = min(t.shareSamples+1, recentAnswers)
 	if !ok {
 		t.bad++
-		t.share += (1 - t.share) / float64(t.n)
+		t.failureShare += (1 - t.failureShare) / float64(t.shareSamples)
 		return
 	}
-	t.share -= t.share / float64(t.n)
+	t.failureShare -= t.failureShare / float64(t.shareSamples)
 	t.good++
-	t.took += (math.Log(float64(max(1, took))) - t.took) / math.Min(t.good, 20)
+	t.meanLogLatency += (math.Log(float64(max(1, took))) - t.meanLogLatency) / math.Min(t.good, 20)
 }
 
 // Forged notes a forged signature from a prefix.
 func (o *Observer) RecordForged(prefix string, now Micros) {
-	if t := o.tally(o.prefixes, prefix, mostPrefixes, now); t != nil {
+	if t := o.stats(o.prefixes, prefix, maxPrefixes, now); t != nil {
 		t.bad++
 	}
 }
 
 // Ended notes a request of this front's clients, answered or refused.
 func (o *Observer) RecordRequest(refused bool, now Micros) {
-	f := o.fade(now - o.at)
-	o.good, o.refused, o.at = o.good*f, o.refused*f, now
+	f := o.decay(now - o.updatedAt)
+	o.answered, o.refused, o.updatedAt = o.answered*f, o.refused*f, now
 	if refused {
 		o.refused++
 	} else {
-		o.good++
+		o.answered++
 	}
 }
 
@@ -178,19 +178,19 @@
 	if t == nil {
 		return Healthy, false
 	}
-	f := o.fade(now - t.at)
+	f := o.decay(now - t.updatedAt)
 	if (t.good+t.bad)*f < o.rules.MinAnswers/2 {
 		return Healthy, false
 	}
-	return o.classify(t, o.usual(t.hub)), true
+	return o.classify(t, o.medianLogLatency(t.hub)), true
 }
 
 // usual is what good answers of a hub's boxes take, the median of their means.
-func (o *Observer) usual(hub string) float64 {
+func (o *Observer) medianLogLatency(hub string) float64 {
 	var list []float64
 	for _, t := range o.boxes {
 		if t.hub == hub && t.good > 1 {
-			list = append(list, t.took)
+			list = append(list, t.meanLogLatency)
 		}
 	}
 	if len(list) == 0 {
@@ -200,11 +200,11 @@
 	return list[(len(list)-1)/2]
 }
 
-func (o *Observer) classify(t *tally, usual float64) State {
+func (o *Observer) classify(t *boxStats, usual float64) State {
 	switch {
-	case t.share >= o.rules.FailingShare:
+	case t.failureShare >= o.rules.FailingShare:
 		return Failing
-	case t.good > 0 && usual > 0 && t.took-usual > math.Log(o.rules.SlowFactor):
+	case t.good > 0 && usual > 0 && t.meanLogLatency-usual > math.Log(o.rules.SlowFactor):
 		return Slow
 	}
 	return Healthy
@@ -216,7 +216,7 @@
 	usual := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(o.boxes)) {
 		t := o.boxes[name]
-		weight := (t.good + t.bad) * o.fade(now-t.at)
+		weight := (t.good + t.bad) * o.decay(now-t.updatedAt)
 		if weight < 0.1 {
 			delete(o.boxes, name)
 			continue
@@ -225,21 +225,21 @@
 			continue
 		}
 		if _, ok := usual[t.hub]; !ok {
-			usual[t.hub] = o.usual(t.hub)
+			usual[t.hub] = o.medianLogLatency(t.hub)
 		}
 		list = append(list, Observation{Subject: name, Hub: t.hub, State: o.classify(t, usual[t.hub]), Count: 1, Witnesses: []Witness{{front, site, math.Round(weight)}}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.prefixes)) {
 		t := o.prefixes[name]
-		rate := t.bad * o.fade(now-t.at) * math.Ln2 / (float64(o.rules.HalfLife) / 1e6)
+		rate := t.bad * o.decay(now-t.updatedAt) * math.Ln2 / (float64(o.rules.HalfLife) / 1e6)
 		if rate < 0.01 {
 			delete(o.prefixes, name)
 			continue
 		}
 		list = append(list, Observation{Subject: name, State: Forging, Count: 1, Rate: rate, Witnesses: []Witness{{front, site, math.Round(t.bad)}}})
 	}
-	if f := o.fade(now - o.at); (o.good+o.refused)*f >= o.rules.MinAnswers && o.refused/(o.good+o.refused) >= o.rules.RefusedShare {
-		list = append(list, Observation{Subject: site, State: Overloaded, Count: 1, Witnesses: []Witness{{front, site, math.Round((o.good + o.refused) * f)}}})
+	if f := o.decay(now - o.updatedAt); (o.answered+o.refused)*f >= o.rules.MinAnswers && o.refused/(o.answered+o.refused) >= o.rules.RefusedShare {
+		list = append(list, Observation{Subject: site, State: Overloaded, Count: 1, Witnesses: []Witness{{front, site, math.Round((o.answered + o.refused) * f)}}})
 	}
 	return list
 }
@@ -264,11 +264,11 @@
 			}
 			o.Count += x.Count
 			o.Rate += x.Rate
-			o.Witnesses = append(o.Witnesses, x.Witnesses[:min(len(x.Witnesses), mostNamed)]...)
+			o.Witnesses = append(o.Witnesses, x.Witnesses[:min(len(x.Witnesses), maxWitnesses)]...)
 		}
 	}
 	for _, o := range all {
-		o.Witnesses = spread(o.Witnesses)
+		o.Witnesses = selectWitnesses(o.Witnesses)
 		out = append(out, *o)
 	}
 	slices.SortFunc(out, func(a, b Observation) int {
@@ -278,7 +278,7 @@
 }
 
 // spread keeps some witnesses, one of each site first.
-func spread(list []Witness) []Witness {
+func selectWitnesses(list []Witness) []Witness {
 	slices.SortFunc(list, func(a, b Witness) int {
 		return cmp.Or(-cmp.Compare(a.Evidence, b.Evidence), cmp.Compare(a.Front, b.Front))
 	})
@@ -295,11 +295,11 @@
 		kept = append(kept, w)
 	}
 	slices.SortStableFunc(kept, func(a, b Witness) int { return cmp.Compare(rank[a.Front], rank[b.Front]) })
-	return slices.Clone(kept[:min(len(kept), mostNamed)])
+	return slices.Clone(kept[:min(len(kept), maxWitnesses)])
 }
 
 // sites counts the sites of witnesses.
-func sites(list []Witness) int {
+func countSites(list []Witness) int {
 	seen := map[string]bool{}
 	for _, w := range list {
 		seen[w.Site] = true
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -11,7 +11,7 @@
 
 var rules = Rules{Witnesses: 2, Span: 4 * second, HalfLife: 5 * second, FailingShare: 0.5, SlowFactor: 4, MinAnswers: 3, MaxEjectedShare: 0.4, RefusedShare: 0.2, ForgedRate: 5, MaxRetryAfter: 10 * second, RetrySpread: 2}
 
-func says(front, site, box string, s State) []Observation {
+func observation(front, site, box string, s State) []Observation {
 	return []Observation{{Subject: box, Hub: "h", State: s, Count: 1, Witnesses: []Witness{{front, site, 9}}}}
 }
 
@@ -23,25 +23,25 @@
 		return len(b.Step(Merge(lists...), boxes, now))
 	}
 	b := NewEvaluator(rules, 1)
-	require.Zero(t, step(b, 0, says("a", "x", "box", Failing)), "one front")
-	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "x", "box", Failing), says("c", "y", "box", Healthy)), "one site of two")
-	require.Zero(t, step(b, 0, says("a", "x", "box", Failing), says("b", "y", "box", Failing), says("c", "x", "box", Healthy), says("d", "y", "box", Healthy)), "half see it well")
-	require.Equal(t, 1, step(b, 0, says("a", "x", "box", Failing), says("b", "y", "box", Failing)))
+	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing)), "one front")
+	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing), observation("b", "x", "box", Failing), observation("c", "y", "box", Healthy)), "one site of two")
+	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing), observation("c", "x", "box", Healthy), observation("d", "y", "box", Healthy)), "half see it well")
+	require.Equal(t, 1, step(b, 0, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing)))
 	require.Equal(t, 1, step(b, 3*second), "until its end")
 	require.Zero(t, step(b, 5*second))
-	require.Equal(t, 1, step(b, 6*second, says("a", "x", "box", Failing), says("b", "y", "box", Failing)))
-	require.Zero(t, step(b, 7*second, says("a", "x", "box", Healthy), says("b", "y", "box", Healthy), says("c", "y", "box", Healthy)), "they changed their minds")
+	require.Equal(t, 1, step(b, 6*second, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing)))
+	require.Zero(t, step(b, 7*second, observation("a", "x", "box", Healthy), observation("b", "y", "box", Healthy), observation("c", "y", "box", Healthy)), "they changed their minds")
 	b = NewEvaluator(rules, 1)
 	b.Disable(DisableWitnesses)
-	require.Equal(t, 1, step(b, 0, says("a", "x", "box", Failing)), "the rule left out is found")
+	require.Equal(t, 1, step(b, 0, observation("a", "x", "box", Failing)), "the rule left out is found")
 }
 
 // Guards that a liar that calls every box failing empties no hub, alone or with another.
-func TestNoHubIsEmptied(t *testing.T) {
+func TestHubIsNeverEmptied(t *testing.T) {
 	for boxes := range 12 {
 		var lies [][]Observation
 		for i := range boxes {
-			lies = append(lies, says("a", "x", fmt.Sprint("box", i), Failing), says("b", "y", fmt.Sprint("box", i), Failing))
+			lies = append(lies, observation("a", "x", fmt.Sprint("box", i), Failing), observation("b", "y", fmt.Sprint("box", i), Failing))
 		}
 		held := len(NewEvaluator(rules, 1).Step(Merge(lies...), map[string]int{"h": boxes}, 0))
 		require.LessOrEqual(t, held, max(1, boxes*4/10))
@@ -51,7 +51,7 @@
 
 // Guards what a front thinks by itself: a box that fails is found from a few answers
 // whatever was before, evidence fades, and one that is slow beside its hub is slow.
-func TestOpinions(t *testing.T) {
+func TestObservations(t *testing.T) {
 	o := NewObserver(rules)
 	for i := range 200 {
 		o.RecordAnswer("a", "h", true, 10_000, Micros(i)*10_000)
@@ -73,7 +73,7 @@
 }
 
 // Guards that what was told holds no longer than the root meant, whatever the way took.
-func TestDocket(t *testing.T) {
+func TestVerdictCache(t *testing.T) {
 	var d VerdictCache
 	d.Update([]Verdict{{Subject: "b", Remaining: 3 * second}}, 10*second, 30*second)
 	require.Len(t, d.Active(12*second), 1)
--- a/internal/decide/quotalease/fair.go
+++ b/internal/decide/quotalease/fair.go
@@ -47,16 +47,16 @@
 
 // idleRoom is the part of a short limit that those without demand may hold together, so
 // that they have something to begin with.
-const idleRoom = 0.02
+const idleShare = 0.02
 
 // whole has shares below the least useful one be that much or nothing: the greatest
 // first, as far as the amount goes. Turn says who is preferred among the smallest.
-func whole(amount, least float64, shares []float64, turn int) []float64 {
+func raiseToMinimum(amount, minUseful float64, shares []float64, turn int) []float64 {
 	n := len(shares)
 	order, need := make([]int, n), 0.0
 	for i, s := range shares {
 		order[i] = i
-		need += max(0, least-s)
+		need += max(0, minUseful-s)
 	}
 	if need == 0 {
 		return shares
@@ -71,26 +71,26 @@
 		return (a+turn)%n - (b+turn)%n
 	})
 	// Those that are too small take what they lack from those that are large.
-	out, left, idle := make([]float64, n), amount, amount*idleRoom
+	out, left, idle := make([]float64, n), amount, amount*idleShare
 	for _, i := range order {
-		if left < least || shares[i] == 0 && idle < least {
+		if left < minUseful || shares[i] == 0 && idle < minUseful {
 			break
 		}
 		if shares[i] == 0 {
-			idle -= least
+			idle -= minUseful
 		}
-		out[i] = least
-		left -= least
+		out[i] = minUseful
+		left -= minUseful
 	}
 	above := 0.0
 	for i, s := range shares {
 		if out[i] > 0 {
-			above += max(0, s-least)
+			above += max(0, s-minUseful)
 		}
 	}
 	for i, s := range shares {
 		if out[i] > 0 && above > 0 {
-			out[i] += min(1, left/above) * max(0, s-least)
+			out[i] += min(1, left/above) * max(0, s-minUseful)
 		}
 	}
 	return out
--- a/internal/decide/quotalease/ledger.go
+++ b/internal/decide/quotalease/ledger.go
@@ -2,20 +2,20 @@
 
 // Wants is what this site asks the keeper above for, which is attached as up.
 func (d *Allocator) LimitRequests(up Source, now Micros) (list []LimitRequest) {
-	if d.root() {
+	if d.isRoot() {
 		return nil
 	}
 	for _, key := range d.Keys() {
-		s := d.l.Sheets[key]
+		s := d.ledger.Limits[key]
 		w := LimitRequest{Key: key, Epoch: s.Epoch}
 		out, others := 0.0, 0.0
 		for role, c := range s.Children {
-			if m := d.l.Members[role]; m != nil && now-m.Heard <= d.rules.ChildTimeout {
+			if m := d.ledger.Members[role]; m != nil && now-m.LastHeard <= d.rules.ChildTimeout {
 				w.Demand += c.Demand
 			}
-			out += c.out(now)
+			out += c.outstanding(now)
 		}
-		for _, o := range s.Own {
+		for _, o := range s.Held {
 			switch {
 			case o.From == up:
 				w.Number, w.Held = o.Number, o.Amount
@@ -49,17 +49,17 @@
 // Lines tells all.
 func (d *Allocator) Status(up Source, now Micros) (list []LimitStatus) {
 	for _, key := range d.Keys() {
-		s := d.l.Sheets[key]
-		x := LimitStatus{Key: key, WaitSeconds: float64(max(0, d.unknown(d.limits[key.Limit])-now)) / 1e6}
-		x.Available, _ = d.has(d.limits[key.Limit], s, up, now)
+		s := d.ledger.Limits[key]
+		x := LimitStatus{Key: key, WaitSeconds: float64(max(0, d.unknownUntil(d.limits[key.Limit])-now)) / 1e6}
+		x.Available, _ = d.available(d.limits[key.Limit], s, up, now)
 		for role, c := range s.Children {
 			x.Roles++
-			if m := d.l.Members[role]; m == nil || now-m.Heard > d.rules.ChildTimeout {
+			if m := d.ledger.Members[role]; m == nil || now-m.LastHeard > d.rules.ChildTimeout {
 				x.Silent++
 			} else {
 				x.Demand += c.Demand
 			}
-			if o := c.out(now); o > 0 {
+			if o := c.outstanding(now); o > 0 {
 				x.Outstanding += o
 				x.Holders++
 			}
@@ -72,24 +72,24 @@
 // Ledger is all that a dealer knows, to be written out; it must be kept before what it
 // deals leaves. It is the dealer's own until it has been written.
 func (d *Allocator) Ledger() *Ledger {
-	d.l.List = d.l.List[:0]
+	d.ledger.List = d.ledger.List[:0]
 	for _, k := range d.Keys() {
-		d.l.List = append(d.l.List, named{k, d.l.Sheets[k]})
+		d.ledger.List = append(d.ledger.List, ledgerEntry{k, d.ledger.Limits[k]})
 	}
-	return &d.l
+	return &d.ledger
 }
 
 // Restore takes a ledger in that was written out.
 func (d *Allocator) Restore(l Ledger) {
-	l.Sheets = map[Key]*sheet{}
+	l.Limits = map[Key]*limitState{}
 	for _, x := range l.List {
-		if x.Sheet.Children == nil {
-			x.Sheet.Children = map[string]*child{}
+		if x.State.Children == nil {
+			x.State.Children = map[string]*childState{}
 		}
-		l.Sheets[x.Key] = x.Sheet
+		l.Limits[x.Key] = x.State
 	}
 	if l.Members == nil {
 		l.Members = map[string]*member{}
 	}
-	l.List, d.l = nil, l
+	l.List, d.ledger = nil, l
 }
--- a/internal/decide/quotalease/purse.go
+++ b/internal/decide/quotalease/limiter.go
@@ -9,7 +9,7 @@
 
 // mostParts bounds the keepers that a front holds parts of one limit from at once: its
 // site's, those above it, and those before them.
-const mostParts = 4
+const maxAllocations = 4
 
 // MostNames bounds the names of each limit that counts each by itself.
 const MaxNames = 4096
@@ -21,7 +21,7 @@
 }
 
 // held is a part as its front spends it.
-type held struct {
+type activeAllocation struct {
 	from   Source
 	number uint64
 	amount float64
@@ -32,26 +32,26 @@
 // Bucket is what a front may spend of one limit of one name. It belongs to one
 // goroutine, as the purse does.
 type Bucket struct {
-	Key   Key
-	limit *Limit
-	rules *Rules
-	parts [mostParts]held
-	n     int
-
-	amount float64 // of all parts that hold, until the next of them ends
-	until  Micros
-	fades  Micros  // since when the last part of a soft limit has been over; 0: it is not
-	faded  float64 // that it had then
-	alone  float64 // what this front may spend of a soft limit when it is cut off
-
-	tokens float64
-	at     Micros
-	open   float64
-	spent  float64 // uses, of the epoch
-	epoch  uint64
-	asked  uint64 // requests since the last look, let through or not
-	most   float64
-	seen   Micros
+	Key            Key
+	limit          *Limit
+	rules          *Rules
+	allocations    [maxAllocations]activeAllocation
+	numAllocations int
+
+	amount         float64 // of all parts that hold, until the next of them ends
+	validUntil     Micros
+	fadeStart      Micros  // since when the last part of a soft limit has been over; 0: it is not
+	fadeAmount     float64 // that it had then
+	isolatedAmount float64 // what this front may spend of a soft limit when it is cut off
+
+	tokens     float64
+	refilledAt Micros
+	open       float64
+	spent      float64 // uses, of the epoch
+	epoch      uint64
+	requests   uint64 // requests since the last look, let through or not
+	maxOpen    float64
+	lastUsed   Micros
 
 	Taken, Refused uint64 // in all
 }
@@ -59,18 +59,18 @@
 // Purse is what a front may spend of all limits. Before each request it is asked by name;
 // that allocates nothing.
 type Limiter struct {
-	rules   Rules
-	limits  map[string]*Limit
-	by      map[claim][]*Bucket // exact ones
-	each    map[string][]*Limit // of each name, by what they are for
-	buckets []*Bucket
-	byKey   map[Key]*Bucket
-	fresh   bool // names came that were not known before
-	fronts  int
+	rules     Rules
+	limits    map[string]*Limit
+	byClaim   map[claim][]*Bucket // exact ones
+	wildcards map[string][]*Limit // of each name, by what they are for
+	buckets   []*Bucket
+	byKey     map[Key]*Bucket
+	newNames  bool // names came that were not known before
+	fronts    int
 }
 
 // claim is whom a request counts against.
-type claim struct{ what, who string }
+type claim struct{ dimension, who string }
 
 // NewPurse makes a purse without parts.
 func NewLimiter(rules Rules, limits []Limit, now Micros) *Limiter {
@@ -83,12 +83,12 @@
 // amount comes down as smaller parts.
 func (p *Limiter) Reconfigure(rules Rules, limits []Limit, now Micros) {
 	old := p.buckets
-	p.rules, p.limits, p.by, p.each, p.buckets, p.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
+	p.rules, p.limits, p.byClaim, p.wildcards, p.buckets, p.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
 	for i := range limits {
 		l := limits[i]
 		p.limits[l.Name] = &l
 		if l.Who == "*" {
-			p.each[l.Dimension] = append(p.each[l.Dimension], &l)
+			p.wildcards[l.Dimension] = append(p.wildcards[l.Dimension], &l)
 		} else {
 			p.add(&l, l.Who, now)
 		}
@@ -102,10 +102,10 @@
 		c := claim{l.Dimension, b.Key.Who}
 		if x := p.byKey[b.Key]; x != nil {
 			p.buckets[slices.Index(p.buckets, x)] = b
-			p.by[c][slices.Index(p.by[c], x)] = b
+			p.byClaim[c][slices.Index(p.byClaim[c], x)] = b
 		} else if l.Who == "*" {
 			p.buckets = append(p.buckets, b)
-			p.by[c] = append(p.by[c], b)
+			p.byClaim[c] = append(p.byClaim[c], b)
 		} else {
 			continue
 		}
@@ -115,11 +115,11 @@
 }
 
 func (p *Limiter) add(l *Limit, who string, now Micros) *Bucket {
-	b := &Bucket{Key: Key{Limit: l.Name, Who: who}, limit: l, rules: &p.rules, at: now, seen: now}
-	b.lone(p.fronts)
+	b := &Bucket{Key: Key{Limit: l.Name, Who: who}, limit: l, rules: &p.rules, refilledAt: now, lastUsed: now}
+	b.setIsolatedAmount(p.fronts)
 	p.buckets, p.byKey[b.Key] = append(p.buckets, b), b
 	c := claim{l.Dimension, who}
-	p.by[c] = append(p.by[c], b)
+	p.byClaim[c] = append(p.byClaim[c], b)
 	return b
 }
 
@@ -127,94 +127,96 @@
 func (p *Limiter) SetFronts(n int) {
 	p.fronts = max(1, n)
 	for _, b := range p.buckets {
-		b.lone(p.fronts)
+		b.setIsolatedAmount(p.fronts)
 	}
 }
 
-func (b *Bucket) lone(fronts int) { b.alone = b.limit.Amount * b.limit.IsolatedShare / float64(fronts) }
+func (b *Bucket) setIsolatedAmount(fronts int) {
+	b.isolatedAmount = b.limit.Amount * b.limit.IsolatedShare / float64(fronts)
+}
 
 // Find gives the buckets that requests of a name count against; none: no limit is for it.
-func (p *Limiter) Find(what, who string, now Micros) []*Bucket {
-	list := p.by[claim{what, who}]
-	if len(list) > 0 || len(p.each[what]) == 0 {
+func (p *Limiter) Find(dimension, who string, now Micros) []*Bucket {
+	list := p.byClaim[claim{dimension, who}]
+	if len(list) > 0 || len(p.wildcards[dimension]) == 0 {
 		return list
 	}
 	if len(p.buckets) >= MaxNames {
-		p.sweep(now)
+		p.prune(now)
 	}
-	for _, l := range p.each[what] {
+	for _, l := range p.wildcards[dimension] {
 		if len(p.buckets) < MaxNames {
 			p.add(l, who, now)
-			p.fresh = true
+			p.newNames = true
 		}
 	}
-	if list = p.by[claim{what, who}]; len(list) == 0 {
-		return noRoom[:]
+	if list = p.byClaim[claim{dimension, who}]; len(list) == 0 {
+		return bucketTableFull[:]
 	}
 	return list
 }
 
 // noRoom stands for a name that there is no room to count: it gets nothing.
-var noRoom = [1]*Bucket{{limit: &Limit{Name: "no room", Amount: 1, Burst: 1, Hard: true}, rules: &Rules{}}}
+var bucketTableFull = [1]*Bucket{{limit: &Limit{Name: "no room", Amount: 1, Burst: 1, Hard: true}, rules: &Rules{}}}
 
 // sweep lets names go that nothing is held of and nobody has asked for lately.
-func (p *Limiter) sweep(now Micros) {
+func (p *Limiter) prune(now Micros) {
 	p.buckets = slices.DeleteFunc(p.buckets, func(b *Bucket) bool {
-		if b.limit.Who != "*" || b.open > 0 || b.n > 0 && now < b.last() || now-b.seen < p.rules.AllocationLease {
+		if b.limit.Who != "*" || b.open > 0 || b.numAllocations > 0 && now < b.lastExpiry() || now-b.lastUsed < p.rules.AllocationLease {
 			return false
 		}
-		delete(p.by, claim{b.limit.Dimension, b.Key.Who})
+		delete(p.byClaim, claim{b.limit.Dimension, b.Key.Who})
 		delete(p.byKey, b.Key)
 		return true
 	})
 }
 
-func (b *Bucket) last() (end Micros) {
-	for i := range b.n {
-		end = max(end, b.parts[i].end)
+func (b *Bucket) lastExpiry() (end Micros) {
+	for i := range b.numAllocations {
+		end = max(end, b.allocations[i].end)
 	}
 	return end
 }
 
 // Fresh tells whether names came since it was last asked: they need a first part at once.
 func (p *Limiter) TakeNewNames() bool {
-	was := p.fresh
-	p.fresh = false
+	was := p.newNames
+	p.newNames = false
 	return was
 }
 
 // look adds up the parts that hold at a moment. What a rate has gathered never exceeds
 // the parts' share of the burst; a new part begins with nothing gathered.
-func (b *Bucket) look(now Micros) {
-	b.gather(min(now, b.until))
+func (b *Bucket) refresh(now Micros) {
+	b.refill(min(now, b.validUntil))
 	amount, until := 0.0, Micros(math.MaxInt64)
 	kept := 0
-	for i := range b.n {
-		x := b.parts[i]
+	for i := range b.numAllocations {
+		x := b.allocations[i]
 		if now >= x.end {
 			continue
 		}
-		b.parts[kept] = x
+		b.allocations[kept] = x
 		kept++
 		amount += x.amount
 		until = min(until, x.end)
 	}
 	was := b.amount
-	b.n, b.amount, b.until = kept, amount, until
-	if !b.limit.Hard && b.alone > 0 {
+	b.numAllocations, b.amount, b.validUntil = kept, amount, until
+	if !b.limit.Hard && b.isolatedAmount > 0 {
 		switch {
 		case kept > 0:
-			b.fades = 0
-		case b.fades == 0:
-			b.fades, b.faded = max(1, now), was
+			b.fadeStart = 0
+		case b.fadeStart == 0:
+			b.fadeStart, b.fadeAmount = max(1, now), was
 		}
 		if kept == 0 {
 			b.fade(now)
 		}
 	}
-	b.at = max(b.at, now)
+	b.refilledAt = max(b.refilledAt, now)
 	if b.limit.Kind == Rate {
-		b.tokens = min(b.tokens, b.cap())
+		b.tokens = min(b.tokens, b.capacity())
 	}
 }
 
@@ -222,58 +224,58 @@
 // for which nobody else is given it, so that there is no jump.
 func (b *Bucket) fade(now Micros) {
 	gap := max(1, lease.ExpirySpan(b.rules.AllocationLease)-b.rules.AllocationLease)
-	left := max(0, 1-float64(now-b.fades)/float64(gap))
-	b.amount = b.alone + max(0, b.faded-b.alone)*left
-	b.until = now + gap/16 + 1
+	left := max(0, 1-float64(now-b.fadeStart)/float64(gap))
+	b.amount = b.isolatedAmount + max(0, b.fadeAmount-b.isolatedAmount)*left
+	b.validUntil = now + gap/16 + 1
 	if left == 0 {
-		b.until = math.MaxInt64
+		b.validUntil = math.MaxInt64
 	}
 }
 
 // cap is what may be gathered of a rate.
-func (b *Bucket) cap() float64 {
+func (b *Bucket) capacity() float64 {
 	c := b.limit.Burst * b.amount / b.limit.Amount
-	if !b.limit.Hard && b.n == 0 {
+	if !b.limit.Hard && b.numAllocations == 0 {
 		c = math.Max(c, 1)
 	}
 	return c
 }
 
-func (b *Bucket) gather(now Micros) {
-	if now > b.at {
+func (b *Bucket) refill(now Micros) {
+	if now > b.refilledAt {
 		if b.limit.Kind == Rate {
-			b.tokens = min(b.tokens+b.amount*float64(now-b.at)/1e6, b.cap())
+			b.tokens = min(b.tokens+b.amount*float64(now-b.refilledAt)/1e6, b.capacity())
 		}
-		b.at = now
+		b.refilledAt = now
 	}
 }
 
 const (
-	partWait Micros = 250_000   // after which a part may have come, where there is none
-	openWait Micros = 500_000   // after which one of the open requests may have ended
-	mostWait Micros = 5_000_000 //
+	allocationWait Micros = 250_000   // after which a part may have come, where there is none
+	openWait       Micros = 500_000   // after which one of the open requests may have ended
+	maxWait        Micros = 5_000_000 //
 )
 
 // Take asks for one request. Refused, it tells how long to stay away.
 func (b *Bucket) Take(now Micros) (wait Micros, ok bool) {
-	b.asked++
-	b.seen = now
-	if now >= b.until {
-		b.look(now)
+	b.requests++
+	b.lastUsed = now
+	if now >= b.validUntil {
+		b.refresh(now)
 	}
 	switch b.limit.Kind {
 	case Rate:
-		b.gather(now)
+		b.refill(now)
 		if b.tokens < 1 {
 			b.Refused++
-			if b.amount <= 0 || b.cap() < 1 {
-				return partWait, false
+			if b.amount <= 0 || b.capacity() < 1 {
+				return allocationWait, false
 			}
-			return min(mostWait, 1+Micros((1-b.tokens)/b.amount*1e6)), false
+			return min(maxWait, 1+Micros((1-b.tokens)/b.amount*1e6)), false
 		}
 		b.tokens--
 	case Open:
-		b.most = max(b.most, b.open+1)
+		b.maxOpen = max(b.maxOpen, b.open+1)
 		if b.open+1 > b.amount {
 			b.Refused++
 			return openWait, false
@@ -282,7 +284,7 @@
 	case Uses:
 		if b.spent+1 > b.amount {
 			b.Refused++
-			return mostWait, false
+			return maxWait, false
 		}
 		b.spent++
 	}
@@ -294,7 +296,7 @@
 func (b *Bucket) Undo() {
 	switch b.limit.Kind {
 	case Rate:
-		b.tokens = min(b.tokens+1, b.cap())
+		b.tokens = min(b.tokens+1, b.capacity())
 	case Open:
 		b.open--
 	case Uses:
@@ -312,10 +314,10 @@
 
 // Part gives the number of the part spent from, for histories, and the amount of all.
 func (b *Bucket) Allocation() (from Source, number uint64, amount float64) {
-	if b.n == 0 {
+	if b.numAllocations == 0 {
 		return Source{}, 0, b.amount
 	}
-	x := &b.parts[b.n-1]
+	x := &b.allocations[b.numAllocations-1]
 	return x.from, x.number, b.amount
 }
 
@@ -339,21 +341,21 @@
 		if x.Epoch < b.epoch {
 			return
 		}
-		b.epoch, b.spent, b.n = x.Epoch, 0, 0
+		b.epoch, b.spent, b.numAllocations = x.Epoch, 0, 0
 	}
-	b.look(now)
+	b.refresh(now)
 	i := 0
-	for ; i < b.n && b.parts[i].from != from; i++ {
+	for ; i < b.numAllocations && b.allocations[i].from != from; i++ {
 	}
-	if i < b.n {
-		y := &b.parts[i]
+	if i < b.numAllocations {
+		y := &b.allocations[i]
 		if x.Number < y.number {
 			return
 		}
 		if x.Number == y.number {
 			y.end = max(y.end, end)
 		} else {
-			*y = held{from, x.Number, x.Amount, end, x.Epoch}
+			*y = activeAllocation{from, x.Number, x.Amount, end, x.Epoch}
 		}
 	} else {
 		if now >= end {
@@ -361,21 +363,21 @@
 		}
 		// Of one site the newest keeper's alone.
 		kept := 0
-		for j := range b.n {
-			if y := b.parts[j]; y.from.Site != from.Site || y.from.Owner > from.Owner {
-				b.parts[kept] = y
+		for j := range b.numAllocations {
+			if y := b.allocations[j]; y.from.Site != from.Site || y.from.Owner > from.Owner {
+				b.allocations[kept] = y
 				kept++
 			}
 		}
-		b.n = kept
-		if b.n == mostParts {
+		b.numAllocations = kept
+		if b.numAllocations == maxAllocations {
 			return
 		}
-		b.parts[b.n] = held{from, x.Number, x.Amount, end, x.Epoch}
-		b.n++
+		b.allocations[b.numAllocations] = activeAllocation{from, x.Number, x.Amount, end, x.Epoch}
+		b.numAllocations++
 	}
-	b.until = min(b.until, now)
-	b.look(now)
+	b.validUntil = min(b.validUntil, now)
+	b.refresh(now)
 }
 
 // Say is what one bucket has to tell, for a keeper.
@@ -405,21 +407,21 @@
 func (p *Limiter) Report(now Micros) []BucketReport {
 	list := make([]BucketReport, 0, len(p.buckets))
 	for _, b := range p.buckets {
-		b.look(now)
-		s := BucketReport{Key: b.Key, Requests: b.asked, MaxOpen: max(b.most, b.open), Spent: b.spent, Epoch: b.epoch, Taken: b.Taken, Refused: b.Refused, Amount: b.amount}
+		b.refresh(now)
+		s := BucketReport{Key: b.Key, Requests: b.requests, MaxOpen: max(b.maxOpen, b.open), Spent: b.spent, Epoch: b.epoch, Taken: b.Taken, Refused: b.Refused, Amount: b.amount}
 		rest := b.open
 		if b.limit.Kind == Uses {
 			rest = b.spent
 		}
-		for i := range b.n {
-			x := b.parts[i]
+		for i := range b.numAllocations {
+			x := b.allocations[i]
 			y := AllocationReport{From: x.from, Number: x.number, Amount: x.amount, Held: x.amount, End: x.end}
 			if b.limit.Kind != Rate && b.amount > 0 { // what is open, or spent, lies on the parts by their size
 				y.Held = max(y.Held, rest*x.amount/b.amount)
 			}
 			s.Allocations = append(s.Allocations, y)
 		}
-		b.asked, b.most = 0, b.open
+		b.requests, b.maxOpen = 0, b.open
 		list = append(list, s)
 	}
 	return list
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -37,7 +37,7 @@
 			t.Fatalf("%v dealt of %v", sum, amount)
 		}
 		sum = 0
-		for _, x := range whole(amount, 20, got, 0) {
+		for _, x := range raiseToMinimum(amount, 20, got, 0) {
 			sum += x
 			if x > 0 && x < 20-1e-6 {
 				t.Fatalf("a part of %v", x)
@@ -52,18 +52,18 @@
 // world is a root, two sites and their fronts under a network that loses, doubles and
 // delays, with processes that die, pause and come back.
 type world struct {
-	r      *rand.Rand
-	now    Micros
-	limit  Limit
-	rules  Rules
-	nodes  []*node
-	wire   []packet
-	number uint64
-	passed []Micros
-	uses   map[uint64]int
-	open   int
-	most   int
-	rule   Mutation
+	r          *rand.Rand
+	now        Micros
+	limit      Limit
+	rules      Rules
+	nodes      []*node
+	wire       []packet
+	number     uint64
+	admittedAt []Micros
+	uses       map[uint64]int
+	open       int
+	maxOpen    int
+	mutation   Mutation
 }
 
 type packet struct {
@@ -73,21 +73,21 @@
 
 // node is a front; it keeps what is in kept.
 type node struct {
-	w      *world
-	name   string
-	site   string
-	start  int
-	purse  *Limiter
-	kept   map[string]*Allocator
-	seen   map[string]uint64 // the newest keeper that it knows of each site
-	paused Micros
-	demand float64
-	rate   float64 // of its clock
-	off    Micros
-	calls  []Micros
+	w           *world
+	name        string
+	site        string
+	start       int
+	limiter     *Limiter
+	allocators  map[string]*Allocator
+	newestOwner map[string]uint64 // the newest keeper that it knows of each site
+	paused      Micros
+	demand      float64
+	clockRate   float64 // of its clock
+	clockOffset Micros
+	calls       []Micros
 }
 
-func (n *node) clock() Micros { return n.off + Micros(float64(n.w.now)*n.rate) }
+func (n *node) clock() Micros { return n.clockOffset + Micros(float64(n.w.now)*n.clockRate) }
 func (n *node) role() string  { return fmt.Sprintf("%s/%d", n.name, n.start) }
 
 // send has something happen later, perhaps twice or never.
@@ -103,37 +103,37 @@
 	}
 }
 
-type keeperOf struct {
-	n      *node
+type ownerNode struct {
+	node   *node
 	number uint64
 }
 
-func (w *world) name(keepers map[string]keeperOf, site string, n *node, wait Micros) {
+func (w *world) nameOwner(keepers map[string]ownerNode, site string, n *node, wait Micros) {
 	w.number++
-	keepers[site] = keeperOf{n, w.number}
+	keepers[site] = ownerNode{n, w.number}
 	d := NewAllocator(w.rules, []Limit{w.limit}, site, w.number, wait, n.clock())
-	d.Disable(w.rule)
-	n.kept[site] = d
+	d.Disable(w.mutation)
+	n.allocators[site] = d
 	for _, x := range w.nodes { // those in contact hear of it by and by
-		w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(2_000_000)), func() { x.seen[site] = max(x.seen[site], w.number) }})
+		w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(2_000_000)), func() { x.newestOwner[site] = max(x.newestOwner[site], w.number) }})
 	}
 }
 
 // play plays a day, and gives what was let through.
-func play(seed uint64, limit Limit, rule Mutation, span Micros) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, rule: rule, uses: map[uint64]int{}}
+func simulate(seed uint64, limit Limit, rule Mutation, span Micros) *world {
+	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, mutation: rule, uses: map[uint64]int{}}
 	w.rules.ClockDrift = 0.1
 	sites := []string{"a", "b"}
 	for i := range 6 {
-		n := &node{w: w, name: fmt.Sprintf("f%d", i), site: sites[i%2], kept: map[string]*Allocator{}, seen: map[string]uint64{}, rate: 0.9 + 0.2*w.r.Float64(),
-			off: Micros(w.r.IntN(1e9)), demand: float64(w.r.IntN(60))}
-		n.purse = NewLimiter(w.rules, []Limit{limit}, n.clock())
+		n := &node{w: w, name: fmt.Sprintf("f%d", i), site: sites[i%2], allocators: map[string]*Allocator{}, newestOwner: map[string]uint64{}, clockRate: 0.9 + 0.2*w.r.Float64(),
+			clockOffset: Micros(w.r.IntN(1e9)), demand: float64(w.r.IntN(60))}
+		n.limiter = NewLimiter(w.rules, []Limit{limit}, n.clock())
 		w.nodes = append(w.nodes, n)
 	}
-	keepers := map[string]keeperOf{}
-	w.name(keepers, "", w.nodes[0], 0)
-	w.name(keepers, "a", w.nodes[2], 0)
-	w.name(keepers, "b", w.nodes[1], 0)
+	keepers := map[string]ownerNode{}
+	w.nameOwner(keepers, "", w.nodes[0], 0)
+	w.nameOwner(keepers, "a", w.nodes[2], 0)
+	w.nameOwner(keepers, "b", w.nodes[1], 0)
 	// A root's lease ends before the next one may deal; here it is told to end at once,
 	// which is the earliest that a lease allows, or goes on for a while where the rules let it.
 	type later struct {
@@ -154,8 +154,8 @@
 		}
 		for i := 0; i < len(ends); {
 			if ends[i].at <= w.now {
-				if d := ends[i].n.kept[ends[i].site]; d != nil && keepers[ends[i].site].n != ends[i].n {
-					delete(ends[i].n.kept, ends[i].site)
+				if d := ends[i].n.allocators[ends[i].site]; d != nil && keepers[ends[i].site].node != ends[i].n {
+					delete(ends[i].n.allocators, ends[i].site)
 				}
 				ends = append(ends[:i], ends[i+1:]...)
 			} else {
@@ -167,12 +167,12 @@
 			switch w.r.IntN(4) {
 			case 0: // another process: what the one before held it may not spend
 				n.start++
-				n.purse = NewLimiter(w.rules, []Limit{limit}, n.clock())
-				for _, site := range slices.Sorted(maps.Keys(n.kept)) {
-					if keepers[site].n == n {
-						w.name(keepers, site, w.nodes[w.r.IntN(6)], w.rules.OwnerLease)
-						if keepers[site].n != n {
-							delete(n.kept, site)
+				n.limiter = NewLimiter(w.rules, []Limit{limit}, n.clock())
+				for _, site := range slices.Sorted(maps.Keys(n.allocators)) {
+					if keepers[site].node == n {
+						w.nameOwner(keepers, site, w.nodes[w.r.IntN(6)], w.rules.OwnerLease)
+						if keepers[site].node != n {
+							delete(n.allocators, site)
 						}
 					}
 				}
@@ -182,10 +182,10 @@
 				n.demand = float64(w.r.IntN(120))
 			case 3:
 				site := []string{"", "a", "b"}[w.r.IntN(3)]
-				old := keepers[site].n
+				old := keepers[site].node
 				next := w.nodes[w.r.IntN(6)]
 				if next != old {
-					w.name(keepers, site, next, w.rules.OwnerLease)
+					w.nameOwner(keepers, site, next, w.rules.OwnerLease)
 					ends = append(ends, later{w.now + w.rules.OwnerLease, site, old})
 				}
 			}
@@ -200,17 +200,17 @@
 	return w
 }
 
-func (n *node) step(keepers map[string]keeperOf) {
+func (n *node) step(keepers map[string]ownerNode) {
 	w := n.w
 	now := n.clock()
 	for range 1 + w.r.IntN(2) {
 		if w.r.Float64() < n.demand*0.005/1.5 {
-			for _, b := range n.purse.Find("tenant", "t", now) {
+			for _, b := range n.limiter.Find("tenant", "t", now) {
 				if _, ok := b.Take(now); ok {
-					w.passed = append(w.passed, w.now)
+					w.admittedAt = append(w.admittedAt, w.now)
 					if w.limit.Kind == Open {
 						w.open++
-						w.most = max(w.most, w.open)
+						w.maxOpen = max(w.maxOpen, w.open)
 						start := n.start
 						w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(int(w.rules.MaxOpenTime))), func() {
 							w.open--
@@ -232,7 +232,7 @@
 	}
 	k := keepers[site]
 	ask := Request{Stamp: now}
-	for _, s := range n.purse.Report(now) {
+	for _, s := range n.limiter.Report(now) {
 		want := LimitRequest{Key: s.Key, Demand: float64(s.Requests) * 10, Epoch: s.Epoch}
 		for _, p := range s.Allocations {
 			if p.From == (Source{site, k.number}) {
@@ -243,23 +243,23 @@
 		}
 		ask.Limits = append(ask.Limits, want)
 	}
-	n.seen[site] = max(n.seen[site], k.number)
+	n.newestOwner[site] = max(n.newestOwner[site], k.number)
 	role := n.role()
 	w.send(func() {
-		if d := k.n.kept[site]; d != nil && d.Number() == k.number && k.n.paused <= w.now {
-			d.HandleRequest(role, ask, k.n.clock())
+		if d := k.node.allocators[site]; d != nil && d.Number() == k.number && k.node.paused <= w.now {
+			d.HandleRequest(role, ask, k.node.clock())
 		}
 	})
-	for _, site := range slices.Sorted(maps.Keys(n.kept)) {
-		d := n.kept[site]
+	for _, site := range slices.Sorted(maps.Keys(n.allocators)) {
+		d := n.allocators[site]
 		up := Source{"", keepers[""].number}
 		if site != "" {
 			ask, root := Request{Stamp: now, Limits: d.LimitRequests(up, now)}, keepers[""]
 			role := fmt.Sprintf("site %s %d", site, d.Number())
-			n.seen[""] = max(n.seen[""], root.number)
+			n.newestOwner[""] = max(n.newestOwner[""], root.number)
 			w.send(func() {
-				if r := root.n.kept[""]; r != nil && r.Number() == root.number && root.n.paused <= w.now {
-					r.HandleRequest(role, ask, root.n.clock())
+				if r := root.node.allocators[""]; r != nil && r.Number() == root.number && root.node.paused <= w.now {
+					r.HandleRequest(role, ask, root.node.clock())
 				}
 			})
 		}
@@ -278,7 +278,7 @@
 		}
 		back.Restore(l)
 		back.Ledger()
-		if err != nil || cmp.Diff(back.l.List, d.l.List) != "" || len(back.l.Sheets) != len(d.l.Sheets) {
+		if err != nil || cmp.Diff(back.ledger.List, d.ledger.List) != "" || len(back.ledger.Limits) != len(d.ledger.Limits) {
 			panic(fmt.Sprint("a snapshot does not come back: ", err))
 		}
 	}
@@ -290,22 +290,22 @@
 			continue
 		}
 		if n.role() == role {
-			n.purse.ApplyGrant(g, n.seen[g.Site], n.clock())
+			n.limiter.ApplyGrant(g, n.newestOwner[g.Site], n.clock())
 		}
-		for site, d := range n.kept {
+		for site, d := range n.allocators {
 			if fmt.Sprintf("site %s %d", site, d.Number()) == role {
-				d.ApplyGrant(g, n.seen[g.Site], n.clock())
+				d.ApplyGrant(g, n.newestOwner[g.Site], n.clock())
 			}
 		}
 	}
 }
 
 // worst is the most that was let through above a rate's bound in any window.
-func (w *world) worst() float64 {
+func (w *world) maxExcess() float64 {
 	worst := math.Inf(-1)
 	// Max over i<j of (j-i+1) - burst - rate*(t_j-t_i), in one pass.
 	least := math.Inf(1)
-	for i, at := range w.passed {
+	for i, at := range w.admittedAt {
 		x := float64(i) - w.limit.Amount*float64(at)/1e6
 		least = min(least, x)
 		worst = max(worst, x-least+1-w.limit.Burst)
@@ -320,12 +320,12 @@
 func TestNeverOver(t *testing.T) {
 	passed, most := 0, 0
 	for seed := range uint64(40) {
-		w := play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, "", 60*second)
-		require.LessOrEqual(t, w.worst(), 0.0, "seed %d", seed)
-		passed += len(w.passed)
-		w = play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Open, Amount: 30, Hard: true}, "", 40*second)
-		require.LessOrEqual(t, w.most, 30, "seed %d", seed)
-		most += w.most
+		w := simulate(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, "", 60*second)
+		require.LessOrEqual(t, w.maxExcess(), 0.0, "seed %d", seed)
+		passed += len(w.admittedAt)
+		w = simulate(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Open, Amount: 30, Hard: true}, "", 40*second)
+		require.LessOrEqual(t, w.maxOpen, 30, "seed %d", seed)
+		most += w.maxOpen
 	}
 	require.Greater(t, passed, 40*1000, "of use")
 	require.Greater(t, most, 40*8, "of use")
@@ -334,7 +334,7 @@
 // Guards the check above: with a rule left out it fires.
 func TestNeverOverFires(t *testing.T) {
 	for seed := range uint64(40) {
-		if play(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, DisableExpiry, 60*second).worst() > 0 {
+		if simulate(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, DisableExpiry, 60*second).maxExcess() > 0 {
 			return
 		}
 	}
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -27,7 +27,7 @@
 	Open  int     // requests open together
 }
 
-func (l Limit) none() bool { return l.Rate == 0 && l.Open == 0 }
+func (l Limit) isZero() bool { return l.Rate == 0 && l.Open == 0 }
 
 // Kind is whom a limit is for. Names of different kinds are kept apart.
 type Kind byte
@@ -73,16 +73,16 @@
 }
 
 // NewRates makes room for so many names.
-func NewRates(most int) *Rates { return &Rates{table: compactmap.New[bucket](most)} }
+func NewRates(maxNames int) *Rates { return &Rates{table: compactmap.New[bucket](maxNames)} }
 
 // What is looked at for entries to let go: a little with each new name, and a
 // good deal where there is no room.
 const (
-	sweepAlways = 4
-	sweepFull   = 256
+	sweepOnAdd    = 4
+	sweepWhenFull = 256
 )
 
-func nameOf(k Kind, name string) (n compactmap.Key) {
+func hashName(k Kind, name string) (n compactmap.Key) {
 	var buf [128]byte
 	sum := sha256.Sum256(append(append(buf[:0], byte(k)), name...))
 	copy(n[:], sum[:])
@@ -96,9 +96,9 @@
 	r.names = r.names[:0]
 	for i := range claims {
 		c := &claims[i]
-		n := nameOf(c.Kind, c.Name)
+		n := hashName(c.Kind, c.Name)
 		r.names = append(r.names, n)
-		if c.Limit.none() {
+		if c.Limit.isZero() {
 			continue
 		}
 		b := r.table.Find(n)
@@ -117,19 +117,19 @@
 	}
 	for i := range claims {
 		l := claims[i].Limit
-		if l.none() {
+		if l.isZero() {
 			continue
 		}
 		b := r.table.Find(r.names[i])
 		if b == nil {
 			if b = r.add(r.names[i], now); b == nil {
 				r.undo(claims[:i])
-				return fullWait, RatesTableFull
+				return tableFullWait, RatesTableFull
 			}
 		}
 		b.Open++ // from here on no sweep takes the entry, though nothing else is in it
 		if l.Rate > 0 {
-			b.TAT = max(b.TAT, now) + l.gap()
+			b.TAT = max(b.TAT, now) + l.interval()
 		}
 	}
 	return 0, ""
@@ -138,36 +138,36 @@
 // undo takes back what Take has taken of its first claims.
 func (r *Rates) undo(claims []Claim) {
 	for i := range claims {
-		if l := claims[i].Limit; !l.none() {
+		if l := claims[i].Limit; !l.isZero() {
 			b := r.table.Find(r.names[i])
 			b.Open--
 			if l.Rate > 0 {
-				b.TAT -= l.gap()
+				b.TAT -= l.interval()
 			}
 		}
 	}
 }
 
 const (
-	openWait Micros = 500_000   // after which one of the open requests may have ended
-	fullWait Micros = 1_000_000 // after which there may be room
+	openWait      Micros = 500_000   // after which one of the open requests may have ended
+	tableFullWait Micros = 1_000_000 // after which there may be room
 )
 
-func (l Limit) gap() Micros { return max(1, Micros(1e6/l.Rate)) }
+func (l Limit) interval() Micros { return max(1, Micros(1e6/l.Rate)) }
 
 // wait is how long until a request conforms; 0: it does.
 func (l Limit) wait(tat, now Micros) Micros {
 	if l.Rate == 0 {
 		return 0
 	}
-	return max(0, tat-Micros(max(1, l.Burst)-1)*l.gap()-now)
+	return max(0, tat-Micros(max(1, l.Burst)-1)*l.interval()-now)
 }
 
 func (r *Rates) add(n compactmap.Key, now Micros) *bucket {
 	dead := func(_ compactmap.Key, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
-	r.table.Sweep(sweepAlways, dead)
+	r.table.Sweep(sweepOnAdd, dead)
 	if r.table.Full() {
-		r.table.Sweep(sweepFull, dead)
+		r.table.Sweep(sweepWhenFull, dead)
 	}
 	return r.table.Add(n, bucket{})
 }
@@ -175,10 +175,10 @@
 // Done ends a request that Take let go on.
 func (r *Rates) Release(claims []Claim) {
 	for i := range claims {
-		if claims[i].Limit.none() {
+		if claims[i].Limit.isZero() {
 			continue
 		}
-		if b := r.table.Find(nameOf(claims[i].Kind, claims[i].Name)); b != nil && b.Open > 0 {
+		if b := r.table.Find(hashName(claims[i].Kind, claims[i].Name)); b != nil && b.Open > 0 {
 			b.Open--
 		}
 	}
@@ -188,20 +188,20 @@
 func (r *Rates) Len() int { return r.table.Len() }
 
 // use is what is known of one token that may be used so often.
-type use struct {
-	Until  int64  // nothing can be let in by the token from then on
-	Last   int64  // when the last use began
-	Object uint64 // of the last use
-	Count  uint32
-	Open   uint32 // requests of the last use
+type tokenUse struct {
+	ExpiresAt int64  // nothing can be let in by the token from then on
+	LastStart int64  // when the last use began
+	Object    uint64 // of the last use
+	Count     uint32
+	Open      uint32 // requests of the last use
 }
 
 // Uses keeps how often tokens were used. A token's entry goes when the token
 // has run out, and never before: a full table refuses.
-type Uses struct{ table *compactmap.Table[use] }
+type Uses struct{ table *compactmap.Table[tokenUse] }
 
 // NewUses makes room for so many tokens.
-func NewUses(most int) *Uses { return &Uses{table: compactmap.New[use](most)} }
+func NewUses(maxTokens int) *Uses { return &Uses{table: compactmap.New[tokenUse](maxTokens)} }
 
 // Token is one token's use.
 type Token struct {
@@ -220,16 +220,16 @@
 	object := binary.LittleEndian.Uint64(sum[:])
 	x := u.table.Find(t.Name)
 	if x == nil {
-		dead := func(_ compactmap.Key, x *use) bool { return x.Open == 0 && x.Until < now }
-		u.table.Sweep(sweepAlways, dead)
+		dead := func(_ compactmap.Key, x *tokenUse) bool { return x.Open == 0 && x.ExpiresAt < now }
+		u.table.Sweep(sweepOnAdd, dead)
 		if u.table.Full() {
-			u.table.Sweep(sweepFull, dead)
+			u.table.Sweep(sweepWhenFull, dead)
 		}
-		if x = u.table.Add(t.Name, use{}); x == nil {
-			return fullWait, UsesTableFull
+		if x = u.table.Add(t.Name, tokenUse{}); x == nil {
+			return tableFullWait, UsesTableFull
 		}
 	}
-	again := x.Count > 0 && x.Object == object && now-x.Last <= t.RetryWindow
+	again := x.Count > 0 && x.Object == object && now-x.LastStart <= t.RetryWindow
 	switch {
 	case again && x.Open > 0:
 		return openWait, TokenInUse
@@ -238,24 +238,24 @@
 		return 0, TokenUsedUp
 	default:
 		x.Count++
-		x.Last, x.Object = now, object
+		x.LastStart, x.Object = now, object
 	}
-	x.Until = max(x.Until, t.ExpiresAt)
+	x.ExpiresAt = max(x.ExpiresAt, t.ExpiresAt)
 	x.Open++
 	return 0, ""
 }
 
 // Done ends a request that Take let go on. One that was refused before anything
 // was done for it is no use.
-func (u *Uses) Release(name [16]byte, harmless bool) {
+func (u *Uses) Release(name [16]byte, notServed bool) {
 	x := u.table.Find(name)
 	if x == nil || x.Open == 0 {
 		return
 	}
 	x.Open--
-	if harmless && x.Open == 0 && x.Count > 0 {
+	if notServed && x.Open == 0 && x.Count > 0 {
 		x.Count--
-		x.Object, x.Last = 0, 0
+		x.Object, x.LastStart = 0, 0
 	}
 }
 
@@ -269,6 +269,6 @@
 // have ended.
 func (u *Uses) Read(b []byte) ([]byte, error) {
 	rest, err := u.table.Read(b)
-	u.table.Sweep(1<<62, func(_ compactmap.Key, x *use) bool { x.Open = 0; return false })
+	u.table.Sweep(1<<62, func(_ compactmap.Key, x *tokenUse) bool { x.Open = 0; return false })
 	return rest, err
 }
--- a/internal/decide/ratelimit/ratelimit_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -110,7 +110,7 @@
 // A request under several new names, in tables so small that making room for the
 // last looks at the first: none is lost on the way, and what finds no room
 // takes nothing.
-func TestSweepsSpareWhatIsTaken(t *testing.T) {
+func TestSweepKeepsEntriesInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := NewRates(rapid.IntRange(1, 5).Draw(t, "most")), int64(1_000_000)
 		var open [][]Claim
@@ -135,7 +135,7 @@
 				}
 			}
 			for name, n := range held {
-				if b := r.table.Find(nameOf(Kind(name[0]), name[1:])); b == nil || b.Open != n {
+				if b := r.table.Find(hashName(Kind(name[0]), name[1:])); b == nil || b.Open != n {
 					t.Fatalf("%s: %+v, want %d open", name, b, n)
 				}
 			}
--- a/internal/decide/topology/attach.go
+++ b/internal/decide/topology/attach.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// View is what one front knows of the fleet, as far as it has applied the log.
+// View is the fleet as one front knows it from the log entries that it has applied.
 type View struct {
-	Index      uint64 // of the last entry applied
-	FleetID    uint64 // which fleet; 0: none yet
+	Index      uint64 // of the last applied log entry
+	FleetID    uint64 // 0 if no fleet is known yet
 	Fronts     []Front
 	Owners     []Owner
-	Self       Front // this process; its Site is its own, also before the log has it
-	Registered bool  // the log has this very process
+	Self       Front // this process; its Site is set even before the log contains it
+	Registered bool  // the log contains this process
 }
 
-// Find gives a front by name; nil: there is none.
-func (v *View) Find(name string) *Front {
-	if i := slices.IndexFunc(v.Fronts, func(f Front) bool { return f.Name == name }); i >= 0 {
+// Find returns the front of a name, or nil if there is none.
+func (v *View) Find(frontName string) *Front {
+	if i := slices.IndexFunc(v.Fronts, func(f Front) bool { return f.Name == frontName }); i >= 0 {
 		return &v.Fronts[i]
 	}
 	return nil
 }
 
-// Keeper gives the keeper of a site; nil: none is known.
+// Owner returns the owner of a site, or nil if none is known.
 func (v *View) Owner(site string) *Owner {
 	if i := slices.IndexFunc(v.Owners, func(k Owner) bool { return k.Site == site }); i >= 0 {
 		return &v.Owners[i]
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Keeps gives the keepers that this process is, the deepest site first.
+// OwnedBySelf returns the ownerships held by this process, the longest site path first.
 func (v *View) OwnedBySelf() (list []Owner) {
 	for _, k := range v.Owners {
 		if k.Is(v.Self.Name, v.Self.ID, v.Self.Start) {
@@ -39,25 +39,25 @@
 	return list
 }
 
-// Role is whom something is told for: a front's process, or a site by its keeper.
-// Whatever is told replaces what the same role told before, by number.
+// Role identifies who a message is from or for: a front's process, or a site acting
+// through its owner. A report replaces the same role's earlier one, by sequence number.
 type Role struct {
-	Front string `cbor:"1,keyasint,omitempty"` // empty: a site
-	Start uint64 `cbor:"2,keyasint,omitempty"` // of the front's process
-	Site  string `cbor:"3,keyasint,omitempty"` // of a front: where it stands
-	Owner uint64 `cbor:"4,keyasint,omitempty"` // the site's keeper's number
+	Front string `cbor:"1,keyasint,omitempty"` // empty for a site
+	Start uint64 `cbor:"2,keyasint,omitempty"` // start number of the front's process
+	Site  string `cbor:"3,keyasint,omitempty"` // the site, or the site that the front is in
+	Owner uint64 `cbor:"4,keyasint,omitempty"` // number of the site's owner
 }
 
-// Own is the role of this process.
+// SelfRole returns the role of this process.
 func (v *View) SelfRole() Role {
 	return Role{Front: v.Self.Name, Start: v.Self.Start, Site: v.Self.Site}
 }
 
-// Of is the role of a site under a keeper.
+// SiteRole returns the role of a site under the given owner.
 func SiteRole(k Owner) Role { return Role{Site: k.Site, Owner: k.Number} }
 
-// Above are the keepers that a role may attach to, the nearest first: those of the
-// sites that it stands in; of a site, strictly above it.
+// OwnersAbove returns the owners that a role may attach to, the nearest first: those of
+// the sites that contain a front, or those of the sites strictly above a site.
 func (v *View) OwnersAbove(r Role) (list []Owner) {
 	sites := PathToRoot(r.Site)
 	if r.Front == "" {
@@ -71,74 +71,79 @@
 	return list
 }
 
-// link is what a role knows of one keeper above it.
+// link is the state of a role's contact with one owner above it.
 type link struct {
-	began Micros // since when it is asked
-	heard Micros // when it answered last; 0: never
-	good  Micros // since when it has answered without a gap
+	askedSince  Micros // when it was first asked
+	lastAnswer  Micros // last answer; 0 if there was none
+	steadySince Micros // start of the current series of answers without a gap
 }
 
-// alive tells whether it answers, or has not had its span to do so yet.
-func (l *link) alive(now Micros, c Config) bool { return now-max(l.heard, l.began) <= c.FailoverAfter }
+// alive reports whether the owner answers, or may still do so within FailoverAfter of the
+// first request.
+func (l *link) alive(now Micros, c Config) bool {
+	return now-max(l.lastAnswer, l.askedSince) <= c.FailoverAfter
+}
 
-// Config holds the spans of attaching.
+// Config holds the timeouts of attachments.
 type Config struct {
-	FailoverAfter Micros // a keeper that does not answer for so long is passed over
-	FailbackAfter Micros // one that was passed over is gone back to once it has answered for so long
+	FailoverAfter Micros // an owner that has not answered for this long is passed over
+	FailbackAfter Micros // a nearer owner is used again once it has answered for this long
 }
 
-// Attachment is where one role attaches. The zero value attaches nowhere.
+// Attachment is the owner that one role reports to. The zero value has none.
 type Attachment struct {
-	to    Owner
-	known map[uint64]*link // by keepers' numbers
+	current Owner
+	links   map[uint64]*link // by owner number
 }
 
-// To is the keeper that it is attached to; ok is false where there is none.
-func (a *Attachment) Owner() (k Owner, ok bool) { return a.to, a.to.Number != 0 }
+// Owner returns the owner that the role is attached to; ok is false if there is none.
+func (a *Attachment) Owner() (k Owner, ok bool) { return a.current, a.current.Number != 0 }
 
-// Heard notes that a keeper has answered what it was asked; that proves both ways.
+// Answered records an answer of an owner to a request, which proves that messages pass in
+// both directions.
 func (a *Attachment) Answered(number uint64, now Micros, c Config) {
-	l := a.known[number]
+	l := a.links[number]
 	if l == nil {
 		return
 	}
-	if l.heard == 0 || now-l.heard > c.FailoverAfter {
-		l.good = now
+	if l.lastAnswer == 0 || now-l.lastAnswer > c.FailoverAfter {
+		l.steadySince = now
 	}
-	l.heard = now
+	l.lastAnswer = now
 }
 
-// Step gives the keepers to be asked now, and attaches to the nearest that answers.
-// Only the nearest ones up to the one attached to are asked, so that a keeper high up
-// does not hear of all fronts. A nearer one is gone back to once it has answered for a
-// while, so that one that comes and goes does not have those below it do so too.
-func (a *Attachment) Step(above []Owner, now Micros, c Config) (ask []Owner) {
-	if a.known == nil {
-		a.known = map[uint64]*link{}
+// Step attaches to the nearest owner that answers and returns the owners to ask now. Only
+// owners up to the one attached to are asked, so that the owners of high-level sites do
+// not receive requests from all fronts. A nearer owner is used again only after it has
+// answered for FailbackAfter, so that an unstable owner does not make the roles below it
+// switch back and forth.
+func (a *Attachment) Step(candidates []Owner, now Micros, c Config) (ask []Owner) {
+	if a.links == nil {
+		a.links = map[uint64]*link{}
 	}
-	for n := range a.known {
-		if !slices.ContainsFunc(above, func(k Owner) bool { return k.Number == n }) {
-			delete(a.known, n)
+	for n := range a.links {
+		if !slices.ContainsFunc(candidates, func(k Owner) bool { return k.Number == n }) {
+			delete(a.links, n)
 		}
 	}
-	was := a.to.Number
-	stays := a.known[was] != nil && a.known[was].heard > 0 && a.known[was].alive(now, c)
-	a.to = Owner{}
-	for _, k := range above {
-		l := a.known[k.Number]
+	previous := a.current.Number
+	keepsPrevious := a.links[previous] != nil && a.links[previous].lastAnswer > 0 && a.links[previous].alive(now, c)
+	a.current = Owner{}
+	for _, k := range candidates {
+		l := a.links[k.Number]
 		if l == nil {
-			l = &link{began: now}
-			a.known[k.Number] = l
+			l = &link{askedSince: now}
+			a.links[k.Number] = l
 		}
 		ask = append(ask, k)
-		if !l.alive(now, c) || stays && k.Number != was && (l.heard == 0 || now-l.good < c.FailbackAfter) {
+		if !l.alive(now, c) || keepsPrevious && k.Number != previous && (l.lastAnswer == 0 || now-l.steadySince < c.FailbackAfter) {
 			continue
 		}
-		a.to = k
+		a.current = k
 		return ask
 	}
-	if len(above) > 0 { // nobody answers: the nearest is asked on
-		a.to = above[0]
+	if len(candidates) > 0 { // none answers: stay with the nearest
+		a.current = candidates[0]
 	}
 	return ask
 }
--- a/internal/decide/topology/topology.go
+++ b/internal/decide/topology/topology.go
@@ -1,12 +1,12 @@
-// Package topology decides how the fronts of a fleet stand to each other where they tell
-// each other things without agreeing first: sites are paths (west/hub-a/branch-3), a
-// keeper speaks for each, and whoever tells something attaches to the keeper of its
-// site or, where that one can't be reached, of a site above.
+// Package topology decides along which tree the fronts of a fleet exchange data that
+// needs no consensus. Sites are paths (west/hub-a/branch-3), each site has an owner that
+// acts for it, and a front reports to the owner of its own site or, if that one is
+// unreachable, to the owner of an enclosing site.
 //
-// Who keeps a site is replicated state (State): named by number when the one before is
-// lost, so that no two keepers of a site ever have the same number. Who attaches where is
-// each front's own (Attachment). Attachments go to sites strictly above alone, so they
-// never make a loop, whatever each front knows.
+// Ownership is replicated state (State): a new owner with a new number is named when the
+// previous one is lost, so no two owners of a site ever share a number. Attachment is
+// local to each front. A site's owner attaches only to owners of sites strictly above,
+// so attachments never form a loop, even if fronts have different views.
 package topology
 
 import (
@@ -18,16 +18,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Micros is a span, or a moment of one clock, in microseconds.
+// Micros is a duration, or a time on one clock, in microseconds.
 type Micros = int64
 
 // Bounds.
 const (
-	MaxDepth = 6  // sites one within the other, below the root
-	Root     = "" // the site that holds all
+	MaxDepth = 6  // nested sites below the root
+	Root     = "" // path of the site that contains all others
 )
 
-// Check tells what is wrong with a site's path: names parted by slashes, none empty.
+// CheckPath returns an error unless path consists of 1 to MaxDepth non-empty names
+// separated by slashes.
 func CheckPath(path string) error {
 	parts := strings.Split(path, "/")
 	if len(parts) > MaxDepth {
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// Parent is the site that a site stands in; ok is false for the root.
+// Parent returns the site that directly contains path; ok is false for the root.
 func Parent(path string) (parent string, ok bool) {
 	if path == Root {
 		return "", false
@@ -48,7 +49,8 @@
 	return path[:max(i, 0)], true
 }
 
-// Up is a site and those that it stands in, itself first, the root last.
+// PathToRoot returns a site and all sites that contain it, the site itself first and the
+// root last.
 func PathToRoot(path string) (list []string) {
 	for ok := true; ok; path, ok = Parent(path) {
 		list = append(list, path)
@@ -56,46 +58,46 @@
 	return list
 }
 
-// Within tells whether a site is another one or stands in it.
-func Within(path, in string) bool {
-	return in == Root || path == in || strings.HasPrefix(path, in) && path[len(in)] == '/'
+// Within reports whether path is ancestor itself or lies within it.
+func Within(path, ancestor string) bool {
+	return ancestor == Root || path == ancestor || strings.HasPrefix(path, ancestor) && path[len(ancestor)] == '/'
 }
 
-// Front is a front as the log has it.
+// Front is a front as the replicated log describes it.
 type Front struct {
 	Name       string
 	Site       string // path
-	ID, Start  uint64 // incarnation and process
+	ID, Start  uint64 // incarnation of the front, and start number of its process
 	Lost       bool
 	Leaving    bool
-	Expired    bool   // lost, and surely serves no more: its lease to act is over
-	OwnerLease Micros // the span of its lease as a keeper; 0: it takes no part in what is exchanged
-	Address    string // where the others reach it
+	Expired    bool   // lost, and its lease to act has certainly expired, so it no longer serves
+	OwnerLease Micros // duration of its lease as an owner; 0 if it takes no part in the exchange
+	Address    string // where other fronts reach it
 }
 
-// Keeper speaks for a site.
+// Owner is the process of a front that acts for a site.
 type Owner struct {
 	Site       string `cbor:"1,keyasint"`
 	Name       string `cbor:"2,keyasint"`
 	ID         uint64 `cbor:"3,keyasint"`
 	Start      uint64 `cbor:"4,keyasint"`
-	Number     uint64 `cbor:"5,keyasint"`           // its fencing token: higher than that of any named before
-	PriorLease Micros `cbor:"6,keyasint,omitempty"` // the span of the lease that one before it may still have
-	Since      Micros `cbor:"7,keyasint"`           // fleet time at which it was named
+	Number     uint64 `cbor:"5,keyasint"`           // fencing token, higher than that of any owner named before
+	PriorLease Micros `cbor:"6,keyasint,omitempty"` // duration of the lease that a previous owner may still hold
+	Since      Micros `cbor:"7,keyasint"`           // fleet time when it was named
 }
 
-// Is tells whether a process of a front is the keeper.
+// Is reports whether the given process of a front is the owner.
 func (k *Owner) Is(name string, id, start uint64) bool {
 	return k.Name == name && k.ID == id && k.Start == start
 }
 
-// State is who keeps which site, ordered by site; a part of what all replicas hold.
+// State holds the owners, ordered by site. It is part of the replicated state.
 type State struct {
 	Owners     []Owner `cbor:"1,keyasint,omitempty"`
-	LastNumber uint64  `cbor:"2,keyasint,omitempty"` // the highest number given
+	LastNumber uint64  `cbor:"2,keyasint,omitempty"` // the highest number assigned so far
 }
 
-// Keeper gives the keeper of a site; nil: it has none.
+// Owner returns the owner of a site, or nil if it has none.
 func (s *State) Owner(site string) *Owner {
 	i, ok := slices.BinarySearchFunc(s.Owners, site, func(k Owner, site string) int { return cmp.Compare(k.Site, site) })
 	if !ok {
@@ -104,60 +106,61 @@
 	return &s.Owners[i]
 }
 
-// Step names keepers for sites that have none, or whose keeper is lost, leaves or has
-// started anew. A keeper that is heard stays. Told is what has changed, a line each.
-func (s *State) Step(fronts []Front, now Micros) (told []string) {
-	able := map[string][]*Front{}
+// Step names an owner for each site that has none, or whose owner is lost, leaving or
+// restarted. A live owner keeps its site. It returns one line of text for each change.
+func (s *State) Step(fronts []Front, now Micros) (events []string) {
+	candidates := map[string][]*Front{}
 	for i := range fronts {
 		if f := &fronts[i]; f.OwnerLease > 0 && !f.Lost && !f.Leaving {
 			for _, site := range PathToRoot(f.Site) {
-				able[site] = append(able[site], f)
+				candidates[site] = append(candidates[site], f)
 			}
 		}
 	}
-	at := func(k Owner) int {
+	frontIndex := func(k Owner) int {
 		return slices.IndexFunc(fronts, func(f Front) bool { return f.Name == k.Name })
 	}
-	s.Owners = slices.DeleteFunc(s.Owners, func(k Owner) bool { // of sites that no front is in any more
+	s.Owners = slices.DeleteFunc(s.Owners, func(k Owner) bool { // sites without any front left
 		return !slices.ContainsFunc(fronts, func(f Front) bool { return f.OwnerLease > 0 && Within(f.Site, k.Site) })
 	})
-	sites := make([]string, 0, len(able))
-	for site := range able {
+	sites := make([]string, 0, len(candidates))
+	for site := range candidates {
 		sites = append(sites, site)
 	}
 	slices.Sort(sites)
 	for _, site := range sites {
 		old := s.Owner(site)
-		wait := Micros(0)
+		priorLease := Micros(0)
 		if old != nil {
-			wait = old.PriorLease
-			if i := at(*old); i >= 0 {
+			priorLease = old.PriorLease
+			if i := frontIndex(*old); i >= 0 {
 				f := &fronts[i]
 				if old.Is(f.Name, f.ID, f.Start) && !f.Lost && !f.Leaving && f.OwnerLease > 0 && Within(f.Site, site) {
 					continue
 				}
-				wait = max(wait, f.OwnerLease)
+				priorLease = max(priorLease, f.OwnerLease)
 			}
 		} else if s.LastNumber > 0 {
-			for i := range fronts { // one may have been named and forgotten
-				wait = max(wait, fronts[i].OwnerLease)
+			for i := range fronts { // an owner may have been named and since removed
+				priorLease = max(priorLease, fronts[i].OwnerLease)
 			}
 		}
-		best := slices.MinFunc(able[site], func(a, b *Front) int {
+		best := slices.MinFunc(candidates[site], func(a, b *Front) int {
 			return cmp.Or(cmp.Compare(rank(site, a.Name), rank(site, b.Name)), cmp.Compare(a.Name, b.Name))
 		})
 		s.LastNumber++
-		k := Owner{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.LastNumber, PriorLease: wait, Since: now}
+		k := Owner{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.LastNumber, PriorLease: priorLease, Since: now}
 		if old != nil {
 			*old = k
 		} else {
 			s.Owners = append(s.Owners, k)
 			slices.SortFunc(s.Owners, func(a, b Owner) int { return cmp.Compare(a.Site, b.Site) })
 		}
-		told = append(told, fmt.Sprintf("site %q: %s keeps it, number %d", site, k.Name, k.Number))
+		events = append(events, fmt.Sprintf("site %q: %s keeps it, number %d", site, k.Name, k.Number))
 	}
-	return told
+	return events
 }
 
-// rank spreads the keeping of sites over their fronts.
+// rank orders the fronts of a site by a hash of both names, so that ownership is spread
+// over the fronts.
 func rank(site, front string) uint64 { return xxhash.Sum64String(site + "\x00" + front) }
--- a/internal/decide/topology/topology_test.go
+++ b/internal/decide/topology/topology_test.go
@@ -11,9 +11,10 @@
 
 const second Micros = 1_000_000
 
-// Guards keepers: one for each site that has a front able to keep it, always another
-// number, and none that is lost; one that is heard stays.
-func TestKeepers(t *testing.T) {
+// Checks that each site with an eligible front has a live owner within the site, that
+// numbers of a site's owners never decrease, and that a live owner is not replaced, while
+// fronts are lost, come back and restart.
+func TestOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		last := map[string]uint64{}
@@ -35,25 +36,25 @@
 				i := slices.IndexFunc(fronts, func(f Front) bool { return k.Is(f.Name, f.ID, f.Start) })
 				able := slices.ContainsFunc(fronts, func(f Front) bool { return !f.Lost && Within(f.Site, k.Site) })
 				if able && (i < 0 || fronts[i].Lost || !Within(fronts[i].Site, k.Site)) {
-					t.Fatalf("%+v keeps %q", k, k.Site)
+					t.Fatalf("%+v owns %q", k, k.Site)
 				}
 				if k.Number < last[k.Site] {
-					t.Fatalf("number %d after %d", k.Number, last[k.Site])
+					t.Fatalf("owner number %d after %d", k.Number, last[k.Site])
 				}
 				last[k.Site] = k.Number
 			}
 			for _, old := range before {
 				i := slices.IndexFunc(fronts, func(f Front) bool { return old.Is(f.Name, f.ID, f.Start) && !f.Lost })
 				if k := s.Owner(old.Site); i >= 0 && k.Number != old.Number {
-					t.Fatalf("%q was given to another though %s is heard", old.Site, old.Name)
+					t.Fatalf("%q got another owner although %s is alive", old.Site, old.Name)
 				}
 			}
 		}
 	})
 }
 
-// Guards attaching: to the nearest that answers, past one that does not, and back only
-// once that one has answered for a while.
+// Checks that a role attaches to the nearest owner that answers, passes over one that
+// does not, and returns to it only after it has answered for FailbackAfter.
 func TestAttachment(t *testing.T) {
 	c := Config{FailoverAfter: second, FailbackAfter: 2 * second}
 	above := []Owner{{Site: "w/a", Number: 3}, {Site: "w", Number: 2}, {Site: "", Number: 1}}
@@ -63,8 +64,8 @@
 		k, _ := a.Owner()
 		return k.Number
 	}
-	require.Equal(t, uint64(3), to(0), "the nearest, until it has had its span")
-	require.Equal(t, uint64(2), to(2*second), "past it")
+	require.Equal(t, uint64(3), to(0), "the nearest, until FailoverAfter has passed")
+	require.Equal(t, uint64(2), to(2*second), "fails over")
 	for now := 2 * second; now < 4*second; now += second / 2 {
 		a.Answered(2, now, c)
 		require.Equal(t, uint64(2), to(now))
@@ -72,10 +73,10 @@
 	for now := 4 * second; now < 6*second; now += second / 2 {
 		a.Answered(2, now, c)
 		a.Answered(3, now, c)
-		require.Equal(t, uint64(2), to(now), "not at once")
+		require.Equal(t, uint64(2), to(now), "no immediate failback")
 	}
 	a.Answered(3, 6*second, c)
-	require.Equal(t, uint64(3), to(6*second), "back")
+	require.Equal(t, uint64(3), to(6*second), "fails back")
 	require.Equal(t, []string{"w/hub/x", "w/hub", "w", ""}, PathToRoot("w/hub/x"))
 	require.Error(t, CheckPath("w//x"))
 	require.Error(t, CheckPath("a/b/c/d/e/f/g"))
