--- a/internal/decide/latency/latency.go
+++ b/internal/decide/latency/latency.go
@@ -1,12 +1,12 @@
-// Package latency decides in which order a region's clients should go to the edges that can
-// serve them, by what fronts measure in requests that they serve anyway.
+// Package latency decides which share of a region's clients should go to which edge, from
+// latencies that fronts measure on the requests that they serve.
 //
-// What is measured fades (forward decay, Cormode and others, 2009) and is kept as
-// sketches that merge (DDSketch, Masson and others, 2019), so that a site's word is that of
-// its fronts added up. One front's word weighs no more than a stated number of requests.
-// Where a pair is not known, what is known of the region above counts in its place
-// (shrinkage by weight). An order is by latency and by room, and its shares move at a
-// bounded pace: latency alone herds everybody to one place (Donar, 2010).
+// Measurements decay exponentially (forward decay, Cormode et al., 2009) and are held in
+// mergeable sketches (DDSketch, Masson et al., 2019), so a site's summary is the merge of
+// its fronts' summaries. The weight of a single front is capped. An estimate with little
+// data is shrunk towards that of the enclosing region. Shares depend on latency and on
+// capacity and change at a bounded rate, since routing by latency alone sends all clients
+// to one place (Donar, 2010).
 package latency
 
 import (
@@ -21,50 +21,50 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Micros is a span, or a moment of one process's own clock, in microseconds.
+// Micros is a duration, or a time on the process's own clock, in microseconds.
 type Micros = int64
 
-// Rules are what paths go by.
+// Rules are the parameters of path selection.
 type Rules struct {
-	HalfLife          Micros  // half life of what was measured
-	OrderTTL          Micros  // after which an order is not gone by
-	ExploreShare      float64 // part of a region's requests that try edges not seen lately
-	MaxShiftPerSecond float64 // part of a region's share that may move in a second
-	MaxFrontWeight    float64 // that one front's word counts at most, in requests
+	HalfLife          Micros  // half-life of measurements
+	OrderTTL          Micros  // how long an order may be used
+	ExploreShare      float64 // fraction of a region's requests spread evenly over all edges, so that each is measured
+	MaxShiftPerSecond float64 // fraction of a region's requests that may move per second
+	MaxFrontWeight    float64 // maximum weight of one front's summary, in requests
 }
 
-// Bounds.
+// Limits and accuracy.
 const (
-	MaxPairs    = 4096 // regions times edges that one process knows
-	accuracy    = 0.02 // relative, of a sketch's quantiles
+	MaxPairs    = 4096 // region and edge pairs held by one process
+	accuracy    = 0.02 // relative accuracy of a sketch's quantiles
 	maxBins     = 512
-	priorWeight = 20 // requests that what is known of the region above counts as
+	priorWeight = 20 // weight, in requests, of the enclosing region's estimate
 	minWeight   = 0.05
 )
 
-// Pair is a region and an edge.
+// Pair identifies a path: a client region and an edge.
 type Pair struct {
 	Region string `cbor:"1,keyasint"`
 	Edge   string `cbor:"2,keyasint"`
 }
 
-// Sample is one request's latency between them.
+// Sample is the latency of one request of a pair.
 type Sample struct {
 	Pair
 	Latency Micros
 }
 
-// Summary is what is known of one pair.
+// Summary is the latency distribution of one pair.
 type Summary struct {
 	Pair   Pair    `cbor:"1,keyasint"`
-	Weight float64 `cbor:"2,keyasint"` // requests, decayed
+	Weight float64 `cbor:"2,keyasint"` // decayed number of requests
 	Sketch []byte  `cbor:"3,keyasint"`
 }
 
 var indexMapping = func() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(accuracy)
 	if err != nil {
-		panic(err) // the accuracy is a constant
+		panic(err) // cannot happen: the accuracy is a valid constant
 	}
 	return m
 }()
@@ -73,29 +73,29 @@
 	return ddsketch.NewDDSketch(indexMapping, store.NewCollapsingLowestDenseStore(maxBins), store.NewCollapsingLowestDenseStore(1))
 }
 
-// known is one pair as a process has it.
+// pairSketch is the decaying sketch of one pair.
 type pairSketch struct {
 	sketch    *ddsketch.DDSketch
 	decayedAt Micros
 }
 
-// Model is what one front measured itself.
+// Model holds the measurements of one front.
 type Model struct {
 	rules Rules
 	pairs map[Pair]*pairSketch
 }
 
-// NewModel makes an empty one.
+// NewModel returns an empty Model.
 func NewModel(r Rules) *Model { return &Model{rules: r, pairs: map[Pair]*pairSketch{}} }
 
 func (m *Model) decay(k *pairSketch, now Micros) {
 	if f := math.Exp2(-float64(now-k.decayedAt) / float64(m.rules.HalfLife)); f < 0.98 {
-		_ = k.sketch.Reweight(f) // which only refuses what is not above 0
+		_ = k.sketch.Reweight(f) // fails only for factors that are not positive
 		k.decayedAt = now
 	}
 }
 
-// Add takes samples in.
+// Add records samples. Samples of new pairs are dropped while MaxPairs pairs are held.
 func (m *Model) Add(list []Sample, now Micros) {
 	for _, x := range list {
 		k := m.pairs[x.Pair]
@@ -110,11 +110,11 @@
 			m.pairs[x.Pair] = k
 		}
 		m.decay(k, now)
-		_ = k.sketch.Add(float64(max(1, x.Latency))) // it is in range
+		_ = k.sketch.Add(float64(max(1, x.Latency))) // the value is in the sketch's range
 	}
 }
 
-// Sweep forgets what has faded.
+// Prune removes pairs whose weight has decayed below minWeight.
 func (m *Model) Prune(now Micros) {
 	maps.DeleteFunc(m.pairs, func(_ Pair, k *pairSketch) bool {
 		m.decay(k, now)
@@ -122,7 +122,7 @@
 	})
 }
 
-// Tell is what this front says of all pairs.
+// Summaries returns the summaries of all pairs, ordered by pair.
 func (m *Model) Summaries(now Micros) (list []Summary) {
 	m.Prune(now)
 	for p, k := range m.pairs {
@@ -144,7 +144,7 @@
 	})
 }
 
-// mostSketch bounds a sketch on the wire, in bytes.
+// maxSketchBytes bounds the size of an encoded sketch.
 const maxSketchBytes = 8 << 10
 
 func (s *Summary) sketch() *ddsketch.DDSketch {
@@ -158,8 +158,8 @@
 	return x
 }
 
-// Merge adds up what roles say. What a front says is cut to the most that one counts; a
-// site's word has been cut front by front already.
+// Merge merges summaries by pair. Each front's weight is capped at MaxFrontWeight; sites'
+// summaries are not capped, since their fronts' weights already were.
 func Merge(r Rules, fronts, sites [][]Summary) (out []Summary) {
 	all := map[Pair]*ddsketch.DDSketch{}
 	add := func(list []Summary, most float64) {
@@ -179,7 +179,7 @@
 				t = newSketch()
 				all[s.Pair] = t
 			}
-			_ = t.MergeWith(x) // of one shape
+			_ = t.MergeWith(x) // all sketches have the same mapping
 		}
 	}
 	for _, list := range fronts {
@@ -195,38 +195,38 @@
 	return out
 }
 
-// Share is one edge in a region's order.
+// Share is the part of a region's requests that one edge should serve.
 type Share struct {
 	Edge     string  `cbor:"1,keyasint" json:"edge"`
 	Share    float64 `cbor:"2,keyasint" json:"share"`
-	Median   float64 `cbor:"3,keyasint" json:"took_us"` // its median, with what stands for what is not known
+	Median   float64 `cbor:"3,keyasint" json:"took_us"` // estimated median in microseconds, shrunk towards the enclosing region's
 	Weight   float64 `cbor:"4,keyasint" json:"weight"`
 	Capacity float64 `cbor:"5,keyasint" json:"room"`
 }
 
-// Order is how a region's clients should go, the largest share first.
+// Order lists the edges for a region's clients, the largest share first.
 type Order struct {
 	Region    string  `cbor:"1,keyasint" json:"region"`
 	Edges     []Share `cbor:"2,keyasint" json:"edges"`
-	Remaining Micros  `cbor:"3,keyasint" json:"left_us"` // from when who is told asked
+	Remaining Micros  `cbor:"3,keyasint" json:"left_us"` // validity, from the time of the receiver's request
 }
 
-// Planner is the root's: it has shares follow what is known.
+// Planner runs at the root's owner and adjusts shares to the measured latencies.
 type Planner struct {
 	rules      Rules
 	shares     map[string]map[string]float64
 	steppedAt  Micros
-	TotalShift float64 // shares that moved, added up: swings
+	TotalShift float64 // sum of all changes of shares
 }
 
-// NewPlanner makes one.
+// NewPlanner returns a Planner without shares.
 func NewPlanner(r Rules) *Planner { return &Planner{rules: r, shares: map[string]map[string]float64{}} }
 
-// estimate is a pair's median in us, and its weight.
+// estimate is a pair's median in microseconds, and its weight.
 type estimate struct{ median, weight float64 }
 
-// Step gives every region's order. Room is what part of an edge can be used, 0 to 1, by
-// verdicts and limits; 1 where nothing is known.
+// Step returns the order of every region. The function returns an edge's usable fraction,
+// 0 to 1, by verdicts and limits; 1 if nothing is known about it.
 func (p *Planner) Step(list []Summary, room func(edge string) float64, now Micros) (out []Order) {
 	own := map[Pair]estimate{}
 	edges, regions := map[string]bool{}, map[string]bool{}
@@ -268,8 +268,8 @@
 	return out
 }
 
-// shrunk is a pair's estimate, drawn to what is known of the regions above by how little
-// is known of it.
+// shrunkEstimate returns a pair's estimate, shrunk towards that of the nearest enclosing
+// region with data; the less weight the pair has, the more.
 func shrunkEstimate(own map[Pair]estimate, above map[Pair][]estimate, region, edge string) estimate {
 	x := own[Pair{region, edge}]
 	for r := region; ; {
@@ -294,8 +294,9 @@
 	}
 }
 
-// aim sets the shares that an order should come to: mostly to the quickest with room, by
-// how much quicker it is, and a little to each so that it is seen.
+// setTargetShares sets the shares that an order should converge to: they fall
+// exponentially with the latency above that of the fastest edge with capacity, and
+// ExploreShare is spread evenly so that every edge is measured.
 func (p *Planner) setTargetShares(o *Order) {
 	best := math.Inf(1)
 	for _, s := range o.Edges {
@@ -308,7 +309,7 @@
 		s := &o.Edges[i]
 		took := s.Median
 		if took == 0 {
-			took = best * 2 // not known at all
+			took = best * 2 // no estimate
 		}
 		s.Share = s.Capacity * math.Exp(-max(0, took-best)/max(2000, best*0.25))
 		total += s.Share
@@ -325,7 +326,7 @@
 	}
 }
 
-// move has shares go to where they should be, no faster than they may.
+// limitShift moves the shares towards their targets, by at most MaxShiftPerSecond.
 func (p *Planner) limitShift(o *Order, span float64) {
 	was := p.shares[o.Region]
 	next := map[string]float64{}
@@ -351,14 +352,15 @@
 	p.shares[o.Region] = next
 }
 
-// Map is the orders that one process was told. The zero value holds none.
+// OrderCache holds the orders that one process received. The zero value is empty.
 type OrderCache struct {
 	byRegion  map[string]Order
 	expiresAt Micros
 	stamp     Micros
 }
 
-// Told takes in what a keeper told in answer to a stamp of this process's own clock.
+// Update replaces the orders by those that an owner sent in answer to a request. Stamp is
+// the time of the request on this process's clock; older answers are ignored.
 func (m *OrderCache) Update(list []Order, stamp, most Micros) {
 	if stamp <= m.stamp {
 		return
@@ -370,8 +372,9 @@
 	}
 }
 
-// Of is the order for a region; ok is false where there is none that holds: then by own
-// sight, and then by the static order. A region that is not known goes by the one above.
+// Lookup returns the order of a region, or of the nearest enclosing region that has one.
+// If ok is false there is no valid order, and the caller uses its own measurements, then
+// the static order.
 func (m *OrderCache) Lookup(region string, now Micros) (o Order, ok bool) {
 	if now >= m.expiresAt {
 		return o, false
@@ -387,7 +390,7 @@
 	}
 }
 
-// All gives the orders that hold, to be told on.
+// All returns the valid orders, ordered by region, for forwarding.
 func (m *OrderCache) All(now Micros) (list []Order) {
 	if now >= m.expiresAt {
 		return nil
--- a/internal/decide/latency/latency_test.go
+++ b/internal/decide/latency/latency_test.go
@@ -12,7 +12,7 @@
 
 var rules = Rules{HalfLife: 10 * second, OrderTTL: 6 * second, ExploreShare: 0.02, MaxShiftPerSecond: 0.1, MaxFrontWeight: 200}
 
-// world has fronts measure true latencies that change.
+// measure adds n samples around a true latency to a front's model.
 func measure(r *rand.Rand, m *Model, region, edge string, ms float64, n int, now Micros) {
 	var list []Sample
 	for range n {
@@ -34,8 +34,9 @@
 	return Share{}
 }
 
-// Guards the estimate against the truth, that it follows a change, that shares move at
-// their pace, and that an edge without room gets little.
+// Checks that the estimate is close to the true latency, that shares follow a change at
+// no more than the allowed rate and then settle, and that an edge without capacity gets
+// little.
 func TestSharesFollowLatency(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	models := []*Model{NewModel(rules), NewModel(rules), NewModel(rules)}
@@ -58,18 +59,19 @@
 	require.Greater(t, share(o, "west/a", "near").Share, 0.9)
 	before := share(o, "west/a", "near").Share
 	o = run(second, 200, 60, fullCapacity)
-	require.InDelta(t, before, share(o, "west/a", "near").Share, rules.MaxShiftPerSecond+1e-9, "never a jump")
+	require.InDelta(t, before, share(o, "west/a", "near").Share, rules.MaxShiftPerSecond+1e-9, "bounded rate")
 	o = run(60*second, 200, 60, fullCapacity)
-	require.Greater(t, share(o, "west/a", "far").Share, 0.9, "it follows")
+	require.Greater(t, share(o, "west/a", "far").Share, 0.9, "follows the change")
 	moved := p.TotalShift
 	o = run(30*second, 200, 60, fullCapacity)
-	require.Less(t, p.TotalShift-moved, 0.05, "and comes to rest")
+	require.Less(t, p.TotalShift-moved, 0.05, "settles")
 	o = run(40*second, 200, 60, func(e string) float64 { return map[string]float64{"near": 1}[e] })
-	require.Less(t, share(o, "west/a", "far").Share, 0.05, "no room")
+	require.Less(t, share(o, "west/a", "far").Share, 0.05, "no capacity")
 }
 
-// Guards that a front that lies moves an estimate no more than its weight allows, and
-// that a pair nobody has measured is drawn from the region above.
+// Checks that a front with false measurements moves an estimate no more than its capped
+// weight allows, and that a pair without measurements gets the enclosing region's
+// estimate.
 func TestOutlierFrontAndUnknownPair(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
 	now := second
@@ -86,8 +88,8 @@
 	measure(r, other, "west/b", "f", 20, 30, now)
 	fronts = append(fronts, other.Summaries(now))
 	o := NewPlanner(rules).Step(Merge(rules, fronts, nil), fullCapacity, now)
-	require.InEpsilon(t, 50_000, share(o, "west/a", "e").Median, 0.15, "one of five says 1 ms")
-	require.InEpsilon(t, 50_000, share(o, "west/b", "e").Median, 0.15, "by the region above")
+	require.InEpsilon(t, 50_000, share(o, "west/a", "e").Median, 0.15, "one front of five reports 1 ms")
+	require.InEpsilon(t, 50_000, share(o, "west/b", "e").Median, 0.15, "from the enclosing region")
 	require.Zero(t, share(o, "west/b", "e").Weight)
 	var m OrderCache
 	m.Update(o, 10*second, 6*second)
--- a/internal/decide/outlier/evaluator.go
+++ b/internal/decide/outlier/evaluator.go
@@ -6,36 +6,36 @@
 	"slices"
 )
 
-// Verdict holds for the whole fleet, for what is left of its span.
+// Verdict is a state assigned to a subject for the whole fleet, for a limited time.
 type Verdict struct {
 	Subject       string    `cbor:"1,keyasint" json:"thing"`
 	Hub           string    `cbor:"2,keyasint,omitempty" json:"hub,omitempty"`
 	State         State     `cbor:"3,keyasint" json:"-"`
 	Number        uint64    `cbor:"4,keyasint" json:"number"`
 	Witnesses     []Witness `cbor:"5,keyasint" json:"witnesses"`
-	Count         int       `cbor:"6,keyasint" json:"count"`    // of witnesses
-	Sites         int       `cbor:"7,keyasint" json:"sites"`    // of those named
-	PossibleSites int       `cbor:"8,keyasint" json:"possible"` // sites that could tell
-	Remaining     Micros    `cbor:"9,keyasint" json:"left_us"`  // from when who is told asked
+	Count         int       `cbor:"6,keyasint" json:"count"`    // number of witnesses
+	Sites         int       `cbor:"7,keyasint" json:"sites"`    // sites of the witnesses listed
+	PossibleSites int       `cbor:"8,keyasint" json:"possible"` // sites with observations of the subject
+	Remaining     Micros    `cbor:"9,keyasint" json:"left_us"`  // validity, from the time of the receiver's request
 	Span          Micros    `cbor:"10,keyasint" json:"span_us"`
-	Factor        float64   `cbor:"11,keyasint,omitempty" json:"factor,omitempty"` // by which return times grow
+	Factor        float64   `cbor:"11,keyasint,omitempty" json:"factor,omitempty"` // multiplier of the times after which clients may return
 }
 
-// standing is a verdict as the root has it.
+// verdictState is a verdict as the Evaluator holds it.
 type verdictState struct {
 	verdict  Verdict
-	until    Micros // by the root's clock
-	renewals int    // that it came again, for its span
-	endedAt  Micros // 0: it holds
+	until    Micros // on the root owner's clock
+	renewals int    // number of times that it was reached again, which lengthens its span
+	endedAt  Micros // 0 while it is in force
 }
 
-// Rule is a rule that a mutation leaves out, for the checkers' own test.
+// Mutation names a rule that is disabled to test that the checkers detect its absence.
 type Mutation string
 
-// NoWitness has one front's word be enough.
+// DisableWitnesses makes an observation of a single front sufficient for a verdict.
 const DisableWitnesses Mutation = "witness"
 
-// Bench is the root's: it has verdicts stand on opinions.
+// Evaluator runs at the root's owner and derives verdicts from observations.
 type Evaluator struct {
 	rules      Rules
 	mutation   Mutation
@@ -43,16 +43,17 @@
 	lastNumber uint64
 }
 
-// NewBench makes one under a keeper's number, so that numbers only grow.
+// NewEvaluator returns an Evaluator for the owner of the given number. Verdict numbers
+// start above those of any owner with a lower number.
 func NewEvaluator(r Rules, keeper uint64) *Evaluator {
 	return &Evaluator{rules: r, verdicts: map[key]*verdictState{}, lastNumber: keeper << 24}
 }
 
-// Without leaves a rule out.
+// Disable disables a rule.
 func (b *Evaluator) Disable(r Mutation) { b.mutation = r }
 
-// Step takes in what the fleet says now, of how many boxes each hub has, and gives the
-// verdicts that hold, each with what is left of it.
+// Step evaluates the fleet's current observations and returns the verdicts in force with
+// their remaining validity. Boxes is the number of boxes of each hub.
 func (b *Evaluator) Step(list []Observation, boxes map[string]int, now Micros) []Verdict {
 	well := map[string]Observation{}
 	possible := map[string]map[string]bool{}
@@ -73,7 +74,7 @@
 		}
 		b.renew(o, len(possible[o.Subject]), now)
 	}
-	// Witnesses that changed their minds take it back at once.
+	// A verdict ends at once when more witnesses see the subject as healthy than support it.
 	for k, s := range b.verdicts {
 		if s.endedAt == 0 && (now >= s.until || k.state != Overloaded && k.state != Forging && well[k.thing].Count > s.verdict.Count) {
 			s.endedAt = now
@@ -85,15 +86,15 @@
 	return b.active(boxes, now)
 }
 
-// stands tells whether an opinion has the witnesses that it needs.
+// hasQuorum reports whether an observation has enough witnesses for a verdict.
 func (b *Evaluator) hasQuorum(o, well Observation, possible int) bool {
 	if b.mutation == DisableWitnesses {
 		return true
 	}
 	switch o.State {
-	case Forging: // who forges may come to one site alone
+	case Forging: // a forging client may use a single site, so one site is enough
 		return o.Count >= b.rules.Witnesses && o.Rate >= b.rules.ForgedRate
-	case Overloaded: // its own fronts alone can tell
+	case Overloaded: // only the hub's own fronts observe this
 		return o.Count >= b.rules.Witnesses
 	}
 	return o.Count >= b.rules.Witnesses && o.Count > well.Count && countSites(o.Witnesses) >= min(2, possible)
@@ -110,21 +111,22 @@
 		b.lastNumber++
 		s = &verdictState{verdict: Verdict{Subject: o.Subject, Hub: o.Hub, State: o.State, Number: b.lastNumber}}
 		b.verdicts[k] = s
-	case s.endedAt != 0: // it comes again: it is tried less often
+	case s.endedAt != 0: // reached again: a longer span, so that the subject is retried less often
 		b.lastNumber++
 		s.verdict.Number, s.endedAt = b.lastNumber, 0
 		s.renewals = min(s.renewals+1, 3)
 	}
 	s.verdict.Witnesses, s.verdict.Count, s.verdict.Sites, s.verdict.PossibleSites = o.Witnesses, o.Count, countSites(o.Witnesses), possible
 	s.verdict.Span = min(b.rules.Span<<s.renewals, maxSpanMultiple*b.rules.Span)
-	if o.State == Overloaded { // longer the longer it lasts, and shorter by itself when it is over
+	if o.State == Overloaded { // return times grow while the overload lasts; the span stays short so that it ends soon after
 		s.verdict.Factor = math.Min(64, math.Max(1, s.verdict.Factor)*1.1)
 		s.verdict.Span = b.rules.Span
 	}
 	s.until = now + s.verdict.Span
 }
 
-// hold gives what holds, without emptying any hub: those with the most witnesses first.
+// active returns the verdicts in force, ordered by state and number of witnesses. Failing
+// verdicts beyond the share of a hub's boxes that may be removed are left out.
 func (b *Evaluator) active(boxes map[string]int, now Micros) (out []Verdict) {
 	var list []*verdictState
 	for _, s := range b.verdicts {
@@ -140,7 +142,7 @@
 		v := s.verdict
 		if v.State == Failing {
 			n := boxes[v.Hub]
-			if most := min(max(1, int(float64(n)*b.rules.MaxEjectedShare)), n-1); taken[v.Hub] >= most { // one of two may go, never the last
+			if most := min(max(1, int(float64(n)*b.rules.MaxEjectedShare)), n-1); taken[v.Hub] >= most { // at least one box may be removed, but never the last
 				continue
 			}
 			taken[v.Hub]++
@@ -151,21 +153,21 @@
 	return out
 }
 
-// Held is a verdict as a front or a site's keeper holds it.
+// HeldVerdict is a verdict as a front or a site's owner holds it.
 type HeldVerdict struct {
 	Verdict
-	Until Micros // by the holder's clock
+	Until Micros // on the holder's clock
 }
 
-// Docket is the verdicts that one process was told. The zero value holds none.
+// VerdictCache holds the verdicts that one process received. The zero value is empty.
 type VerdictCache struct {
 	list  []HeldVerdict
-	stamp Micros // stamp of what told them
+	stamp Micros // time of the request whose answer is held
 }
 
-// Told takes in what a keeper told in answer to a stamp of this process's own clock: so
-// none holds longer than the root meant, whatever the way there took. What is older than
-// what was told before changes nothing.
+// Update replaces the verdicts by those that an owner sent in answer to a request. Stamp
+// is the time of the request on this process's clock; validity counts from it, so network
+// delay never extends a verdict. Answers to older requests are ignored.
 func (d *VerdictCache) Update(list []Verdict, stamp, most Micros) {
 	if stamp <= d.stamp {
 		return
@@ -178,7 +180,7 @@
 	}
 }
 
-// Hold gives those that hold at a moment; what is left of each is told on.
+// Active returns the verdicts in force at a time, each with its remaining validity.
 func (d *VerdictCache) Active(now Micros) (out []Verdict) {
 	d.list = slices.DeleteFunc(d.list, func(h HeldVerdict) bool { return now >= h.Until })
 	for _, h := range d.list {
@@ -189,8 +191,9 @@
 	return out
 }
 
-// StayAway is how long to tell somebody to stay away whose hub is overloaded: longer by the
-// verdict's factor, spread so that not all come back together. Chance is 0 to 1.
+// RetryAfter returns how long a client of an overloaded hub should wait: base times the
+// verdict's factor, spread by the random value chance (0 to 1) so that clients do not
+// return at the same time, and at most MaxRetryAfter and, if positive, most.
 func (r Rules) RetryAfter(base Micros, factor, chance float64, most Micros) Micros {
 	away := float64(base) * math.Max(1, factor) * (1 + (r.RetrySpread-1)*chance)
 	limit := float64(r.MaxRetryAfter)
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -1,11 +1,11 @@
-// Package outlier decides what holds for the whole fleet of boxes, hubs and clients'
-// prefixes: fronts have opinions, of what they saw themselves, with evidence that fades;
-// a verdict needs witnesses, in more than one site where more than one can tell, holds
-// for a span, and is taken back when witnesses change their minds (SWIM's suspicion with
-// several witnesses, as Lifeguard has it). No verdict takes more than a stated part of a
-// hub's boxes away.
+// Package outlier detects failing boxes, overloaded hubs and client prefixes that forge
+// signatures, for the whole fleet. Fronts make observations from their own requests, with
+// evidence that decays. A verdict needs several witnesses, from more than one site if
+// more than one site has observations; it expires, and ends early when its witnesses no
+// longer agree (SWIM's suspicion with several witnesses, as in Lifeguard). Verdicts never
+// remove more than a configured share of a hub's boxes.
 //
-// Observer is a front's side, Merge a keeper's, Bench the root's.
+// Observer runs in each front, Merge in each site's owner, Evaluator in the root's owner.
 package outlier
 
 import (
@@ -15,13 +15,14 @@
 	"slices"
 )
 
-// Micros is a span, or a moment of one process's own clock, in microseconds.
+// Micros is a duration, or a time on the process's own clock, in microseconds.
 type Micros = int64
 
-// State is what is said of something.
+// State is the observed state of a subject.
 type State uint8
 
-// The states. Boxes are well, slow or failing; hubs overloaded; prefixes forge.
+// The states. Boxes are healthy, slow or failing; hubs are overloaded; prefixes are
+// forging.
 const (
 	Healthy State = iota
 	Slow
@@ -34,79 +35,80 @@
 
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// Rules are what verdicts go by.
+// Rules are the parameters of observations and verdicts.
 type Rules struct {
-	Witnesses       int     // that must say the same
-	Span            Micros  // for which a verdict holds after it was last said
-	HalfLife        Micros  // half life of evidence
-	FailingShare    float64 // share of bad answers
-	SlowFactor      float64 // times what the hub takes
-	MinAnswers      float64 // answers, decayed, for an opinion
-	MaxEjectedShare float64 // part of a hub's boxes that verdicts may take away
-	RefusedShare    float64 // share of refused requests of a hub
-	ForgedRate      float64 // a second, over the fleet
-	MaxRetryAfter   Micros  // the longest that is told
+	Witnesses       int     // fronts that must observe the same state
+	Span            Micros  // validity of a verdict after the last observation that supports it
+	HalfLife        Micros  // half-life of evidence
+	FailingShare    float64 // share of failed answers from which a box is failing
+	SlowFactor      float64 // multiple of the hub's median latency from which a box is slow
+	MinAnswers      float64 // decayed number of answers needed for an observation
+	MaxEjectedShare float64 // share of a hub's boxes that verdicts may remove
+	RefusedShare    float64 // share of refused requests from which a hub is overloaded
+	ForgedRate      float64 // forged signatures per second over the fleet from which a prefix is forging
+	MaxRetryAfter   Micros  // longest wait that clients are told
 	RetrySpread     float64
 }
 
-// Longest is the longest that any verdict holds.
+// MaxSpan returns the longest validity of any verdict.
 func (r Rules) MaxSpan() Micros { return maxSpanMultiple * r.Span }
 
-// Bounds.
+// Limits.
 const (
-	MaxSubjects     = 2048 // boxes, hubs and prefixes that one process has opinions of
+	MaxSubjects     = 2048 // boxes, hubs and prefixes with observations in one process
 	maxPrefixes     = 256
-	maxWitnesses    = 6 // witnesses named of each state
-	maxSpanMultiple = 8 // times the span, of a verdict that comes again and again
+	maxWitnesses    = 6 // witnesses listed per observation
+	maxSpanMultiple = 8 // longest span of a repeated verdict, as a multiple of Rules.Span
 )
 
-// Witness is a front that says something.
+// Witness is a front that made an observation.
 type Witness struct {
 	Front    string  `cbor:"1,keyasint"`
 	Site     string  `cbor:"2,keyasint"`
 	Evidence float64 `cbor:"3,keyasint"`
 }
 
-// Opinion is what is said of one thing, by one front or by all of a site.
+// Observation is the state of one subject as observed by one front, or by all fronts of a
+// site.
 type Observation struct {
 	Subject   string    `cbor:"1,keyasint"`
-	Hub       string    `cbor:"2,keyasint,omitempty"` // of a box
+	Hub       string    `cbor:"2,keyasint,omitempty"` // the hub of a box
 	State     State     `cbor:"3,keyasint"`
-	Witnesses []Witness `cbor:"4,keyasint"` // some of those who say so, of different sites first
+	Witnesses []Witness `cbor:"4,keyasint"` // some of the witnesses, from different sites first
 	Count     int       `cbor:"5,keyasint"`
-	Rate      float64   `cbor:"6,keyasint,omitempty"` // of forged signatures, a second
+	Rate      float64   `cbor:"6,keyasint,omitempty"` // forged signatures per second
 }
 
-// key tells opinions apart.
+// key identifies an observation or verdict.
 type key struct {
 	thing string
 	state State
 }
 
-// tally is what a front saw of one box.
+// boxStats is what a front has observed of one box or prefix.
 type boxStats struct {
 	hub            string
-	good, bad      float64 // answers, by time: how much there is to go by
-	failureShare   float64 // of bad ones among the last few, whenever they came: a box that fails is asked less and less
+	good, bad      float64 // decayed numbers of answers
+	failureShare   float64 // failed share of the last few answers, regardless of their age, since a failing box gets fewer and fewer requests
 	shareSamples   int
-	meanLogLatency float64 // mean of the logarithm of what good answers took, in us
+	meanLogLatency float64 // mean logarithm of the latency of successful answers in microseconds
 	updatedAt      Micros
 }
 
-// lastFew is how many answers the share of bad ones is of, roughly.
+// recentAnswers is roughly the number of answers over which failureShare is averaged.
 const recentAnswers = 3
 
-// Observer is what one front sees. It belongs to one goroutine.
+// Observer collects what one front observes. It must be used by one goroutine only.
 type Observer struct {
 	rules     Rules
 	boxes     map[string]*boxStats
 	prefixes  map[string]*boxStats
-	answered  float64 // requests of this front's own clients
+	answered  float64 // decayed requests of this front's clients that were not refused
 	refused   float64
 	updatedAt Micros
 }
 
-// NewObserver makes one that has seen nothing.
+// NewObserver returns an Observer without observations.
 func NewObserver(r Rules) *Observer {
 	return &Observer{rules: r, boxes: map[string]*boxStats{}, prefixes: map[string]*boxStats{}}
 }
@@ -135,7 +137,7 @@
 	return t
 }
 
-// Answered notes how an attempt at a box ended, and what it took.
+// RecordAnswer records the outcome of an attempt at a box and its duration.
 func (o *Observer) RecordAnswer(box, hub string, ok bool, took, now Micros) {
 	t := o.stats(o.boxes, box, MaxSubjects, now)
 	if t == nil {
@@ -153,14 +155,14 @@
 	t.meanLogLatency += (math.Log(float64(max(1, took))) - t.meanLogLatency) / math.Min(t.good, 20)
 }
 
-// Forged notes a forged signature from a prefix.
+// RecordForged records a forged signature from a prefix.
 func (o *Observer) RecordForged(prefix string, now Micros) {
 	if t := o.stats(o.prefixes, prefix, maxPrefixes, now); t != nil {
 		t.bad++
 	}
 }
 
-// Ended notes a request of this front's clients, answered or refused.
+// RecordRequest records a request of this front's clients, answered or refused.
 func (o *Observer) RecordRequest(refused bool, now Micros) {
 	f := o.decay(now - o.updatedAt)
 	o.answered, o.refused, o.updatedAt = o.answered*f, o.refused*f, now
@@ -171,8 +173,8 @@
 	}
 }
 
-// Of is this front's own opinion of a box now; fresh is false where it has seen too
-// little lately to have one.
+// State returns the state of a box as observed by this front alone; fresh is false if there
+// is too little recent evidence.
 func (o *Observer) State(box string, now Micros) (s State, fresh bool) {
 	t := o.boxes[box]
 	if t == nil {
@@ -185,7 +187,7 @@
 	return o.classify(t, o.medianLogLatency(t.hub)), true
 }
 
-// usual is what good answers of a hub's boxes take, the median of their means.
+// medianLogLatency returns the median of the mean log latencies of a hub's boxes.
 func (o *Observer) medianLogLatency(hub string) float64 {
 	var list []float64
 	for _, t := range o.boxes {
@@ -210,8 +212,8 @@
 	return Healthy
 }
 
-// Opinions are what this front says now: of boxes that it has seen enough of, of its own
-// hub, and of prefixes.
+// Observations returns this front's current observations of boxes with enough evidence, of
+// its own hub, and of prefixes, and removes entries whose evidence has decayed.
 func (o *Observer) Observations(front, site string, now Micros) (list []Observation) {
 	usual := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(o.boxes)) {
@@ -244,8 +246,8 @@
 	return list
 }
 
-// Merge adds up what roles say of the same things. One front counts once, whatever it
-// says; a site's word stands for its fronts.
+// Merge adds up the observations of several roles by subject and state. Each list comes
+// from one front or from one site, whose counts stand for its fronts.
 func Merge(lists ...[]Observation) (out []Observation) {
 	all := map[key]*Observation{}
 	for _, list := range lists {
@@ -277,7 +279,8 @@
 	return out
 }
 
-// spread keeps some witnesses, one of each site first.
+// selectWitnesses returns up to maxWitnesses witnesses: the one with the most evidence of
+// each site first, then the others.
 func selectWitnesses(list []Witness) []Witness {
 	slices.SortFunc(list, func(a, b Witness) int {
 		return cmp.Or(-cmp.Compare(a.Evidence, b.Evidence), cmp.Compare(a.Front, b.Front))
@@ -298,7 +301,7 @@
 	return slices.Clone(kept[:min(len(kept), maxWitnesses)])
 }
 
-// sites counts the sites of witnesses.
+// countSites returns the number of distinct sites of the witnesses.
 func countSites(list []Witness) int {
 	seen := map[string]bool{}
 	for _, w := range list {
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -15,8 +15,9 @@
 	return []Observation{{Subject: box, Hub: "h", State: s, Count: 1, Witnesses: []Witness{{front, site, 9}}}}
 }
 
-// Guards who a verdict rests on: not on one front, not on one site where two can tell,
-// not where more see the box well; that it is taken back, and that it ends.
+// Checks that a verdict needs more than one front, more than one site where two have
+// observations, and more witnesses than see the box healthy, and that it expires or ends
+// when its witnesses disagree. Without the witness rule a single front is enough.
 func TestWitnesses(t *testing.T) {
 	boxes := map[string]int{"h": 5}
 	step := func(b *Evaluator, now Micros, lists ...[]Observation) int {
@@ -25,18 +26,19 @@
 	b := NewEvaluator(rules, 1)
 	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing)), "one front")
 	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing), observation("b", "x", "box", Failing), observation("c", "y", "box", Healthy)), "one site of two")
-	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing), observation("c", "x", "box", Healthy), observation("d", "y", "box", Healthy)), "half see it well")
+	require.Zero(t, step(b, 0, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing), observation("c", "x", "box", Healthy), observation("d", "y", "box", Healthy)), "half see it healthy")
 	require.Equal(t, 1, step(b, 0, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing)))
-	require.Equal(t, 1, step(b, 3*second), "until its end")
+	require.Equal(t, 1, step(b, 3*second), "until it expires")
 	require.Zero(t, step(b, 5*second))
 	require.Equal(t, 1, step(b, 6*second, observation("a", "x", "box", Failing), observation("b", "y", "box", Failing)))
-	require.Zero(t, step(b, 7*second, observation("a", "x", "box", Healthy), observation("b", "y", "box", Healthy), observation("c", "y", "box", Healthy)), "they changed their minds")
+	require.Zero(t, step(b, 7*second, observation("a", "x", "box", Healthy), observation("b", "y", "box", Healthy), observation("c", "y", "box", Healthy)), "witnesses see it healthy again")
 	b = NewEvaluator(rules, 1)
 	b.Disable(DisableWitnesses)
-	require.Equal(t, 1, step(b, 0, observation("a", "x", "box", Failing)), "the rule left out is found")
+	require.Equal(t, 1, step(b, 0, observation("a", "x", "box", Failing)), "the disabled rule is detected")
 }
 
-// Guards that a liar that calls every box failing empties no hub, alone or with another.
+// Checks that fronts that report every box as failing cannot remove more than the allowed
+// share of a hub's boxes, and never the last one.
 func TestHubIsNeverEmptied(t *testing.T) {
 	for boxes := range 12 {
 		var lies [][]Observation
@@ -49,8 +51,8 @@
 	}
 }
 
-// Guards what a front thinks by itself: a box that fails is found from a few answers
-// whatever was before, evidence fades, and one that is slow beside its hub is slow.
+// Checks a front's own observations: a failing box is detected after a few answers despite
+// a good history, a box slower than its hub is slow, and evidence decays.
 func TestObservations(t *testing.T) {
 	o := NewObserver(rules)
 	for i := range 200 {
@@ -72,12 +74,12 @@
 	require.False(t, fresh)
 }
 
-// Guards that what was told holds no longer than the root meant, whatever the way took.
+// Checks that network delay does not extend a verdict, and that late answers are ignored.
 func TestVerdictCache(t *testing.T) {
 	var d VerdictCache
 	d.Update([]Verdict{{Subject: "b", Remaining: 3 * second}}, 10*second, 30*second)
 	require.Len(t, d.Active(12*second), 1)
 	d.Update([]Verdict{{Subject: "b", Remaining: 9 * second}}, 9*second, 30*second)
-	require.Empty(t, d.Active(13*second), "an older telling that was late changes nothing")
-	require.LessOrEqual(t, rules.RetryAfter(second, 64, 1, second/2), second/2, "clients follow no longer wait")
+	require.Empty(t, d.Active(13*second), "a late answer to an older request is ignored")
+	require.LessOrEqual(t, rules.RetryAfter(second, 64, 1, second/2), second/2, "not above the limit given")
 }
--- a/internal/decide/quotalease/allocator.go
+++ b/internal/decide/quotalease/allocator.go
@@ -9,33 +9,33 @@
 	"cherryramp/internal/decide/lease"
 )
 
-// Bounds of a dealer.
+// Parameters of an allocator.
 const (
-	maxRoles        = 1024  // that one keeper deals to
-	maxUnconfirmed  = 8     // parts of one role and limit that are not confirmed
-	minHeadroom     = 1.02  // above demand, where the limit is short
-	maxHeadroom     = 1.25  // and where it is not
-	changeThreshold = 0.005 // of a part: what it is changed for
+	maxRoles        = 1024  // roles served by one owner
+	maxUnconfirmed  = 8     // unconfirmed allocations of one role and limit
+	minHeadroom     = 1.02  // factor above demand when the limit is in short supply
+	maxHeadroom     = 1.25  // factor above demand otherwise
+	changeThreshold = 0.005 // smallest relative change for which a new allocation is sent
 )
 
-// given is a part that was sent and may be spent.
+// sentAllocation is an allocation that was sent and may be spent.
 type sentAllocation struct {
 	Number uint64
 	Amount float64
-	Expiry Micros `cbor:"Over"` // from then on surely not any more
+	Expiry Micros `cbor:"Over"` // from then on it certainly cannot be spent
 }
 
-// child is one role as a dealer sees it, for one limit.
+// childState is an allocator's state of one role for one limit.
 type childState struct {
 	Demand     float64
-	Number     uint64           // of the last part sent
+	Number     uint64           // of the last allocation sent
 	LastAmount float64          `cbor:"Latest"`
 	Sent       []sentAllocation `cbor:"Given"`
-	Held       float64          // the most that it said it may still spend
-	HeldUntil  Micros           `cbor:"Until"` // for how long that counts
+	Held       float64          // most that the role reported it may still spend
+	HeldUntil  Micros           `cbor:"Until"` // when Held expires
 }
 
-// out is the most that a child may spend now.
+// outstanding returns the most that a role may spend now.
 func (c *childState) outstanding(now Micros) (most float64) {
 	if now < c.HeldUntil {
 		most = c.Held
@@ -48,7 +48,7 @@
 	return most
 }
 
-// own is a part that a keeper holds of one above it.
+// heldAllocation is an allocation that a site's owner holds from an owner above.
 type heldAllocation struct {
 	From   Source
 	Number uint64
@@ -57,30 +57,31 @@
 	Epoch  uint64
 }
 
-// sheet is one limit of one name as a keeper deals it out.
+// limitState is the state of one limit and name at an allocator.
 type limitState struct {
-	Held     []heldAllocation `cbor:"Own"` // of a site; the root has the limit itself
+	Held     []heldAllocation `cbor:"Own"` // allocations of a site; the root has the limit itself
 	Children map[string]*childState
 	Turn     int
-	Epoch    uint64 // of uses
+	Epoch    uint64 // window of uses
 	EpochEnd Micros
 }
 
-// member is a role that is heard.
+// member is a role that sends requests.
 type member struct {
 	LastHeard     Micros `cbor:"Heard"`
-	Stamp         Micros // of its last ask, by its own clock
-	StampReceived Micros `cbor:"Came"` // when that came
+	Stamp         Micros // of its last request, on its own clock
+	StampReceived Micros `cbor:"Came"` // when that request arrived
 }
 
-// Ledger is all that a dealer knows; whoever keeps it writes it out as it is.
+// Ledger is the state of an allocator as it is stored. The tags keep the names of fields
+// in ledgers stored by earlier versions.
 type Ledger struct {
 	Site         string
 	Number       uint64
-	QuietUntil   Micros              `cbor:"Quiet"`   // the keeper before may still deal until then
-	UnknownUntil Micros              `cbor:"Unknown"` // and what it dealt may be spent until then
+	QuietUntil   Micros              `cbor:"Quiet"`   // the previous owner may allocate until then
+	UnknownUntil Micros              `cbor:"Unknown"` // not set: computed per limit by unknownUntil
 	Limits       map[Key]*limitState `cbor:"-"`
-	List         []ledgerEntry       // the sheets, as they are written out
+	List         []ledgerEntry       // Limits in stored form
 	Members      map[string]*member
 }
 
@@ -89,7 +90,7 @@
 	State *limitState `cbor:"Sheet"`
 }
 
-// Dealer deals limits out, for one site under one keeper's number.
+// Allocator allocates limits for one site, as the owner of one number.
 type Allocator struct {
 	rules    Rules
 	limits   map[string]*Limit
@@ -97,18 +98,18 @@
 	mutation Mutation
 }
 
-// Rule is a rule that a mutation leaves out, for the checkers' own test.
+// Mutation names a rule that is disabled to test that the checkers detect its absence.
 type Mutation string
 
-// The rules that can be left out.
+// The rules that can be disabled.
 const (
-	DisableExpiry  Mutation = "over"  // a part counts as free as soon as its role is not heard
-	DisableReplace Mutation = "twice" // what a role tells adds to what it told before
+	DisableExpiry  Mutation = "over"  // allocations count as free as soon as their role is not heard
+	DisableReplace Mutation = "twice" // a request adds to the demand of the previous one instead of replacing it
 )
 
-// NewDealer makes a dealer for a site's keeper, named at a moment of this clock. Wait
-// is the span of the lease that a root's keeper before it may still have; what a site's
-// keeper deals lies in its part, whoever kept the site before.
+// NewAllocator returns an allocator for a site's owner named at the time now. Wait is the
+// lease that a previous root owner may still have; it is not needed for other sites, whose
+// allocations come out of the amount held from above, whoever owned the site before.
 func NewAllocator(rules Rules, limits []Limit, site string, number uint64, wait, now Micros) *Allocator {
 	d := &Allocator{ledger: Ledger{Site: site, Number: number, Limits: map[Key]*limitState{}, Members: map[string]*member{}}}
 	if wait > 0 && site == "" {
@@ -118,11 +119,11 @@
 	return d
 }
 
-// Without leaves a rule out.
+// Disable disables a rule.
 func (d *Allocator) Disable(r Mutation) { d.mutation = r }
 
-// Renew takes other limits over. What is out of a smaller one counts until it is
-// confirmed or surely over.
+// Reconfigure replaces the rules and limits. Allocations made from a limit that is now
+// smaller count until a smaller one is confirmed or they have certainly expired.
 func (d *Allocator) Reconfigure(rules Rules, limits []Limit, now Micros) {
 	d.rules, d.limits = rules, map[string]*Limit{}
 	for i := range limits {
@@ -139,7 +140,8 @@
 	}
 }
 
-// unknown is until when what the keeper before dealt may be spent; 0: there was none.
+// unknownUntil returns until when allocations of the previous owner may be spent; 0 if
+// there was none.
 func (d *Allocator) unknownUntil(l *Limit) Micros {
 	switch {
 	case d.ledger.QuietUntil == 0:
@@ -152,10 +154,10 @@
 
 func (d *Allocator) isRoot() bool { return d.ledger.Site == "" }
 
-// Site and Number name the keeper.
+// Site returns the owner's site.
 func (d *Allocator) Site() string { return d.ledger.Site }
 
-// Number is the keeper's number.
+// Number returns the owner's number.
 func (d *Allocator) Number() uint64 { return d.ledger.Number }
 
 func (d *Allocator) limitState(k Key, now Micros) *limitState {
@@ -167,8 +169,8 @@
 	return s
 }
 
-// Asked takes a role's ask in; it takes the place of the one before. Role names it
-// whole: another process, or another keeper's number, is another role.
+// HandleRequest stores a role's request in place of its previous one. Role must identify
+// the process, or the site and owner number: a restarted process is another role.
 func (d *Allocator) HandleRequest(role string, a Request, now Micros) {
 	m := d.ledger.Members[role]
 	if m == nil {
@@ -178,7 +180,7 @@
 		m = &member{}
 		d.ledger.Members[role] = m
 	}
-	if a.Stamp < m.Stamp { // an older one that was late
+	if a.Stamp < m.Stamp { // late, out of order
 		return
 	}
 	m.LastHeard, m.Stamp, m.StampReceived = now, a.Stamp, now
@@ -201,12 +203,13 @@
 	}
 }
 
-// confirmed notes what a role goes by now. Its word that it holds less frees what it held.
+// confirm records which allocation a role uses now. Confirming a smaller one frees the
+// rest of what it held.
 func (d *Allocator) confirm(l *Limit, s *limitState, c *childState, w LimitRequest, now Micros) {
 	if l.Kind == Uses && w.Epoch != s.Epoch {
 		return
 	}
-	if w.Number > c.Number { // of a keeper that lost its memory and not its number: what it says counts
+	if w.Number > c.Number { // this owner restarted and lost its state but not its number: the role's value counts
 		c.Number = w.Number
 	}
 	last := c.HeldUntil
@@ -221,13 +224,13 @@
 	}
 	if w.Number > 0 {
 		c.Held, c.HeldUntil = w.Held, last
-	} else if w.HeldBefore > 0 && c.Number == 0 && d.isRoot() && now >= d.ledger.QuietUntil { // of the keeper before, which deals no more
+	} else if w.HeldBefore > 0 && c.Number == 0 && d.isRoot() && now >= d.ledger.QuietUntil { // from the previous owner, which no longer allocates
 		c.Held, c.HeldUntil = w.HeldBefore, max(d.unknownUntil(l), now+d.rules.allocationExpiry(l.Kind))
 	}
 }
 
-// Given takes in what a keeper above grants this site. Newest is the newest keeper of
-// that one's site: one before it has no say.
+// ApplyGrant applies a grant of an owner above to this site. Newest is the highest known
+// owner number of the granting site; grants of earlier owners are ignored.
 func (d *Allocator) ApplyGrant(g Grant, newest uint64, now Micros) {
 	if g.Owner < newest || d.isRoot() {
 		return
@@ -261,8 +264,9 @@
 	}
 }
 
-// has is what a sheet may deal out, and until when: of a site the part of the keeper
-// that it is attached to, or the one that lasts longest.
+// available returns the amount that may be allocated of a limit, and for how long. For a
+// site this is the allocation of the owner it is attached to, or else the one that expires
+// last.
 func (d *Allocator) available(l *Limit, s *limitState, up Source, now Micros) (amount float64, span Micros) {
 	if d.isRoot() {
 		if l.Kind == Uses {
@@ -286,8 +290,8 @@
 	return best.Amount, span
 }
 
-// Deal deals out, and gives each role that is heard its parts. Up is the keeper above
-// that this site is attached to.
+// Allocate computes the grants for all roles heard within ChildTimeout, by role. Up is the
+// owner that this site is attached to.
 func (d *Allocator) Allocate(up Source, now Micros) map[string]Grant {
 	out := map[string]Grant{}
 	maps.DeleteFunc(d.ledger.Members, func(role string, m *member) bool {
@@ -311,7 +315,7 @@
 	return out
 }
 
-// Keys are the limits dealt out, in order.
+// Keys returns the keys of all limits, in order.
 func (d *Allocator) Keys() []Key {
 	return slices.SortedFunc(maps.Keys(d.ledger.Limits), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Who, b.Who))
@@ -321,7 +325,7 @@
 func (d *Allocator) allocateLimit(key Key, l *Limit, s *limitState, up Source, now Micros, grants map[string]Grant) {
 	if l.Kind == Uses && d.isRoot() && now >= s.EpochEnd {
 		if now < d.unknownUntil(l) {
-			return // the span that the root before dealt out is not surely over
+			return // the previous root owner's window may not have ended
 		}
 		s.Epoch, s.EpochEnd, s.Children = max(s.Epoch+1, d.ledger.Number<<20), now+l.Window, newEpochChildren(s.Children)
 	}
@@ -361,7 +365,7 @@
 		demands[i] *= room
 	}
 	shares := raiseToMinimum(able, l.minAllocation(), MaxMinFair(able, demands), s.Turn)
-	if now < d.unknownUntil(l) && d.isRoot() { // nothing is free until all that the root before dealt is known or over
+	if now < d.unknownUntil(l) && d.isRoot() { // nothing is free until all allocations of the previous root owner are reported or expired
 		total = max(total, amount)
 		for i, role := range roles {
 			c := s.Children[role]
@@ -395,8 +399,9 @@
 	}
 }
 
-// give adds a role's part to its grant: changed where it is worth it, or leased anew.
-// The lease is from the ask's stamp, which lies before the moment that it came.
+// send adds a role's allocation to its grant: a changed one if the change is large enough,
+// otherwise the last one with a renewed lease. The lease counts from the request's stamp,
+// which precedes its arrival.
 func (d *Allocator) send(l *Limit, key Key, c *childState, goal float64, span Micros, epoch uint64, g Grant, came Micros) Grant {
 	changed := math.Abs(goal-c.LastAmount) > changeThreshold*c.LastAmount || c.LastAmount > goal && len(c.Sent) == 0 || c.Number == 0
 	if changed && goal != c.LastAmount || c.Number == 0 && goal > 0 {
@@ -405,7 +410,7 @@
 		} else {
 			c.Number++
 			c.LastAmount = goal
-			if len(c.Sent) >= maxUnconfirmed { // the one with the most stays: it is what counts
+			if len(c.Sent) >= maxUnconfirmed { // replace the smallest, since the largest determines what is outstanding
 				i := 0
 				for j := range c.Sent {
 					if c.Sent[j].Amount < c.Sent[i].Amount {
@@ -434,14 +439,15 @@
 			c.Sent[i].Expiry, found = max(c.Sent[i].Expiry, over), true
 		}
 	}
-	if !found { // it was over, and is leased anew
+	if !found { // it had expired; its lease is renewed
 		c.Sent = append(c.Sent, sentAllocation{c.Number, c.LastAmount, over})
 	}
 	g.Allocations = append(g.Allocations, Allocation{Key: key, Number: c.Number, Amount: c.LastAmount, Span: span, Epoch: epoch})
 	return g
 }
 
-// keepDemand begins a span of uses anew: what was dealt in the one before is over.
+// newEpochChildren returns the roles' states for a new window of uses. Allocations of the
+// previous window are dropped; numbers continue.
 func newEpochChildren(children map[string]*childState) map[string]*childState {
 	out := map[string]*childState{}
 	for role, c := range children {
--- a/internal/decide/quotalease/fair.go
+++ b/internal/decide/quotalease/fair.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Fair shares an amount among demands, max-min fair by water-filling: nobody gets more
-// than it asks for while another gets less than it asks for and less than that. What
-// is left over goes out in proportion to demand, half of it, and evenly, the other half,
-// so that whoever's demand grows has something to begin with. The result is in the
-// order of the demands and sums to no more than the amount.
+// MaxMinFair divides an amount among demands, max-min fair by water-filling: no demand
+// gets more than it asked for while another gets less than both its demand and that
+// share. If all demands are met, half of the remainder is divided in proportion to demand
+// and half evenly, so that a growing demand has some headroom. The result is in the order
+// of the demands and its sum does not exceed the amount.
 func MaxMinFair(amount float64, demands []float64) []float64 {
 	out := make([]float64, len(demands))
 	if len(demands) == 0 || amount <= 0 {
@@ -45,12 +45,12 @@
 	return out
 }
 
-// idleRoom is the part of a short limit that those without demand may hold together, so
-// that they have something to begin with.
+// idleShare is the fraction of a limit in short supply that roles without demand may hold
+// together, so that their first requests can be admitted.
 const idleShare = 0.02
 
-// whole has shares below the least useful one be that much or nothing: the greatest
-// first, as far as the amount goes. Turn says who is preferred among the smallest.
+// raiseToMinimum raises shares below minUseful to it, or sets them to zero, the largest
+// shares first as far as the amount suffices. Turn rotates the order of equal shares.
 func raiseToMinimum(amount, minUseful float64, shares []float64, turn int) []float64 {
 	n := len(shares)
 	order, need := make([]int, n), 0.0
@@ -70,7 +70,7 @@
 		}
 		return (a+turn)%n - (b+turn)%n
 	})
-	// Those that are too small take what they lack from those that are large.
+	// What the raised shares lack is taken from the larger ones.
 	out, left, idle := make([]float64, n), amount, amount*idleShare
 	for _, i := range order {
 		if left < minUseful || shares[i] == 0 && idle < minUseful {
--- a/internal/decide/quotalease/ledger.go
+++ b/internal/decide/quotalease/ledger.go
@@ -1,6 +1,6 @@
 package quotalease
 
-// Wants is what this site asks the keeper above for, which is attached as up.
+// LimitRequests returns what this site requests from the owner that it is attached to, up.
 func (d *Allocator) LimitRequests(up Source, now Micros) (list []LimitRequest) {
 	if d.isRoot() {
 		return nil
@@ -27,26 +27,26 @@
 			}
 		}
 		if w.Number > 0 {
-			w.Held = max(w.Held, out-others) // what it has of it, or has dealt out of an earlier and larger one
+			w.Held = max(w.Held, out-others) // the allocation, or more if an earlier, larger one is still allocated below
 		}
 		list = append(list, w)
 	}
 	return list
 }
 
-// Line is what a dealer tells of one limit, for a person.
+// LimitStatus is the state of one limit at an allocator, for operators.
 type LimitStatus struct {
 	Key         Key     `json:"key"`
-	Available   float64 `json:"has"`     // what the keeper may deal out
-	Outstanding float64 `json:"out"`     // the most that may be spent below it now
-	Demand      float64 `json:"demand"`  //
-	Roles       int     `json:"roles"`   // that it deals to
-	Silent      int     `json:"silent"`  // of them, that are not heard
-	WaitSeconds float64 `json:"waits_s"` // until all that an earlier root dealt is surely over
+	Available   float64 `json:"has"` // amount that the owner may allocate
+	Outstanding float64 `json:"out"` // upper bound of what may be spent below it now
+	Demand      float64 `json:"demand"`
+	Roles       int     `json:"roles"`   // roles with allocations
+	Silent      int     `json:"silent"`  // roles not heard within ChildTimeout
+	WaitSeconds float64 `json:"waits_s"` // until all allocations of a previous root owner have certainly expired
 	Holders     int     `json:"holders"`
 }
 
-// Lines tells all.
+// Status returns the state of all limits, in the order of Keys.
 func (d *Allocator) Status(up Source, now Micros) (list []LimitStatus) {
 	for _, key := range d.Keys() {
 		s := d.ledger.Limits[key]
@@ -69,8 +69,9 @@
 	return list
 }
 
-// Ledger is all that a dealer knows, to be written out; it must be kept before what it
-// deals leaves. It is the dealer's own until it has been written.
+// Ledger returns the allocator's state for storage. It must be stored before any grant made
+// from it is sent. The result is shared with the allocator, which must not be used until
+// it has been written.
 func (d *Allocator) Ledger() *Ledger {
 	d.ledger.List = d.ledger.List[:0]
 	for _, k := range d.Keys() {
@@ -79,7 +80,7 @@
 	return &d.ledger
 }
 
-// Restore takes a ledger in that was written out.
+// Restore replaces the allocator's state by a stored ledger.
 func (d *Allocator) Restore(l Ledger) {
 	l.Limits = map[Key]*limitState{}
 	for _, x := range l.List {
--- a/internal/decide/quotalease/limit.go
+++ b/internal/decide/quotalease/limit.go
@@ -1,14 +1,14 @@
-// Package quotalease decides how much of a limit that holds for a whole fleet each front
-// may spend by itself.
+// Package quotalease divides fleet-wide limits into amounts that each front may spend
+// without coordination.
 //
-// It is escrow (O'Neil, 1986; the demarcation protocol, Barbará and Garcia-Molina, 1992):
-// a limit is dealt out in parts, from the root's keeper to sites' keepers to fronts, by
-// decayed demand and max-min fair. A part is numbered and leased; what was dealt out
-// counts as spent until its holder has confirmed a smaller one or its lease is surely
-// over. So the sum of what may be spent never exceeds the limit, whatever the network
-// loses, doubles or delays, and whoever dies.
+// It is an escrow scheme (O'Neil, 1986; the demarcation protocol, Barbará and
+// Garcia-Molina, 1992): a limit is divided into allocations, from the root's owner to the
+// sites' owners to the fronts, max-min fair by decayed demand. An allocation is numbered
+// and leased. It counts as spent until its holder has confirmed a smaller one or its lease
+// has certainly expired. The sum of what may be spent therefore never exceeds the limit,
+// even if messages are lost, duplicated or delayed and processes fail.
 //
-// Dealer is a keeper's side, Purse a front's. Neither has a clock or does I/O.
+// Allocator runs in owners, Limiter in fronts. Neither reads a clock or does I/O.
 package quotalease
 
 import (
@@ -19,64 +19,64 @@
 	"cherryramp/internal/decide/lease"
 )
 
-// Micros is a span, or a moment of one process's own clock, in microseconds.
+// Micros is a duration, or a time on the process's own clock, in microseconds.
 type Micros = int64
 
-// Kind is what a limit counts.
+// Kind is the quantity that a limit bounds.
 type Kind uint8
 
-// The kinds.
+// The kinds of limits.
 const (
-	Rate Kind = iota // a second
-	Open             // at once
-	Uses             // in a span
+	Rate Kind = iota // requests per second
+	Open             // concurrently open requests
+	Uses             // requests in a window
 )
 
 var kindNames = [...]string{"rate", "open", "uses"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// KindOf gives a kind by its name.
+// ParseKind returns the kind of a name.
 func ParseKind(name string) (Kind, error) {
 	for i, n := range kindNames {
 		if n == name {
 			return Kind(i), nil
 		}
 	}
-	return 0, fmt.Errorf("%q is not rate, open or uses", name)
+	return 0, fmt.Errorf("unknown kind %q: must be rate, open or uses", name)
 }
 
-// Limit is one limit of the fleet.
+// Limit is one fleet-wide limit.
 type Limit struct {
 	Name          string
-	Dimension     string // what it is for: tenant, key, subject
-	Who           string // whose; *: of each by itself
+	Dimension     string // tenant, key or subject
+	Who           string // name that it applies to; * applies it to each name separately
 	Kind          Kind
-	Amount        float64 // requests a second, at once, or uses
-	Burst         float64 // of a rate: what may come at once
-	Window        Micros  // of uses
+	Amount        float64 // requests per second, open requests, or uses
+	Burst         float64 // requests that may come at once, for a rate
+	Window        Micros  // window of uses
 	Hard          bool
-	IsolatedShare float64 // of a soft one: the part of it, 0 to 1, that the fleet may spend beside it while all are cut off
+	IsolatedShare float64 // for a soft limit: fraction, 0 to 1, that the fleet may spend in addition while all fronts are isolated
 }
 
-// Rules are the spans and bounds that all limits share.
+// Rules are the parameters shared by all limits.
 type Rules struct {
-	AllocationLease Micros  // lease of a part
-	OwnerLease      Micros  // lease of a keeper
-	ClockDrift      float64 // bound on clocks' rates for amounts, as a part of 1
-	MaxOpenTime     Micros  // that a request may be open
-	ChildTimeout    Micros  // a role unheard for so long is dealt nothing new
+	AllocationLease Micros  // lease of an allocation
+	OwnerLease      Micros  // lease of an owner
+	ClockDrift      float64 // bound on clock rate errors, as a fraction, by which rates are reduced
+	MaxOpenTime     Micros  // longest time that a request may be open
+	ChildTimeout    Micros  // a role not heard for this long gets no new allocations
 }
 
-// Errors of limits.
+// Errors of invalid limits.
 var (
-	ErrAmount        = errors.New("amount: a number above 0 is wanted")
-	ErrBurst         = errors.New("burst: 1 at least is wanted")
-	ErrIsolatedShare = errors.New("alone_percent: 0 to 100 is possible, and of a soft limit alone")
-	ErrWindow        = errors.New("span_s: a span above 0 is wanted, of uses alone")
+	ErrAmount        = errors.New("amount: must be above 0 and at most 1e9")
+	ErrBurst         = errors.New("burst: must be 1 to 1e9 for a rate")
+	ErrIsolatedShare = errors.New("alone_percent: must be 0 to 100, and 0 for a hard limit")
+	ErrWindow        = errors.New("span_s: must be above 0 for uses, and absent for other kinds")
 )
 
-// Check tells what is wrong with a limit.
+// Check returns an error if the limit is invalid.
 func (l *Limit) Check() error {
 	switch {
 	case !(l.Amount > 0 && l.Amount <= 1e9):
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// least is the smallest part that is of use: of a rate one whose share of the burst
-// holds one request.
+// minAllocation returns the smallest useful allocation; for a rate, one whose share of the
+// burst is a single request.
 func (l *Limit) minAllocation() float64 {
 	if l.Kind == Rate {
 		return l.Amount / math.Max(1, l.Burst)
@@ -100,7 +100,8 @@
 	return 1
 }
 
-// Dealt is what the root deals out of a limit: clocks of fronts may run fast.
+// Allocatable returns the amount that the root allocates. Rates are reduced by ClockDrift,
+// since clocks of fronts may run fast.
 func (l *Limit) Allocatable(r Rules) float64 {
 	if l.Kind == Rate {
 		return l.Amount * (1 - r.ClockDrift)
@@ -108,17 +109,17 @@
 	return math.Floor(l.Amount)
 }
 
-// Bound is what a limit can come to when links fail, for an operator to read.
+// Bound is the worst case of a limit when links fail, for operators.
 type Bound struct {
-	MaxExcess    float64 // the most that the fleet can let through above it: a second, at once, or in the span
-	MaxHolders   float64 // fronts that can hold a part at once
-	MaxStale     Micros  // the longest that a front spends by a part that no longer holds
-	ReclaimAfter Micros  // after which a dead front's part is dealt out anew
-	RootRecovery Micros  // after which a new root's keeper deals out what was not told to it
+	MaxExcess    float64 // most that the fleet can admit above the limit, in the limit's unit
+	MaxHolders   float64 // fronts that can hold an allocation at the same time
+	MaxStale     Micros  // longest time that a front uses an outdated allocation
+	ReclaimAfter Micros  // time until a failed front's allocation is reallocated
+	RootRecovery Micros  // time until a new root owner allocates what nobody has reported to it
 }
 
-// Bound computes it. A hard limit is never over; Stale is then no danger, since what a
-// front may still spend has not been given to another.
+// Bound computes the worst case. A hard limit is never exceeded, despite MaxStale, since
+// what a front may still spend has not been allocated to another.
 func (l *Limit) Bound(r Rules) Bound {
 	b := Bound{MaxHolders: math.Floor(l.Amount / l.minAllocation()), MaxStale: r.AllocationLease, ReclaimAfter: r.allocationExpiry(l.Kind), RootRecovery: lease.ExpirySpan(r.OwnerLease) + r.allocationExpiry(l.Kind)}
 	if !l.Hard {
@@ -130,7 +131,7 @@
 	return b
 }
 
-// over is how long a part counts after it was last leased.
+// allocationExpiry returns how long an allocation counts as spent after its last lease.
 func (r Rules) allocationExpiry(k Kind) Micros {
 	if k == Open {
 		return lease.ExpirySpan(r.AllocationLease + r.MaxOpenTime)
@@ -138,40 +139,40 @@
 	return lease.ExpirySpan(r.AllocationLease)
 }
 
-// Key names one limit of one name.
+// Key identifies a limit and the name that it applies to.
 type Key struct {
 	Limit string `cbor:"1,keyasint"`
 	Who   string `cbor:"2,keyasint,omitempty"`
 }
 
-// Part is leave to spend, on its way down.
+// Allocation is an amount that may be spent, as sent to a site or front.
 type Allocation struct {
 	Key    Key     `cbor:"1,keyasint"`
-	Number uint64  `cbor:"2,keyasint"` // grows with each change of it
+	Number uint64  `cbor:"2,keyasint"` // increases with each change
 	Amount float64 `cbor:"3,keyasint"`
-	Span   Micros  `cbor:"4,keyasint"`           // from the stamp of the ask on
-	Epoch  uint64  `cbor:"5,keyasint,omitempty"` // of uses: which span of the root's
+	Span   Micros  `cbor:"4,keyasint"`           // lease, from the stamp of the request
+	Epoch  uint64  `cbor:"5,keyasint,omitempty"` // window of the root's, for uses
 }
 
-// Grant is what a keeper gives a role.
+// Grant holds the allocations that an owner sends to a role.
 type Grant struct {
 	Site        string       `cbor:"1,keyasint"`
 	Owner       uint64       `cbor:"2,keyasint"`
-	Stamp       Micros       `cbor:"3,keyasint"` // of the ask, by the asker's clock
+	Stamp       Micros       `cbor:"3,keyasint"` // stamp of the request, on the requester's clock
 	Allocations []Allocation `cbor:"4,keyasint,omitempty"`
 }
 
-// Want is what a role says of one limit, on its way up.
+// LimitRequest is a role's demand and state for one limit, as sent to an owner.
 type LimitRequest struct {
 	Key        Key     `cbor:"1,keyasint"`
-	Demand     float64 `cbor:"2,keyasint"`           // a second, at once, or more uses, decayed
-	Number     uint64  `cbor:"3,keyasint,omitempty"` // the newest part of this keeper's that it goes by; 0: none
-	Held       float64 `cbor:"4,keyasint,omitempty"` // the most that it may still spend of this keeper's parts
-	HeldBefore float64 `cbor:"5,keyasint,omitempty"` // that it holds of earlier keepers of the same site
+	Demand     float64 `cbor:"2,keyasint"`           // decayed demand: requests per second, open requests, or further uses
+	Number     uint64  `cbor:"3,keyasint,omitempty"` // newest allocation of this owner in use; 0 if there is none
+	Held       float64 `cbor:"4,keyasint,omitempty"` // most that it may still spend of this owner's allocations
+	HeldBefore float64 `cbor:"5,keyasint,omitempty"` // amount held from earlier owners of the same site
 	Epoch      uint64  `cbor:"6,keyasint,omitempty"`
 }
 
-// Ask is what a role asks a keeper for.
+// Request is a role's request to an owner.
 type Request struct {
 	Stamp  Micros         `cbor:"1,keyasint"`
 	Limits []LimitRequest `cbor:"2,keyasint,omitempty"`
--- a/internal/decide/quotalease/limiter.go
+++ b/internal/decide/quotalease/limiter.go
@@ -7,20 +7,20 @@
 	"cherryramp/internal/decide/lease"
 )
 
-// mostParts bounds the keepers that a front holds parts of one limit from at once: its
-// site's, those above it, and those before them.
+// maxAllocations bounds the owners from which a front holds allocations of one limit at the
+// same time: those of its site and the sites above, and their predecessors.
 const maxAllocations = 4
 
-// MostNames bounds the names of each limit that counts each by itself.
+// MaxNames bounds the number of limit and name pairs held.
 const MaxNames = 4096
 
-// Source names a keeper that a part came from.
+// Source identifies the owner that an allocation came from.
 type Source struct {
 	Site  string
 	Owner uint64 `cbor:"Keeper" json:"Keeper"`
 }
 
-// held is a part as its front spends it.
+// activeAllocation is an allocation in use by a front.
 type activeAllocation struct {
 	from   Source
 	number uint64
@@ -29,8 +29,8 @@
 	epoch  uint64
 }
 
-// Bucket is what a front may spend of one limit of one name. It belongs to one
-// goroutine, as the purse does.
+// Bucket is what a front may spend of one limit for one name. It must be used by the same
+// goroutine as its Limiter.
 type Bucket struct {
 	Key            Key
 	limit          *Limit
@@ -38,49 +38,49 @@
 	allocations    [maxAllocations]activeAllocation
 	numAllocations int
 
-	amount         float64 // of all parts that hold, until the next of them ends
+	amount         float64 // sum of the valid allocations until validUntil, when the first of them expires
 	validUntil     Micros
-	fadeStart      Micros  // since when the last part of a soft limit has been over; 0: it is not
-	fadeAmount     float64 // that it had then
-	isolatedAmount float64 // what this front may spend of a soft limit when it is cut off
+	fadeStart      Micros  // when the last allocation of a soft limit expired; 0 if one is valid
+	fadeAmount     float64 // amount at that time
+	isolatedAmount float64 // what this front may spend of a soft limit while isolated
 
 	tokens     float64
 	refilledAt Micros
 	open       float64
-	spent      float64 // uses, of the epoch
+	spent      float64 // uses in the current epoch
 	epoch      uint64
-	requests   uint64 // requests since the last look, let through or not
+	requests   uint64 // requests since the last report, admitted or not
 	maxOpen    float64
 	lastUsed   Micros
 
-	Taken, Refused uint64 // in all
+	Taken, Refused uint64 // totals
 }
 
-// Purse is what a front may spend of all limits. Before each request it is asked by name;
-// that allocates nothing.
+// Limiter holds what a front may spend of all limits. Checking a request against known
+// names allocates no memory.
 type Limiter struct {
 	rules     Rules
 	limits    map[string]*Limit
-	byClaim   map[claim][]*Bucket // exact ones
-	wildcards map[string][]*Limit // of each name, by what they are for
+	byClaim   map[claim][]*Bucket // by exact name
+	wildcards map[string][]*Limit // limits that apply to each name separately, by dimension
 	buckets   []*Bucket
 	byKey     map[Key]*Bucket
-	newNames  bool // names came that were not known before
+	newNames  bool // unknown names were seen since the last TakeNewNames
 	fronts    int
 }
 
-// claim is whom a request counts against.
+// claim is a dimension and a name that a request counts against.
 type claim struct{ dimension, who string }
 
-// NewPurse makes a purse without parts.
+// NewLimiter returns a Limiter without allocations.
 func NewLimiter(rules Rules, limits []Limit, now Micros) *Limiter {
 	p := &Limiter{fronts: 1}
 	p.Reconfigure(rules, limits, now)
 	return p
 }
 
-// Renew takes other limits over. What is held of those that stay is kept: a smaller
-// amount comes down as smaller parts.
+// Reconfigure replaces the rules and limits. Allocations of limits that remain are kept; a
+// reduced limit takes effect through smaller allocations.
 func (p *Limiter) Reconfigure(rules Rules, limits []Limit, now Micros) {
 	old := p.buckets
 	p.rules, p.limits, p.byClaim, p.wildcards, p.buckets, p.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
@@ -123,7 +123,8 @@
 	return b
 }
 
-// Fronts tells how many fronts the fleet has, by which what may be spent alone is shared.
+// SetFronts sets the number of fronts in the fleet, among which the amount for isolated
+// fronts is divided.
 func (p *Limiter) SetFronts(n int) {
 	p.fronts = max(1, n)
 	for _, b := range p.buckets {
@@ -135,7 +136,7 @@
 	b.isolatedAmount = b.limit.Amount * b.limit.IsolatedShare / float64(fronts)
 }
 
-// Find gives the buckets that requests of a name count against; none: no limit is for it.
+// Find returns the buckets that requests of a name count against; none if no limit applies.
 func (p *Limiter) Find(dimension, who string, now Micros) []*Bucket {
 	list := p.byClaim[claim{dimension, who}]
 	if len(list) > 0 || len(p.wildcards[dimension]) == 0 {
@@ -156,10 +157,10 @@
 	return list
 }
 
-// noRoom stands for a name that there is no room to count: it gets nothing.
+// bucketTableFull is returned for names that there is no room to count. It admits nothing.
 var bucketTableFull = [1]*Bucket{{limit: &Limit{Name: "no room", Amount: 1, Burst: 1, Hard: true}, rules: &Rules{}}}
 
-// sweep lets names go that nothing is held of and nobody has asked for lately.
+// prune removes names without valid allocations, open requests and recent requests.
 func (p *Limiter) prune(now Micros) {
 	p.buckets = slices.DeleteFunc(p.buckets, func(b *Bucket) bool {
 		if b.limit.Who != "*" || b.open > 0 || b.numAllocations > 0 && now < b.lastExpiry() || now-b.lastUsed < p.rules.AllocationLease {
@@ -178,15 +179,16 @@
 	return end
 }
 
-// Fresh tells whether names came since it was last asked: they need a first part at once.
+// TakeNewNames reports whether new names were seen since the last call. They need a first
+// allocation at once.
 func (p *Limiter) TakeNewNames() bool {
 	was := p.newNames
 	p.newNames = false
 	return was
 }
 
-// look adds up the parts that hold at a moment. What a rate has gathered never exceeds
-// the parts' share of the burst; a new part begins with nothing gathered.
+// refresh drops expired allocations and sums up the others. The tokens of a rate never
+// exceed the allocations' share of the burst; a new allocation starts without tokens.
 func (b *Bucket) refresh(now Micros) {
 	b.refill(min(now, b.validUntil))
 	amount, until := 0.0, Micros(math.MaxInt64)
@@ -220,8 +222,9 @@
 	}
 }
 
-// fade has a soft limit's part go over to what may be spent alone, within the span
-// for which nobody else is given it, so that there is no jump.
+// fade moves a soft limit's amount linearly from that of the expired allocation to the
+// isolated amount. It does so within the time in which the allocation is not given to
+// anybody else, so that the limit holds without a step.
 func (b *Bucket) fade(now Micros) {
 	gap := max(1, lease.ExpirySpan(b.rules.AllocationLease)-b.rules.AllocationLease)
 	left := max(0, 1-float64(now-b.fadeStart)/float64(gap))
@@ -232,7 +235,7 @@
 	}
 }
 
-// cap is what may be gathered of a rate.
+// capacity returns the maximum number of tokens of a rate.
 func (b *Bucket) capacity() float64 {
 	c := b.limit.Burst * b.amount / b.limit.Amount
 	if !b.limit.Hard && b.numAllocations == 0 {
@@ -251,12 +254,13 @@
 }
 
 const (
-	allocationWait Micros = 250_000   // after which a part may have come, where there is none
-	openWait       Micros = 500_000   // after which one of the open requests may have ended
+	allocationWait Micros = 250_000   // time in which a first allocation is likely to arrive
+	openWait       Micros = 500_000   // time in which one of the open requests is likely to end
 	maxWait        Micros = 5_000_000 //
 )
 
-// Take asks for one request. Refused, it tells how long to stay away.
+// Take admits or refuses one request. If it is refused, wait is how long the client should
+// wait. An admitted request must be ended by Release.
 func (b *Bucket) Take(now Micros) (wait Micros, ok bool) {
 	b.requests++
 	b.lastUsed = now
@@ -292,7 +296,7 @@
 	return 0, true
 }
 
-// Undo gives back what Take has just taken, where another limit refused the request.
+// Undo reverts the preceding Take, if another limit refused the request.
 func (b *Bucket) Undo() {
 	switch b.limit.Kind {
 	case Rate:
@@ -305,14 +309,15 @@
 	b.Taken--
 }
 
-// Done ends a request that Take let through.
+// Release ends a request that Take admitted.
 func (b *Bucket) Release() {
 	if b.limit.Kind == Open && b.open > 0 {
 		b.open--
 	}
 }
 
-// Part gives the number of the part spent from, for histories, and the amount of all.
+// Allocation returns source and number of the newest allocation, for recorded histories,
+// and the amount of all allocations.
 func (b *Bucket) Allocation() (from Source, number uint64, amount float64) {
 	if b.numAllocations == 0 {
 		return Source{}, 0, b.amount
@@ -321,8 +326,8 @@
 	return x.from, x.number, b.amount
 }
 
-// Give takes a grant in; parts of limits that are not known are passed over. Newest is
-// the newest keeper of the site that this front knows of: one before it has no say.
+// ApplyGrant applies a grant; allocations of unknown limits are skipped. Newest is the
+// highest known owner number of the granting site; grants of earlier owners are ignored.
 func (p *Limiter) ApplyGrant(g Grant, newest uint64, now Micros) {
 	if g.Owner < newest {
 		return
@@ -361,7 +366,7 @@
 		if now >= end {
 			return
 		}
-		// Of one site the newest keeper's alone.
+		// Of each site only the newest owner's allocation is kept.
 		kept := 0
 		for j := range b.numAllocations {
 			if y := b.allocations[j]; y.from.Site != from.Site || y.from.Owner > from.Owner {
@@ -380,11 +385,12 @@
 	b.refresh(now)
 }
 
-// Say is what one bucket has to tell, for a keeper.
+// BucketReport is the state of one bucket, as a basis for requests to owners. The tags keep
+// the names in the answer to the operators' call LIMITS.
 type BucketReport struct {
 	Key         Key
-	Requests    uint64  `json:"Asked"` // since the last look
-	MaxOpen     float64 `json:"Open"`  // most at once since then
+	Requests    uint64  `json:"Asked"` // requests since the last report
+	MaxOpen     float64 `json:"Open"`  // most requests open at the same time since then
 	Spent       float64
 	Epoch       uint64
 	Allocations []AllocationReport `json:"Parts"`
@@ -393,17 +399,17 @@
 	Amount      float64
 }
 
-// Stood is one part as it stands.
+// AllocationReport is the state of one allocation.
 type AllocationReport struct {
 	From   Source
 	Number uint64
 	Amount float64
-	Held   float64 // the most that may still be spent of it
+	Held   float64 // most that may still be spent of it
 	End    Micros
 }
 
-// Tell gives what all buckets have to tell since it was last asked. What it says of parts
-// is in force from now on: no request goes by an older one.
+// Report returns the state of all buckets and starts a new reporting interval. The
+// allocations reported are in force from now on: no later request uses an older one.
 func (p *Limiter) Report(now Micros) []BucketReport {
 	list := make([]BucketReport, 0, len(p.buckets))
 	for _, b := range p.buckets {
@@ -416,7 +422,7 @@
 		for i := range b.numAllocations {
 			x := b.allocations[i]
 			y := AllocationReport{From: x.from, Number: x.number, Amount: x.amount, Held: x.amount, End: x.end}
-			if b.limit.Kind != Rate && b.amount > 0 { // what is open, or spent, lies on the parts by their size
+			if b.limit.Kind != Rate && b.amount > 0 { // divide what is open or spent among the allocations in proportion
 				y.Held = max(y.Held, rest*x.amount/b.amount)
 			}
 			s.Allocations = append(s.Allocations, y)
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -18,8 +18,8 @@
 
 var testRules = Rules{AllocationLease: 4 * second, OwnerLease: 2 * second, MaxOpenTime: 3 * second, ChildTimeout: second}
 
-// Guards max-min fairness: the sum holds, nobody small starves, and what a liar asks
-// for takes nothing from those below their share.
+// Checks max-min fairness: the sum does not exceed the amount, and each demand gets at
+// least its fair share or all it asked for, however much others ask for.
 func TestFair(t *testing.T) {
 	require.Equal(t, []float64{10, 45, 45}, MaxMinFair(100, []float64{10, 1e9, 1e9}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,27 +30,27 @@
 		for i, x := range got {
 			sum += x
 			if x < min(demands[i], amount/float64(n))-1e-6 {
-				t.Fatalf("%v of %v: place %d has %v", demands, amount, i, x)
+				t.Fatalf("demands %v of %v: index %d got %v", demands, amount, i, x)
 			}
 		}
 		if sum > amount+1e-6 {
-			t.Fatalf("%v dealt of %v", sum, amount)
+			t.Fatalf("allocated %v of %v", sum, amount)
 		}
 		sum = 0
 		for _, x := range raiseToMinimum(amount, 20, got, 0) {
 			sum += x
 			if x > 0 && x < 20-1e-6 {
-				t.Fatalf("a part of %v", x)
+				t.Fatalf("share of %v is below the minimum", x)
 			}
 		}
 		if sum > amount+1e-6 {
-			t.Fatalf("%v dealt whole of %v", sum, amount)
+			t.Fatalf("allocated %v of %v after raising shares to the minimum", sum, amount)
 		}
 	})
 }
 
-// world is a root, two sites and their fronts under a network that loses, doubles and
-// delays, with processes that die, pause and come back.
+// world simulates a root, two sites and their fronts over a network that loses, duplicates
+// and delays messages, with processes that restart and pause.
 type world struct {
 	r          *rand.Rand
 	now        Micros
@@ -71,7 +71,7 @@
 	do func()
 }
 
-// node is a front; it keeps what is in kept.
+// node is a front with the allocators of the sites that it owns.
 type node struct {
 	w           *world
 	name        string
@@ -79,10 +79,10 @@
 	start       int
 	limiter     *Limiter
 	allocators  map[string]*Allocator
-	newestOwner map[string]uint64 // the newest keeper that it knows of each site
+	newestOwner map[string]uint64 // highest owner number known of each site
 	paused      Micros
 	demand      float64
-	clockRate   float64 // of its clock
+	clockRate   float64 // relative to simulated time
 	clockOffset Micros
 	calls       []Micros
 }
@@ -90,7 +90,7 @@
 func (n *node) clock() Micros { return n.clockOffset + Micros(float64(n.w.now)*n.clockRate) }
 func (n *node) role() string  { return fmt.Sprintf("%s/%d", n.name, n.start) }
 
-// send has something happen later, perhaps twice or never.
+// send schedules do after a random delay; it may be lost or run twice.
 func (w *world) send(do func()) {
 	for range 1 + w.r.IntN(12)/11 {
 		if w.r.IntN(10) > 0 {
@@ -114,12 +114,12 @@
 	d := NewAllocator(w.rules, []Limit{w.limit}, site, w.number, wait, n.clock())
 	d.Disable(w.mutation)
 	n.allocators[site] = d
-	for _, x := range w.nodes { // those in contact hear of it by and by
+	for _, x := range w.nodes { // the nodes learn of it after a random delay
 		w.wire = append(w.wire, packet{w.now + Micros(w.r.IntN(2_000_000)), func() { x.newestOwner[site] = max(x.newestOwner[site], w.number) }})
 	}
 }
 
-// play plays a day, and gives what was let through.
+// simulate runs a simulation and returns the world with the requests admitted.
 func simulate(seed uint64, limit Limit, rule Mutation, span Micros) *world {
 	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, mutation: rule, uses: map[uint64]int{}}
 	w.rules.ClockDrift = 0.1
@@ -134,8 +134,8 @@
 	w.nameOwner(keepers, "", w.nodes[0], 0)
 	w.nameOwner(keepers, "a", w.nodes[2], 0)
 	w.nameOwner(keepers, "b", w.nodes[1], 0)
-	// A root's lease ends before the next one may deal; here it is told to end at once,
-	// which is the earliest that a lease allows, or goes on for a while where the rules let it.
+	// A replaced owner keeps allocating until its lease ends, which is before a new root
+	// owner may allocate.
 	type later struct {
 		at   Micros
 		site string
@@ -165,7 +165,7 @@
 		if w.r.IntN(300) == 0 {
 			n := w.nodes[w.r.IntN(6)]
 			switch w.r.IntN(4) {
-			case 0: // another process: what the one before held it may not spend
+			case 0: // restart: the new process may not spend what the old one held
 				n.start++
 				n.limiter = NewLimiter(w.rules, []Limit{limit}, n.clock())
 				for _, site := range slices.Sorted(maps.Keys(n.allocators)) {
@@ -228,7 +228,7 @@
 	}
 	site := n.site
 	if w.r.IntN(5) == 0 {
-		site = "" // passed over
+		site = "" // the site's owner is passed over
 	}
 	k := keepers[site]
 	ask := Request{Stamp: now}
@@ -279,7 +279,7 @@
 		back.Restore(l)
 		back.Ledger()
 		if err != nil || cmp.Diff(back.ledger.List, d.ledger.List) != "" || len(back.ledger.Limits) != len(d.ledger.Limits) {
-			panic(fmt.Sprint("a snapshot does not come back: ", err))
+			panic(fmt.Sprint("restored ledger differs: ", err))
 		}
 	}
 }
@@ -300,7 +300,7 @@
 	}
 }
 
-// worst is the most that was let through above a rate's bound in any window.
+// maxExcess returns the most that was admitted above a rate's bound in any window.
 func (w *world) maxExcess() float64 {
 	worst := math.Inf(-1)
 	// Max over i<j of (j-i+1) - burst - rate*(t_j-t_i), in one pass.
@@ -313,10 +313,10 @@
 	return worst
 }
 
-// Guards that a hard rate is never exceeded in any window, and a number open at once
-// never at all, while messages are lost, doubled and up to 5 s late, processes pause
-// and start anew, keepers change, and clocks are 10% off; and that what is dealt out
-// is of use.
+// Checks that a hard rate is never exceeded in any window and a hard number of open
+// requests never at all, while messages are lost, duplicated and up to 5 s late, processes
+// pause and restart, owners change, and clocks run up to 10% off; and that a useful part
+// of the limits is used.
 func TestNeverOver(t *testing.T) {
 	passed, most := 0, 0
 	for seed := range uint64(40) {
@@ -327,21 +327,22 @@
 		require.LessOrEqual(t, w.maxOpen, 30, "seed %d", seed)
 		most += w.maxOpen
 	}
-	require.Greater(t, passed, 40*1000, "of use")
-	require.Greater(t, most, 40*8, "of use")
+	require.Greater(t, passed, 40*1000, "admitted requests")
+	require.Greater(t, most, 40*8, "open requests")
 }
 
-// Guards the check above: with a rule left out it fires.
+// Checks that TestNeverOver detects an allocator that frees allocations before they have
+// certainly expired.
 func TestNeverOverFires(t *testing.T) {
 	for seed := range uint64(40) {
 		if simulate(seed, Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 100, Burst: 40, Hard: true}, DisableExpiry, 60*second).maxExcess() > 0 {
 			return
 		}
 	}
-	t.Fatal("a part that is free before it is surely over was not found")
+	t.Fatal("freeing allocations before they have certainly expired was not detected")
 }
 
-// The cost of a limit in a request's way: go test -bench Take ./internal/decide/quotalease
+// Cost of a limit check per request: go test -bench Take ./internal/decide/quotalease
 func BenchmarkTake(b *testing.B) {
 	now := second
 	p := NewLimiter(testRules, []Limit{{Name: "l", Dimension: "tenant", Who: "padma", Kind: Rate, Amount: 1e8, Burst: 1e8, Hard: true}}, now)
--- a/internal/decide/quotalease/steady_test.go
+++ b/internal/decide/quotalease/steady_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards that a limit is used in steady state with skewed demand, and again soon after
-// demand has moved; and that a dead front's part comes back in the stated span.
+// Checks that a limit is used in steady state with skewed demand and again soon after
+// demand has moved, and that a failed front's allocation is reallocated within
+// allocationExpiry.
 func TestSteady(t *testing.T) {
 	limit := Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 1000, Burst: 100, Hard: true}
 	rules := testRules
@@ -29,7 +30,7 @@
 		}
 		return 0
 	}
-	// run lets time go on, and gives what was let through of each 100 ms.
+	// run advances time and returns the number of requests admitted per 100 ms.
 	owed := [n]float64{}
 	run := func(span Micros, moved bool) (passed []int) {
 		for end := now + span; now < end; {
@@ -74,10 +75,10 @@
 	run(3*second, false)
 	require.GreaterOrEqual(t, sum(run(10*second, false)), 9500, "used in steady state")
 	moved := run(2*second, true)
-	require.GreaterOrEqual(t, sum(moved[10:]), 900, "back after demand has moved")
+	require.GreaterOrEqual(t, sum(moved[10:]), 900, "used again after demand has moved")
 	run(2*second, true)
 	dead = 7
 	run(rules.allocationExpiry(Rate)+second, false)
-	require.GreaterOrEqual(t, sum(run(2*second, false)), 1900, "a dead front's part comes back")
+	require.GreaterOrEqual(t, sum(run(2*second, false)), 1900, "a failed front's allocation is reallocated")
 	require.Len(t, d.Status(Source{}, now), 1)
 }
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -1,13 +1,13 @@
-// Package ratelimit decides how much a key, a tenant and a subject may ask for: a
-// rate, a number of open requests, and how often one token may be used.
+// Package ratelimit limits requests by key, tenant and subject: their rate, the number of
+// concurrently open requests, and the number of uses of one token.
 //
-// Rates are GCRA (ITU-T I.371, the virtual scheduling form): a bucket is one
-// moment, the theoretical arrival time, so an entry whose moment has passed and
-// that has nothing open says no more than no entry does, and may go. At its
-// bound the table first lets such entries go; where there is none, what is new
-// is refused. Nothing that still binds is ever forgotten.
+// Rates use GCRA (ITU-T I.371, virtual scheduling): a bucket is a single time, the
+// theoretical arrival time. An entry whose time has passed and that has no open requests
+// is equivalent to no entry and may be evicted. A full table first evicts such entries;
+// if there are none, new names are refused. An entry that still limits requests is never
+// evicted.
 //
-// It asks no clock and does no I/O.
+// The package reads no clock and does no I/O.
 package ratelimit
 
 import (
@@ -17,39 +17,39 @@
 	"cherryramp/internal/decide/compactmap"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a Unix time or a duration in microseconds.
 type Micros = int64
 
-// Limit is what one name may ask for. A zero field does not bind.
+// Limit is the limit of one name. A zero Rate or Open means unlimited.
 type Limit struct {
-	Rate  float64 // requests a second
-	Burst int     // requests at once; 1 at least counts
-	Open  int     // requests open together
+	Rate  float64 // requests per second
+	Burst int     // requests that may come at once; values below 1 count as 1
+	Open  int     // concurrently open requests
 }
 
 func (l Limit) isZero() bool { return l.Rate == 0 && l.Open == 0 }
 
-// Kind is whom a limit is for. Names of different kinds are kept apart.
+// Kind is what a limit applies to. Each kind has its own namespace.
 type Kind byte
 
-// The kinds.
+// The kinds of limits.
 const (
 	Tenant  Kind = 't'
 	Key     Kind = 'k'
 	Subject Kind = 's'
 )
 
-// Claim is one limit that a request has to keep.
+// Claim is one limit that a request is subject to.
 type Claim struct {
 	Kind  Kind
 	Name  string // unique within its kind
 	Limit Limit
 }
 
-// Refusal tells why a request may not go on. The empty one is none.
+// Refusal is the reason why a request is refused; empty if it is not.
 type Refusal string
 
-// The refusals.
+// The reasons for refusal.
 const (
 	RateExceeded   Refusal = "too many requests a second"
 	OpenExceeded   Refusal = "too many requests at once"
@@ -59,24 +59,24 @@
 	UsesTableFull  Refusal = "no room to count uses"
 )
 
-// bucket is what is known of one name.
+// bucket is the state of one name.
 type bucket struct {
 	TAT  int64 // theoretical arrival time
 	Open uint32
 	_    uint32
 }
 
-// Rates keeps rates and numbers of open requests.
+// Rates enforces rates and numbers of open requests.
 type Rates struct {
 	table *compactmap.Table[bucket]
-	names []compactmap.Key // used anew by each request
+	names []compactmap.Key // scratch space, reused by each request
 }
 
-// NewRates makes room for so many names.
+// NewRates returns a Rates that holds at most maxNames names.
 func NewRates(maxNames int) *Rates { return &Rates{table: compactmap.New[bucket](maxNames)} }
 
-// What is looked at for entries to let go: a little with each new name, and a
-// good deal where there is no room.
+// Slots checked for entries to evict: a few with each new name, more when the table is
+// full.
 const (
 	sweepOnAdd    = 4
 	sweepWhenFull = 256
@@ -89,9 +89,9 @@
 	return n
 }
 
-// Take asks for one request under all its claims. It takes from all or from
-// none; refused, it tells how long to stay away. What was taken must be given
-// back with Done, with the same claims, when the request ends.
+// Take admits one request under all its claims or, if any of them refuses it, changes none
+// of them and returns how long the client should wait. An admitted request must be ended
+// by Release with the same claims.
 func (r *Rates) Take(claims []Claim, now Micros) (wait Micros, refusal Refusal) {
 	r.names = r.names[:0]
 	for i := range claims {
@@ -127,7 +127,7 @@
 				return tableFullWait, RatesTableFull
 			}
 		}
-		b.Open++ // from here on no sweep takes the entry, though nothing else is in it
+		b.Open++ // an open request keeps the entry from being evicted while the remaining claims are added
 		if l.Rate > 0 {
 			b.TAT = max(b.TAT, now) + l.interval()
 		}
@@ -135,7 +135,7 @@
 	return 0, ""
 }
 
-// undo takes back what Take has taken of its first claims.
+// undo reverts what Take has counted for the first claims of a request.
 func (r *Rates) undo(claims []Claim) {
 	for i := range claims {
 		if l := claims[i].Limit; !l.isZero() {
@@ -149,13 +149,13 @@
 }
 
 const (
-	openWait      Micros = 500_000   // after which one of the open requests may have ended
-	tableFullWait Micros = 1_000_000 // after which there may be room
+	openWait      Micros = 500_000   // time in which one of the open requests is likely to end
+	tableFullWait Micros = 1_000_000 // time in which an entry of a full table may become free
 )
 
 func (l Limit) interval() Micros { return max(1, Micros(1e6/l.Rate)) }
 
-// wait is how long until a request conforms; 0: it does.
+// wait returns how long it takes until a request conforms to the rate; 0 if it does.
 func (l Limit) wait(tat, now Micros) Micros {
 	if l.Rate == 0 {
 		return 0
@@ -172,7 +172,7 @@
 	return r.table.Add(n, bucket{})
 }
 
-// Done ends a request that Take let go on.
+// Release ends a request that Take admitted.
 func (r *Rates) Release(claims []Claim) {
 	for i := range claims {
 		if claims[i].Limit.isZero() {
@@ -184,37 +184,37 @@
 	}
 }
 
-// Len counts the names that are held.
+// Len returns the number of names held.
 func (r *Rates) Len() int { return r.table.Len() }
 
-// use is what is known of one token that may be used so often.
+// tokenUse is the state of one token with a limited number of uses.
 type tokenUse struct {
-	ExpiresAt int64  // nothing can be let in by the token from then on
-	LastStart int64  // when the last use began
-	Object    uint64 // of the last use
+	ExpiresAt int64  // the token admits nothing from then on
+	LastStart int64  // start of the last use
+	Object    uint64 // hash of the last use's object
 	Count     uint32
-	Open      uint32 // requests of the last use
+	Open      uint32 // open requests of the last use
 }
 
-// Uses keeps how often tokens were used. A token's entry goes when the token
-// has run out, and never before: a full table refuses.
+// Uses counts the uses of tokens. A token's entry is evicted only after the token has
+// expired; a full table refuses new tokens.
 type Uses struct{ table *compactmap.Table[tokenUse] }
 
-// NewUses makes room for so many tokens.
+// NewUses returns a Uses that holds at most maxTokens tokens.
 func NewUses(maxTokens int) *Uses { return &Uses{table: compactmap.New[tokenUse](maxTokens)} }
 
-// Token is one token's use.
+// Token describes one use of a token.
 type Token struct {
 	Name        [16]byte
-	ExpiresAt   Micros // when nothing can be let in by it any more
-	MaxUses     int    // uses
-	Object      string // what is asked for
-	RetryWindow Micros // how long asking for the same again is the same use
+	ExpiresAt   Micros // when the token stops admitting requests
+	MaxUses     int    // number of uses allowed
+	Object      string // requested object
+	RetryWindow Micros // how long a repeated request for the same object is the same use
 }
 
-// Take uses a token. A client's own retry, for the same object within the span
-// and with the earlier request ended, is the same use. What was taken must be
-// given back with Done when the request ends.
+// Take uses a token, or returns why it cannot be used and how long to wait. A client's
+// retry, for the same object within RetryWindow and after the earlier request has ended,
+// is the same use. A use must be ended by Release.
 func (u *Uses) Take(t Token, now Micros) (wait Micros, refusal Refusal) {
 	sum := sha256.Sum256([]byte(t.Object))
 	object := binary.LittleEndian.Uint64(sum[:])
@@ -245,8 +245,8 @@
 	return 0, ""
 }
 
-// Done ends a request that Take let go on. One that was refused before anything
-// was done for it is no use.
+// Release ends a request that Take admitted. If notServed is set, the request was refused
+// before any work was done for it and does not count as a use.
 func (u *Uses) Release(name [16]byte, notServed bool) {
 	x := u.table.Find(name)
 	if x == nil || x.Open == 0 {
@@ -259,14 +259,14 @@
 	}
 }
 
-// Len counts the tokens that are held.
+// Len returns the number of tokens held.
 func (u *Uses) Len() int { return u.table.Len() }
 
-// Append writes the state out, for Read.
+// Append appends the encoded state to b, to be read by Read.
 func (u *Uses) Append(b []byte) ([]byte, error) { return u.table.Append(b) }
 
-// Read takes a state in and gives what follows it. Requests that were open then
-// have ended.
+// Read restores a state written by Append and returns the bytes that follow it. Requests
+// that were open when the state was written count as ended.
 func (u *Uses) Read(b []byte) ([]byte, error) {
 	rest, err := u.table.Read(b)
 	u.table.Sweep(1<<62, func(_ compactmap.Key, x *tokenUse) bool { x.Open = 0; return false })
--- a/internal/decide/ratelimit/ratelimit_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever comes, no span holds more than its rate and burst allow, and a
-// client that stays away as told is let in.
+// Checks that no time window contains more admitted requests than rate and burst allow,
+// and that a client that waits as long as it was told is admitted.
 func TestRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Rate: float64(rapid.IntRange(1, 50).Draw(t, "rate")), Burst: rapid.IntRange(1, 5).Draw(t, "burst")}
@@ -26,7 +26,7 @@
 			wait, refusal := r.Take(claims, now)
 			if refusal != "" {
 				if w, again := r.Take(claims, now+wait); again != "" || w != 0 {
-					t.Fatalf("came back after %d as told and was refused: %s", wait, again)
+					t.Fatalf("refused after the wait of %d us that was returned: %s", wait, again)
 				}
 				now += wait
 			}
@@ -43,7 +43,7 @@
 	})
 }
 
-// All claims or none: what one limit refuses takes nothing from the others.
+// Checks that a request refused by one limit is not counted against the others.
 func TestAllOrNone(t *testing.T) {
 	r := NewRates(10)
 	both := []Claim{{Tenant, "a", Limit{Rate: 1, Burst: 2}}, {Subject, "x", Limit{Open: 1}}}
@@ -57,7 +57,7 @@
 	}
 	r.Release(both)
 	if _, refusal := r.Take(both, 3); refusal != "" {
-		t.Error("the refused ones were counted:", refusal)
+		t.Error("refused requests were counted:", refusal)
 	}
 	r.Release(both)
 	if wait, refusal := r.Take(both, 4); refusal != RateExceeded || wait < 900_000 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// At its bound the table lets go what binds nobody, and refuses rather than
-// forget what does.
+// Checks that full tables evict entries that no longer limit anything, and otherwise
+// refuse new names instead of evicting entries that do.
 func TestFullTables(t *testing.T) {
 	r := NewRates(100)
 	claim := func(i int) []Claim { return []Claim{{Subject, fmt.Sprint(i), Limit{Rate: 1}}} }
@@ -80,10 +80,10 @@
 		t.Fatal(refusal)
 	}
 	if _, refusal := r.Take(claim(5), 1_000_001); refusal != RateExceeded {
-		t.Error("forgot one that binds:", refusal)
+		t.Error("evicted an entry that still limits requests:", refusal)
 	}
 	if _, refusal := r.Take(claim(100), 2_000_000); refusal != "" {
-		t.Error("kept what binds nobody:", refusal)
+		t.Error("kept an entry that limits nothing:", refusal)
 	}
 	u := NewUses(10)
 	token := func(i int, until Micros) Token {
@@ -100,16 +100,16 @@
 		t.Error(refusal)
 	}
 	if _, refusal := u.Take(token(3, 100), 50); refusal != TokenUsedUp {
-		t.Error("forgot a use:", refusal)
+		t.Error("lost a use:", refusal)
 	}
 	if _, refusal := u.Take(token(11, 200), 101); refusal != "" {
-		t.Error("kept tokens that have run out:", refusal)
+		t.Error("kept expired tokens:", refusal)
 	}
 }
 
-// A request under several new names, in tables so small that making room for the
-// last looks at the first: none is lost on the way, and what finds no room
-// takes nothing.
+// Guards against evicting entries that the same request has just added: with several new
+// names and a very small table, making room for the last one checks the first ones.
+// Checks also that a request that finds no room changes no counts.
 func TestSweepKeepsEntriesInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := NewRates(rapid.IntRange(1, 5).Draw(t, "most")), int64(1_000_000)
@@ -143,7 +143,8 @@
 	})
 }
 
-// Single uses: together, retried, for another object, lost, refused, restarted.
+// Checks single-use tokens: concurrent use, retry, another object, lost response, refusal
+// and restart.
 func TestUses(t *testing.T) {
 	u := NewUses(10)
 	x := Token{Name: [16]byte{1}, ExpiresAt: 1000, MaxUses: 1, Object: "a", RetryWindow: 100}
@@ -157,13 +158,13 @@
 		want Refusal
 	}{
 		{"first", x, 10, false, ""},
-		{"together with it", x, 11, false, TokenInUse},
+		{"concurrent request", x, 11, false, TokenInUse},
 		{"another object", other, 12, true, TokenUsedUp},
-		{"its answer was lost: the same again", x, 60, true, ""},
-		{"and again, in the span of the first", x, 110, true, ""},
-		{"past the span", x, 111, false, TokenUsedUp},
+		{"lost response: retry", x, 60, true, ""},
+		{"retry at the end of the window of the first", x, 110, true, ""},
+		{"after the window", x, 111, false, TokenUsedUp},
 	} {
-		if s.what == "its answer was lost: the same again" {
+		if s.what == "lost response: retry" {
 			u.Release(x.Name, false)
 		}
 		_, refusal := u.Take(s.t, s.at)
@@ -183,11 +184,11 @@
 		t.Fatal(err)
 	}
 	if _, refusal := v.Take(other, 200); refusal != TokenUsedUp {
-		t.Error("a restart forgot a use:", refusal)
+		t.Error("a restart lost a use:", refusal)
 	}
 	y := Token{Name: [16]byte{2}, ExpiresAt: 1000, MaxUses: 2, Object: "a"}
 	u.Take(y, 1)
-	u.Release(y.Name, true) // refused harmlessly: no use
+	u.Release(y.Name, true) // refused before any work: not a use
 	for i := range 3 {
 		_, refusal := u.Take(y, Micros(10+i))
 		u.Release(y.Name, false)
