--- a/internal/decide/invalidation/index.go
+++ b/internal/decide/invalidation/index.go
@@ -6,13 +6,13 @@
 	"strconv"
 )
 
-// Index tells from when on copies may be: the latest purge of an object by its name,
-// group, the prefixes of its name, or all. Moments are the host's, in microseconds of
-// whatever clock copies are dated by.
+// Index returns, for an object, the time of the latest purge that covers it: by its name,
+// its group, a prefix of its name, or of all objects. Times are on the clock that the
+// caller dates copies by, in microseconds.
 //
-// It is bounded: where it is full, the older half of the names become prefixes that
-// cover them, as long as that pays; then all copies older than the oldest go. So memory
-// is bounded, and what was purged stays so.
+// Its size is bounded: when it is full, the older half of the names is replaced by prefixes
+// that cover them; if that does not free enough, all copies older than the median purge
+// count as purged. Purged copies thus never become valid again.
 type Index struct {
 	maxScopes     int
 	floor         Micros
@@ -20,39 +20,39 @@
 	prefixes      map[string]Micros
 	groups        map[int]Micros
 	tags          map[string]Micros
-	prefixLengths []int // of prefixes, each once
-	Compactions   int   // how often names were folded into wider ones
+	prefixLengths []int // distinct lengths of prefixes, sorted
+	Compactions   int   // how often the index was compacted
 }
 
-// NewIndex makes room for so many scopes.
+// NewIndex returns an Index that holds at most maxScopes scopes, and at least 16.
 func NewIndex(maxScopes int) *Index {
 	return &Index{maxScopes: max(16, maxScopes), objects: map[string]Micros{}, prefixes: map[string]Micros{}, groups: map[int]Micros{}, tags: map[string]Micros{}, floor: math.MinInt64}
 }
 
-// Len counts the scopes held.
-func (x *Index) Len() int {
-	return len(x.objects) + len(x.prefixes) + len(x.groups) + len(x.tags)
+// Len returns the number of scopes held.
+func (index *Index) Len() int {
+	return len(index.objects) + len(index.prefixes) + len(index.groups) + len(index.tags)
 }
 
-// Add takes a purge in, of a moment.
-func (x *Index) Add(s Scope, at Micros) {
+// Add records a purge of a scope at a time.
+func (index *Index) Add(s Scope, at Micros) {
 	switch s.Kind {
 	case All:
-		x.RaiseFloor(at)
+		index.RaiseFloor(at)
 		return
 	case Object:
-		x.objects[s.Name] = latest(x.objects, s.Name, at)
+		index.objects[s.Name] = latest(index.objects, s.Name, at)
 	case Prefix:
-		x.addPrefix(s.Name, at)
+		index.addPrefix(s.Name, at)
 	case Tag:
-		x.tags[s.Name] = latest(x.tags, s.Name, at)
+		index.tags[s.Name] = latest(index.tags, s.Name, at)
 	case Group:
 		if n, err := strconv.Atoi(s.Name); err == nil {
-			x.groups[n] = latest(x.groups, n, at)
+			index.groups[n] = latest(index.groups, n, at)
 		}
 	}
-	if x.Len() > x.maxScopes {
-		x.compact()
+	if index.Len() > index.maxScopes {
+		index.compact()
 	}
 }
 
@@ -63,29 +63,30 @@
 	return at
 }
 
-func (x *Index) addPrefix(p string, at Micros) {
+func (index *Index) addPrefix(p string, at Micros) {
 	if p == "" {
-		x.RaiseFloor(at)
+		index.RaiseFloor(at)
 		return
 	}
-	x.prefixes[p] = latest(x.prefixes, p, at)
-	if i, ok := slices.BinarySearch(x.prefixLengths, len(p)); !ok {
-		x.prefixLengths = slices.Insert(x.prefixLengths, i, len(p))
+	index.prefixes[p] = latest(index.prefixes, p, at)
+	if i, ok := slices.BinarySearch(index.prefixLengths, len(p)); !ok {
+		index.prefixLengths = slices.Insert(index.prefixLengths, i, len(p))
 	}
 }
 
-// Floor has all copies from before a moment count as purged, and forgets what says no more.
-func (x *Index) RaiseFloor(at Micros) {
-	if at <= x.floor {
+// RaiseFloor makes all copies up to a time count as purged and removes entries that this
+// covers.
+func (index *Index) RaiseFloor(at Micros) {
+	if at <= index.floor {
 		return
 	}
-	x.floor = at
+	index.floor = at
 	over := func(_ string, a Micros) bool { return a <= at }
-	deleteIf(x.objects, over)
-	deleteIf(x.prefixes, over)
-	deleteIf(x.tags, over)
-	deleteIf(x.groups, func(_ int, a Micros) bool { return a <= at })
-	x.updatePrefixLengths()
+	deleteIf(index.objects, over)
+	deleteIf(index.prefixes, over)
+	deleteIf(index.tags, over)
+	deleteIf(index.groups, func(_ int, a Micros) bool { return a <= at })
+	index.updatePrefixLengths()
 }
 
 func deleteIf[K comparable](m map[K]Micros, expired func(K, Micros) bool) {
@@ -96,84 +97,86 @@
 	}
 }
 
-func (x *Index) updatePrefixLengths() {
-	x.prefixLengths = x.prefixLengths[:0]
-	for p := range x.prefixes {
-		if i, ok := slices.BinarySearch(x.prefixLengths, len(p)); !ok {
-			x.prefixLengths = slices.Insert(x.prefixLengths, i, len(p))
+func (index *Index) updatePrefixLengths() {
+	index.prefixLengths = index.prefixLengths[:0]
+	for p := range index.prefixes {
+		if i, ok := slices.BinarySearch(index.prefixLengths, len(p)); !ok {
+			index.prefixLengths = slices.Insert(index.prefixLengths, i, len(p))
 		}
 	}
 }
 
-// Since is the moment from which on a copy of an object may be; ok is false where any
-// will do. A copy of that very moment will not.
-func (x *Index) ValidAfter(object string, group int) (at Micros, ok bool) {
-	at = x.floor
-	if a, has := x.objects[object]; has {
+// ValidAfter returns the time after which a copy of an object must have been made; a copy
+// of exactly that time is invalid. If ok is false, all copies are valid.
+func (index *Index) ValidAfter(object string, group int) (at Micros, ok bool) {
+	at = index.floor
+	if a, has := index.objects[object]; has {
 		at = max(at, a)
 	}
-	if len(x.groups) > 0 {
-		if a, has := x.groups[group]; has {
+	if len(index.groups) > 0 {
+		if a, has := index.groups[group]; has {
 			at = max(at, a)
 		}
 	}
-	for _, n := range x.prefixLengths {
+	for _, n := range index.prefixLengths {
 		if n > len(object) {
 			break
 		}
-		if a, has := x.prefixes[object[:n]]; has {
+		if a, has := index.prefixes[object[:n]]; has {
 			at = max(at, a)
 		}
 	}
 	return at, at != math.MinInt64
 }
 
-// Tagged is the same for copies under a tag, which only their answers tell.
-func (x *Index) TagValidAfter(tag string) (at Micros, ok bool) {
-	at, ok = x.tags[tag]
+// TagValidAfter is ValidAfter for copies with a tag. Tags are known only from the responses
+// that were stored.
+func (index *Index) TagValidAfter(tag string) (at Micros, ok bool) {
+	at, ok = index.tags[tag]
 	return at, ok
 }
 
-// fold makes room: the older half of the names, and of the prefixes that are no better,
-// become what they share.
-func (x *Index) compact() {
-	x.Compactions++
+// compact frees entries: the older half of the names and long prefixes is replaced by
+// shared prefixes.
+func (index *Index) compact() {
+	index.Compactions++
 	var all []Micros
-	for _, m := range []map[string]Micros{x.objects, x.prefixes} {
+	for _, m := range []map[string]Micros{index.objects, index.prefixes} {
 		for _, a := range m {
 			all = append(all, a)
 		}
 	}
-	target := x.maxScopes * 3 / 4
+	target := index.maxScopes * 3 / 4
 	if len(all) > 0 {
 		slices.Sort(all)
 		half := all[(len(all)-1)/2]
-		for n := 6; n >= 1 && x.Len() > target; n-- {
-			x.widen(n, half)
+		for n := 6; n >= 1 && index.Len() > target; n-- {
+			index.widen(n, half)
 		}
 	}
-	if x.Len() <= target {
+	if index.Len() <= target {
 		return
 	}
-	// What is left shares nothing: the older half of everything becomes all.
+	// The remaining names share no prefixes: the floor replaces the older half of all entries.
 	all = all[:0]
-	for _, m := range []map[string]Micros{x.objects, x.prefixes, x.tags} {
+	for _, m := range []map[string]Micros{index.objects, index.prefixes, index.tags} {
 		for _, a := range m {
 			all = append(all, a)
 		}
 	}
-	for _, a := range x.groups {
+	for _, a := range index.groups {
 		all = append(all, a)
 	}
 	slices.Sort(all)
-	x.RaiseFloor(all[len(all)/2])
+	index.RaiseFloor(all[len(all)/2])
 }
 
-// shorten has names from up to a moment become prefixes of a length, where several share one.
-func (x *Index) widen(n int, upTo Micros) {
+// widen replaces names and longer prefixes purged up to a time by prefixes of length n that
+// at least four of them share.
+func (index *Index) widen(n int, upTo Micros) {
 	share := map[string]int{}
 	each := func(do func(m map[string]Micros, k string, a Micros)) {
-		for _, m := range []map[string]Micros{x.objects, x.prefixes} {
+		for _, m := range []map[string]Micros{index.objects, index.prefixes} {
 			for k, a := range m {
 				if a <= upTo && len(k) > n {
 					do(m, k, a)
@@ -190,7 +193,7 @@
 		}
 	})
 	for p, a := range wide {
-		x.prefixes[p] = latest(x.prefixes, p, a)
+		index.prefixes[p] = latest(index.prefixes, p, a)
 	}
-	x.updatePrefixLengths()
+	index.updatePrefixLengths()
 }
--- a/internal/decide/invalidation/invalidation.go
+++ b/internal/decide/invalidation/invalidation.go
@@ -1,14 +1,15 @@
-// Package invalidation decides how purges go through a fleet: each has a number from the site
-// where it was asked, is told along the tree in both ways until everybody has it, and is
-// complete once every front of the fleet keeps and obeys it or surely serves no more.
+// Package invalidation distributes purges through a fleet. A purge is numbered by the site
+// where it was requested, spreads along the tree in both directions until every front has
+// it, and is complete once every front has stored and applied it or has certainly stopped
+// serving.
 //
-// Who has what is told as marks: of each origin the number up to which all is there. Two
-// neighbours compare marks and tell each other what is missing, so what is lost, doubled
-// or late does no harm (Demers and others, 1987, anti-entropy). Acknowledgements go up as
-// marks that hold for a whole site, with those who lag behind named; they do not grow
-// with the fleet while all is well.
+// The state of a process is described by watermarks: for each origin, the number up to
+// which all purges are present. Neighbours compare watermarks and send each other what is
+// missing, so lost, duplicated and late messages do no harm (anti-entropy, Demers et al.,
+// 1987). Acknowledgements travel up as watermarks that hold for a whole site, plus the
+// names of some laggards; their size does not grow with the fleet while there are none.
 //
-// Moments are those of this process's own clock and never travel; ages do.
+// Times are on the process's own clock and are never sent; ages are sent instead.
 package invalidation
 
 import (
@@ -19,26 +20,26 @@
 	"strings"
 )
 
-// Micros is a span, or a moment of one process's own clock, in microseconds.
+// Micros is a duration, or a time on the process's own clock, in microseconds.
 type Micros = int64
 
-// Kind is what a purge names.
+// Kind is the kind of a purge's scope.
 type Kind uint8
 
-// The kinds.
+// The kinds of scopes.
 const (
 	All Kind = iota
 	Object
 	Group
-	Prefix // of objects' names
-	Tag    // of copies
+	Prefix // of object names
+	Tag    // attached to copies by their responses
 )
 
 var kindNames = [...]string{"all", "object", "group", "prefix", "tag"}
 
 func (k Kind) String() string { return kindNames[min(int(k), len(kindNames)-1)] }
 
-// Scope is what a purge is of.
+// Scope is the set of copies that a purge invalidates.
 type Scope struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint,omitempty"`
@@ -46,17 +47,17 @@
 
 func (s Scope) String() string { return strings.TrimSpace(s.Kind.String() + " " + s.Name) }
 
-// Bounds.
+// Limits.
 const (
 	maxNameBytes = 128
-	MaxBatch     = 200 // purges of one message
-	maxLaggards  = 8   // fronts named that lag behind
+	MaxBatch     = 200 // purges in one message
+	maxLaggards  = 8   // laggards named in a summary
 )
 
-// ErrScope tells of a purge of nothing that can be named.
+// ErrScope is returned for an invalid scope.
 var ErrScope = errors.New("object, group, prefix or tag with a name of 1 to 128 bytes is wanted, or all")
 
-// ParseScope reads a scope from its words.
+// ParseScope returns the scope of a kind and a name, or an error if they are invalid.
 func ParseScope(kind, name string) (Scope, error) {
 	i := slices.Index(kindNames[:], kind)
 	if i < 0 || len(name) > maxNameBytes || (Kind(i) == All) != (name == "") || strings.ContainsAny(name, " \t\r\n") {
@@ -68,7 +69,7 @@
 	return Scope{Kind(i), name}, nil
 }
 
-// Origin is where purges are numbered: a site under one keeper.
+// Origin is a source of purge numbers: a site under one owner.
 type Origin struct {
 	Site  string `cbor:"1,keyasint"`
 	Owner uint64 `cbor:"2,keyasint"`
@@ -80,29 +81,29 @@
 	return cmp.Or(cmp.Compare(a.Site, b.Site), cmp.Compare(a.Owner, b.Owner))
 }
 
-// Purge is one purge on its way.
+// Purge is a purge as it is sent between processes.
 type Purge struct {
 	Origin     Origin `cbor:"1,keyasint"`
 	Number     uint64 `cbor:"2,keyasint"`
 	Scope      Scope  `cbor:"3,keyasint"`
-	RequestKey string `cbor:"4,keyasint"`           // names the asking: asked again it is the same purge
-	Age        Micros `cbor:"5,keyasint"`           // since it was asked, at least
-	Reason     string `cbor:"6,keyasint,omitempty"` //
+	RequestKey string `cbor:"4,keyasint"` // idempotency key: a repeated request with it is the same purge
+	Age        Micros `cbor:"5,keyasint"` // minimum time since it was requested
+	Reason     string `cbor:"6,keyasint,omitempty"`
 }
 
-// ID is a purge's number as a person reads it.
+// ID returns the purge's origin and number as text.
 func (p *Purge) ID() string { return fmt.Sprintf("%s:%d", p.Origin, p.Number) }
 
-// Mark tells of an origin that all up to a number is there.
+// Watermark states that all purges of an origin up to a number are present.
 type Watermark struct {
 	Origin Origin `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// Marks are ordered by origin.
+// Watermarks is a list of watermarks ordered by origin.
 type Watermarks []Watermark
 
-// Of is the number of an origin; 0: nothing is there.
+// Of returns the number of an origin; 0 if it has none.
 func (m Watermarks) Of(o Origin) uint64 {
 	i, ok := slices.BinarySearchFunc(m, o, func(x Watermark, o Origin) int { return compareOrigins(x.Origin, o) })
 	if !ok {
@@ -111,10 +112,10 @@
 	return m[i].Number
 }
 
-// Same tells whether both have the same of every origin.
+// Equal reports whether both have the same number for every origin.
 func (m Watermarks) Equal(o Watermarks) bool { return m.covers(o) && o.covers(m) }
 
-// covers tells whether all that o has is there.
+// covers reports whether m is at least o for every origin.
 func (m Watermarks) covers(o Watermarks) bool {
 	for _, x := range o {
 		if m.Of(x.Origin) < x.Number {
@@ -124,323 +125,325 @@
 	return true
 }
 
-// held is a purge as a book has it.
+// logEntry is a purge in a PurgeLog.
 type logEntry struct {
 	Purge
-	requestedAt Micros // when it was asked, at the earliest
+	requestedAt Micros // when it was requested, at the latest
 	stored      bool
 }
 
-// line is what a book has of one origin.
+// originLog holds the purges of one origin.
 type originLog struct {
-	forgotten uint64 // up to here nothing is told any more
-	received  uint64 // up to here all is there
-	stored    uint64 // and on disk
+	forgotten uint64 // purges up to here were removed and are no longer sent
+	received  uint64 // all purges up to here are present
+	stored    uint64 // all purges up to here are on disk
 	entries   []*logEntry
-	completed uint64 // up to here complete
+	completed uint64 // all purges up to here are complete
 }
 
-func (l *originLog) find(n uint64) *logEntry {
-	i, ok := slices.BinarySearchFunc(l.entries, n, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
+func (origin *originLog) find(n uint64) *logEntry {
+	i, ok := slices.BinarySearchFunc(origin.entries, n, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
 	if !ok {
 		return nil
 	}
-	return l.entries[i]
+	return origin.entries[i]
 }
 
-// Config bounds a book.
+// Config holds the bounds of a PurgeLog.
 type Config struct {
-	MaxPurges int    // purges held; complete ones go first
-	Retention Micros // for how long a purge is obeyed and told; a copy older than that is not trusted once one is forgotten
+	MaxPurges int    // maximum number of purges held; complete ones are removed first
+	Retention Micros // how long a purge is held and sent; once one is removed, older copies are not trusted
 }
 
-// Book is all purges that one process knows.
+// PurgeLog holds the purges known to one process.
 type PurgeLog struct {
 	cfg          Config
 	origins      map[Origin]*originLog
 	byRequestKey map[string]*logEntry
 	count        int
-	// To be obeyed and kept; each comes once.
+	// Purges to be applied and stored, each returned once by TakePending.
 	pending []Purge
-	// No copy from before is trusted; it only grows.
+	// Copies from before this time are not trusted; it never decreases.
 	floor Micros
-	lost  bool // purges went by that this process was never told of
+	lost  bool // purges were removed elsewhere before this process received them
 }
 
-// NewBook makes an empty one.
+// NewPurgeLog returns an empty PurgeLog.
 func NewPurgeLog(cfg Config) *PurgeLog {
 	return &PurgeLog{cfg: cfg, origins: map[Origin]*originLog{}, byRequestKey: map[string]*logEntry{}}
 }
 
-func (b *PurgeLog) origin(o Origin) *originLog {
-	l := b.origins[o]
-	if l == nil {
-		l = &originLog{}
-		b.origins[o] = l
+func (log *PurgeLog) origin(o Origin) *originLog {
+	origin := log.origins[o]
+	if origin == nil {
+		origin = &originLog{}
+		log.origins[o] = origin
 	}
-	return l
+	return origin
 }
 
-// Ask gives a purge its number at an origin of this process. One that was asked before
-// is the same.
-func (b *PurgeLog) Submit(o Origin, s Scope, asked, why string, now Micros) Purge {
-	if h := b.byRequestKey[asked]; h != nil {
-		return h.withAge(now)
+// Submit numbers a new purge at an origin owned by this process. If the request key is
+// known, it returns the existing purge.
+func (log *PurgeLog) Submit(o Origin, s Scope, requestKey, reason string, now Micros) Purge {
+	if entry := log.byRequestKey[requestKey]; entry != nil {
+		return entry.withAge(now)
 	}
-	l := b.origin(o)
-	p := Purge{Origin: o, Number: max(l.received, l.forgotten) + 1, Scope: s, RequestKey: asked, Reason: why}
-	b.insert(p, now)
+	origin := log.origin(o)
+	p := Purge{Origin: o, Number: max(origin.received, origin.forgotten) + 1, Scope: s, RequestKey: requestKey, Reason: reason}
+	log.insert(p, now)
 	return p
 }
 
-func (h *logEntry) withAge(now Micros) Purge {
-	p := h.Purge
-	p.Age = max(0, now-h.requestedAt)
+func (entry *logEntry) withAge(now Micros) Purge {
+	p := entry.Purge
+	p.Age = max(0, now-entry.requestedAt)
 	return p
 }
 
-// Find gives a purge by the name of its asking.
-func (b *PurgeLog) Find(asked string, now Micros) (Purge, bool) {
-	h := b.byRequestKey[asked]
-	if h == nil {
+// Find returns the purge of a request key.
+func (log *PurgeLog) Find(requestKey string, now Micros) (Purge, bool) {
+	entry := log.byRequestKey[requestKey]
+	if entry == nil {
 		return Purge{}, false
 	}
-	return h.withAge(now), true
+	return entry.withAge(now), true
 }
 
-// Told takes purges in that a neighbour told.
-func (b *PurgeLog) Receive(list []Purge, now Micros) {
+// Receive stores purges sent by a neighbour; invalid ones are skipped.
+func (log *PurgeLog) Receive(list []Purge, now Micros) {
 	for _, p := range list[:min(len(list), MaxBatch)] {
 		if p.Number > 0 && p.Age >= 0 && len(p.RequestKey) <= maxNameBytes && len(p.Scope.Name) <= maxNameBytes && int(p.Scope.Kind) < len(kindNames) {
-			b.insert(p, now)
+			log.insert(p, now)
 		}
 	}
 }
 
-func (b *PurgeLog) insert(p Purge, now Micros) {
-	l := b.origin(p.Origin)
-	if p.Number <= l.received || p.Number <= l.forgotten || l.find(p.Number) != nil {
+func (log *PurgeLog) insert(p Purge, now Micros) {
+	origin := log.origin(p.Origin)
+	if p.Number <= origin.received || p.Number <= origin.forgotten || origin.find(p.Number) != nil {
 		return
 	}
-	h := &logEntry{Purge: p, requestedAt: now - p.Age}
-	i, _ := slices.BinarySearchFunc(l.entries, p.Number, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
-	l.entries = slices.Insert(l.entries, i, h)
+	entry := &logEntry{Purge: p, requestedAt: now - p.Age}
+	i, _ := slices.BinarySearchFunc(origin.entries, p.Number, func(entry *logEntry, n uint64) int { return cmp.Compare(entry.Number, n) })
+	origin.entries = slices.Insert(origin.entries, i, entry)
 	if p.RequestKey != "" {
-		b.byRequestKey[p.RequestKey] = h
+		log.byRequestKey[p.RequestKey] = entry
 	}
-	b.count++
-	b.pending = append(b.pending, p)
-	b.advance(l)
+	log.count++
+	log.pending = append(log.pending, p)
+	log.advance(origin)
 }
 
-// advance moves marks on over what stands without a gap.
-func (b *PurgeLog) advance(l *originLog) {
-	l.received = max(l.received, l.forgotten)
-	for h := l.find(l.received + 1); h != nil; h = l.find(l.received + 1) {
-		l.received++
+// advance moves the watermarks over consecutive purges.
+func (log *PurgeLog) advance(origin *originLog) {
+	origin.received = max(origin.received, origin.forgotten)
+	for entry := origin.find(origin.received + 1); entry != nil; entry = origin.find(origin.received + 1) {
+		origin.received++
 	}
-	l.stored = max(l.stored, l.forgotten)
-	for h := l.find(l.stored + 1); h != nil && h.stored && l.stored < l.received; h = l.find(l.stored + 1) {
-		l.stored++
+	origin.stored = max(origin.stored, origin.forgotten)
+	for entry := origin.find(origin.stored + 1); entry != nil && entry.stored && origin.stored < origin.received; entry = origin.find(origin.stored + 1) {
+		origin.stored++
 	}
 }
 
-// Apply gives the purges that came since it was last asked, to be obeyed and kept.
-func (b *PurgeLog) TakePending() []Purge {
-	list := b.pending
-	b.pending = nil
+// TakePending returns the purges added since the last call, to be applied and stored.
+func (log *PurgeLog) TakePending() []Purge {
+	list := log.pending
+	log.pending = nil
 	return list
 }
 
-// Kept tells that a purge is on disk.
-func (b *PurgeLog) MarkStored(o Origin, n uint64) {
-	l := b.origins[o]
-	if l == nil {
+// MarkStored records that a purge is on disk.
+func (log *PurgeLog) MarkStored(o Origin, n uint64) {
+	origin := log.origins[o]
+	if origin == nil {
 		return
 	}
-	if h := l.find(n); h != nil {
-		h.stored = true
-		b.advance(l)
+	if entry := origin.find(n); entry != nil {
+		entry.stored = true
+		log.advance(origin)
 	}
 }
 
-// Marks is what is here, all of it.
-func (b *PurgeLog) Received() Watermarks {
-	return b.watermarks(func(l *originLog) uint64 { return l.received })
+// Received returns the watermarks of purges present in this process.
+func (log *PurgeLog) Received() Watermarks {
+	return log.watermarks(func(origin *originLog) uint64 { return origin.received })
 }
 
-// Done is what is kept here, and obeyed.
-func (b *PurgeLog) Stored() Watermarks {
-	return b.watermarks(func(l *originLog) uint64 { return min(l.received, l.stored) })
+// Stored returns the watermarks of purges stored and applied by this process.
+func (log *PurgeLog) Stored() Watermarks {
+	return log.watermarks(func(origin *originLog) uint64 { return min(origin.received, origin.stored) })
 }
 
-// Whole is what is known to be complete.
-func (b *PurgeLog) Completed() Watermarks {
-	return b.watermarks(func(l *originLog) uint64 { return l.completed })
+// Completed returns the watermarks of purges known to be complete.
+func (log *PurgeLog) Completed() Watermarks {
+	return log.watermarks(func(origin *originLog) uint64 { return origin.completed })
 }
 
-func (b *PurgeLog) watermarks(of func(*originLog) uint64) Watermarks {
-	list := make(Watermarks, 0, len(b.origins))
-	for o, l := range b.origins {
-		list = append(list, Watermark{o, of(l)})
+func (log *PurgeLog) watermarks(of func(*originLog) uint64) Watermarks {
+	list := make(Watermarks, 0, len(log.origins))
+	for o, origin := range log.origins {
+		list = append(list, Watermark{o, of(origin)})
 	}
 	slices.SortFunc(list, func(x, y Watermark) int { return compareOrigins(x.Origin, y.Origin) })
 	return list
 }
 
-// Lacks gives what a neighbour that has so much is to be told, the oldest first; gone
-// tells the numbers up to which nothing can be told any more, where it lacks those.
-func (b *PurgeLog) MissingFrom(has Watermarks, now Micros) (list []Purge, gone Watermarks) {
-	for _, m := range b.Received() {
-		l := b.origins[m.Origin]
-		n := has.Of(m.Origin)
-		if n < l.forgotten {
-			gone = append(gone, Watermark{m.Origin, l.forgotten})
+// MissingFrom returns the purges to send to a neighbour with the given watermarks, the
+// oldest first, at most MaxBatch. For origins where the neighbour lacks purges that were
+// removed here, forgotten holds the number of the last removed one.
+func (log *PurgeLog) MissingFrom(watermarks Watermarks, now Micros) (list []Purge, forgotten Watermarks) {
+	for _, m := range log.Received() {
+		origin := log.origins[m.Origin]
+		n := watermarks.Of(m.Origin)
+		if n < origin.forgotten {
+			forgotten = append(forgotten, Watermark{m.Origin, origin.forgotten})
 		}
-		if n >= l.received && len(l.entries) > 0 && l.entries[len(l.entries)-1].Number <= n {
+		if n >= origin.received && len(origin.entries) > 0 && origin.entries[len(origin.entries)-1].Number <= n {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(l.entries, n+1, func(h *logEntry, n uint64) int { return cmp.Compare(h.Number, n) })
-		for _, h := range l.entries[i:] {
+		i, _ := slices.BinarySearchFunc(origin.entries, n+1, func(entry *logEntry, n uint64) int { return cmp.Compare(entry.Number, n) })
+		for _, entry := range origin.entries[i:] {
 			if len(list) >= MaxBatch {
-				return list, gone
+				return list, forgotten
 			}
-			list = append(list, h.withAge(now))
+			list = append(list, entry.withAge(now))
 		}
 	}
-	return list, gone
-}
-
-// Gone takes in that a neighbour can't tell some purges any more. Where this process
-// lacks any of those it trusts no copy from before now.
-func (b *PurgeLog) HandleForgotten(marks Watermarks, now Micros) {
-	for _, m := range marks {
-		if l := b.origin(m.Origin); m.Number > l.received {
-			l.forgotten = m.Number
-			l.entries = slices.DeleteFunc(l.entries, func(h *logEntry) bool { return b.unlink(h, h.Number <= m.Number) })
-			b.advance(l)
-			b.DistrustBefore(now)
+	return list, forgotten
+}
+
+// HandleForgotten takes the watermarks of purges that a neighbour has removed. If this
+// process lacks any of them, it no longer trusts copies from before now.
+func (log *PurgeLog) HandleForgotten(watermarks Watermarks, now Micros) {
+	for _, m := range watermarks {
+		if origin := log.origin(m.Origin); m.Number > origin.received {
+			origin.forgotten = m.Number
+			origin.entries = slices.DeleteFunc(origin.entries, func(entry *logEntry) bool { return log.unlink(entry, entry.Number <= m.Number) })
+			log.advance(origin)
+			log.DistrustBefore(now)
 		}
 	}
 }
 
-func (b *PurgeLog) unlink(h *logEntry, do bool) bool {
-	if do {
-		b.count--
-		if b.byRequestKey[h.RequestKey] == h {
-			delete(b.byRequestKey, h.RequestKey)
+func (log *PurgeLog) unlink(entry *logEntry, remove bool) bool {
+	if remove {
+		log.count--
+		if log.byRequestKey[entry.RequestKey] == entry {
+			delete(log.byRequestKey, entry.RequestKey)
 		}
 	}
-	return do
+	return remove
 }
 
-// Return has no copy from before a moment be trusted.
-func (b *PurgeLog) DistrustBefore(now Micros) {
-	b.floor, b.lost = max(b.floor, now), true
+// DistrustBefore makes all copies from before a time untrusted.
+func (log *PurgeLog) DistrustBefore(now Micros) {
+	log.floor, log.lost = max(log.floor, now), true
 }
 
-// Floor is the moment before which no copy is trusted; ok is false where there is none.
-func (b *PurgeLog) Floor() (at Micros, ok bool) { return b.floor, b.floor != 0 }
+// Floor returns the time before which no copy is trusted; ok is false if there is none.
+func (log *PurgeLog) Floor() (at Micros, ok bool) { return log.floor, log.floor != 0 }
 
-// Complete takes in up to where purges are complete.
-func (b *PurgeLog) MarkComplete(marks Watermarks) {
-	for _, m := range marks {
-		if l := b.origins[m.Origin]; l != nil {
-			l.completed = max(l.completed, min(m.Number, l.received))
+// MarkComplete records up to where purges are complete.
+func (log *PurgeLog) MarkComplete(watermarks Watermarks) {
+	for _, m := range watermarks {
+		if origin := log.origins[m.Origin]; origin != nil {
+			origin.completed = max(origin.completed, min(m.Number, origin.received))
 		}
 	}
 }
 
-// Fold forgets what is over: purges past their span, and the oldest complete ones where
-// too many are held; then the oldest at all. Nobody is told of those any more, and no
-// copy older than the newest of them is trusted here.
-func (b *PurgeLog) Compact(now Micros) {
-	for o, l := range b.origins {
+// Compact removes purges past Retention and, while more than MaxPurges are held, the oldest
+// complete ones; beyond twice MaxPurges also incomplete ones. Removed purges are no longer
+// sent, and copies older than the newest of them are no longer trusted here.
+func (log *PurgeLog) Compact(now Micros) {
+	for o, origin := range log.origins {
 		drop := 0
-		for drop < len(l.entries) && l.entries[drop].Number == l.forgotten+uint64(drop)+1 {
-			h := l.entries[drop]
-			over := now-h.requestedAt > b.cfg.Retention
-			crowded := b.count-drop > b.cfg.MaxPurges && (h.Number <= l.completed || b.count-drop > 2*b.cfg.MaxPurges)
-			if !over && !crowded {
+		for drop < len(origin.entries) && origin.entries[drop].Number == origin.forgotten+uint64(drop)+1 {
+			entry := origin.entries[drop]
+			expired := now-entry.requestedAt > log.cfg.Retention
+			excess := log.count-drop > log.cfg.MaxPurges && (entry.Number <= origin.completed || log.count-drop > 2*log.cfg.MaxPurges)
+			if !expired && !excess {
 				break
 			}
-			b.floor = max(b.floor, h.requestedAt)
-			b.unlink(h, true)
-			b.count++ // counted below
+			log.floor = max(log.floor, entry.requestedAt)
+			log.unlink(entry, true)
+			log.count++ // subtracted again below
 			drop++
 		}
 		if drop > 0 {
-			l.forgotten += uint64(drop)
-			l.entries = slices.Clone(l.entries[drop:])
-			b.count -= drop
-			b.advance(l)
+			origin.forgotten += uint64(drop)
+			origin.entries = slices.Clone(origin.entries[drop:])
+			log.count -= drop
+			log.advance(origin)
 		}
-		if len(l.entries) == 0 && l.forgotten == 0 {
-			delete(b.origins, o)
+		if len(origin.entries) == 0 && origin.forgotten == 0 {
+			delete(log.origins, o)
 		}
 	}
 }
 
-// Len counts the purges held.
-func (b *PurgeLog) Len() int { return b.count }
+// Len returns the number of purges held.
+func (log *PurgeLog) Len() int { return log.count }
 
-// Line is one purge for a person.
+// PurgeStatus describes one purge for operators.
 type PurgeStatus struct {
 	ID         string  `json:"id"`
 	RequestKey string  `json:"asked"`
 	Scope      string  `json:"scope"`
 	Reason     string  `json:"why,omitempty"`
 	AgeS       float64 `json:"age_s"`
-	Stored     bool    `json:"kept"` // here
+	Stored     bool    `json:"kept"` // by this process
 	Complete   bool    `json:"complete"`
 }
 
-// List gives the newest purges, at most so many.
-func (b *PurgeLog) List(most int, now Micros) (list []PurgeStatus) {
+// List returns the newest purges, at most the given number.
+func (log *PurgeLog) List(maxCount int, now Micros) (list []PurgeStatus) {
 	var all []*logEntry
-	for _, l := range b.origins {
-		all = append(all, l.entries...)
+	for _, origin := range log.origins {
+		all = append(all, origin.entries...)
 	}
 	slices.SortFunc(all, func(x, y *logEntry) int {
 		return cmp.Or(cmp.Compare(y.requestedAt, x.requestedAt), compareOrigins(x.Origin, y.Origin), cmp.Compare(y.Number, x.Number))
 	})
-	for _, h := range all[:min(len(all), most)] {
-		list = append(list, PurgeStatus{ID: h.ID(), RequestKey: h.RequestKey, Scope: h.Scope.String(), Reason: h.Reason, AgeS: float64(max(0, now-h.requestedAt)/1000) / 1000,
-			Stored: h.stored, Complete: h.Number <= b.origins[h.Origin].completed})
+	for _, entry := range all[:min(len(all), maxCount)] {
+		list = append(list, PurgeStatus{ID: entry.ID(), RequestKey: entry.RequestKey, Scope: entry.Scope.String(), Reason: entry.Reason, AgeS: float64(max(0, now-entry.requestedAt)/1000) / 1000,
+			Stored: entry.stored, Complete: entry.Number <= log.origins[entry.Origin].completed})
 	}
 	return list
 }
 
-// Snapshot gives what is to be written where the disk's file begins anew.
-func (b *PurgeLog) Snapshot(now Micros) (list []Purge, gone Watermarks) {
-	for _, m := range b.Received() {
-		l := b.origins[m.Origin]
-		if l.forgotten > 0 {
-			gone = append(gone, Watermark{m.Origin, l.forgotten})
+// Snapshot returns the purges and the watermarks of removed ones, to be written when the
+// file on disk is rewritten.
+func (log *PurgeLog) Snapshot(now Micros) (list []Purge, forgotten Watermarks) {
+	for _, m := range log.Received() {
+		origin := log.origins[m.Origin]
+		if origin.forgotten > 0 {
+			forgotten = append(forgotten, Watermark{m.Origin, origin.forgotten})
 		}
-		for _, h := range l.entries {
-			list = append(list, h.withAge(now))
+		for _, entry := range origin.entries {
+			list = append(list, entry.withAge(now))
 		}
 	}
-	return list, gone
+	return list, forgotten
 }
 
-// Recovered takes in what a disk had: it is kept already. Ages were lost with the
-// process; what is here counts as asked now, which trusts less and never more.
-func (b *PurgeLog) Recover(p Purge, now Micros) {
+// Recover adds a purge read from disk, which is stored already. Its age is unknown after a
+// restart, so it counts as requested now, which invalidates more copies and never fewer.
+func (log *PurgeLog) Recover(p Purge, now Micros) {
 	p.Age = 0
-	b.insert(p, now)
-	b.MarkStored(p.Origin, p.Number)
+	log.insert(p, now)
+	log.MarkStored(p.Origin, p.Number)
 }
 
-// RecoveredGone takes in what the disk's file had let go.
-func (b *PurgeLog) RecoverForgotten(m Watermark) {
-	l := b.origin(m.Origin)
-	l.forgotten = max(l.forgotten, m.Number)
-	b.advance(l)
+// RecoverForgotten adds the watermark of removed purges read from disk.
+func (log *PurgeLog) RecoverForgotten(m Watermark) {
+	origin := log.origin(m.Origin)
+	origin.forgotten = max(origin.forgotten, m.Number)
+	log.advance(origin)
 }
 
-// Sort orders marks by origin.
+// SortWatermarks sorts watermarks by origin.
 func SortWatermarks(m Watermarks) {
 	slices.SortFunc(m, func(x, y Watermark) int { return compareOrigins(x.Origin, y.Origin) })
 }
--- a/internal/decide/invalidation/invalidation_test.go
+++ b/internal/decide/invalidation/invalidation_test.go
@@ -15,24 +15,26 @@
 
 const second Micros = 1_000_000
 
-// front is one process in a day of purges: its book, and what it gathers for its sites.
+// testFront is one simulated process: its purge log, and the acknowledgements that it
+// collects for the sites that it owns.
 type testFront struct {
 	topology.Front
-	book    *PurgeLog
-	gathers map[string]*AckCollector
-	disk    []Purge // kept
-	paused  bool
-	closing CompletionTracker
-	has     map[string]Watermarks
+	log            *PurgeLog
+	collectors     map[string]*AckCollector
+	disk           []Purge // purges stored on disk
+	paused         bool
+	tracker        CompletionTracker
+	peerWatermarks map[string]Watermarks
 }
 
-// play plays a day in which purges are asked for while messages are lost, doubled and
-// come late and fronts crash, sleep and join; it gives what was said too early.
-func simulate(seed uint64, rule Mutation) (early string, complete int) {
+// simulate requests purges while messages are lost, duplicated and late and fronts crash,
+// pause and join. It returns a description of a purge reported complete too early, if any,
+// and the number of purges reported complete.
+func simulate(seed uint64, mutation Mutation) (tooEarly string, complete int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	now, index := Micros(0), uint64(1)
 	sites := []string{"a", "b"}
-	keepers := map[string]string{"": "f0", "a": "f0", "b": "f1"}
+	owners := map[string]string{"": "f0", "a": "f0", "b": "f1"}
 	var list []*testFront
 	var wire []struct {
 		at Micros
@@ -50,12 +52,12 @@
 	}
 	join := func() {
 		i := len(list)
-		f := &testFront{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, OwnerLease: second}, book: NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}),
-			gathers: map[string]*AckCollector{}, has: map[string]Watermarks{}}
-		// What serves already told it all before it serves itself.
+		f := &testFront{Front: topology.Front{Name: fmt.Sprintf("f%d", i), Site: sites[i%2], ID: uint64(i + 1), Start: 1, OwnerLease: second}, log: NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}),
+			collectors: map[string]*AckCollector{}, peerWatermarks: map[string]Watermarks{}}
+		// A new front receives all purges before it serves.
 		if i > 0 {
-			news, _ := list[0].book.MissingFrom(nil, now)
-			f.book.Receive(news, now)
+			missing, _ := list[0].log.MissingFrom(nil, now)
+			f.log.Receive(missing, now)
 		}
 		list = append(list, f)
 		index++
@@ -78,8 +80,8 @@
 		}
 		return nil
 	}
-	said := map[string]bool{}
-	seq, asked := uint64(0), 0
+	reported := map[string]bool{}
+	seq, requested := uint64(0), 0
 	for ; now < 60*second; now += 50_000 {
 		for i := 0; i < len(wire); {
 			if wire[i].at <= now {
@@ -92,18 +94,18 @@
 		}
 		switch f := list[r.IntN(len(list))]; r.IntN(60) {
 		case 0:
-			k := find(keepers[f.Site])
-			if !k.paused && asked < 20 {
-				asked++
-				k.book.Submit(Origin{f.Site, 1}, Scope{Object, fmt.Sprintf("o%d", asked)}, fmt.Sprint(asked), "", now)
+			k := find(owners[f.Site])
+			if !k.paused && requested < 20 {
+				requested++
+				k.log.Submit(Origin{f.Site, 1}, Scope{Object, fmt.Sprintf("o%d", requested)}, fmt.Sprint(requested), "", now)
 			}
 		case 1:
 			f.paused = !f.paused && r.IntN(4) == 0
-		case 2: // a crash: what was not kept is gone, and so is what was gathered; keepers' numbers are drawn anew in earnest
+		case 2: // crash: purges not stored and acknowledgements are lost; owners do not crash here, since that would need new owner numbers
 			if f.Name != "f0" && f.Name != "f1" {
-				f.book, f.gathers, f.has = NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}), map[string]*AckCollector{}, map[string]Watermarks{}
+				f.log, f.collectors, f.peerWatermarks = NewPurgeLog(Config{MaxPurges: 1000, Retention: 1e12}), map[string]*AckCollector{}, map[string]Watermarks{}
 				for _, p := range f.disk {
-					f.book.Recover(p, now)
+					f.log.Recover(p, now)
 				}
 				f.Start++
 				index++
@@ -117,62 +119,62 @@
 			if f.paused {
 				continue
 			}
-			for _, p := range f.book.TakePending() {
-				if r.IntN(3) == 0 { // the disk takes its time
-					later(func() { f.disk = append(f.disk, p); f.book.MarkStored(p.Origin, p.Number) })
+			for _, p := range f.log.TakePending() {
+				if r.IntN(3) == 0 { // delayed write
+					later(func() { f.disk = append(f.disk, p); f.log.MarkStored(p.Origin, p.Number) })
 				} else {
 					f.disk = append(f.disk, p)
-					f.book.MarkStored(p.Origin, p.Number)
+					f.log.MarkStored(p.Origin, p.Number)
 				}
 			}
 			seq++
-			n, s := seq, Summary{Index: index, Stored: f.book.Stored(), FrontCount: 1}
-			role, k := topology.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(keepers[f.Site])
+			n, s := seq, Summary{Index: index, Stored: f.log.Stored(), FrontCount: 1}
+			role, k := topology.Role{Front: f.Name, Start: f.Start, Site: f.Site}, find(owners[f.Site])
 			exchange := func(role topology.Role, k *testFront, site string, s Summary) {
-				news, _ := f.book.MissingFrom(f.has[k.Name], now)
-				marks := f.book.Received()
+				missing, _ := f.log.MissingFrom(f.peerWatermarks[k.Name], now)
+				received := f.log.Received()
 				start := f.Start
 				later(func() {
 					if k.paused {
 						return
 					}
-					k.book.Receive(news, now)
-					if k.gathers[site] == nil {
-						k.gathers[site] = NewAckCollector(site)
-						k.gathers[site].Disable(rule)
+					k.log.Receive(missing, now)
+					if k.collectors[site] == nil {
+						k.collectors[site] = NewAckCollector(site)
+						k.collectors[site].Disable(mutation)
 					}
-					k.gathers[site].Record(role, n, s, now)
-					back, _ := k.book.MissingFrom(marks, now)
-					has := k.book.Received()
+					k.collectors[site].Record(role, n, s, now)
+					back, _ := k.log.MissingFrom(received, now)
+					has := k.log.Received()
 					later(func() {
 						if !f.paused && f.Start == start {
-							f.book.Receive(back, now)
-							f.has[k.Name] = has
+							f.log.Receive(back, now)
+							f.peerWatermarks[k.Name] = has
 						}
 					})
 				})
 			}
 			exchange(role, k, f.Site, s)
 			for _, site := range []string{"a", "b", ""} {
-				g := f.gathers[site]
-				if g == nil || keepers[site] != f.Name {
+				g := f.collectors[site]
+				if g == nil || owners[site] != f.Name {
 					continue
 				}
-				sum := g.Summarize(view(f), index, f.book.Received(), 2*second, now)
+				sum := g.Summarize(view(f), index, f.log.Received(), 2*second, now)
 				if site != "" {
-					exchange(topology.Role{Site: site, Owner: 1}, find(keepers[""]), "", sum)
+					exchange(topology.Role{Site: site, Owner: 1}, find(owners[""]), "", sum)
 					continue
 				}
-				for _, m := range f.closing.Step(sum.Stored, now-1, now) {
+				for _, m := range f.tracker.Step(sum.Stored, now-1, now) {
 					for i := uint64(1); i <= m.Number; i++ {
 						p := Purge{Origin: m.Origin, Number: i}
-						if said[p.ID()] {
+						if reported[p.ID()] {
 							continue
 						}
-						said[p.ID()] = true
+						reported[p.ID()] = true
 						for _, x := range list {
-							if x.book.Stored().Of(m.Origin) < i {
-								return fmt.Sprintf("seed %d: %s is complete, and %s has not kept it", seed, p.ID(), x.Name), len(said)
+							if x.log.Stored().Of(m.Origin) < i {
+								return fmt.Sprintf("seed %d: %s is reported complete, but %s has not stored it", seed, p.ID(), x.Name), len(reported)
 							}
 						}
 					}
@@ -180,10 +182,11 @@
 			}
 		}
 	}
-	return "", len(said)
+	return "", len(reported)
 }
 
-// Guards that a purge is never said to be complete too early, and is by and by.
+// Checks that a purge is never reported complete before all fronts have stored it, and that
+// purges do complete.
 func TestCompletionIsNeverEarly(t *testing.T) {
 	total := 0
 	for seed := range uint64(150) {
@@ -191,46 +194,46 @@
 		require.Empty(t, early)
 		total += n
 	}
-	require.Greater(t, total, 150*3, "of use")
+	require.Greater(t, total, 150*3, "completed purges")
 }
 
-// Guards the check above.
+// Checks that TestCompletionIsNeverEarly detects completion without late fronts.
 func TestCompletionCheckDetectsMutation(t *testing.T) {
 	for seed := range uint64(150) {
 		if early, _ := simulate(seed, DisableAcks); early != "" {
 			return
 		}
 	}
-	t.Fatal("complete by those heard alone was not found")
+	t.Fatal("completion without late fronts was not detected")
 }
 
-// Guards the mutation: it leaves out who is late whether or not a word of it from before the
-// purge is known, of a front or of a site, and the rule as built waits for both.
+// Checks the mutation itself: it ignores late fronts and sites even if an acknowledgement
+// of theirs from before the purge is known, while the unmodified rule waits for them.
 func TestMutationIgnoresStaleAcks(t *testing.T) {
 	origin := Origin{Site: "west", Owner: 3}
 	here := Watermarks{{Origin: origin, Number: 1}}
 	v := &topology.View{Index: 9, Fronts: []topology.Front{
 		{Name: "a", Site: "west", Start: 1, OwnerLease: 1}, {Name: "b", Site: "east/hub", Start: 1, OwnerLease: 1, Lost: true}, {Name: "c", Site: "west", Start: 1, OwnerLease: 1, Lost: true}}}
-	for rule, want := range map[Mutation]uint64{"": 0, DisableAcks: 1} {
+	for mutation, want := range map[Mutation]uint64{"": 0, DisableAcks: 1} {
 		for _, late := range []topology.Role{{Site: "east", Owner: 5}, {Site: "east/hub", Front: "b", Start: 1}, {Site: "west", Front: "c", Start: 1}} {
 			g := NewAckCollector("")
-			g.Disable(rule)
+			g.Disable(mutation)
 			g.Record(late, 1, Summary{Index: 9, FrontCount: 1}, 0)
 			g.Record(topology.Role{Site: "west", Front: "a", Start: 1}, 1, Summary{Index: 9, Stored: here, FrontCount: 1}, 100)
 			if got := g.Summarize(v, 9, here, 50, 100).Stored.Of(origin); got != want {
-				t.Errorf("without %q, %+v late: acknowledged up to %d, want %d", rule, late, got, want)
+				t.Errorf("without %q, %+v late: acknowledged up to %d, want %d", mutation, late, got, want)
 			}
 		}
 	}
 }
 
-// plain is an index that only remembers.
+// referenceIndex stores all purges and scans them on each lookup.
 type referenceIndex []struct {
 	s  Scope
 	at Micros
 }
 
-func (p referenceIndex) since(object string, number int) (at Micros, ok bool) {
+func (p referenceIndex) validAfter(object string, number int) (at Micros, ok bool) {
 	group := strconv.Itoa(number)
 	for _, x := range p {
 		hit := x.s.Kind == All || x.s.Kind == Object && x.s.Name == object || x.s.Kind == Prefix && strings.HasPrefix(object, x.s.Name) ||
@@ -242,8 +245,8 @@
 	return at, ok
 }
 
-// Guards that an index says the same as one that only remembers, and where it folds
-// never less.
+// Checks that an Index agrees with referenceIndex, and that compaction only makes more
+// copies invalid, never fewer.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, p := NewIndex(rapid.SampledFrom([]int{16, 40, 100_000}).Draw(t, "most")), referenceIndex{}
@@ -263,21 +266,21 @@
 			}{s, Micros(i + 1)})
 		}
 		if x.Len() > x.maxScopes {
-			t.Fatalf("%d scopes held, %d may be", x.Len(), x.maxScopes)
+			t.Fatalf("%d scopes held, at most %d allowed", x.Len(), x.maxScopes)
 		}
 		for i := range 50 {
 			object, group := fmt.Sprintf("o%d", i*9), i*7
 			got, some := x.ValidAfter(object, group)
-			want, must := p.since(object, group)
+			want, must := p.validAfter(object, group)
 			if must && (!some || got < want) || x.Compactions == 0 && (some != must || must && got != want) {
-				t.Fatalf("%s: %d %t, %d %t wanted", object, got, some, want, must)
+				t.Fatalf("%s: got %d %t, want %d %t", object, got, some, want, must)
 			}
 		}
 	})
 }
 
-// The cost of a look at 10,000 purges: go test -bench Since ./internal/decide/invalidation
-func BenchmarkSince(b *testing.B) {
+// Cost of a lookup with 10,000 purges: go test -bench ValidAfter ./internal/decide/invalidation
+func BenchmarkValidAfter(b *testing.B) {
 	x, p := NewIndex(20_000), referenceIndex{}
 	for i := range 10_000 {
 		s := Scope{Object, fmt.Sprintf("o%d", i)}
@@ -298,7 +301,7 @@
 	})
 	b.Run("plain", func(b *testing.B) {
 		for b.Loop() {
-			p.since("o7777", 17)
+			p.validAfter("o7777", 17)
 		}
 	})
 }
--- a/internal/decide/invalidation/summary.go
+++ b/internal/decide/invalidation/summary.go
@@ -8,23 +8,23 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Late is a front that holds a purge up, and why.
+// Laggard is a front that delays the completion of purges, with the reason.
 type Laggard struct {
 	Front  string     `cbor:"1,keyasint" json:"front"`
 	Reason string     `cbor:"2,keyasint" json:"why"`
 	Stored Watermarks `cbor:"3,keyasint,omitempty" json:"-"`
 }
 
-// Summary is a role's acknowledgement: what all fronts of it keep and obey.
+// Summary is a role's acknowledgement: what all of its fronts have stored and applied.
 type Summary struct {
-	Index        uint64     `cbor:"1,keyasint"` // of the log: the fronts that it speaks of are those up to there
+	Index        uint64     `cbor:"1,keyasint"` // log index up to which the set of fronts is known
 	Stored       Watermarks `cbor:"2,keyasint,omitempty"`
-	Laggards     []Laggard  `cbor:"3,keyasint,omitempty"` // who lags, at most a few of them
-	LaggardCount int        `cbor:"4,keyasint,omitempty"` // how many do
-	FrontCount   int        `cbor:"5,keyasint"`           // fronts it speaks of
+	Laggards     []Laggard  `cbor:"3,keyasint,omitempty"` // some of the laggards, at most maxLaggards
+	LaggardCount int        `cbor:"4,keyasint,omitempty"` // number of all laggards
+	FrontCount   int        `cbor:"5,keyasint"`           // number of fronts covered
 }
 
-// said is what a role said last.
+// ack is the last acknowledgement of a role.
 type ack struct {
 	summary    Summary
 	seq        uint64
@@ -32,30 +32,30 @@
 	role       topology.Role
 }
 
-// Rule is a rule that a mutation leaves out, for the checkers' own test.
+// Mutation names a rule that is disabled to test that the checkers detect its absence.
 type Mutation string
 
-// NoAck has a purge be complete by those heard alone: whoever is late is left out, also
-// where its last word, from before the purge, is known.
+// DisableAcks makes a purge complete without the fronts that are late, even if an earlier
+// acknowledgement of theirs, from before the purge, is known.
 const DisableAcks Mutation = "ack"
 
-// Gather is a keeper's view of who keeps and obeys what.
+// AckCollector collects a site's acknowledgements at its owner.
 type AckCollector struct {
 	site     string
 	acks     map[string]*ack
 	mutation Mutation
 }
 
-// NewGather makes one for a site.
+// NewAckCollector returns an AckCollector for a site.
 func NewAckCollector(site string) *AckCollector {
 	return &AckCollector{site: site, acks: map[string]*ack{}}
 }
 
-// Without leaves a rule out.
-func (g *AckCollector) Disable(r Mutation) { g.mutation = r }
+// Disable disables a rule.
+func (collector *AckCollector) Disable(r Mutation) { collector.mutation = r }
 
-// name tells roles apart by whom they speak for: what a newer one says takes the place
-// of what an older one did.
+// roleKey identifies what a role acts for, regardless of its process or owner number, so
+// that a newer role replaces an older one.
 func roleKey(r topology.Role) string {
 	if r.Front != "" {
 		return "front " + r.Front
@@ -63,93 +63,95 @@
 	return "site " + r.Site
 }
 
-// Heard takes a role's acknowledgement in, by number; a late one changes nothing.
-func (g *AckCollector) Record(r topology.Role, seq uint64, s Summary, now Micros) {
+// Record stores a role's acknowledgement. Those of earlier owners and those with an old
+// sequence number are ignored.
+func (collector *AckCollector) Record(r topology.Role, seq uint64, s Summary, now Micros) {
 	k := roleKey(r)
-	old := g.acks[k]
+	old := collector.acks[k]
 	if old != nil && (r.Front == "" && r.Owner < old.role.Owner || r == old.role && seq <= old.seq) {
 		return
 	}
-	g.acks[k] = &ack{summary: s, seq: seq, receivedAt: now, role: r}
+	collector.acks[k] = &ack{summary: s, seq: seq, receivedAt: now, role: r}
 }
 
-// Sum adds up what is known for all of the site's fronts, as the log has them: known is
-// the index at which they were last changed there.
-func (g *AckCollector) Summarize(v *topology.View, changed uint64, origins Watermarks, stale, now Micros) Summary {
-	out := Summary{Index: v.Index, Stored: slices.Clone(origins)}
-	for i := range out.Stored {
-		out.Stored[i].Number = 1<<64 - 1
+// Summarize combines the acknowledgements of all of the site's fronts in the log, for the
+// purges up to current. Changed is the log index at which the set of fronts last changed:
+// summaries of sites that do not cover it are not used, nor are summaries older than stale.
+func (collector *AckCollector) Summarize(view *topology.View, changed uint64, current Watermarks, stale, now Micros) Summary {
+	summary := Summary{Index: view.Index, Stored: slices.Clone(current)}
+	for i := range summary.Stored {
+		summary.Stored[i].Number = 1<<64 - 1
 	}
-	least := func(done Watermarks) {
-		for i := range out.Stored {
-			out.Stored[i].Number = min(out.Stored[i].Number, done.Of(out.Stored[i].Origin))
+	lower := func(stored Watermarks) {
+		for i := range summary.Stored {
+			summary.Stored[i].Number = min(summary.Stored[i].Number, stored.Of(summary.Stored[i].Origin))
 		}
 	}
-	late := func(l Laggard) {
-		out.LaggardCount++
-		if len(out.Laggards) < maxLaggards {
-			out.Laggards = append(out.Laggards, l)
+	addLaggard := func(l Laggard) {
+		summary.LaggardCount++
+		if len(summary.Laggards) < maxLaggards {
+			summary.Laggards = append(summary.Laggards, l)
 		}
-		least(l.Stored)
+		lower(l.Stored)
 	}
-	inside := map[string]bool{} // sites that speak for their fronts
-	for _, k := range slices.Sorted(maps.Keys(g.acks)) {
-		x := g.acks[k]
-		site := x.role.Site
-		if x.role.Front != "" || site == g.site || !topology.Within(site, g.site) || x.summary.Index < changed {
+	coveredSites := map[string]bool{} // sites whose summaries cover their fronts
+	for _, k := range slices.Sorted(maps.Keys(collector.acks)) {
+		ack := collector.acks[k]
+		site := ack.role.Site
+		if ack.role.Front != "" || site == collector.site || !topology.Within(site, collector.site) || ack.summary.Index < changed {
 			continue
 		}
-		if now-x.receivedAt > stale {
-			continue // its fronts speak for themselves, or are late
+		if now-ack.receivedAt > stale {
+			continue // its fronts count by their own acknowledgements, or as laggards
 		}
-		if withinAny(site, inside) {
+		if withinAny(site, coveredSites) {
 			continue
 		}
-		inside[site] = true
-		least(x.summary.Stored)
-		out.LaggardCount += x.summary.LaggardCount
-		for _, l := range x.summary.Laggards {
-			if len(out.Laggards) < maxLaggards {
-				out.Laggards = append(out.Laggards, l)
+		coveredSites[site] = true
+		lower(ack.summary.Stored)
+		summary.LaggardCount += ack.summary.LaggardCount
+		for _, l := range ack.summary.Laggards {
+			if len(summary.Laggards) < maxLaggards {
+				summary.Laggards = append(summary.Laggards, l)
 			}
 		}
 	}
-	for i := range v.Fronts {
-		f := &v.Fronts[i]
-		if f.OwnerLease == 0 || f.Expired || !topology.Within(f.Site, g.site) {
+	for i := range view.Fronts {
+		front := &view.Fronts[i]
+		if front.OwnerLease == 0 || front.Expired || !topology.Within(front.Site, collector.site) {
 			continue
 		}
-		out.FrontCount++
-		x := g.acks["front "+f.Name]
-		speaks := x != nil && x.role.Start == f.Start
-		if withinAny(f.Site, inside) && !(speaks && now-x.receivedAt <= stale) {
-			speaks, x = true, nil
+		summary.FrontCount++
+		ack := collector.acks["front "+front.Name]
+		acknowledged := ack != nil && ack.role.Start == front.Start
+		if withinAny(front.Site, coveredSites) && !(acknowledged && now-ack.receivedAt <= stale) {
+			acknowledged, ack = true, nil
 		}
 		switch {
-		case speaks && x == nil: // by its site
-		case g.mutation == DisableAcks && (!speaks || now-x.receivedAt > stale):
-		case x == nil:
-			late(Laggard{Front: f.Name, Reason: cmp.Or(map[bool]string{true: "lost, and may serve on"}[f.Lost], "not heard")})
-		case x.role.Start != f.Start:
-			late(Laggard{Front: f.Name, Reason: "started anew, not heard since"})
+		case acknowledged && ack == nil: // covered by its site's summary
+		case collector.mutation == DisableAcks && (!acknowledged || now-ack.receivedAt > stale):
+		case ack == nil:
+			addLaggard(Laggard{Front: front.Name, Reason: cmp.Or(map[bool]string{true: "lost, and may serve on"}[front.Lost], "not heard")})
+		case ack.role.Start != front.Start:
+			addLaggard(Laggard{Front: front.Name, Reason: "started anew, not heard since"})
 		default:
-			for _, m := range origins {
-				if x.summary.Stored.Of(m.Origin) < m.Number {
-					why := "has not kept all"
-					if now-x.receivedAt > stale {
-						why = "not heard for a while"
+			for _, m := range current {
+				if ack.summary.Stored.Of(m.Origin) < m.Number {
+					reason := "has not kept all"
+					if now-ack.receivedAt > stale {
+						reason = "not heard for a while"
 					}
-					late(Laggard{Front: f.Name, Reason: why, Stored: x.summary.Stored})
+					addLaggard(Laggard{Front: front.Name, Reason: reason, Stored: ack.summary.Stored})
 					break
 				}
 			}
-			least(x.summary.Stored)
+			lower(ack.summary.Stored)
 		}
 	}
-	for i := range out.Stored {
-		out.Stored[i].Number = min(out.Stored[i].Number, origins[i].Number)
+	for i := range summary.Stored {
+		summary.Stored[i].Number = min(summary.Stored[i].Number, current[i].Number)
 	}
-	return out
+	return summary
 }
 
 func withinAny(site string, sites map[string]bool) bool {
@@ -161,41 +163,42 @@
 	return false
 }
 
-// Drop forgets roles of fronts that are no longer in the fleet.
-func (g *AckCollector) Prune(v *topology.View) {
-	for k, x := range g.acks {
+// Prune removes the acknowledgements of fronts that are no longer in the fleet.
+func (collector *AckCollector) Prune(v *topology.View) {
+	for k, x := range collector.acks {
 		if x.role.Front != "" && v.Find(x.role.Front) == nil {
-			delete(g.acks, k)
+			delete(collector.acks, k)
 		}
 	}
 }
 
-// Closing decides when a root says that purges are complete. It has a majority confirm,
-// after the last acknowledgement came, that it still knows all fronts.
+// CompletionTracker decides at the root's owner when purges are complete: once all fronts
+// have acknowledged them and a majority has then confirmed the owner's lease, which proves
+// that the owner still knows all fronts.
 type CompletionTracker struct {
 	pending      Watermarks
-	pendingSince Micros // when the acknowledgements of waits were there
+	pendingSince Micros // when the acknowledgements of pending were complete
 	completed    Watermarks
 }
 
-// Step takes in what all fronts keep and obey, as the root has it at a moment, and the
-// stamp of the newest confirmation of its lease: a moment of the root's own clock before
-// which it was asked for. It gives what is complete.
-func (c *CompletionTracker) Step(done Watermarks, confirmed, now Micros) Watermarks {
-	if c.pending != nil && confirmed > c.pendingSince {
-		// Still so, with all fronts that were in the fleet when a majority confirmed it.
-		for _, m := range c.pending {
-			n := min(m.Number, done.Of(m.Origin))
-			if n > c.completed.Of(m.Origin) {
-				c.completed = c.completed.withWatermark(Watermark{m.Origin, n})
+// Step takes what all fronts have stored and applied, as known to the root at the time now,
+// and confirmed, the time on the root's clock at which the newest confirmation of its lease
+// was requested. It returns up to where purges are complete.
+func (tracker *CompletionTracker) Step(acknowledged Watermarks, confirmed, now Micros) Watermarks {
+	if tracker.pending != nil && confirmed > tracker.pendingSince {
+		// It still holds for all fronts in the fleet when a majority confirmed the lease.
+		for _, m := range tracker.pending {
+			n := min(m.Number, acknowledged.Of(m.Origin))
+			if n > tracker.completed.Of(m.Origin) {
+				tracker.completed = tracker.completed.withWatermark(Watermark{m.Origin, n})
 			}
 		}
-		c.pending = nil
+		tracker.pending = nil
 	}
-	if c.pending == nil && slices.ContainsFunc(done, func(m Watermark) bool { return m.Number > c.completed.Of(m.Origin) }) {
-		c.pending, c.pendingSince = done, now
+	if tracker.pending == nil && slices.ContainsFunc(acknowledged, func(m Watermark) bool { return m.Number > tracker.completed.Of(m.Origin) }) {
+		tracker.pending, tracker.pendingSince = acknowledged, now
 	}
-	return c.completed
+	return tracker.completed
 }
 
 func (m Watermarks) withWatermark(x Watermark) Watermarks {
--- a/internal/decide/latency/latency.go
+++ b/internal/decide/latency/latency.go
@@ -162,14 +162,14 @@
 // summaries are not capped, since their fronts' weights already were.
 func Merge(r Rules, fronts, sites [][]Summary) (out []Summary) {
 	all := map[Pair]*ddsketch.DDSketch{}
-	add := func(list []Summary, most float64) {
+	add := func(list []Summary, maxWeight float64) {
 		for _, s := range list[:min(len(list), MaxPairs)] {
 			x := s.sketch()
 			if x == nil {
 				continue
 			}
-			if n := x.GetCount(); most > 0 && n > most {
-				_ = x.Reweight(most / n)
+			if n := x.GetCount(); maxWeight > 0 && n > maxWeight {
+				_ = x.Reweight(maxWeight / n)
 			}
 			t := all[s.Pair]
 			if t == nil {
@@ -227,8 +227,8 @@
 
 // Step returns the order of every region. The function returns an edge's usable fraction,
 // 0 to 1, by verdicts and limits; 1 if nothing is known about it.
-func (p *Planner) Step(list []Summary, room func(edge string) float64, now Micros) (out []Order) {
-	own := map[Pair]estimate{}
+func (planner *Planner) Step(list []Summary, capacity func(edge string) float64, now Micros) (out []Order) {
+	estimates := map[Pair]estimate{}
 	edges, regions := map[string]bool{}, map[string]bool{}
 	above := map[Pair][]estimate{}
 	for _, s := range list {
@@ -241,37 +241,37 @@
 			continue
 		}
 		e := estimate{took, x.GetCount()}
-		own[s.Pair] = e
+		estimates[s.Pair] = e
 		edges[s.Pair.Edge], regions[s.Pair.Region] = true, true
 		for r := s.Pair.Region; r != ""; {
 			r = r[:max(0, strings.LastIndexByte(r, '/'))]
 			above[Pair{r, s.Pair.Edge}] = append(above[Pair{r, s.Pair.Edge}], e)
 		}
 	}
-	span := float64(max(0, now-p.steppedAt)) / 1e6
-	if p.steppedAt == 0 {
+	span := float64(max(0, now-planner.steppedAt)) / 1e6
+	if planner.steppedAt == 0 {
 		span = 0
 	}
-	p.steppedAt = now
+	planner.steppedAt = now
 	for _, r := range slices.Sorted(maps.Keys(regions)) {
-		o := Order{Region: r, Remaining: p.rules.OrderTTL}
+		o := Order{Region: r, Remaining: planner.rules.OrderTTL}
 		for _, e := range slices.Sorted(maps.Keys(edges)) {
-			x := shrunkEstimate(own, above, r, e)
-			o.Edges = append(o.Edges, Share{Edge: e, Median: x.median, Weight: x.weight, Capacity: min(1, max(0, room(e)))})
+			x := shrunkEstimate(estimates, above, r, e)
+			o.Edges = append(o.Edges, Share{Edge: e, Median: x.median, Weight: x.weight, Capacity: min(1, max(0, capacity(e)))})
 		}
-		p.setTargetShares(&o)
-		p.limitShift(&o, span)
+		planner.setTargetShares(&o)
+		planner.limitShift(&o, span)
 		slices.SortStableFunc(o.Edges, func(a, b Share) int { return cmp.Or(-cmp.Compare(a.Share, b.Share), cmp.Compare(a.Edge, b.Edge)) })
 		out = append(out, o)
 	}
-	maps.DeleteFunc(p.shares, func(r string, _ map[string]float64) bool { return !regions[r] })
+	maps.DeleteFunc(planner.shares, func(r string, _ map[string]float64) bool { return !regions[r] })
 	return out
 }
 
 // shrunkEstimate returns a pair's estimate, shrunk towards that of the nearest enclosing
 // region with data; the less weight the pair has, the more.
-func shrunkEstimate(own map[Pair]estimate, above map[Pair][]estimate, region, edge string) estimate {
-	x := own[Pair{region, edge}]
+func shrunkEstimate(estimates map[Pair]estimate, above map[Pair][]estimate, region, edge string) estimate {
+	x := estimates[Pair{region, edge}]
 	for r := region; ; {
 		if r == "" {
 			return x
@@ -297,7 +297,7 @@
 // setTargetShares sets the shares that an order should converge to: they fall
 // exponentially with the latency above that of the fastest edge with capacity, and
 // ExploreShare is spread evenly so that every edge is measured.
-func (p *Planner) setTargetShares(o *Order) {
+func (planner *Planner) setTargetShares(o *Order) {
 	best := math.Inf(1)
 	for _, s := range o.Edges {
 		if s.Capacity > 0 && s.Median > 0 {
@@ -322,34 +322,34 @@
 		} else {
 			s.Share = 1 / n
 		}
-		s.Share = s.Share*(1-p.rules.ExploreShare) + p.rules.ExploreShare/n
+		s.Share = s.Share*(1-planner.rules.ExploreShare) + planner.rules.ExploreShare/n
 	}
 }
 
 // limitShift moves the shares towards their targets, by at most MaxShiftPerSecond.
-func (p *Planner) limitShift(o *Order, span float64) {
-	was := p.shares[o.Region]
+func (planner *Planner) limitShift(o *Order, span float64) {
+	previous := planner.shares[o.Region]
 	next := map[string]float64{}
-	if was != nil {
-		moved := 0.0
+	if previous != nil {
+		shift := 0.0
 		for _, s := range o.Edges {
-			moved += math.Abs(s.Share - was[s.Edge])
+			shift += math.Abs(s.Share - previous[s.Edge])
 		}
-		moved /= 2
-		part := 1.0
-		if most := p.rules.MaxShiftPerSecond * span; moved > most {
-			part = most / moved
+		shift /= 2
+		fraction := 1.0
+		if maxShift := planner.rules.MaxShiftPerSecond * span; shift > maxShift {
+			fraction = maxShift / shift
 		}
-		p.TotalShift += moved * part
+		planner.TotalShift += shift * fraction
 		for i := range o.Edges {
 			s := &o.Edges[i]
-			s.Share = was[s.Edge] + (s.Share-was[s.Edge])*part
+			s.Share = previous[s.Edge] + (s.Share-previous[s.Edge])*fraction
 		}
 	}
 	for _, s := range o.Edges {
 		next[s.Edge] = s.Share
 	}
-	p.shares[o.Region] = next
+	planner.shares[o.Region] = next
 }
 
 // OrderCache holds the orders that one process received. The zero value is empty.
@@ -361,27 +361,27 @@
 
 // Update replaces the orders by those that an owner sent in answer to a request. Stamp is
 // the time of the request on this process's clock; older answers are ignored.
-func (m *OrderCache) Update(list []Order, stamp, most Micros) {
-	if stamp <= m.stamp {
+func (cache *OrderCache) Update(list []Order, stamp, maxValidity Micros) {
+	if stamp <= cache.stamp {
 		return
 	}
-	m.stamp, m.byRegion, m.expiresAt = stamp, map[string]Order{}, 0
+	cache.stamp, cache.byRegion, cache.expiresAt = stamp, map[string]Order{}, 0
 	for _, o := range list[:min(len(list), MaxPairs)] {
-		m.byRegion[o.Region] = o
-		m.expiresAt = stamp + min(o.Remaining, most)
+		cache.byRegion[o.Region] = o
+		cache.expiresAt = stamp + min(o.Remaining, maxValidity)
 	}
 }
 
 // Lookup returns the order of a region, or of the nearest enclosing region that has one.
 // If ok is false there is no valid order, and the caller uses its own measurements, then
 // the static order.
-func (m *OrderCache) Lookup(region string, now Micros) (o Order, ok bool) {
-	if now >= m.expiresAt {
+func (cache *OrderCache) Lookup(region string, now Micros) (o Order, ok bool) {
+	if now >= cache.expiresAt {
 		return o, false
 	}
 	for r := region; ; r = r[:max(0, strings.LastIndexByte(r, '/'))] {
-		if o, ok = m.byRegion[r]; ok {
-			o.Remaining = m.expiresAt - now
+		if o, ok = cache.byRegion[r]; ok {
+			o.Remaining = cache.expiresAt - now
 			return o, true
 		}
 		if r == "" {
@@ -391,13 +391,13 @@
 }
 
 // All returns the valid orders, ordered by region, for forwarding.
-func (m *OrderCache) All(now Micros) (list []Order) {
-	if now >= m.expiresAt {
+func (cache *OrderCache) All(now Micros) (list []Order) {
+	if now >= cache.expiresAt {
 		return nil
 	}
-	for _, r := range slices.Sorted(maps.Keys(m.byRegion)) {
-		o := m.byRegion[r]
-		o.Remaining = m.expiresAt - now
+	for _, r := range slices.Sorted(maps.Keys(cache.byRegion)) {
+		o := cache.byRegion[r]
+		o.Remaining = cache.expiresAt - now
 		list = append(list, o)
 	}
 	return list
--- a/internal/decide/latency/latency_test.go
+++ b/internal/decide/latency/latency_test.go
@@ -42,7 +42,7 @@
 	models := []*Model{NewModel(rules), NewModel(rules), NewModel(rules)}
 	p := NewPlanner(rules)
 	now := second
-	run := func(span Micros, near, far float64, room func(string) float64) (last []Order) {
+	run := func(span Micros, near, far float64, capacity func(string) float64) (last []Order) {
 		for end := now + span; now < end; now += second {
 			var fronts [][]Summary
 			for _, m := range models {
@@ -50,7 +50,7 @@
 				measure(r, m, "west/a", "far", far, 4, now)
 				fronts = append(fronts, m.Summaries(now))
 			}
-			last = p.Step(Merge(rules, fronts, nil), room, now)
+			last = p.Step(Merge(rules, fronts, nil), capacity, now)
 		}
 		return last
 	}
@@ -81,9 +81,9 @@
 		measure(r, m, "west/a", "e", 50, 300, now)
 		fronts = append(fronts, m.Summaries(now))
 	}
-	liar := NewModel(rules)
-	measure(r, liar, "west/a", "e", 1, 100_000, now)
-	fronts = append(fronts, liar.Summaries(now))
+	falseFront := NewModel(rules)
+	measure(r, falseFront, "west/a", "e", 1, 100_000, now)
+	fronts = append(fronts, falseFront.Summaries(now))
 	other := NewModel(rules)
 	measure(r, other, "west/b", "f", 20, 30, now)
 	fronts = append(fronts, other.Summaries(now))
--- a/internal/decide/outlier/evaluator.go
+++ b/internal/decide/outlier/evaluator.go
@@ -45,91 +45,91 @@
 
 // NewEvaluator returns an Evaluator for the owner of the given number. Verdict numbers
 // start above those of any owner with a lower number.
-func NewEvaluator(r Rules, keeper uint64) *Evaluator {
-	return &Evaluator{rules: r, verdicts: map[key]*verdictState{}, lastNumber: keeper << 24}
+func NewEvaluator(r Rules, owner uint64) *Evaluator {
+	return &Evaluator{rules: r, verdicts: map[key]*verdictState{}, lastNumber: owner << 24}
 }
 
 // Disable disables a rule.
-func (b *Evaluator) Disable(r Mutation) { b.mutation = r }
+func (evaluator *Evaluator) Disable(r Mutation) { evaluator.mutation = r }
 
 // Step evaluates the fleet's current observations and returns the verdicts in force with
 // their remaining validity. Boxes is the number of boxes of each hub.
-func (b *Evaluator) Step(list []Observation, boxes map[string]int, now Micros) []Verdict {
-	well := map[string]Observation{}
-	possible := map[string]map[string]bool{}
+func (evaluator *Evaluator) Step(list []Observation, boxes map[string]int, now Micros) []Verdict {
+	healthy := map[string]Observation{}
+	observingSites := map[string]map[string]bool{}
 	for _, o := range list {
 		if o.State == Healthy {
-			well[o.Subject] = o
+			healthy[o.Subject] = o
 		}
 		for _, w := range o.Witnesses {
-			if possible[o.Subject] == nil {
-				possible[o.Subject] = map[string]bool{}
+			if observingSites[o.Subject] == nil {
+				observingSites[o.Subject] = map[string]bool{}
 			}
-			possible[o.Subject][w.Site] = true
+			observingSites[o.Subject][w.Site] = true
 		}
 	}
 	for _, o := range list {
-		if o.State == Healthy || !b.hasQuorum(o, well[o.Subject], len(possible[o.Subject])) {
+		if o.State == Healthy || !evaluator.hasQuorum(o, healthy[o.Subject], len(observingSites[o.Subject])) {
 			continue
 		}
-		b.renew(o, len(possible[o.Subject]), now)
+		evaluator.renew(o, len(observingSites[o.Subject]), now)
 	}
 	// A verdict ends at once when more witnesses see the subject as healthy than support it.
-	for k, s := range b.verdicts {
-		if s.endedAt == 0 && (now >= s.until || k.state != Overloaded && k.state != Forging && well[k.thing].Count > s.verdict.Count) {
+	for k, s := range evaluator.verdicts {
+		if s.endedAt == 0 && (now >= s.until || k.state != Overloaded && k.state != Forging && healthy[k.subject].Count > s.verdict.Count) {
 			s.endedAt = now
 		}
-		if s.endedAt != 0 && now-s.endedAt > maxSpanMultiple*b.rules.Span {
-			delete(b.verdicts, k)
+		if s.endedAt != 0 && now-s.endedAt > maxSpanMultiple*evaluator.rules.Span {
+			delete(evaluator.verdicts, k)
 		}
 	}
-	return b.active(boxes, now)
+	return evaluator.active(boxes, now)
 }
 
 // hasQuorum reports whether an observation has enough witnesses for a verdict.
-func (b *Evaluator) hasQuorum(o, well Observation, possible int) bool {
-	if b.mutation == DisableWitnesses {
+func (evaluator *Evaluator) hasQuorum(o, healthy Observation, possibleSites int) bool {
+	if evaluator.mutation == DisableWitnesses {
 		return true
 	}
 	switch o.State {
 	case Forging: // a forging client may use a single site, so one site is enough
-		return o.Count >= b.rules.Witnesses && o.Rate >= b.rules.ForgedRate
+		return o.Count >= evaluator.rules.Witnesses && o.Rate >= evaluator.rules.ForgedRate
 	case Overloaded: // only the hub's own fronts observe this
-		return o.Count >= b.rules.Witnesses
+		return o.Count >= evaluator.rules.Witnesses
 	}
-	return o.Count >= b.rules.Witnesses && o.Count > well.Count && countSites(o.Witnesses) >= min(2, possible)
+	return o.Count >= evaluator.rules.Witnesses && o.Count > healthy.Count && countSites(o.Witnesses) >= min(2, possibleSites)
 }
 
-func (b *Evaluator) renew(o Observation, possible int, now Micros) {
+func (evaluator *Evaluator) renew(o Observation, possibleSites int, now Micros) {
 	k := key{o.Subject, o.State}
-	s := b.verdicts[k]
+	s := evaluator.verdicts[k]
 	switch {
 	case s == nil:
-		if len(b.verdicts) >= MaxSubjects {
+		if len(evaluator.verdicts) >= MaxSubjects {
 			return
 		}
-		b.lastNumber++
-		s = &verdictState{verdict: Verdict{Subject: o.Subject, Hub: o.Hub, State: o.State, Number: b.lastNumber}}
-		b.verdicts[k] = s
+		evaluator.lastNumber++
+		s = &verdictState{verdict: Verdict{Subject: o.Subject, Hub: o.Hub, State: o.State, Number: evaluator.lastNumber}}
+		evaluator.verdicts[k] = s
 	case s.endedAt != 0: // reached again: a longer span, so that the subject is retried less often
-		b.lastNumber++
-		s.verdict.Number, s.endedAt = b.lastNumber, 0
+		evaluator.lastNumber++
+		s.verdict.Number, s.endedAt = evaluator.lastNumber, 0
 		s.renewals = min(s.renewals+1, 3)
 	}
-	s.verdict.Witnesses, s.verdict.Count, s.verdict.Sites, s.verdict.PossibleSites = o.Witnesses, o.Count, countSites(o.Witnesses), possible
-	s.verdict.Span = min(b.rules.Span<<s.renewals, maxSpanMultiple*b.rules.Span)
+	s.verdict.Witnesses, s.verdict.Count, s.verdict.Sites, s.verdict.PossibleSites = o.Witnesses, o.Count, countSites(o.Witnesses), possibleSites
+	s.verdict.Span = min(evaluator.rules.Span<<s.renewals, maxSpanMultiple*evaluator.rules.Span)
 	if o.State == Overloaded { // return times grow while the overload lasts; the span stays short so that it ends soon after
 		s.verdict.Factor = math.Min(64, math.Max(1, s.verdict.Factor)*1.1)
-		s.verdict.Span = b.rules.Span
+		s.verdict.Span = evaluator.rules.Span
 	}
 	s.until = now + s.verdict.Span
 }
 
 // active returns the verdicts in force, ordered by state and number of witnesses. Failing
 // verdicts beyond the share of a hub's boxes that may be removed are left out.
-func (b *Evaluator) active(boxes map[string]int, now Micros) (out []Verdict) {
+func (evaluator *Evaluator) active(boxes map[string]int, now Micros) (out []Verdict) {
 	var list []*verdictState
-	for _, s := range b.verdicts {
+	for _, s := range evaluator.verdicts {
 		if s.endedAt == 0 {
 			list = append(list, s)
 		}
@@ -137,15 +137,15 @@
 	slices.SortFunc(list, func(x, y *verdictState) int {
 		return cmp.Or(-cmp.Compare(x.verdict.State, y.verdict.State), -cmp.Compare(x.verdict.Count, y.verdict.Count), cmp.Compare(x.verdict.Subject, y.verdict.Subject))
 	})
-	taken := map[string]int{}
+	ejected := map[string]int{}
 	for _, s := range list {
 		v := s.verdict
 		if v.State == Failing {
 			n := boxes[v.Hub]
-			if most := min(max(1, int(float64(n)*b.rules.MaxEjectedShare)), n-1); taken[v.Hub] >= most { // at least one box may be removed, but never the last
+			if maxEjected := min(max(1, int(float64(n)*evaluator.rules.MaxEjectedShare)), n-1); ejected[v.Hub] >= maxEjected { // at least one box may be removed, but never the last
 				continue
 			}
-			taken[v.Hub]++
+			ejected[v.Hub]++
 		}
 		v.Remaining = s.until - now
 		out = append(out, v)
@@ -168,14 +168,14 @@
 // Update replaces the verdicts by those that an owner sent in answer to a request. Stamp
 // is the time of the request on this process's clock; validity counts from it, so network
 // delay never extends a verdict. Answers to older requests are ignored.
-func (d *VerdictCache) Update(list []Verdict, stamp, most Micros) {
+func (d *VerdictCache) Update(list []Verdict, stamp, maxValidity Micros) {
 	if stamp <= d.stamp {
 		return
 	}
 	d.stamp, d.list = stamp, d.list[:0]
 	for _, v := range list[:min(len(list), MaxSubjects)] {
 		if v.Remaining > 0 {
-			d.list = append(d.list, HeldVerdict{v, stamp + min(v.Remaining, most)})
+			d.list = append(d.list, HeldVerdict{v, stamp + min(v.Remaining, maxValidity)})
 		}
 	}
 }
@@ -193,12 +193,12 @@
 
 // RetryAfter returns how long a client of an overloaded hub should wait: base times the
 // verdict's factor, spread by the random value chance (0 to 1) so that clients do not
-// return at the same time, and at most MaxRetryAfter and, if positive, most.
-func (r Rules) RetryAfter(base Micros, factor, chance float64, most Micros) Micros {
-	away := float64(base) * math.Max(1, factor) * (1 + (r.RetrySpread-1)*chance)
+// return at the same time, and at most MaxRetryAfter and, if positive, maxWait.
+func (r Rules) RetryAfter(base Micros, factor, chance float64, maxWait Micros) Micros {
+	wait := float64(base) * math.Max(1, factor) * (1 + (r.RetrySpread-1)*chance)
 	limit := float64(r.MaxRetryAfter)
-	if most > 0 {
-		limit = math.Min(limit, float64(most))
+	if maxWait > 0 {
+		limit = math.Min(limit, float64(maxWait))
 	}
-	return Micros(math.Max(float64(min(base, Micros(limit))), math.Min(away, limit)))
+	return Micros(math.Max(float64(min(base, Micros(limit))), math.Min(wait, limit)))
 }
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -81,8 +81,8 @@
 
 // key identifies an observation or verdict.
 type key struct {
-	thing string
-	state State
+	subject string
+	state   State
 }
 
 // boxStats is what a front has observed of one box or prefix.
@@ -120,12 +120,12 @@
 	return math.Exp2(-float64(span) / float64(o.rules.HalfLife))
 }
 
-func (o *Observer) stats(m map[string]*boxStats, name string, most int, now Micros) *boxStats {
+func (o *Observer) stats(m map[string]*boxStats, name string, maxEntries int, now Micros) *boxStats {
 	t := m[name]
 	if t == nil {
-		if len(m) >= most {
+		if len(m) >= maxEntries {
 			maps.DeleteFunc(m, func(_ string, t *boxStats) bool { return (t.good+t.bad)*o.decay(now-t.updatedAt) < 0.5 })
-			if len(m) >= most {
+			if len(m) >= maxEntries {
 				return nil
 			}
 		}
@@ -202,11 +202,11 @@
 	return list[(len(list)-1)/2]
 }
 
-func (o *Observer) classify(t *boxStats, usual float64) State {
+func (o *Observer) classify(t *boxStats, hubMedian float64) State {
 	switch {
 	case t.failureShare >= o.rules.FailingShare:
 		return Failing
-	case t.good > 0 && usual > 0 && t.meanLogLatency-usual > math.Log(o.rules.SlowFactor):
+	case t.good > 0 && hubMedian > 0 && t.meanLogLatency-hubMedian > math.Log(o.rules.SlowFactor):
 		return Slow
 	}
 	return Healthy
@@ -215,7 +215,7 @@
 // Observations returns this front's current observations of boxes with enough evidence, of
 // its own hub, and of prefixes, and removes entries whose evidence has decayed.
 func (o *Observer) Observations(front, site string, now Micros) (list []Observation) {
-	usual := map[string]float64{}
+	hubMedians := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(o.boxes)) {
 		t := o.boxes[name]
 		weight := (t.good + t.bad) * o.decay(now-t.updatedAt)
@@ -226,10 +226,10 @@
 		if weight < o.rules.MinAnswers {
 			continue
 		}
-		if _, ok := usual[t.hub]; !ok {
-			usual[t.hub] = o.medianLogLatency(t.hub)
+		if _, ok := hubMedians[t.hub]; !ok {
+			hubMedians[t.hub] = o.medianLogLatency(t.hub)
 		}
-		list = append(list, Observation{Subject: name, Hub: t.hub, State: o.classify(t, usual[t.hub]), Count: 1, Witnesses: []Witness{{front, site, math.Round(weight)}}})
+		list = append(list, Observation{Subject: name, Hub: t.hub, State: o.classify(t, hubMedians[t.hub]), Count: 1, Witnesses: []Witness{{front, site, math.Round(weight)}}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.prefixes)) {
 		t := o.prefixes[name]
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -41,11 +41,11 @@
 // share of a hub's boxes, and never the last one.
 func TestHubIsNeverEmptied(t *testing.T) {
 	for boxes := range 12 {
-		var lies [][]Observation
+		var observations [][]Observation
 		for i := range boxes {
-			lies = append(lies, observation("a", "x", fmt.Sprint("box", i), Failing), observation("b", "y", fmt.Sprint("box", i), Failing))
+			observations = append(observations, observation("a", "x", fmt.Sprint("box", i), Failing), observation("b", "y", fmt.Sprint("box", i), Failing))
 		}
-		held := len(NewEvaluator(rules, 1).Step(Merge(lies...), map[string]int{"h": boxes}, 0))
+		held := len(NewEvaluator(rules, 1).Step(Merge(observations...), map[string]int{"h": boxes}, 0))
 		require.LessOrEqual(t, held, max(1, boxes*4/10))
 		require.True(t, held < boxes || boxes == 0, "%d of %d", held, boxes)
 	}
--- a/internal/decide/quotalease/allocator.go
+++ b/internal/decide/quotalease/allocator.go
@@ -36,16 +36,16 @@
 }
 
 // outstanding returns the most that a role may spend now.
-func (c *childState) outstanding(now Micros) (most float64) {
+func (c *childState) outstanding(now Micros) (amount float64) {
 	if now < c.HeldUntil {
-		most = c.Held
+		amount = c.Held
 	}
 	for _, g := range c.Sent {
 		if now < g.Expiry {
-			most = max(most, g.Amount)
+			amount = max(amount, g.Amount)
 		}
 	}
-	return most
+	return amount
 }
 
 // heldAllocation is an allocation that a site's owner holds from an owner above.
@@ -107,159 +107,161 @@
 	DisableReplace Mutation = "twice" // a request adds to the demand of the previous one instead of replacing it
 )
 
-// NewAllocator returns an allocator for a site's owner named at the time now. Wait is the
-// lease that a previous root owner may still have; it is not needed for other sites, whose
-// allocations come out of the amount held from above, whoever owned the site before.
-func NewAllocator(rules Rules, limits []Limit, site string, number uint64, wait, now Micros) *Allocator {
-	d := &Allocator{ledger: Ledger{Site: site, Number: number, Limits: map[Key]*limitState{}, Members: map[string]*member{}}}
-	if wait > 0 && site == "" {
-		d.ledger.QuietUntil = now + lease.ExpirySpan(wait)
-	}
-	d.Reconfigure(rules, limits, now)
-	return d
+// NewAllocator returns an allocator for a site's owner named at the time now. PriorLease
+// is the lease that a previous root owner may still have; it is not needed for other
+// sites, whose allocations come out of the amount held from above, whoever owned the site before.
+func NewAllocator(rules Rules, limits []Limit, site string, number uint64, priorLease, now Micros) *Allocator {
+	alloc := &Allocator{ledger: Ledger{Site: site, Number: number, Limits: map[Key]*limitState{}, Members: map[string]*member{}}}
+	if priorLease > 0 && site == "" {
+		alloc.ledger.QuietUntil = now + lease.ExpirySpan(priorLease)
+	}
+	alloc.Reconfigure(rules, limits, now)
+	return alloc
 }
 
 // Disable disables a rule.
-func (d *Allocator) Disable(r Mutation) { d.mutation = r }
+func (alloc *Allocator) Disable(r Mutation) { alloc.mutation = r }
 
 // Reconfigure replaces the rules and limits. Allocations made from a limit that is now
 // smaller count until a smaller one is confirmed or they have certainly expired.
-func (d *Allocator) Reconfigure(rules Rules, limits []Limit, now Micros) {
-	d.rules, d.limits = rules, map[string]*Limit{}
+func (alloc *Allocator) Reconfigure(rules Rules, limits []Limit, now Micros) {
+	alloc.rules, alloc.limits = rules, map[string]*Limit{}
 	for i := range limits {
 		l := limits[i]
-		d.limits[l.Name] = &l
-		if l.Who != "*" && d.isRoot() {
-			d.limitState(Key{Limit: l.Name, Who: l.Who}, now)
+		alloc.limits[l.Name] = &l
+		if l.Who != "*" && alloc.isRoot() {
+			alloc.limitState(Key{Limit: l.Name, Who: l.Who}, now)
 		}
 	}
-	for k := range d.ledger.Limits {
-		if d.limits[k.Limit] == nil {
-			delete(d.ledger.Limits, k)
+	for k := range alloc.ledger.Limits {
+		if alloc.limits[k.Limit] == nil {
+			delete(alloc.ledger.Limits, k)
 		}
 	}
 }
 
 // unknownUntil returns until when allocations of the previous owner may be spent; 0 if
 // there was none.
-func (d *Allocator) unknownUntil(l *Limit) Micros {
+func (alloc *Allocator) unknownUntil(l *Limit) Micros {
 	switch {
-	case d.ledger.QuietUntil == 0:
+	case alloc.ledger.QuietUntil == 0:
 		return 0
 	case l.Kind == Uses:
-		return d.ledger.QuietUntil + lease.ExpirySpan(l.Window)
+		return alloc.ledger.QuietUntil + lease.ExpirySpan(l.Window)
 	}
-	return d.ledger.QuietUntil + d.rules.allocationExpiry(l.Kind)
+	return alloc.ledger.QuietUntil + alloc.rules.allocationExpiry(l.Kind)
 }
 
-func (d *Allocator) isRoot() bool { return d.ledger.Site == "" }
+func (alloc *Allocator) isRoot() bool { return alloc.ledger.Site == "" }
 
 // Site returns the owner's site.
-func (d *Allocator) Site() string { return d.ledger.Site }
+func (alloc *Allocator) Site() string { return alloc.ledger.Site }
 
 // Number returns the owner's number.
-func (d *Allocator) Number() uint64 { return d.ledger.Number }
+func (alloc *Allocator) Number() uint64 { return alloc.ledger.Number }
 
-func (d *Allocator) limitState(k Key, now Micros) *limitState {
-	s := d.ledger.Limits[k]
-	if s == nil && d.limits[k.Limit] != nil && len(d.ledger.Limits) < MaxNames {
+func (alloc *Allocator) limitState(k Key, now Micros) *limitState {
+	s := alloc.ledger.Limits[k]
+	if s == nil && alloc.limits[k.Limit] != nil && len(alloc.ledger.Limits) < MaxNames {
 		s = &limitState{Children: map[string]*childState{}}
-		d.ledger.Limits[k] = s
+		alloc.ledger.Limits[k] = s
 	}
 	return s
 }
 
 // HandleRequest stores a role's request in place of its previous one. Role must identify
 // the process, or the site and owner number: a restarted process is another role.
-func (d *Allocator) HandleRequest(role string, a Request, now Micros) {
-	m := d.ledger.Members[role]
-	if m == nil {
-		if len(d.ledger.Members) >= maxRoles {
+func (alloc *Allocator) HandleRequest(role string, request Request, now Micros) {
+	sender := alloc.ledger.Members[role]
+	if sender == nil {
+		if len(alloc.ledger.Members) >= maxRoles {
 			return
 		}
-		m = &member{}
-		d.ledger.Members[role] = m
+		sender = &member{}
+		alloc.ledger.Members[role] = sender
 	}
-	if a.Stamp < m.Stamp { // late, out of order
+	if request.Stamp < sender.Stamp { // late, out of order
 		return
 	}
-	m.LastHeard, m.Stamp, m.StampReceived = now, a.Stamp, now
-	for _, w := range a.Limits {
-		s := d.limitState(w.Key, now)
-		if s == nil || !(w.Demand >= 0 && w.Demand < 1e12) || !(w.Held >= 0 && w.Held < 1e12) || !(w.HeldBefore >= 0 && w.HeldBefore < 1e12) {
+	sender.LastHeard, sender.Stamp, sender.StampReceived = now, request.Stamp, now
+	for _, w := range request.Limits {
+		state := alloc.limitState(w.Key, now)
+		if state == nil || !(w.Demand >= 0 && w.Demand < 1e12) || !(w.Held >= 0 && w.Held < 1e12) || !(w.HeldBefore >= 0 && w.HeldBefore < 1e12) {
 			continue
 		}
-		c := s.Children[role]
-		if c == nil {
-			c = &childState{}
-			s.Children[role] = c
+		child := state.Children[role]
+		if child == nil {
+			child = &childState{}
+			state.Children[role] = child
 		}
-		if d.mutation == DisableReplace {
-			c.Demand += w.Demand
+		if alloc.mutation == DisableReplace {
+			child.Demand += w.Demand
 		} else {
-			c.Demand = w.Demand
+			child.Demand = w.Demand
 		}
-		d.confirm(d.limits[w.Key.Limit], s, c, w, now)
+		alloc.confirm(alloc.limits[w.Key.Limit], state, child, w, now)
 	}
 }
 
 // confirm records which allocation a role uses now. Confirming a smaller one frees the
 // rest of what it held.
-func (d *Allocator) confirm(l *Limit, s *limitState, c *childState, w LimitRequest, now Micros) {
-	if l.Kind == Uses && w.Epoch != s.Epoch {
+func (alloc *Allocator) confirm(limit *Limit, state *limitState, child *childState, request LimitRequest, now Micros) {
+	if limit.Kind == Uses && request.Epoch != state.Epoch {
 		return
 	}
-	if w.Number > c.Number { // this owner restarted and lost its state but not its number: the role's value counts
-		c.Number = w.Number
+	if request.Number > child.Number { // this owner restarted and lost its state but not its number: the role's value counts
+		child.Number = request.Number
 	}
-	last := c.HeldUntil
-	c.Sent = slices.DeleteFunc(c.Sent, func(g sentAllocation) bool {
-		if g.Number < w.Number {
-			last = max(last, g.Expiry)
+	lastExpiry := child.HeldUntil
+	child.Sent = slices.DeleteFunc(child.Sent, func(g sentAllocation) bool {
+		if g.Number < request.Number {
+			lastExpiry = max(lastExpiry, g.Expiry)
 		}
-		return g.Number < w.Number || now >= g.Expiry
+		return g.Number < request.Number || now >= g.Expiry
 	})
-	for _, g := range c.Sent {
-		last = max(last, g.Expiry)
+	for _, g := range child.Sent {
+		lastExpiry = max(lastExpiry, g.Expiry)
 	}
-	if w.Number > 0 {
-		c.Held, c.HeldUntil = w.Held, last
-	} else if w.HeldBefore > 0 && c.Number == 0 && d.isRoot() && now >= d.ledger.QuietUntil { // from the previous owner, which no longer allocates
-		c.Held, c.HeldUntil = w.HeldBefore, max(d.unknownUntil(l), now+d.rules.allocationExpiry(l.Kind))
+	if request.Number > 0 {
+		child.Held, child.HeldUntil = request.Held, lastExpiry
+	} else if request.HeldBefore > 0 && child.Number == 0 && alloc.isRoot() && now >= alloc.ledger.QuietUntil { // from the previous owner, which no longer allocates
+		child.Held, child.HeldUntil = request.HeldBefore, max(alloc.unknownUntil(limit), now+alloc.rules.allocationExpiry(limit.Kind))
 	}
 }
 
 // ApplyGrant applies a grant of an owner above to this site. Newest is the highest known
 // owner number of the granting site; grants of earlier owners are ignored.
-func (d *Allocator) ApplyGrant(g Grant, newest uint64, now Micros) {
-	if g.Owner < newest || d.isRoot() {
+func (alloc *Allocator) ApplyGrant(grant Grant, newest uint64, now Micros) {
+	if grant.Owner < newest || alloc.isRoot() {
 		return
 	}
-	from := Source{g.Site, g.Owner}
-	for _, x := range g.Allocations {
-		s := d.limitState(x.Key, now)
-		if s == nil {
+	from := Source{grant.Site, grant.Owner}
+	for _, allocation := range grant.Allocations {
+		state := alloc.limitState(allocation.Key, now)
+		if state == nil {
 			continue
 		}
-		l := d.limits[x.Key.Limit]
-		end := g.Stamp + min(x.Span, max(d.rules.AllocationLease, l.Window))
-		if l.Kind == Uses && x.Epoch != s.Epoch {
-			if x.Epoch < s.Epoch {
+		limit := alloc.limits[allocation.Key.Limit]
+		end := grant.Stamp + min(allocation.Span, max(alloc.rules.AllocationLease, limit.Window))
+		if limit.Kind == Uses && allocation.Epoch != state.Epoch {
+			if allocation.Epoch < state.Epoch {
 				continue
 			}
-			s.Epoch, s.Children, s.Held = x.Epoch, map[string]*childState{}, nil
+			state.Epoch, state.Children, state.Held = allocation.Epoch, map[string]*childState{}, nil
 		}
-		s.EpochEnd = end
-		s.Held = slices.DeleteFunc(s.Held, func(o heldAllocation) bool { return now >= o.End || o.From.Site == g.Site && o.From.Owner < g.Owner })
-		i := slices.IndexFunc(s.Held, func(o heldAllocation) bool { return o.From == from })
+		state.EpochEnd = end
+		state.Held = slices.DeleteFunc(state.Held, func(o heldAllocation) bool {
+			return now >= o.End || o.From.Site == grant.Site && o.From.Owner < grant.Owner
+		})
+		i := slices.IndexFunc(state.Held, func(o heldAllocation) bool { return o.From == from })
 		switch {
-		case i < 0 && now < end && len(s.Held) < maxAllocations:
-			s.Held = append(s.Held, heldAllocation{from, x.Number, x.Amount, end, x.Epoch})
-		case i < 0 || x.Number < s.Held[i].Number:
-		case x.Number == s.Held[i].Number:
-			s.Held[i].End = max(s.Held[i].End, end)
+		case i < 0 && now < end && len(state.Held) < maxAllocations:
+			state.Held = append(state.Held, heldAllocation{from, allocation.Number, allocation.Amount, end, allocation.Epoch})
+		case i < 0 || allocation.Number < state.Held[i].Number:
+		case allocation.Number == state.Held[i].Number:
+			state.Held[i].End = max(state.Held[i].End, end)
 		default:
-			s.Held[i] = heldAllocation{from, x.Number, x.Amount, end, x.Epoch}
+			state.Held[i] = heldAllocation{from, allocation.Number, allocation.Amount, end, allocation.Epoch}
 		}
 	}
 }
@@ -267,183 +269,183 @@
 // available returns the amount that may be allocated of a limit, and for how long. For a
 // site this is the allocation of the owner it is attached to, or else the one that expires
 // last.
-func (d *Allocator) available(l *Limit, s *limitState, up Source, now Micros) (amount float64, span Micros) {
-	if d.isRoot() {
-		if l.Kind == Uses {
-			return l.Allocatable(d.rules), max(0, (s.EpochEnd-now)*(100-lease.Drift)/(100+lease.Drift))
+func (alloc *Allocator) available(limit *Limit, state *limitState, up Source, now Micros) (amount float64, validity Micros) {
+	if alloc.isRoot() {
+		if limit.Kind == Uses {
+			return limit.Allocatable(alloc.rules), max(0, (state.EpochEnd-now)*(100-lease.Drift)/(100+lease.Drift))
 		}
-		return l.Allocatable(d.rules), d.rules.AllocationLease
+		return limit.Allocatable(alloc.rules), alloc.rules.AllocationLease
 	}
 	var best *heldAllocation
-	for i := range s.Held {
-		if o := &s.Held[i]; now < o.End && (best == nil || best.From != up && (o.From == up || o.End > best.End)) {
-			best = o
+	for i := range state.Held {
+		if held := &state.Held[i]; now < held.End && (best == nil || best.From != up && (held.From == up || held.End > best.End)) {
+			best = held
 		}
 	}
 	if best == nil {
 		return 0, 0
 	}
-	span = best.End - now
-	if l.Kind != Uses {
-		span = min(span, d.rules.AllocationLease)
+	validity = best.End - now
+	if limit.Kind != Uses {
+		validity = min(validity, alloc.rules.AllocationLease)
 	}
-	return best.Amount, span
+	return best.Amount, validity
 }
 
 // Allocate computes the grants for all roles heard within ChildTimeout, by role. Up is the
 // owner that this site is attached to.
-func (d *Allocator) Allocate(up Source, now Micros) map[string]Grant {
+func (alloc *Allocator) Allocate(up Source, now Micros) map[string]Grant {
 	out := map[string]Grant{}
-	maps.DeleteFunc(d.ledger.Members, func(role string, m *member) bool {
-		return now-m.LastHeard > 4*d.rules.allocationExpiry(Rate)+d.rules.ChildTimeout
+	maps.DeleteFunc(alloc.ledger.Members, func(role string, m *member) bool {
+		return now-m.LastHeard > 4*alloc.rules.allocationExpiry(Rate)+alloc.rules.ChildTimeout
 	})
-	if now < d.ledger.QuietUntil {
+	if now < alloc.ledger.QuietUntil {
 		return out
 	}
-	for role, m := range d.ledger.Members {
-		if now-m.LastHeard <= d.rules.ChildTimeout {
-			out[role] = Grant{Site: d.ledger.Site, Owner: d.ledger.Number, Stamp: m.Stamp}
+	for role, m := range alloc.ledger.Members {
+		if now-m.LastHeard <= alloc.rules.ChildTimeout {
+			out[role] = Grant{Site: alloc.ledger.Site, Owner: alloc.ledger.Number, Stamp: m.Stamp}
 		}
 	}
-	for _, key := range d.Keys() {
-		s, l := d.ledger.Limits[key], d.limits[key.Limit]
-		d.allocateLimit(key, l, s, up, now, out)
+	for _, key := range alloc.Keys() {
+		s, l := alloc.ledger.Limits[key], alloc.limits[key.Limit]
+		alloc.allocateLimit(key, l, s, up, now, out)
 		if l.Who == "*" && len(s.Children) == 0 {
-			delete(d.ledger.Limits, key)
+			delete(alloc.ledger.Limits, key)
 		}
 	}
 	return out
 }
 
 // Keys returns the keys of all limits, in order.
-func (d *Allocator) Keys() []Key {
-	return slices.SortedFunc(maps.Keys(d.ledger.Limits), func(a, b Key) int {
+func (alloc *Allocator) Keys() []Key {
+	return slices.SortedFunc(maps.Keys(alloc.ledger.Limits), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Who, b.Who))
 	})
 }
 
-func (d *Allocator) allocateLimit(key Key, l *Limit, s *limitState, up Source, now Micros, grants map[string]Grant) {
-	if l.Kind == Uses && d.isRoot() && now >= s.EpochEnd {
-		if now < d.unknownUntil(l) {
+func (alloc *Allocator) allocateLimit(key Key, limit *Limit, state *limitState, up Source, now Micros, grants map[string]Grant) {
+	if limit.Kind == Uses && alloc.isRoot() && now >= state.EpochEnd {
+		if now < alloc.unknownUntil(limit) {
 			return // the previous root owner's window may not have ended
 		}
-		s.Epoch, s.EpochEnd, s.Children = max(s.Epoch+1, d.ledger.Number<<20), now+l.Window, newEpochChildren(s.Children)
+		state.Epoch, state.EpochEnd, state.Children = max(state.Epoch+1, alloc.ledger.Number<<20), now+limit.Window, newEpochChildren(state.Children)
 	}
-	amount, span := d.available(l, s, up, now)
+	amount, span := alloc.available(limit, state, up, now)
 	var roles []string
-	total, dead := 0.0, 0.0
-	for _, role := range slices.Sorted(maps.Keys(s.Children)) {
-		c := s.Children[role]
-		m := d.ledger.Members[role]
-		was := c.outstanding(now)
-		alive := m != nil && now-m.LastHeard <= d.rules.ChildTimeout
-		if !alive && d.mutation == DisableExpiry {
-			was = 0
+	outstanding, unreachable := 0.0, 0.0
+	for _, role := range slices.Sorted(maps.Keys(state.Children)) {
+		child := state.Children[role]
+		sender := alloc.ledger.Members[role]
+		current := child.outstanding(now)
+		alive := sender != nil && now-sender.LastHeard <= alloc.rules.ChildTimeout
+		if !alive && alloc.mutation == DisableExpiry {
+			current = 0
 		}
-		if !alive && was == 0 && l.Kind != Uses {
-			delete(s.Children, role)
+		if !alive && current == 0 && limit.Kind != Uses {
+			delete(state.Children, role)
 			continue
 		}
-		total += was
+		outstanding += current
 		if alive {
 			roles = append(roles, role)
 		} else {
-			dead += was
+			unreachable += current
 		}
 	}
 	if len(roles) == 0 || span <= 0 {
 		return
 	}
-	demands, all := make([]float64, len(roles)), 0.0
+	demands, totalDemand := make([]float64, len(roles)), 0.0
 	for i, role := range roles {
-		demands[i] = s.Children[role].Demand
-		all += demands[i]
+		demands[i] = state.Children[role].Demand
+		totalDemand += demands[i]
 	}
-	able := max(0, amount-dead)
-	room := min(maxHeadroom, max(minHeadroom, able/max(all, 1e-9)))
+	allocatable := max(0, amount-unreachable)
+	headroom := min(maxHeadroom, max(minHeadroom, allocatable/max(totalDemand, 1e-9)))
 	for i := range demands {
-		demands[i] *= room
+		demands[i] *= headroom
 	}
-	shares := raiseToMinimum(able, l.minAllocation(), MaxMinFair(able, demands), s.Turn)
-	if now < d.unknownUntil(l) && d.isRoot() { // nothing is free until all allocations of the previous root owner are reported or expired
-		total = max(total, amount)
+	shares := raiseToMinimum(allocatable, limit.minAllocation(), MaxMinFair(allocatable, demands), state.Turn)
+	if now < alloc.unknownUntil(limit) && alloc.isRoot() { // nothing is free until all allocations of the previous root owner are reported or expired
+		outstanding = max(outstanding, amount)
 		for i, role := range roles {
-			c := s.Children[role]
-			shares[i] = c.LastAmount
-			if c.Number == 0 {
-				shares[i] = c.outstanding(now)
+			child := state.Children[role]
+			shares[i] = child.LastAmount
+			if child.Number == 0 {
+				shares[i] = child.outstanding(now)
 			}
 		}
 	}
-	free := max(0, amount-total)
+	free := max(0, amount-outstanding)
 	wanted := 0.0
 	for i, role := range roles {
-		if l.Kind != Rate {
+		if limit.Kind != Rate {
 			shares[i] = math.Floor(shares[i])
 		}
-		wanted += max(0, shares[i]-s.Children[role].outstanding(now))
+		wanted += max(0, shares[i]-state.Children[role].outstanding(now))
 	}
 	for i, role := range roles {
-		c, goal := s.Children[role], shares[i]
-		was := c.outstanding(now)
-		if goal > was && wanted > 0 {
-			goal = was + min(goal-was, free*(goal-was)/wanted)
+		child, target := state.Children[role], shares[i]
+		current := child.outstanding(now)
+		if target > current && wanted > 0 {
+			target = current + min(target-current, free*(target-current)/wanted)
 		}
-		if l.Kind != Rate {
-			goal = math.Floor(goal)
+		if limit.Kind != Rate {
+			target = math.Floor(target)
 		}
-		if goal < l.minAllocation() && l.Kind == Rate {
-			goal = 0
+		if target < limit.minAllocation() && limit.Kind == Rate {
+			target = 0
 		}
-		grants[role] = d.send(l, key, c, goal, span, s.Epoch, grants[role], d.ledger.Members[role].StampReceived)
+		grants[role] = alloc.send(limit, key, child, target, span, state.Epoch, grants[role], alloc.ledger.Members[role].StampReceived)
 	}
 }
 
 // send adds a role's allocation to its grant: a changed one if the change is large enough,
 // otherwise the last one with a renewed lease. The lease counts from the request's stamp,
 // which precedes its arrival.
-func (d *Allocator) send(l *Limit, key Key, c *childState, goal float64, span Micros, epoch uint64, g Grant, came Micros) Grant {
-	changed := math.Abs(goal-c.LastAmount) > changeThreshold*c.LastAmount || c.LastAmount > goal && len(c.Sent) == 0 || c.Number == 0
-	if changed && goal != c.LastAmount || c.Number == 0 && goal > 0 {
-		if len(c.Sent) >= maxUnconfirmed && goal > c.LastAmount {
+func (alloc *Allocator) send(limit *Limit, key Key, child *childState, target float64, span Micros, epoch uint64, grant Grant, stampReceived Micros) Grant {
+	changed := math.Abs(target-child.LastAmount) > changeThreshold*child.LastAmount || child.LastAmount > target && len(child.Sent) == 0 || child.Number == 0
+	if changed && target != child.LastAmount || child.Number == 0 && target > 0 {
+		if len(child.Sent) >= maxUnconfirmed && target > child.LastAmount {
 			changed = false
 		} else {
-			c.Number++
-			c.LastAmount = goal
-			if len(c.Sent) >= maxUnconfirmed { // replace the smallest, since the largest determines what is outstanding
+			child.Number++
+			child.LastAmount = target
+			if len(child.Sent) >= maxUnconfirmed { // replace the smallest, since the largest determines what is outstanding
 				i := 0
-				for j := range c.Sent {
-					if c.Sent[j].Amount < c.Sent[i].Amount {
+				for j := range child.Sent {
+					if child.Sent[j].Amount < child.Sent[i].Amount {
 						i = j
 					}
 				}
-				c.Sent[i] = sentAllocation{Number: c.Number, Amount: goal}
+				child.Sent[i] = sentAllocation{Number: child.Number, Amount: target}
 			} else {
-				c.Sent = append(c.Sent, sentAllocation{Number: c.Number, Amount: goal})
+				child.Sent = append(child.Sent, sentAllocation{Number: child.Number, Amount: target})
 			}
 		}
 	}
-	if c.Number == 0 {
-		return g
+	if child.Number == 0 {
+		return grant
 	}
-	over := came + lease.ExpirySpan(span)
-	switch l.Kind {
+	expiry := stampReceived + lease.ExpirySpan(span)
+	switch limit.Kind {
 	case Open:
-		over = came + lease.ExpirySpan(span+d.rules.MaxOpenTime)
+		expiry = stampReceived + lease.ExpirySpan(span+alloc.rules.MaxOpenTime)
 	case Uses:
-		over = math.MaxInt64 / 2
+		expiry = math.MaxInt64 / 2
 	}
 	found := false
-	for i := range c.Sent {
-		if c.Sent[i].Number == c.Number {
-			c.Sent[i].Expiry, found = max(c.Sent[i].Expiry, over), true
+	for i := range child.Sent {
+		if child.Sent[i].Number == child.Number {
+			child.Sent[i].Expiry, found = max(child.Sent[i].Expiry, expiry), true
 		}
 	}
 	if !found { // it had expired; its lease is renewed
-		c.Sent = append(c.Sent, sentAllocation{c.Number, c.LastAmount, over})
+		child.Sent = append(child.Sent, sentAllocation{child.Number, child.LastAmount, expiry})
 	}
-	g.Allocations = append(g.Allocations, Allocation{Key: key, Number: c.Number, Amount: c.LastAmount, Span: span, Epoch: epoch})
-	return g
+	grant.Allocations = append(grant.Allocations, Allocation{Key: key, Number: child.Number, Amount: child.LastAmount, Span: span, Epoch: epoch})
+	return grant
 }
 
 // newEpochChildren returns the roles' states for a new window of uses. Allocations of the
--- a/internal/decide/quotalease/ledger.go
+++ b/internal/decide/quotalease/ledger.go
@@ -1,35 +1,35 @@
 package quotalease
 
 // LimitRequests returns what this site requests from the owner that it is attached to, up.
-func (d *Allocator) LimitRequests(up Source, now Micros) (list []LimitRequest) {
-	if d.isRoot() {
+func (alloc *Allocator) LimitRequests(up Source, now Micros) (list []LimitRequest) {
+	if alloc.isRoot() {
 		return nil
 	}
-	for _, key := range d.Keys() {
-		s := d.ledger.Limits[key]
-		w := LimitRequest{Key: key, Epoch: s.Epoch}
-		out, others := 0.0, 0.0
-		for role, c := range s.Children {
-			if m := d.ledger.Members[role]; m != nil && now-m.LastHeard <= d.rules.ChildTimeout {
-				w.Demand += c.Demand
+	for _, key := range alloc.Keys() {
+		state := alloc.ledger.Limits[key]
+		request := LimitRequest{Key: key, Epoch: state.Epoch}
+		outstanding, others := 0.0, 0.0
+		for role, child := range state.Children {
+			if sender := alloc.ledger.Members[role]; sender != nil && now-sender.LastHeard <= alloc.rules.ChildTimeout {
+				request.Demand += child.Demand
 			}
-			out += c.outstanding(now)
+			outstanding += child.outstanding(now)
 		}
-		for _, o := range s.Held {
+		for _, held := range state.Held {
 			switch {
-			case o.From == up:
-				w.Number, w.Held = o.Number, o.Amount
-			case now < o.End:
-				others += o.Amount
-				if o.From.Site == up.Site {
-					w.HeldBefore += o.Amount
+			case held.From == up:
+				request.Number, request.Held = held.Number, held.Amount
+			case now < held.End:
+				others += held.Amount
+				if held.From.Site == up.Site {
+					request.HeldBefore += held.Amount
 				}
 			}
 		}
-		if w.Number > 0 {
-			w.Held = max(w.Held, out-others) // the allocation, or more if an earlier, larger one is still allocated below
+		if request.Number > 0 {
+			request.Held = max(request.Held, outstanding-others) // the allocation, or more if an earlier, larger one is still allocated below
 		}
-		list = append(list, w)
+		list = append(list, request)
 	}
 	return list
 }
@@ -47,24 +47,24 @@
 }
 
 // Status returns the state of all limits, in the order of Keys.
-func (d *Allocator) Status(up Source, now Micros) (list []LimitStatus) {
-	for _, key := range d.Keys() {
-		s := d.ledger.Limits[key]
-		x := LimitStatus{Key: key, WaitSeconds: float64(max(0, d.unknownUntil(d.limits[key.Limit])-now)) / 1e6}
-		x.Available, _ = d.available(d.limits[key.Limit], s, up, now)
-		for role, c := range s.Children {
-			x.Roles++
-			if m := d.ledger.Members[role]; m == nil || now-m.LastHeard > d.rules.ChildTimeout {
-				x.Silent++
+func (alloc *Allocator) Status(up Source, now Micros) (list []LimitStatus) {
+	for _, key := range alloc.Keys() {
+		state := alloc.ledger.Limits[key]
+		status := LimitStatus{Key: key, WaitSeconds: float64(max(0, alloc.unknownUntil(alloc.limits[key.Limit])-now)) / 1e6}
+		status.Available, _ = alloc.available(alloc.limits[key.Limit], state, up, now)
+		for role, child := range state.Children {
+			status.Roles++
+			if sender := alloc.ledger.Members[role]; sender == nil || now-sender.LastHeard > alloc.rules.ChildTimeout {
+				status.Silent++
 			} else {
-				x.Demand += c.Demand
+				status.Demand += child.Demand
 			}
-			if o := c.outstanding(now); o > 0 {
-				x.Outstanding += o
-				x.Holders++
+			if outstanding := child.outstanding(now); outstanding > 0 {
+				status.Outstanding += outstanding
+				status.Holders++
 			}
 		}
-		list = append(list, x)
+		list = append(list, status)
 	}
 	return list
 }
@@ -72,16 +72,16 @@
 // Ledger returns the allocator's state for storage. It must be stored before any grant made
 // from it is sent. The result is shared with the allocator, which must not be used until
 // it has been written.
-func (d *Allocator) Ledger() *Ledger {
-	d.ledger.List = d.ledger.List[:0]
-	for _, k := range d.Keys() {
-		d.ledger.List = append(d.ledger.List, ledgerEntry{k, d.ledger.Limits[k]})
+func (alloc *Allocator) Ledger() *Ledger {
+	alloc.ledger.List = alloc.ledger.List[:0]
+	for _, k := range alloc.Keys() {
+		alloc.ledger.List = append(alloc.ledger.List, ledgerEntry{k, alloc.ledger.Limits[k]})
 	}
-	return &d.ledger
+	return &alloc.ledger
 }
 
 // Restore replaces the allocator's state by a stored ledger.
-func (d *Allocator) Restore(l Ledger) {
+func (alloc *Allocator) Restore(l Ledger) {
 	l.Limits = map[Key]*limitState{}
 	for _, x := range l.List {
 		if x.State.Children == nil {
@@ -92,5 +92,5 @@
 	if l.Members == nil {
 		l.Members = map[string]*member{}
 	}
-	l.List, d.ledger = nil, l
+	l.List, alloc.ledger = nil, l
 }
--- a/internal/decide/quotalease/limiter.go
+++ b/internal/decide/quotalease/limiter.go
@@ -74,61 +74,61 @@
 
 // NewLimiter returns a Limiter without allocations.
 func NewLimiter(rules Rules, limits []Limit, now Micros) *Limiter {
-	p := &Limiter{fronts: 1}
-	p.Reconfigure(rules, limits, now)
-	return p
+	limiter := &Limiter{fronts: 1}
+	limiter.Reconfigure(rules, limits, now)
+	return limiter
 }
 
 // Reconfigure replaces the rules and limits. Allocations of limits that remain are kept; a
 // reduced limit takes effect through smaller allocations.
-func (p *Limiter) Reconfigure(rules Rules, limits []Limit, now Micros) {
-	old := p.buckets
-	p.rules, p.limits, p.byClaim, p.wildcards, p.buckets, p.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
+func (limiter *Limiter) Reconfigure(rules Rules, limits []Limit, now Micros) {
+	old := limiter.buckets
+	limiter.rules, limiter.limits, limiter.byClaim, limiter.wildcards, limiter.buckets, limiter.byKey = rules, map[string]*Limit{}, map[claim][]*Bucket{}, map[string][]*Limit{}, nil, map[Key]*Bucket{}
 	for i := range limits {
 		l := limits[i]
-		p.limits[l.Name] = &l
+		limiter.limits[l.Name] = &l
 		if l.Who == "*" {
-			p.wildcards[l.Dimension] = append(p.wildcards[l.Dimension], &l)
+			limiter.wildcards[l.Dimension] = append(limiter.wildcards[l.Dimension], &l)
 		} else {
-			p.add(&l, l.Who, now)
+			limiter.add(&l, l.Who, now)
 		}
 	}
 	for _, b := range old {
-		l := p.limits[b.Key.Limit]
+		l := limiter.limits[b.Key.Limit]
 		if l == nil || l.Kind != b.limit.Kind {
 			continue
 		}
-		b.limit, b.rules = l, &p.rules
+		b.limit, b.rules = l, &limiter.rules
 		c := claim{l.Dimension, b.Key.Who}
-		if x := p.byKey[b.Key]; x != nil {
-			p.buckets[slices.Index(p.buckets, x)] = b
-			p.byClaim[c][slices.Index(p.byClaim[c], x)] = b
+		if x := limiter.byKey[b.Key]; x != nil {
+			limiter.buckets[slices.Index(limiter.buckets, x)] = b
+			limiter.byClaim[c][slices.Index(limiter.byClaim[c], x)] = b
 		} else if l.Who == "*" {
-			p.buckets = append(p.buckets, b)
-			p.byClaim[c] = append(p.byClaim[c], b)
+			limiter.buckets = append(limiter.buckets, b)
+			limiter.byClaim[c] = append(limiter.byClaim[c], b)
 		} else {
 			continue
 		}
-		p.byKey[b.Key] = b
+		limiter.byKey[b.Key] = b
 	}
-	p.SetFronts(p.fronts)
+	limiter.SetFronts(limiter.fronts)
 }
 
-func (p *Limiter) add(l *Limit, who string, now Micros) *Bucket {
-	b := &Bucket{Key: Key{Limit: l.Name, Who: who}, limit: l, rules: &p.rules, refilledAt: now, lastUsed: now}
-	b.setIsolatedAmount(p.fronts)
-	p.buckets, p.byKey[b.Key] = append(p.buckets, b), b
+func (limiter *Limiter) add(l *Limit, who string, now Micros) *Bucket {
+	b := &Bucket{Key: Key{Limit: l.Name, Who: who}, limit: l, rules: &limiter.rules, refilledAt: now, lastUsed: now}
+	b.setIsolatedAmount(limiter.fronts)
+	limiter.buckets, limiter.byKey[b.Key] = append(limiter.buckets, b), b
 	c := claim{l.Dimension, who}
-	p.byClaim[c] = append(p.byClaim[c], b)
+	limiter.byClaim[c] = append(limiter.byClaim[c], b)
 	return b
 }
 
 // SetFronts sets the number of fronts in the fleet, among which the amount for isolated
 // fronts is divided.
-func (p *Limiter) SetFronts(n int) {
-	p.fronts = max(1, n)
-	for _, b := range p.buckets {
-		b.setIsolatedAmount(p.fronts)
+func (limiter *Limiter) SetFronts(n int) {
+	limiter.fronts = max(1, n)
+	for _, b := range limiter.buckets {
+		b.setIsolatedAmount(limiter.fronts)
 	}
 }
 
@@ -137,21 +137,21 @@
 }
 
 // Find returns the buckets that requests of a name count against; none if no limit applies.
-func (p *Limiter) Find(dimension, who string, now Micros) []*Bucket {
-	list := p.byClaim[claim{dimension, who}]
-	if len(list) > 0 || len(p.wildcards[dimension]) == 0 {
+func (limiter *Limiter) Find(dimension, who string, now Micros) []*Bucket {
+	list := limiter.byClaim[claim{dimension, who}]
+	if len(list) > 0 || len(limiter.wildcards[dimension]) == 0 {
 		return list
 	}
-	if len(p.buckets) >= MaxNames {
-		p.prune(now)
+	if len(limiter.buckets) >= MaxNames {
+		limiter.prune(now)
 	}
-	for _, l := range p.wildcards[dimension] {
-		if len(p.buckets) < MaxNames {
-			p.add(l, who, now)
-			p.newNames = true
+	for _, l := range limiter.wildcards[dimension] {
+		if len(limiter.buckets) < MaxNames {
+			limiter.add(l, who, now)
+			limiter.newNames = true
 		}
 	}
-	if list = p.byClaim[claim{dimension, who}]; len(list) == 0 {
+	if list = limiter.byClaim[claim{dimension, who}]; len(list) == 0 {
 		return bucketTableFull[:]
 	}
 	return list
@@ -161,13 +161,13 @@
 var bucketTableFull = [1]*Bucket{{limit: &Limit{Name: "no room", Amount: 1, Burst: 1, Hard: true}, rules: &Rules{}}}
 
 // prune removes names without valid allocations, open requests and recent requests.
-func (p *Limiter) prune(now Micros) {
-	p.buckets = slices.DeleteFunc(p.buckets, func(b *Bucket) bool {
-		if b.limit.Who != "*" || b.open > 0 || b.numAllocations > 0 && now < b.lastExpiry() || now-b.lastUsed < p.rules.AllocationLease {
+func (limiter *Limiter) prune(now Micros) {
+	limiter.buckets = slices.DeleteFunc(limiter.buckets, func(b *Bucket) bool {
+		if b.limit.Who != "*" || b.open > 0 || b.numAllocations > 0 && now < b.lastExpiry() || now-b.lastUsed < limiter.rules.AllocationLease {
 			return false
 		}
-		delete(p.byClaim, claim{b.limit.Dimension, b.Key.Who})
-		delete(p.byKey, b.Key)
+		delete(limiter.byClaim, claim{b.limit.Dimension, b.Key.Who})
+		delete(limiter.byKey, b.Key)
 		return true
 	})
 }
@@ -181,10 +181,10 @@
 
 // TakeNewNames reports whether new names were seen since the last call. They need a first
 // allocation at once.
-func (p *Limiter) TakeNewNames() bool {
-	was := p.newNames
-	p.newNames = false
-	return was
+func (limiter *Limiter) TakeNewNames() bool {
+	seen := limiter.newNames
+	limiter.newNames = false
+	return seen
 }
 
 // refresh drops expired allocations and sums up the others. The tokens of a rate never
@@ -194,23 +194,23 @@
 	amount, until := 0.0, Micros(math.MaxInt64)
 	kept := 0
 	for i := range b.numAllocations {
-		x := b.allocations[i]
-		if now >= x.end {
+		allocation := b.allocations[i]
+		if now >= allocation.end {
 			continue
 		}
-		b.allocations[kept] = x
+		b.allocations[kept] = allocation
 		kept++
-		amount += x.amount
-		until = min(until, x.end)
+		amount += allocation.amount
+		until = min(until, allocation.end)
 	}
-	was := b.amount
+	previous := b.amount
 	b.numAllocations, b.amount, b.validUntil = kept, amount, until
 	if !b.limit.Hard && b.isolatedAmount > 0 {
 		switch {
 		case kept > 0:
 			b.fadeStart = 0
 		case b.fadeStart == 0:
-			b.fadeStart, b.fadeAmount = max(1, now), was
+			b.fadeStart, b.fadeAmount = max(1, now), previous
 		}
 		if kept == 0 {
 			b.fade(now)
@@ -254,9 +254,9 @@
 }
 
 const (
-	allocationWait Micros = 250_000   // time in which a first allocation is likely to arrive
-	openWait       Micros = 500_000   // time in which one of the open requests is likely to end
-	maxWait        Micros = 5_000_000 //
+	allocationWait Micros = 250_000 // time in which a first allocation is likely to arrive
+	openWait       Micros = 500_000 // time in which one of the open requests is likely to end
+	maxWait        Micros = 5_000_000
 )
 
 // Take admits or refuses one request. If it is refused, wait is how long the client should
@@ -328,39 +328,39 @@
 
 // ApplyGrant applies a grant; allocations of unknown limits are skipped. Newest is the
 // highest known owner number of the granting site; grants of earlier owners are ignored.
-func (p *Limiter) ApplyGrant(g Grant, newest uint64, now Micros) {
+func (limiter *Limiter) ApplyGrant(g Grant, newest uint64, now Micros) {
 	if g.Owner < newest {
 		return
 	}
 	from := Source{Site: g.Site, Owner: g.Owner}
 	for _, x := range g.Allocations {
-		if b := p.byKey[x.Key]; b != nil {
+		if b := limiter.byKey[x.Key]; b != nil {
 			b.applyAllocation(from, g.Stamp, x, now)
 		}
 	}
 }
 
-func (b *Bucket) applyAllocation(from Source, stamp Micros, x Allocation, now Micros) {
-	end := stamp + min(x.Span, max(b.rules.AllocationLease, b.limit.Window))
-	if b.limit.Kind == Uses && x.Epoch != b.epoch {
-		if x.Epoch < b.epoch {
+func (b *Bucket) applyAllocation(from Source, stamp Micros, allocation Allocation, now Micros) {
+	end := stamp + min(allocation.Span, max(b.rules.AllocationLease, b.limit.Window))
+	if b.limit.Kind == Uses && allocation.Epoch != b.epoch {
+		if allocation.Epoch < b.epoch {
 			return
 		}
-		b.epoch, b.spent, b.numAllocations = x.Epoch, 0, 0
+		b.epoch, b.spent, b.numAllocations = allocation.Epoch, 0, 0
 	}
 	b.refresh(now)
 	i := 0
 	for ; i < b.numAllocations && b.allocations[i].from != from; i++ {
 	}
 	if i < b.numAllocations {
-		y := &b.allocations[i]
-		if x.Number < y.number {
+		held := &b.allocations[i]
+		if allocation.Number < held.number {
 			return
 		}
-		if x.Number == y.number {
-			y.end = max(y.end, end)
+		if allocation.Number == held.number {
+			held.end = max(held.end, end)
 		} else {
-			*y = activeAllocation{from, x.Number, x.Amount, end, x.Epoch}
+			*held = activeAllocation{from, allocation.Number, allocation.Amount, end, allocation.Epoch}
 		}
 	} else {
 		if now >= end {
@@ -369,8 +369,8 @@
 		// Of each site only the newest owner's allocation is kept.
 		kept := 0
 		for j := range b.numAllocations {
-			if y := b.allocations[j]; y.from.Site != from.Site || y.from.Owner > from.Owner {
-				b.allocations[kept] = y
+			if held := b.allocations[j]; held.from.Site != from.Site || held.from.Owner > from.Owner {
+				b.allocations[kept] = held
 				kept++
 			}
 		}
@@ -378,7 +378,7 @@
 		if b.numAllocations == maxAllocations {
 			return
 		}
-		b.allocations[b.numAllocations] = activeAllocation{from, x.Number, x.Amount, end, x.Epoch}
+		b.allocations[b.numAllocations] = activeAllocation{from, allocation.Number, allocation.Amount, end, allocation.Epoch}
 		b.numAllocations++
 	}
 	b.validUntil = min(b.validUntil, now)
@@ -410,9 +410,9 @@
 
 // Report returns the state of all buckets and starts a new reporting interval. The
 // allocations reported are in force from now on: no later request uses an older one.
-func (p *Limiter) Report(now Micros) []BucketReport {
-	list := make([]BucketReport, 0, len(p.buckets))
-	for _, b := range p.buckets {
+func (limiter *Limiter) Report(now Micros) []BucketReport {
+	list := make([]BucketReport, 0, len(limiter.buckets))
+	for _, b := range limiter.buckets {
 		b.refresh(now)
 		s := BucketReport{Key: b.Key, Requests: b.requests, MaxOpen: max(b.maxOpen, b.open), Spent: b.spent, Epoch: b.epoch, Taken: b.Taken, Refused: b.Refused, Amount: b.amount}
 		rest := b.open
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -108,9 +108,9 @@
 	number uint64
 }
 
-func (w *world) nameOwner(keepers map[string]ownerNode, site string, n *node, wait Micros) {
+func (w *world) nameOwner(owners map[string]ownerNode, site string, n *node, wait Micros) {
 	w.number++
-	keepers[site] = ownerNode{n, w.number}
+	owners[site] = ownerNode{n, w.number}
 	d := NewAllocator(w.rules, []Limit{w.limit}, site, w.number, wait, n.clock())
 	d.Disable(w.mutation)
 	n.allocators[site] = d
@@ -120,8 +120,8 @@
 }
 
 // simulate runs a simulation and returns the world with the requests admitted.
-func simulate(seed uint64, limit Limit, rule Mutation, span Micros) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, mutation: rule, uses: map[uint64]int{}}
+func simulate(seed uint64, limit Limit, mutation Mutation, span Micros) *world {
+	w := &world{r: rand.New(rand.NewPCG(seed, 1)), limit: limit, rules: testRules, mutation: mutation, uses: map[uint64]int{}}
 	w.rules.ClockDrift = 0.1
 	sites := []string{"a", "b"}
 	for i := range 6 {
@@ -130,12 +130,12 @@
 		n.limiter = NewLimiter(w.rules, []Limit{limit}, n.clock())
 		w.nodes = append(w.nodes, n)
 	}
-	keepers := map[string]ownerNode{}
-	w.nameOwner(keepers, "", w.nodes[0], 0)
-	w.nameOwner(keepers, "a", w.nodes[2], 0)
-	w.nameOwner(keepers, "b", w.nodes[1], 0)
-	// A replaced owner keeps allocating until its lease ends, which is before a new root
-	// owner may allocate.
+	owners := map[string]ownerNode{}
+	w.nameOwner(owners, "", w.nodes[0], 0)
+	w.nameOwner(owners, "a", w.nodes[2], 0)
+	w.nameOwner(owners, "b", w.nodes[1], 0)
+	// A replaced owner stops at once if its process restarted, the earliest end that a lease
+	// allows; otherwise it allocates until its lease ends. A new root owner waits for that.
 	type later struct {
 		at   Micros
 		site string
@@ -154,7 +154,7 @@
 		}
 		for i := 0; i < len(ends); {
 			if ends[i].at <= w.now {
-				if d := ends[i].n.allocators[ends[i].site]; d != nil && keepers[ends[i].site].node != ends[i].n {
+				if d := ends[i].n.allocators[ends[i].site]; d != nil && owners[ends[i].site].node != ends[i].n {
 					delete(ends[i].n.allocators, ends[i].site)
 				}
 				ends = append(ends[:i], ends[i+1:]...)
@@ -169,9 +169,9 @@
 				n.start++
 				n.limiter = NewLimiter(w.rules, []Limit{limit}, n.clock())
 				for _, site := range slices.Sorted(maps.Keys(n.allocators)) {
-					if keepers[site].node == n {
-						w.nameOwner(keepers, site, w.nodes[w.r.IntN(6)], w.rules.OwnerLease)
-						if keepers[site].node != n {
+					if owners[site].node == n {
+						w.nameOwner(owners, site, w.nodes[w.r.IntN(6)], w.rules.OwnerLease)
+						if owners[site].node != n {
 							delete(n.allocators, site)
 						}
 					}
@@ -182,10 +182,10 @@
 				n.demand = float64(w.r.IntN(120))
 			case 3:
 				site := []string{"", "a", "b"}[w.r.IntN(3)]
-				old := keepers[site].node
+				old := owners[site].node
 				next := w.nodes[w.r.IntN(6)]
 				if next != old {
-					w.nameOwner(keepers, site, next, w.rules.OwnerLease)
+					w.nameOwner(owners, site, next, w.rules.OwnerLease)
 					ends = append(ends, later{w.now + w.rules.OwnerLease, site, old})
 				}
 			}
@@ -194,13 +194,13 @@
 			if n.paused > w.now {
 				continue
 			}
-			n.step(keepers)
+			n.step(owners)
 		}
 	}
 	return w
 }
 
-func (n *node) step(keepers map[string]ownerNode) {
+func (n *node) step(owners map[string]ownerNode) {
 	w := n.w
 	now := n.clock()
 	for range 1 + w.r.IntN(2) {
@@ -230,7 +230,7 @@
 	if w.r.IntN(5) == 0 {
 		site = "" // the site's owner is passed over
 	}
-	k := keepers[site]
+	k := owners[site]
 	ask := Request{Stamp: now}
 	for _, s := range n.limiter.Report(now) {
 		want := LimitRequest{Key: s.Key, Demand: float64(s.Requests) * 10, Epoch: s.Epoch}
@@ -252,9 +252,9 @@
 	})
 	for _, site := range slices.Sorted(maps.Keys(n.allocators)) {
 		d := n.allocators[site]
-		up := Source{"", keepers[""].number}
+		up := Source{"", owners[""].number}
 		if site != "" {
-			ask, root := Request{Stamp: now, Limits: d.LimitRequests(up, now)}, keepers[""]
+			ask, root := Request{Stamp: now, Limits: d.LimitRequests(up, now)}, owners[""]
 			role := fmt.Sprintf("site %s %d", site, d.Number())
 			n.newestOwner[""] = max(n.newestOwner[""], root.number)
 			w.send(func() {
--- a/internal/decide/ratelimit/ratelimit.go
+++ b/internal/decide/ratelimit/ratelimit.go
@@ -164,10 +164,10 @@
 }
 
 func (r *Rates) add(n compactmap.Key, now Micros) *bucket {
-	dead := func(_ compactmap.Key, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
-	r.table.Sweep(sweepOnAdd, dead)
+	evictable := func(_ compactmap.Key, b *bucket) bool { return b.Open == 0 && b.TAT <= now }
+	r.table.Sweep(sweepOnAdd, evictable)
 	if r.table.Full() {
-		r.table.Sweep(sweepWhenFull, dead)
+		r.table.Sweep(sweepWhenFull, evictable)
 	}
 	return r.table.Add(n, bucket{})
 }
@@ -218,44 +218,44 @@
 func (u *Uses) Take(t Token, now Micros) (wait Micros, refusal Refusal) {
 	sum := sha256.Sum256([]byte(t.Object))
 	object := binary.LittleEndian.Uint64(sum[:])
-	x := u.table.Find(t.Name)
-	if x == nil {
-		dead := func(_ compactmap.Key, x *tokenUse) bool { return x.Open == 0 && x.ExpiresAt < now }
-		u.table.Sweep(sweepOnAdd, dead)
+	entry := u.table.Find(t.Name)
+	if entry == nil {
+		evictable := func(_ compactmap.Key, entry *tokenUse) bool { return entry.Open == 0 && entry.ExpiresAt < now }
+		u.table.Sweep(sweepOnAdd, evictable)
 		if u.table.Full() {
-			u.table.Sweep(sweepWhenFull, dead)
+			u.table.Sweep(sweepWhenFull, evictable)
 		}
-		if x = u.table.Add(t.Name, tokenUse{}); x == nil {
+		if entry = u.table.Add(t.Name, tokenUse{}); entry == nil {
 			return tableFullWait, UsesTableFull
 		}
 	}
-	again := x.Count > 0 && x.Object == object && now-x.LastStart <= t.RetryWindow
+	isRetry := entry.Count > 0 && entry.Object == object && now-entry.LastStart <= t.RetryWindow
 	switch {
-	case again && x.Open > 0:
+	case isRetry && entry.Open > 0:
 		return openWait, TokenInUse
-	case again:
-	case int(x.Count) >= t.MaxUses:
+	case isRetry:
+	case int(entry.Count) >= t.MaxUses:
 		return 0, TokenUsedUp
 	default:
-		x.Count++
-		x.LastStart, x.Object = now, object
+		entry.Count++
+		entry.LastStart, entry.Object = now, object
 	}
-	x.ExpiresAt = max(x.ExpiresAt, t.ExpiresAt)
-	x.Open++
+	entry.ExpiresAt = max(entry.ExpiresAt, t.ExpiresAt)
+	entry.Open++
 	return 0, ""
 }
 
 // Release ends a request that Take admitted. If notServed is set, the request was refused
 // before any work was done for it and does not count as a use.
 func (u *Uses) Release(name [16]byte, notServed bool) {
-	x := u.table.Find(name)
-	if x == nil || x.Open == 0 {
+	entry := u.table.Find(name)
+	if entry == nil || entry.Open == 0 {
 		return
 	}
-	x.Open--
-	if notServed && x.Open == 0 && x.Count > 0 {
-		x.Count--
-		x.Object, x.LastStart = 0, 0
+	entry.Open--
+	if notServed && entry.Open == 0 && entry.Count > 0 {
+		entry.Count--
+		entry.Object, entry.LastStart = 0, 0
 	}
 }
 
--- a/internal/decide/topology/attach.go
+++ b/internal/decide/topology/attach.go
@@ -22,7 +22,7 @@
 
 // Owner returns the owner of a site, or nil if none is known.
 func (v *View) Owner(site string) *Owner {
-	if i := slices.IndexFunc(v.Owners, func(k Owner) bool { return k.Site == site }); i >= 0 {
+	if i := slices.IndexFunc(v.Owners, func(owner Owner) bool { return owner.Site == site }); i >= 0 {
 		return &v.Owners[i]
 	}
 	return nil
@@ -30,9 +30,9 @@
 
 // OwnedBySelf returns the ownerships held by this process, the longest site path first.
 func (v *View) OwnedBySelf() (list []Owner) {
-	for _, k := range v.Owners {
-		if k.Is(v.Self.Name, v.Self.ID, v.Self.Start) {
-			list = append(list, k)
+	for _, owner := range v.Owners {
+		if owner.Is(v.Self.Name, v.Self.ID, v.Self.Start) {
+			list = append(list, owner)
 		}
 	}
 	slices.SortFunc(list, func(a, b Owner) int { return len(b.Site) - len(a.Site) })
@@ -54,7 +54,7 @@
 }
 
 // SiteRole returns the role of a site under the given owner.
-func SiteRole(k Owner) Role { return Role{Site: k.Site, Owner: k.Number} }
+func SiteRole(owner Owner) Role { return Role{Site: owner.Site, Owner: owner.Number} }
 
 // OwnersAbove returns the owners that a role may attach to, the nearest first: those of
 // the sites that contain a front, or those of the sites strictly above a site.
@@ -64,8 +64,8 @@
 		sites = sites[1:]
 	}
 	for _, site := range sites {
-		if k := v.Owner(site); k != nil {
-			list = append(list, *k)
+		if owner := v.Owner(site); owner != nil {
+			list = append(list, *owner)
 		}
 	}
 	return list
@@ -97,7 +97,7 @@
 }
 
 // Owner returns the owner that the role is attached to; ok is false if there is none.
-func (a *Attachment) Owner() (k Owner, ok bool) { return a.current, a.current.Number != 0 }
+func (a *Attachment) Owner() (owner Owner, ok bool) { return a.current, a.current.Number != 0 }
 
 // Answered records an answer of an owner to a request, which proves that messages pass in
 // both directions.
@@ -117,33 +117,33 @@
 // not receive requests from all fronts. A nearer owner is used again only after it has
 // answered for FailbackAfter, so that an unstable owner does not make the roles below it
 // switch back and forth.
-func (a *Attachment) Step(candidates []Owner, now Micros, c Config) (ask []Owner) {
+func (a *Attachment) Step(candidates []Owner, now Micros, c Config) (toAsk []Owner) {
 	if a.links == nil {
 		a.links = map[uint64]*link{}
 	}
 	for n := range a.links {
-		if !slices.ContainsFunc(candidates, func(k Owner) bool { return k.Number == n }) {
+		if !slices.ContainsFunc(candidates, func(owner Owner) bool { return owner.Number == n }) {
 			delete(a.links, n)
 		}
 	}
 	previous := a.current.Number
 	keepsPrevious := a.links[previous] != nil && a.links[previous].lastAnswer > 0 && a.links[previous].alive(now, c)
 	a.current = Owner{}
-	for _, k := range candidates {
-		l := a.links[k.Number]
+	for _, owner := range candidates {
+		l := a.links[owner.Number]
 		if l == nil {
 			l = &link{askedSince: now}
-			a.links[k.Number] = l
+			a.links[owner.Number] = l
 		}
-		ask = append(ask, k)
-		if !l.alive(now, c) || keepsPrevious && k.Number != previous && (l.lastAnswer == 0 || now-l.steadySince < c.FailbackAfter) {
+		toAsk = append(toAsk, owner)
+		if !l.alive(now, c) || keepsPrevious && owner.Number != previous && (l.lastAnswer == 0 || now-l.steadySince < c.FailbackAfter) {
 			continue
 		}
-		a.current = k
-		return ask
+		a.current = owner
+		return toAsk
 	}
 	if len(candidates) > 0 { // none answers: stay with the nearest
 		a.current = candidates[0]
 	}
-	return ask
+	return toAsk
 }
--- a/internal/decide/topology/reports.go
+++ b/internal/decide/topology/reports.go
@@ -23,27 +23,27 @@
 
 // Put stores a role's report. It is ignored if it is not newer than the one held, or if
 // the role is new and maxReports roles are held.
-func (s *Reports[T]) Put(r Role, seq uint64, value T, now Micros) {
-	old, known := s.byRole[r]
-	if known && seq <= old.seq || !known && len(s.byRole) >= maxReports {
+func (reports *Reports[T]) Put(r Role, seq uint64, value T, now Micros) {
+	old, known := reports.byRole[r]
+	if known && seq <= old.seq || !known && len(reports.byRole) >= maxReports {
 		return
 	}
-	if s.byRole == nil {
-		s.byRole = map[Role]report[T]{}
+	if reports.byRole == nil {
+		reports.byRole = map[Role]report[T]{}
 	}
-	s.byRole[r] = report[T]{seq, now, value}
+	reports.byRole[r] = report[T]{seq, now, value}
 }
 
 // All iterates over the reports received within maxAge, ordered by role, and discards
 // older ones.
-func (s *Reports[T]) All(now, maxAge Micros) iter.Seq2[Role, T] {
-	maps.DeleteFunc(s.byRole, func(_ Role, w report[T]) bool { return now-w.receivedAt > maxAge })
-	order := slices.SortedFunc(maps.Keys(s.byRole), func(a, b Role) int {
+func (reports *Reports[T]) All(now, maxAge Micros) iter.Seq2[Role, T] {
+	maps.DeleteFunc(reports.byRole, func(_ Role, w report[T]) bool { return now-w.receivedAt > maxAge })
+	order := slices.SortedFunc(maps.Keys(reports.byRole), func(a, b Role) int {
 		return cmp.Or(cmp.Compare(a.Front, b.Front), cmp.Compare(a.Site, b.Site), cmp.Compare(a.Owner, b.Owner), cmp.Compare(a.Start, b.Start))
 	})
 	return func(yield func(Role, T) bool) {
 		for _, r := range order {
-			if !yield(r, s.byRole[r].value) {
+			if !yield(r, reports.byRole[r].value) {
 				return
 			}
 		}
--- a/internal/decide/topology/topology.go
+++ b/internal/decide/topology/topology.go
@@ -87,8 +87,8 @@
 }
 
 // Is reports whether the given process of a front is the owner.
-func (k *Owner) Is(name string, id, start uint64) bool {
-	return k.Name == name && k.ID == id && k.Start == start
+func (owner *Owner) Is(name string, id, start uint64) bool {
+	return owner.Name == name && owner.ID == id && owner.Start == start
 }
 
 // State holds the owners, ordered by site. It is part of the replicated state.
@@ -99,7 +99,7 @@
 
 // Owner returns the owner of a site, or nil if it has none.
 func (s *State) Owner(site string) *Owner {
-	i, ok := slices.BinarySearchFunc(s.Owners, site, func(k Owner, site string) int { return cmp.Compare(k.Site, site) })
+	i, ok := slices.BinarySearchFunc(s.Owners, site, func(owner Owner, site string) int { return cmp.Compare(owner.Site, site) })
 	if !ok {
 		return nil
 	}
@@ -117,11 +117,11 @@
 			}
 		}
 	}
-	frontIndex := func(k Owner) int {
-		return slices.IndexFunc(fronts, func(f Front) bool { return f.Name == k.Name })
+	frontIndex := func(owner Owner) int {
+		return slices.IndexFunc(fronts, func(f Front) bool { return f.Name == owner.Name })
 	}
-	s.Owners = slices.DeleteFunc(s.Owners, func(k Owner) bool { // sites without any front left
-		return !slices.ContainsFunc(fronts, func(f Front) bool { return f.OwnerLease > 0 && Within(f.Site, k.Site) })
+	s.Owners = slices.DeleteFunc(s.Owners, func(owner Owner) bool { // sites without any front left
+		return !slices.ContainsFunc(fronts, func(f Front) bool { return f.OwnerLease > 0 && Within(f.Site, owner.Site) })
 	})
 	sites := make([]string, 0, len(candidates))
 	for site := range candidates {
@@ -149,14 +149,14 @@
 			return cmp.Or(cmp.Compare(rank(site, a.Name), rank(site, b.Name)), cmp.Compare(a.Name, b.Name))
 		})
 		s.LastNumber++
-		k := Owner{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.LastNumber, PriorLease: priorLease, Since: now}
+		owner := Owner{Site: site, Name: best.Name, ID: best.ID, Start: best.Start, Number: s.LastNumber, PriorLease: priorLease, Since: now}
 		if old != nil {
-			*old = k
+			*old = owner
 		} else {
-			s.Owners = append(s.Owners, k)
+			s.Owners = append(s.Owners, owner)
 			slices.SortFunc(s.Owners, func(a, b Owner) int { return cmp.Compare(a.Site, b.Site) })
 		}
-		events = append(events, fmt.Sprintf("site %q: %s keeps it, number %d", site, k.Name, k.Number))
+		events = append(events, fmt.Sprintf("site %q: %s keeps it, number %d", site, owner.Name, owner.Number))
 	}
 	return events
 }
