--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -10,10 +10,10 @@
 // When a front is in trouble, and when it is well again: less than half of that for
 // as long as a window.
 const (
-	boxShare    = 0.25       // of the listed servers avoided
-	badShare    = 0.10       // of the requests refused or failed
-	leastJudged = 20         // requests of a window that say anything
-	window      = 10_000_000 // us
+	maxAvoidedShare = 0.25       // of the listed servers avoided
+	maxFailedShare  = 0.10       // of the requests refused or failed
+	minRequests     = 20         // requests of a window that say anything
+	window          = 10_000_000 // us
 )
 
 // Counts are the front's, from its start.
@@ -24,43 +24,43 @@
 
 // Watch holds what was seen last.
 type Detector struct {
-	from  Counts // at the window's begin
-	at    Micros
-	begun bool
-	hurt  bool
-	why   string
-	well  Micros // since when nothing was wrong; 0: it is now
+	baseline     Counts // at the window's begin
+	windowStart  Micros
+	started      bool
+	unhealthy    bool
+	reason       string
+	healthySince Micros // since when nothing was wrong; 0: it is now
 }
 
 // Look takes the counts of a moment and tells whether the front is in trouble, and why.
-func (w *Detector) Update(c Counts, now Micros) (hurt bool, why string) {
-	if !w.begun || now < w.at {
-		w.from, w.at, w.begun = c, now, true
+func (d *Detector) Update(c Counts, now Micros) (unhealthy bool, reason string) {
+	if !d.started || now < d.windowStart {
+		d.baseline, d.windowStart, d.started = c, now, true
 	}
-	boxes := 0.0
+	avoided := 0.0
 	if c.Known > 0 {
-		boxes = float64(c.Avoided) / float64(c.Known)
+		avoided = float64(c.Avoided) / float64(c.Known)
 	}
-	good, bad := c.Served-w.from.Served, c.Failed-w.from.Failed
-	failing := 0.0
-	if good+bad >= leastJudged {
-		failing = float64(bad) / float64(good+bad)
+	served, failed := c.Served-d.baseline.Served, c.Failed-d.baseline.Failed
+	failedShare := 0.0
+	if served+failed >= minRequests {
+		failedShare = float64(failed) / float64(served+failed)
 	}
 	switch {
-	case boxes >= boxShare:
-		w.hurt, w.why, w.well = true, "servers are down or refuse", 0
-	case failing >= badShare:
-		w.hurt, w.why, w.well = true, "requests are refused or fail", 0
-	case boxes >= boxShare/2 || failing >= badShare/2:
-		w.well = 0
-	case w.well == 0:
-		w.well = max(1, now)
+	case avoided >= maxAvoidedShare:
+		d.unhealthy, d.reason, d.healthySince = true, "servers are down or refuse", 0
+	case failedShare >= maxFailedShare:
+		d.unhealthy, d.reason, d.healthySince = true, "requests are refused or fail", 0
+	case avoided >= maxAvoidedShare/2 || failedShare >= maxFailedShare/2:
+		d.healthySince = 0
+	case d.healthySince == 0:
+		d.healthySince = max(1, now)
 	}
-	if w.hurt && w.well != 0 && now-w.well >= window {
-		w.hurt, w.why = false, ""
+	if d.unhealthy && d.healthySince != 0 && now-d.healthySince >= window {
+		d.unhealthy, d.reason = false, ""
 	}
-	if now-w.at >= window {
-		w.from, w.at = c, now
+	if now-d.windowStart >= window {
+		d.baseline, d.windowStart = c, now
 	}
-	return w.hurt, w.why
+	return d.unhealthy, d.reason
 }
--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -4,9 +4,9 @@
 
 // Trouble is told at once, and over only after a window without it; few requests
 // say nothing; a quarter of the servers down is trouble by itself.
-func TestWatch(t *testing.T) {
+func TestDetector(t *testing.T) {
 	const s = 1_000_000
-	var w Detector
+	var d Detector
 	for i, x := range []struct {
 		at   Micros
 		c    Counts
@@ -24,8 +24,8 @@
 		{60 * s, Counts{Known: 8, Failed: 19, Served: 1500}, true},
 		{71 * s, Counts{Known: 8, Failed: 19, Served: 1600}, false},
 	} {
-		if got, why := w.Update(x.c, x.at); got != x.want {
-			t.Errorf("%d: got %v (%s)", i, got, why)
+		if got, reason := d.Update(x.c, x.at); got != x.want {
+			t.Errorf("%d: got %v (%s)", i, got, reason)
 		}
 	}
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -19,7 +19,7 @@
 const Drift = 10
 
 // mostWaiting bounds the grants that wait for entries to be applied.
-const mostWaiting = 4
+const maxWaiting = 4
 
 // Ask asks for a lease. It travels to who grants, and its stamp back.
 type Request struct {
@@ -36,20 +36,20 @@
 
 // Lease is the holder's side. The zero value holds nothing.
 type Lease struct {
-	end     Micros
+	expiry  Micros
 	index   uint64
 	waiting []Grant
 }
 
 // Take takes a grant in; it counts once entries up to its index have been applied.
 // A span longer than most counts as most.
-func (l *Lease) Accept(g Grant, most Micros, applied uint64) {
+func (l *Lease) Accept(g Grant, maxSpan Micros, applied uint64) {
 	if g.Span <= 0 || g.Stamp == 0 {
 		return
 	}
-	g.Span = min(g.Span, most)
-	if len(l.waiting) >= mostWaiting { // the newest takes the last one's place: the first will count soonest
-		l.waiting = l.waiting[:mostWaiting-1]
+	g.Span = min(g.Span, maxSpan)
+	if len(l.waiting) >= maxWaiting { // the newest takes the last one's place: the first will count soonest
+		l.waiting = l.waiting[:maxWaiting-1]
 	}
 	l.waiting = append(l.waiting, g)
 	l.Applied(applied)
@@ -61,21 +61,21 @@
 	for _, g := range l.waiting {
 		if g.Index > index {
 			kept = append(kept, g)
-		} else if end := g.Stamp + g.Span; end > l.end {
-			l.end, l.index = end, g.Index
+		} else if end := g.Stamp + g.Span; end > l.expiry {
+			l.expiry, l.index = end, g.Index
 		}
 	}
 	l.waiting = kept
 }
 
 // Shorten has a lease end a span from now at the latest.
-func (l *Lease) Shorten(now, span Micros) { l.end = min(l.end, now+span) }
+func (l *Lease) Shorten(now, span Micros) { l.expiry = min(l.expiry, now+span) }
 
 // End is the moment from which on it does not hold; 0: it never did.
-func (l *Lease) End() Micros { return l.end }
+func (l *Lease) End() Micros { return l.expiry }
 
 // Holds tells whether it does at a moment.
-func (l *Lease) Valid(now Micros) bool { return now < l.end }
+func (l *Lease) Valid(now Micros) bool { return now < l.expiry }
 
 // Index is the entry that had been committed when what is held was confirmed.
 func (l *Lease) Index() uint64 { return l.index }
@@ -87,19 +87,19 @@
 	if a.Stamp == 0 || !l.Valid(now) {
 		return Grant{}, false
 	}
-	return Grant{Stamp: a.Stamp, Span: l.end - now, Index: l.index}, true
+	return Grant{Stamp: a.Stamp, Span: l.expiry - now, Index: l.index}, true
 }
 
 // Span is the longest lease that a holder may live by: what the rules have for it,
 // and no more than the others believe that it does. Rule and known are 0 for ever.
-func EffectiveSpan(rule, known Micros) Micros {
+func EffectiveSpan(configured, known Micros) Micros {
 	switch {
-	case rule == 0:
+	case configured == 0:
 		return known // until the others know better
 	case known == 0:
-		return rule // the others may hear of it at any moment
+		return configured // the others may hear of it at any moment
 	}
-	return min(rule, known)
+	return min(configured, known)
 }
 
 // Over tells whether a lease of a span is surely over for one that asked before a
@@ -129,52 +129,52 @@
 // Grantor is the leader's side: it gathers asks, has a majority confirm that it
 // leads, and then answers those that were there before the confirmation began.
 type Grantor struct {
-	number  uint64
-	next    map[string]Requester
-	open    *Round
-	index   uint64 // of the open one, once confirmed
-	settled bool
+	number    uint64
+	pending   map[string]Requester
+	open      *Round
+	index     uint64 // of the open one, once confirmed
+	confirmed bool
 }
 
 // Asked notes an ask; the newest of an asker counts.
-func (g *Grantor) Add(a Requester, most int) {
+func (g *Grantor) Add(a Requester, maxPending int) {
 	if a.Request.Stamp == 0 {
 		return
 	}
-	if g.next == nil {
-		g.next = map[string]Requester{}
+	if g.pending == nil {
+		g.pending = map[string]Requester{}
 	}
-	if _, known := g.next[a.Name]; known || len(g.next) < most {
-		g.next[a.Name] = a
+	if _, known := g.pending[a.Name]; known || len(g.pending) < maxPending {
+		g.pending[a.Name] = a
 	}
 }
 
 // Begin begins a round, if anybody waits and none is under way; the number goes
 // through the confirmation.
 func (g *Grantor) Begin() (number uint64, ok bool) {
-	if g.open != nil || len(g.next) == 0 {
+	if g.open != nil || len(g.pending) == 0 {
 		return 0, false
 	}
 	g.number++
-	g.open, g.settled = &Round{Number: g.number}, false
-	for _, name := range slices.Sorted(maps.Keys(g.next)) { // like rounds have like effects
-		g.open.Requesters = append(g.open.Requesters, g.next[name])
+	g.open, g.confirmed = &Round{Number: g.number}, false
+	for _, name := range slices.Sorted(maps.Keys(g.pending)) { // like rounds have like effects
+		g.open.Requesters = append(g.open.Requesters, g.pending[name])
 	}
-	g.next = nil
+	g.pending = nil
 	return g.number, true
 }
 
 // Confirmed tells that a majority confirmed a round, with the index committed then.
 func (g *Grantor) Confirmed(number, index uint64) {
-	if g.open != nil && g.open.Number == number && !g.settled {
-		g.index, g.settled = index, true
+	if g.open != nil && g.open.Number == number && !g.confirmed {
+		g.index, g.confirmed = index, true
 	}
 }
 
 // Answers gives the askers of a round that was confirmed, once entries up to its
 // index have been applied, and ends it.
 func (g *Grantor) TakeConfirmed(applied uint64) (list []Requester, index uint64) {
-	if g.open == nil || !g.settled || applied < g.index {
+	if g.open == nil || !g.confirmed || applied < g.index {
 		return nil, 0
 	}
 	list = g.open.Requesters
@@ -183,7 +183,7 @@
 }
 
 // Reset forgets all: the front leads no more, or a round came to nothing.
-func (g *Grantor) Reset() { g.open, g.next, g.settled = nil, nil, false }
+func (g *Grantor) Reset() { g.open, g.pending, g.confirmed = nil, nil, false }
 
 // Under tells whether a round is under way.
 func (g *Grantor) InProgress() bool { return g.open != nil }
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -14,80 +14,80 @@
 
 // Spans of the model, in ticks of true time; a clock moves 9 to 11 tenths a tick.
 const (
-	mSpan  = 110 // lease, in tenths of a tick
-	mLost  = 5   // unheard for so long a front counts as lost, by the council's clock
-	mTicks = 14
+	modelSpan  = 110 // lease, in tenths of a tick
+	modelLost  = 5   // unheard for so long a front counts as lost, by the council's clock
+	modelTicks = 14
 )
 
 // leaveOut is a rule that the model leaves out.
-type leaveOut int
+type mutation int
 
 const (
-	nothing   leaveOut = iota
-	noLook             // the front acts without a look at its lease
-	noProcess          // what an earlier process of the front said counts for the next
-	noDrift            // the lease is over once the council's clock says so
+	noMutation     mutation = iota
+	skipLeaseCheck          // the front acts without a look at its lease
+	ignoreProcess           // what an earlier process of the front said counts for the next
+	ignoreDrift             // the lease is over once the council's clock says so
 )
 
-type mState struct {
-	tick           int8
-	front, council int16 // clocks, in tenths
-	end            int16 // of the front's lease, by its clock
-	ask            int16 // stamp on its way; 0: none
-	askOf          int8  // process that asked
-	grant          int16 // stamp of a grant on its way back
-	granted        int8
-	proc           int8 // process of the front
-	knows          int8 // process that the council knows
-	acts           int8 // version that the front acts on: 0 or 1
-	wants          bool // the front knows of the new version
-	word           int8 // its word that it acts on 1 is on its way, by process and 1; 0: none
-	said           int8 // the council has it
-	heard          int16
-	lost           int16 // council's clock when it counted as lost; 0: it does not
-	barred, passed bool
-	restarts       int8
+type modelState struct {
+	tick              int8
+	front, council    int16 // clocks, in tenths
+	leaseEnd          int16 // of the front's lease, by its clock
+	request           int16 // stamp on its way; 0: none
+	requestProc       int8  // process that asked
+	grant             int16 // stamp of a grant on its way back
+	grantProc         int8
+	proc              int8 // process of the front
+	knownProc         int8 // process that the council knows
+	active            int8 // version that the front acts on: 0 or 1
+	knowsNew          bool // the front knows of the new version
+	reportInFlight    int8 // its word that it acts on 1 is on its way, by process and 1; 0: none
+	reportedProc      int8 // the council has it
+	heard             int16
+	lost              int16 // council's clock when it counted as lost; 0: it does not
+	gated, gatePassed bool
+	restarts          int8
 }
 
-func TestModel(t *testing.T) {
+func TestLeaseModel(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		rule  leaveOut
+		rule  mutation
 		found bool
-	}{{"whole", nothing, false}, {"look", noLook, true}, {"process", noProcess, true}, {"drift", noDrift, true}} {
+	}{{"whole", noMutation, false}, {"look", skipLeaseCheck, true}, {"process", ignoreProcess, true}, {"drift", ignoreDrift, true}} {
 		t.Run(x.name, func(t *testing.T) {
-			n, broken := 0, ""
+			n, violation := 0, ""
 			for _, f := range []int16{9, 11} {
 				for _, c := range []int16{9, 11} {
 					states, text := explore(x.rule, f, c)
 					n += states
-					if broken == "" {
-						broken = text
+					if violation == "" {
+						violation = text
 					}
 				}
 			}
-			if (broken != "") != x.found {
-				t.Errorf("%d states: %q", n, broken)
+			if (violation != "") != x.found {
+				t.Errorf("%d states: %q", n, violation)
 			}
-			t.Logf("%d states %s", n, broken)
+			t.Logf("%d states %s", n, violation)
 		})
 	}
 }
 
-func explore(rule leaveOut, f, c int16) (int, string) {
-	first := mState{front: 1, council: 1, end: 1 + mSpan, proc: 1, knows: 1, heard: 1}
-	seen := map[mState]bool{first: true}
-	queue := []mState{first}
+func explore(m mutation, f, c int16) (int, string) {
+	first := modelState{front: 1, council: 1, leaseEnd: 1 + modelSpan, proc: 1, knownProc: 1, heard: 1}
+	seen := map[modelState]bool{first: true}
+	queue := []modelState{first}
 	for len(queue) > 0 {
 		s := queue[0]
 		queue = queue[1:]
-		for _, n := range next(s, rule, f, c) {
-			if n.broken != "" {
-				return len(seen), n.broken
+		for _, n := range successors(s, m, f, c) {
+			if n.violation != "" {
+				return len(seen), n.violation
 			}
-			if !seen[n.mState] {
-				seen[n.mState] = true
-				queue = append(queue, n.mState)
+			if !seen[n.modelState] {
+				seen[n.modelState] = true
+				queue = append(queue, n.modelState)
 			}
 		}
 	}
@@ -95,99 +95,99 @@
 }
 
 type step struct {
-	mState
-	broken string
+	modelState
+	violation string
 }
 
-func next(s mState, rule leaveOut, f, c int16) (list []step) {
-	add := func(do func(n *mState)) {
+func successors(s modelState, m mutation, f, c int16) (list []step) {
+	add := func(do func(n *modelState)) {
 		n := s
 		do(&n)
-		list = append(list, step{mState: n})
+		list = append(list, step{modelState: n})
 	}
 	// True time passes, each clock at a rate of its own.
-	if s.tick < mTicks {
-		add(func(n *mState) {
+	if s.tick < modelTicks {
+		add(func(n *modelState) {
 			n.tick++
 			n.front += f
 			n.council += c
-			if n.lost == 0 && n.council-n.heard >= mLost {
+			if n.lost == 0 && n.council-n.heard >= modelLost {
 				n.lost = n.council
 			}
-			n.settle(rule)
+			n.settle(m)
 		})
 	}
 	// The front asks; the council hears it, and grants in one step with what a majority confirmed.
-	if s.ask == 0 && s.tick < mTicks {
-		add(func(n *mState) { n.ask, n.askOf = n.front, n.proc })
+	if s.request == 0 && s.tick < modelTicks {
+		add(func(n *modelState) { n.request, n.requestProc = n.front, n.proc })
 	}
-	if s.ask != 0 {
-		add(func(n *mState) { // heard, and found again where it was lost
+	if s.request != 0 {
+		add(func(n *modelState) { // heard, and found again where it was lost
 			n.heard, n.lost = n.council, 0
-			n.grant, n.granted, n.ask = n.ask, n.askOf, 0
-			if n.askOf != n.knows && rule != noProcess {
+			n.grant, n.grantProc, n.request = n.request, n.requestProc, 0
+			if n.requestProc != n.knownProc && m != ignoreProcess {
 				n.grant = 0 // not before its new process is known
 			}
-			n.settle(rule)
+			n.settle(m)
 		})
-		add(func(n *mState) { n.ask = 0 }) // lost on its way
+		add(func(n *modelState) { n.request = 0 }) // lost on its way
 	}
 	if s.grant != 0 {
-		if s.granted == s.proc {
-			add(func(n *mState) { // what had been committed when it was confirmed is applied with it
+		if s.grantProc == s.proc {
+			add(func(n *modelState) { // what had been committed when it was confirmed is applied with it
 				var l Lease
-				l.end = Micros(n.end)
-				l.Accept(Grant{Stamp: Micros(n.grant), Span: mSpan}, mSpan, 0)
-				n.end, n.grant = int16(l.End()), 0
-				n.wants = n.wants || n.barred
+				l.expiry = Micros(n.leaseEnd)
+				l.Accept(Grant{Stamp: Micros(n.grant), Span: modelSpan}, modelSpan, 0)
+				n.leaseEnd, n.grant = int16(l.End()), 0
+				n.knowsNew = n.knowsNew || n.gated
 			})
 		}
-		add(func(n *mState) { n.grant = 0 })
+		add(func(n *modelState) { n.grant = 0 })
 	}
 	// The new version, with its bar.
-	if !s.barred {
-		add(func(n *mState) { n.barred = true; n.settle(rule) })
+	if !s.gated {
+		add(func(n *modelState) { n.gated = true; n.settle(m) })
 	}
-	if !s.wants { // it is rolled out before it stands with its bar
-		add(func(n *mState) { n.wants = true })
+	if !s.knowsNew { // it is rolled out before it stands with its bar
+		add(func(n *modelState) { n.knowsNew = true })
 	}
-	if s.wants && s.acts == 0 {
-		add(func(n *mState) { n.acts = 1 })
+	if s.knowsNew && s.active == 0 {
+		add(func(n *modelState) { n.active = 1 })
 	}
-	if s.acts == 1 && s.word == 0 && s.said == 0 {
-		add(func(n *mState) { n.word = n.proc })
+	if s.active == 1 && s.reportInFlight == 0 && s.reportedProc == 0 {
+		add(func(n *modelState) { n.reportInFlight = n.proc })
 	}
-	if s.word != 0 {
-		add(func(n *mState) {
-			if n.word == n.knows {
-				n.said = n.word
+	if s.reportInFlight != 0 {
+		add(func(n *modelState) {
+			if n.reportInFlight == n.knownProc {
+				n.reportedProc = n.reportInFlight
 			}
-			n.word = 0
-			n.settle(rule)
+			n.reportInFlight = 0
+			n.settle(m)
 		})
-		add(func(n *mState) { n.word = 0 })
+		add(func(n *modelState) { n.reportInFlight = 0 })
 	}
 	// A new process knows nothing that its disk did not keep, and holds no lease.
 	if s.restarts < 1 {
-		add(func(n *mState) {
+		add(func(n *modelState) {
 			n.restarts++
 			n.proc++
-			n.acts, n.wants, n.end = 0, false, 0
+			n.active, n.knowsNew, n.leaseEnd = 0, false, 0
 		})
 	}
-	if s.knows < s.proc {
-		add(func(n *mState) { // it has joined
-			n.knows, n.said, n.heard, n.lost = n.proc, 0, n.council, 0
-			n.settle(rule)
+	if s.knownProc < s.proc {
+		add(func(n *modelState) { // it has joined
+			n.knownProc, n.reportedProc, n.heard, n.lost = n.proc, 0, n.council, 0
+			n.settle(m)
 		})
 	}
 	// It looks, and then acts; between both no time passes that it could not see: what
 	// it had in hand is looked at again. A stop is that any number of other steps come between.
-	may := (&Lease{end: Micros(s.end)}).Valid(Micros(s.front)) || rule == noLook
-	if may && !(s.wants && s.barred && s.acts == 0) {
-		n := step{mState: s}
-		if s.passed && s.acts == 0 {
-			n.broken = fmt.Sprintf("acts on the old version after the bar: %+v", s)
+	mayAct := (&Lease{expiry: Micros(s.leaseEnd)}).Valid(Micros(s.front)) || m == skipLeaseCheck
+	if mayAct && !(s.knowsNew && s.gated && s.active == 0) {
+		n := step{modelState: s}
+		if s.gatePassed && s.active == 0 {
+			n.violation = fmt.Sprintf("acts on the old version after the bar: %+v", s)
 		}
 		list = append(list, n)
 	}
@@ -195,15 +195,15 @@
 }
 
 // settle counts the bar as passed where it may be.
-func (s *mState) settle(rule leaveOut) {
-	if !s.barred || s.passed {
+func (s *modelState) settle(rule mutation) {
+	if !s.gated || s.gatePassed {
 		return
 	}
-	over := Expired(mSpan, Micros(s.council-s.lost))
-	if rule == noDrift {
-		over = s.council-s.lost >= mSpan
+	over := Expired(modelSpan, Micros(s.council-s.lost))
+	if rule == ignoreDrift {
+		over = s.council-s.lost >= modelSpan
 	}
-	if s.said == s.knows && s.said != 0 || s.lost != 0 && over {
-		s.passed = true
+	if s.reportedProc == s.knownProc && s.reportedProc != 0 || s.lost != 0 && over {
+		s.gatePassed = true
 	}
 }
--- a/internal/decide/maintenance/maintenance.go
+++ b/internal/decide/maintenance/maintenance.go
@@ -26,11 +26,11 @@
 // Bounds.
 const (
 	MaxOperations = 2000 // works that are not ended
-	mostEnded     = 256  // works that are, kept to be told of
-	mostFences    = 2000 // machines with a fence of their own
-	mostText      = 200  // bytes of a reason
-	mostApart     = 16   // machines that a work must not overlap with
-	mostAge       = 1 << 20
+	maxEnded      = 256  // works that are, kept to be told of
+	maxFences     = 2000 // machines with a fence of their own
+	maxTextSize   = 200  // bytes of a reason
+	maxConflicts  = 16   // machines that a work must not overlap with
+	maxAge        = 1 << 20
 )
 
 // Phase is how far a work has come.
@@ -49,12 +49,12 @@
 	Lost // a person declared the machine lost
 )
 
-var phases = [...]string{"asked", "permitted", "emptying", "out", "returning", "done", "cancelled", "refused", "lost"}
+var phaseNames = [...]string{"asked", "permitted", "emptying", "out", "returning", "done", "cancelled", "refused", "lost"}
 
 // String is the phase's name.
 func (p Phase) String() string {
-	if int(p) < len(phases) {
-		return phases[p]
+	if int(p) < len(phaseNames) {
+		return phaseNames[p]
 	}
 	return "unknown"
 }
@@ -202,34 +202,34 @@
 	ErrPhase             = errors.New("the work is not so far, or farther")
 	ErrNoFront           = errors.New("no front of that name")
 	ErrDuration          = errors.New("span: 1 s to 7 days are wanted")
-	ErrText              = fmt.Errorf("a machine, a reason of %d bytes at most, and %d machines apart at most are wanted", mostText, mostApart)
+	ErrText              = fmt.Errorf("a machine, a reason of %d bytes at most, and %d machines apart at most are wanted", maxTextSize, maxConflicts)
 	ErrFrontReachable    = errors.New("the front is heard: it can say itself that it is back")
 )
 
 // Ask takes a work in. A front's must be of the fleet; one work a machine.
-func (s *State) Request(x Operation, fleet Fleet, now Micros) (id uint64, err error) {
+func (s *State) Request(op Operation, fleet Fleet, now Micros) (id uint64, err error) {
 	switch {
-	case x.Machine == "" || len(x.Machine) > mostText || len(x.Reason) > mostText || len(x.ConflictsWith) > mostApart || len(x.Zone) > mostText:
+	case op.Machine == "" || len(op.Machine) > maxTextSize || len(op.Reason) > maxTextSize || len(op.ConflictsWith) > maxConflicts || len(op.Zone) > maxTextSize:
 		return 0, ErrText
-	case x.Duration < second || x.Duration > 7*24*3600*second || x.StartWithin < 0:
+	case op.Duration < second || op.Duration > 7*24*3600*second || op.StartWithin < 0:
 		return 0, ErrDuration
-	case x.Kind == Front && fleet.Find(x.Machine) == nil:
+	case op.Kind == Front && fleet.Find(op.Machine) == nil:
 		return 0, ErrNoFront
 	case len(s.Operations) >= MaxOperations:
 		return 0, ErrTooManyOperations
-	case s.ForMachine(x.Machine) != nil:
+	case s.ForMachine(op.Machine) != nil:
 		return 0, ErrDuplicate
 	}
 	s.LastID++
-	s.Operations = append(s.Operations, Operation{ID: s.LastID, Machine: x.Machine, Kind: x.Kind, Zone: x.Zone, Reason: x.Reason, Duration: x.Duration,
-		StartWithin: x.StartWithin, Importance: x.Importance, Pace: max(0, min(x.Pace, 100)), ConflictsWith: x.ConflictsWith, SingleZone: x.SingleZone, Urgent: x.Urgent, EndsOnRestart: x.EndsOnRestart,
+	s.Operations = append(s.Operations, Operation{ID: s.LastID, Machine: op.Machine, Kind: op.Kind, Zone: op.Zone, Reason: op.Reason, Duration: op.Duration,
+		StartWithin: op.StartWithin, Importance: op.Importance, Pace: max(0, min(op.Pace, 100)), ConflictsWith: op.ConflictsWith, SingleZone: op.SingleZone, Urgent: op.Urgent, EndsOnRestart: op.EndsOnRestart,
 		RequestedAt: now, Since: now})
 	return s.LastID, nil
 }
 
 // Find gives a work that is not ended; nil: there is none.
 func (s *State) Find(id uint64) *Operation {
-	i, ok := slices.BinarySearchFunc(s.Operations, id, func(x Operation, id uint64) int { return cmp.Compare(x.ID, id) })
+	i, ok := slices.BinarySearchFunc(s.Operations, id, func(op Operation, id uint64) int { return cmp.Compare(op.ID, id) })
 	if !ok {
 		return nil
 	}
@@ -238,63 +238,63 @@
 
 // On gives a machine's work that is not ended; nil: there is none.
 func (s *State) ForMachine(machine string) *Operation {
-	i := slices.IndexFunc(s.Operations, func(x Operation) bool { return x.Machine == machine })
+	i := slices.IndexFunc(s.Operations, func(op Operation) bool { return op.Machine == machine })
 	if i < 0 {
 		return nil
 	}
 	return &s.Operations[i]
 }
 
-func (x *Operation) to(p Phase, now Micros) {
-	x.Phase, x.Since, x.Overdue, x.Serving = p, now, false, false
+func (op *Operation) setPhase(p Phase, now Micros) {
+	op.Phase, op.Since, op.Overdue, op.Serving = p, now, false, false
 }
 
 // fence voids the permit that a machine may still have in hand.
-func (s *State) fence(x *Operation) {
-	if x.Permit == 0 {
+func (s *State) voidPermit(op *Operation) {
+	if op.Permit == 0 {
 		return
 	}
 	if s.Fences == nil {
 		s.Fences = map[string]uint64{}
 	}
-	if len(s.Fences) >= mostFences { // the lowest tell least: their permits are the oldest
-		var low string
+	if len(s.Fences) >= maxFences { // the lowest tell least: their permits are the oldest
+		var lowest string
 		for m, n := range s.Fences {
-			if low == "" || n < s.Fences[low] || n == s.Fences[low] && m < low {
-				low = m
+			if lowest == "" || n < s.Fences[lowest] || n == s.Fences[lowest] && m < lowest {
+				lowest = m
 			}
 		}
-		delete(s.Fences, low)
+		delete(s.Fences, lowest)
 	}
-	s.Fences[x.Machine] = x.Permit + 1
+	s.Fences[op.Machine] = op.Permit + 1
 }
 
 // end ends a work and voids its permit.
-func (s *State) end(x *Operation, p Phase, note string, now Micros) {
-	s.fence(x)
-	x.to(p, now)
+func (s *State) finish(op *Operation, p Phase, note string, now Micros) {
+	s.voidPermit(op)
+	op.setPhase(p, now)
 	if note != "" {
-		x.Note = note
+		op.Note = note
 	}
-	done := *x
-	done.LeftBy = nil
-	s.Operations = slices.DeleteFunc(s.Operations, func(y Operation) bool { return y.ID == done.ID })
-	if s.Ended = append(s.Ended, done); len(s.Ended) > mostEnded {
-		s.Ended = slices.Delete(s.Ended, 0, len(s.Ended)-mostEnded)
+	ended := *op
+	ended.LeftBy = nil
+	s.Operations = slices.DeleteFunc(s.Operations, func(other Operation) bool { return other.ID == ended.ID })
+	if s.Ended = append(s.Ended, ended); len(s.Ended) > maxEnded {
+		s.Ended = slices.Delete(s.Ended, 0, len(s.Ended)-maxEnded)
 	}
 }
 
 // Cancel ends a work that has not begun; one that has comes back at once.
 func (s *State) Cancel(id uint64, why string, now Micros) error {
-	x := s.Find(id)
+	op := s.Find(id)
 	switch {
-	case x == nil:
+	case op == nil:
 		return ErrNoOperation
-	case !x.Phase.IsOut():
-		s.end(x, Cancelled, why, now)
-	case x.Phase != Returning:
-		x.Note = cmp.Or(why, "cancelled: it comes back")
-		x.to(Returning, now)
+	case !op.Phase.IsOut():
+		s.finish(op, Cancelled, why, now)
+	case op.Phase != Returning:
+		op.Note = cmp.Or(why, "cancelled: it comes back")
+		op.setPhase(Returning, now)
 	}
 	return nil
 }
@@ -302,14 +302,14 @@
 // Finish is a person's word, or the front's own, that the work is done and the
 // machine comes back.
 func (s *State) Finish(id uint64, now Micros) error {
-	x := s.Find(id)
+	op := s.Find(id)
 	switch {
-	case x == nil:
+	case op == nil:
 		return ErrNoOperation
-	case x.Phase != Out && x.Phase != Draining:
+	case op.Phase != Out && op.Phase != Draining:
 		return ErrPhase
 	}
-	x.to(Returning, now)
+	op.setPhase(Returning, now)
 	return nil
 }
 
@@ -317,76 +317,76 @@
 // way in which it stops counting as out without being heard. A front that is
 // heard can say so itself.
 func (s *State) DeclareLost(id uint64, why string, fleet Fleet, now Micros) error {
-	x := s.Find(id)
-	if x == nil {
+	op := s.Find(id)
+	if op == nil {
 		return ErrNoOperation
 	}
-	if !x.Phase.IsOut() {
+	if !op.Phase.IsOut() {
 		return ErrPhase
 	}
-	if m := fleet.Find(x.Machine); x.Kind == Front && m != nil && !m.Lost && m.ID == x.Holder && m.Start == x.Start {
+	if m := fleet.Find(op.Machine); op.Kind == Front && m != nil && !m.Lost && m.ID == op.Holder && m.Start == op.Start {
 		return ErrFrontReachable
 	}
-	s.end(x, Lost, cmp.Or(why, "declared lost"), now)
+	s.finish(op, Lost, cmp.Or(why, "declared lost"), now)
 	return nil
 }
 
 // Accept is a front's acceptance of leave: from here on it is out. It stands only
 // while the leave does.
 func (s *State) Accept(machine string, permit, id, start uint64, now Micros) error {
-	x := s.ForMachine(machine)
-	if x == nil || permit < s.Fences[machine] || x.Permit != permit {
+	op := s.ForMachine(machine)
+	if op == nil || permit < s.Fences[machine] || op.Permit != permit {
 		return ErrPermitVoid
 	}
-	if x.Phase != Permitted {
+	if op.Phase != Permitted {
 		return ErrPhase
 	}
-	x.Holder, x.Start = id, start
-	x.to(Draining, now)
+	op.Holder, op.Start = id, start
+	op.setPhase(Draining, now)
 	return nil
 }
 
 // Empty is a front's word that it holds no request any more.
 func (s *State) Drained(machine string, permit, id uint64, now Micros) error {
-	x := s.ForMachine(machine)
-	if x == nil || x.Permit != permit || x.Holder != id {
+	op := s.ForMachine(machine)
+	if op == nil || op.Permit != permit || op.Holder != id {
 		return ErrPermitVoid
 	}
-	if x.Phase != Draining {
+	if op.Phase != Draining {
 		return ErrPhase
 	}
-	x.to(Out, now)
+	op.setPhase(Out, now)
 	return nil
 }
 
 // Back is a front's word that it takes clients again. Only that ends its work: what
 // others last heard of it may be older than its way out.
 func (s *State) Returned(machine string, permit, id uint64, now Micros) error {
-	x := s.ForMachine(machine)
-	if x == nil || x.Permit != permit {
+	op := s.ForMachine(machine)
+	if op == nil || op.Permit != permit {
 		return ErrPermitVoid
 	}
-	if !x.Phase.IsOut() || x.Serving && x.Holder == id {
+	if !op.Phase.IsOut() || op.Serving && op.Holder == id {
 		return ErrPhase
 	}
-	x.Holder = id
-	x.to(Returning, now)
-	x.Serving = true
+	op.Holder = id
+	op.setPhase(Returning, now)
+	op.Serving = true
 	return nil
 }
 
 // Leave is a front's word, for a box in work, that it sends nothing new there and
 // has nothing open there.
 func (s *State) ConfirmLeft(machine string, permit uint64, front string, now Micros) error {
-	x := s.ForMachine(machine)
-	if x == nil || x.Kind != Box || x.Permit != permit {
+	op := s.ForMachine(machine)
+	if op == nil || op.Kind != Box || op.Permit != permit {
 		return ErrPermitVoid
 	}
-	if x.Phase != Permitted && x.Phase != Draining {
+	if op.Phase != Permitted && op.Phase != Draining {
 		return ErrPhase
 	}
-	if i, ok := slices.BinarySearch(x.LeftBy, front); !ok {
-		x.LeftBy = slices.Insert(x.LeftBy, i, front)
+	if i, ok := slices.BinarySearch(op.LeftBy, front); !ok {
+		op.LeftBy = slices.Insert(op.LeftBy, i, front)
 	}
 	return nil
 }
@@ -402,25 +402,25 @@
 }
 
 // Zone is where a work's machine stands.
-func (x *Operation) zone(fleet Fleet) string {
-	if m := fleet.Find(x.Machine); x.Kind == Front && m != nil {
+func (op *Operation) zone(fleet Fleet) string {
+	if m := fleet.Find(op.Machine); op.Kind == Front && m != nil {
 		return m.Zone
 	}
-	return x.Zone
+	return op.Zone
 }
 
 // usage is what is out now, by every reason.
 type usage struct {
 	out, fronts, lost int
-	hurt              int
+	unhealthy         int
 	zones             map[string]int
 	pace              map[string]int // of hubs: percent that boxes under way have
 	machines          map[string]bool
-	voters, heard     int // heard: those that are and stay in
+	voters, staying   int // heard: those that are and stay in
 }
 
 // use counts. What has leave counts as out already: it may be accepted.
-func (s *State) use(fleet Fleet) usage {
+func (s *State) countUsage(fleet Fleet) usage {
 	u := usage{zones: map[string]int{}, pace: map[string]int{}, machines: map[string]bool{}}
 	count := func(name, zone string, front bool) {
 		if u.machines[name] {
@@ -434,23 +434,23 @@
 		}
 	}
 	for i := range s.Operations {
-		if x := &s.Operations[i]; x.Phase == Permitted || x.Phase.IsOut() {
-			count(x.Machine, x.zone(fleet), x.Kind == Front)
-			u.pace[x.Zone] += x.Pace
+		if op := &s.Operations[i]; op.Phase == Permitted || op.Phase.IsOut() {
+			count(op.Machine, op.zone(fleet), op.Kind == Front)
+			u.pace[op.Zone] += op.Pace
 		}
 	}
 	for _, m := range fleet {
 		if m.Voter {
 			u.voters++
 			if !u.machines[m.Name] && !m.Lost { // one that is away by itself votes all the same
-				u.heard++
+				u.staying++
 			}
 		}
 		if m.Lost && !u.machines[m.Name] {
 			u.lost++
 		}
 		if m.Unhealthy && !m.Lost {
-			u.hurt++
+			u.unhealthy++
 		}
 		if m.Lost || m.NotServing {
 			count(m.Name, m.Zone, true)
@@ -460,15 +460,15 @@
 }
 
 // score orders what waits: importance, and a step of it for every span waited.
-func (x *Operation) score(r Rules, now Micros) int64 {
-	return int64(x.Importance) + min(mostAge, (now-x.RequestedAt)/max(1, r.AgeStep))
+func (op *Operation) score(r Rules, now Micros) int64 {
+	return int64(op.Importance) + min(maxAge, (now-op.RequestedAt)/max(1, r.AgeStep))
 }
 
 // queue is what waits, the next first.
 func (s *State) queue(now Micros) (list []*Operation) {
 	for i := range s.Operations {
-		if x := &s.Operations[i]; x.Phase == Requested {
-			list = append(list, x)
+		if op := &s.Operations[i]; op.Phase == Requested {
+			list = append(list, op)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *Operation) int {
@@ -483,27 +483,27 @@
 	return list
 }
 
-const seatFirst = "its seat in the council goes to another front first"
+const reasonSeatFirst = "its seat in the council goes to another front first"
 
 // bar tells why a work can't have leave now; empty: it can.
-func (s *State) bar(x *Operation, u *usage, fleet Fleet, now Micros) string {
-	m := fleet.Find(x.Machine)
-	zone := x.zone(fleet)
+func (s *State) blockedBy(op *Operation, u *usage, fleet Fleet, now Micros) string {
+	m := fleet.Find(op.Machine)
+	zone := op.zone(fleet)
 	switch {
 	case s.HoldReason != "":
 		return "held: " + s.HoldReason
-	case x.Kind == Front && m == nil:
+	case op.Kind == Front && m == nil:
 		return "the front has left the fleet"
-	case x.Kind == Front && m.Lost:
+	case op.Kind == Front && m.Lost:
 		return "the front is not heard, so it can't accept"
-	case (u.lost+u.hurt)*100 >= s.Rules.UnhealthyPercent*len(fleet) && u.lost+u.hurt > 0 && !x.Urgent:
-		return fmt.Sprintf("the fleet is hurt: of %d fronts %d are lost and %d in trouble", len(fleet), u.lost, u.hurt)
+	case (u.lost+u.unhealthy)*100 >= s.Rules.UnhealthyPercent*len(fleet) && u.lost+u.unhealthy > 0 && !op.Urgent:
+		return fmt.Sprintf("the fleet is hurt: of %d fronts %d are lost and %d in trouble", len(fleet), u.lost, u.unhealthy)
 	}
-	if wait := s.again(x); now < wait {
-		return fmt.Sprintf("%s; it is asked again in %d s", x.Note, (wait-now)/second+1)
+	if retry := s.retryAt(op); now < retry {
+		return fmt.Sprintf("%s; it is asked again in %d s", op.Note, (retry-now)/second+1)
 	}
 	others, sameZone, fronts := u.out, u.zones[zone], u.fronts
-	if u.machines[x.Machine] { // it says that it is away, and so counts already
+	if u.machines[op.Machine] { // it says that it is away, and so counts already
 		others, sameZone, fronts = others-1, sameZone-1, fronts-1
 	}
 	switch {
@@ -511,41 +511,41 @@
 		return fmt.Sprintf("%d machines are out or lost, %d may be", others, s.Rules.MaxOut)
 	case sameZone+1 > s.Rules.MaxZoneOut:
 		return fmt.Sprintf("%d machines of zone %s are out or lost, %d may be", sameZone, zone, s.Rules.MaxZoneOut)
-	case x.Kind == Front && fronts+1 > max(1, len(fleet)*s.Rules.MaxFrontsPercent/100):
+	case op.Kind == Front && fronts+1 > max(1, len(fleet)*s.Rules.MaxFrontsPercent/100):
 		return fmt.Sprintf("%d of %d fronts are out or lost, %d%% may be", fronts, len(fleet), s.Rules.MaxFrontsPercent)
-	case x.Kind == Box && s.Rules.MaxPacePercent > 0 && u.pace[zone] > 0 && u.pace[zone]+x.Pace > s.Rules.MaxPacePercent:
-		return fmt.Sprintf("boxes with %d%% of the pace of %s are out and this one has %d%%, together %d%% may be", u.pace[zone], zone, x.Pace, s.Rules.MaxPacePercent)
-	case x.Kind == Front && m.CanYieldSeat:
-		return seatFirst
-	case x.Kind == Front && m.Voter && u.voters > 1 && u.heard-1 < u.voters/2+1:
-		return fmt.Sprintf("it votes, and %d of %d voters would be left, no majority", u.heard-1, u.voters)
+	case op.Kind == Box && s.Rules.MaxPacePercent > 0 && u.pace[zone] > 0 && u.pace[zone]+op.Pace > s.Rules.MaxPacePercent:
+		return fmt.Sprintf("boxes with %d%% of the pace of %s are out and this one has %d%%, together %d%% may be", u.pace[zone], zone, op.Pace, s.Rules.MaxPacePercent)
+	case op.Kind == Front && m.CanYieldSeat:
+		return reasonSeatFirst
+	case op.Kind == Front && m.Voter && u.voters > 1 && u.staying-1 < u.voters/2+1:
+		return fmt.Sprintf("it votes, and %d of %d voters would be left, no majority", u.staying-1, u.voters)
 	}
-	return s.apart(x, u, zone)
+	return s.conflict(op, u, zone)
 }
 
 // again is when a work whose leave was not accepted may have the next: it waits twice
 // as long after each, so that a front that hears and is not heard costs little.
-func (s *State) again(x *Operation) Micros {
-	if x.Unaccepted == 0 {
+func (s *State) retryAt(op *Operation) Micros {
+	if op.Unaccepted == 0 {
 		return 0
 	}
-	return x.Since + s.Rules.AcceptTimeout<<(x.Unaccepted-1)
+	return op.Since + s.Rules.AcceptTimeout<<(op.Unaccepted-1)
 }
 
 // apart tells what stands against a work beside the budgets.
-func (s *State) apart(x *Operation, u *usage, zone string) string {
-	for _, other := range x.ConflictsWith {
-		if other != x.Machine && u.machines[other] {
+func (s *State) conflict(op *Operation, u *usage, zone string) string {
+	for _, other := range op.ConflictsWith {
+		if other != op.Machine && u.machines[other] {
 			return other + " is out, and both must not be"
 		}
 	}
 	for i := range s.Operations {
-		y := &s.Operations[i]
-		if y.Machine != x.Machine && (y.Phase == Permitted || y.Phase.IsOut()) && slices.Contains(y.ConflictsWith, x.Machine) {
-			return y.Machine + " is out, and both must not be"
+		active := &s.Operations[i]
+		if active.Machine != op.Machine && (active.Phase == Permitted || active.Phase.IsOut()) && slices.Contains(active.ConflictsWith, op.Machine) {
+			return active.Machine + " is out, and both must not be"
 		}
 	}
-	if x.SingleZone {
+	if op.SingleZone {
 		for z, n := range u.zones {
 			if z != zone && n > 0 {
 				return "machines of another zone are out, and a zone at a time was asked for"
@@ -558,104 +558,104 @@
 // Step draws the conclusions of a moment: bounds that have passed, works that are
 // over, leave for those whose turn it is. It must run after every change, and
 // gives what has happened, a line each.
-func (s *State) Step(fleet Fleet, now Micros) (told []string) {
-	tell := func(x *Operation, what string) {
-		told = append(told, fmt.Sprintf("work %d on %s: %s", x.ID, x.Machine, what))
+func (s *State) Step(fleet Fleet, now Micros) (events []string) {
+	emit := func(op *Operation, what string) {
+		events = append(events, fmt.Sprintf("work %d on %s: %s", op.ID, op.Machine, what))
 	}
-	back := func(x *Operation, why string) {
-		s.fence(x)
-		x.Note = fmt.Sprintf("leave %d %s", x.Permit, why)
-		tell(x, x.Note)
-		x.to(Requested, now)
+	withdraw := func(op *Operation, reason string) {
+		s.voidPermit(op)
+		op.Note = fmt.Sprintf("leave %d %s", op.Permit, reason)
+		emit(op, op.Note)
+		op.setPhase(Requested, now)
 	}
 	for _, id := range s.ids() {
-		x := s.Find(id)
-		m := fleet.Find(x.Machine)
-		waited := now - x.Since
-		switch x.Phase {
+		op := s.Find(id)
+		m := fleet.Find(op.Machine)
+		elapsed := now - op.Since
+		switch op.Phase {
 		case Requested:
-			if x.StartWithin > 0 && now-x.RequestedAt > x.StartWithin {
-				tell(x, "refused: its latest moment has passed")
-				s.end(x, Refused, "its latest moment has passed", now)
-			} else if x.Kind == Front && m == nil {
-				tell(x, "refused: the front has left the fleet")
-				s.end(x, Refused, "the front has left the fleet", now)
+			if op.StartWithin > 0 && now-op.RequestedAt > op.StartWithin {
+				emit(op, "refused: its latest moment has passed")
+				s.finish(op, Refused, "its latest moment has passed", now)
+			} else if op.Kind == Front && m == nil {
+				emit(op, "refused: the front has left the fleet")
+				s.finish(op, Refused, "the front has left the fleet", now)
 			}
 		case Permitted:
 			switch {
-			case x.Kind == Box:
-				if s.left(x, fleet, now) {
-					tell(x, "all fronts have left it")
-					x.to(Out, now)
+			case op.Kind == Box:
+				if s.allLeft(op, fleet, now) {
+					emit(op, "all fronts have left it")
+					op.setPhase(Out, now)
 				}
-			case waited > s.Rules.AcceptTimeout || m == nil || m.Lost:
-				x.Unaccepted = min(x.Unaccepted+1, 8)
-				back(x, "was not accepted and was taken back")
+			case elapsed > s.Rules.AcceptTimeout || m == nil || m.Lost:
+				op.Unaccepted = min(op.Unaccepted+1, 8)
+				withdraw(op, "was not accepted and was taken back")
 			case m.Voter: // it may have got a seat, or another voter been lost, since
-				if u := s.use(fleet); u.voters > 1 && u.heard < u.voters/2+1 {
-					back(x, "was taken back: those voters that are left are no majority any more")
+				if u := s.countUsage(fleet); u.voters > 1 && u.staying < u.voters/2+1 {
+					withdraw(op, "was taken back: those voters that are left are no majority any more")
 				}
 			}
 		case Draining:
-			if x.Kind == Front && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
-				tell(x, "its process ended on its way out")
-				x.to(Out, now)
-			} else if !x.Overdue && waited > s.Rules.DrainTimeout {
-				x.Overdue, x.Note = true, "emptying takes longer than it may"
-				tell(x, x.Note)
+			if op.Kind == Front && m != nil && !m.Lost && (m.ID != op.Holder || m.Start != op.Start) {
+				emit(op, "its process ended on its way out")
+				op.setPhase(Out, now)
+			} else if !op.Overdue && elapsed > s.Rules.DrainTimeout {
+				op.Overdue, op.Note = true, "emptying takes longer than it may"
+				emit(op, op.Note)
 			}
 		case Out:
-			if x.EndsOnRestart && m != nil && !m.Lost && (m.ID != x.Holder || m.Start != x.Start) {
-				tell(x, "its process has started anew")
-				x.Holder = m.ID
-				x.to(Returning, now)
-			} else if !x.Overdue && waited > x.Duration {
-				x.Overdue, x.Note = true, "out for longer than was asked"
-				tell(x, x.Note)
+			if op.EndsOnRestart && m != nil && !m.Lost && (m.ID != op.Holder || m.Start != op.Start) {
+				emit(op, "its process has started anew")
+				op.Holder = m.ID
+				op.setPhase(Returning, now)
+			} else if !op.Overdue && elapsed > op.Duration {
+				op.Overdue, op.Note = true, "out for longer than was asked"
+				emit(op, op.Note)
 			}
 		case Returning:
-			ready := x.Kind == Box || x.Serving && m != nil && !m.Lost && m.ID == x.Holder
-			if ready && waited >= s.Rules.WarmUp {
-				tell(x, "done")
-				s.end(x, Done, "", now)
-			} else if !ready && !x.Overdue && waited > s.Rules.ReturnTimeout {
-				x.Overdue, x.Note = true, "coming back takes longer than it may"
-				tell(x, x.Note)
+			ready := op.Kind == Box || op.Serving && m != nil && !m.Lost && m.ID == op.Holder
+			if ready && elapsed >= s.Rules.WarmUp {
+				emit(op, "done")
+				s.finish(op, Done, "", now)
+			} else if !ready && !op.Overdue && elapsed > s.Rules.ReturnTimeout {
+				op.Overdue, op.Note = true, "coming back takes longer than it may"
+				emit(op, op.Note)
 			}
 		}
 	}
-	u := s.use(fleet)
-	for _, x := range s.queue(now) {
+	u := s.countUsage(fleet)
+	for _, op := range s.queue(now) {
 		// Where the budget is spent, nobody who is not part of what spent it need be looked at.
-		why := "the budget is spent"
-		if u.out < s.Rules.MaxOut || u.machines[x.Machine] {
-			why = s.bar(x, &u, fleet, now)
+		reason := "the budget is spent"
+		if u.out < s.Rules.MaxOut || u.machines[op.Machine] {
+			reason = s.blockedBy(op, &u, fleet, now)
 		}
-		if why == "" {
+		if reason == "" {
 			s.LastPermit++
-			x.Permit, x.LeftBy, x.Holder, x.Start = s.LastPermit, nil, 0, 0
-			x.to(Permitted, now)
-			tell(x, fmt.Sprintf("leave %d", x.Permit))
-			u = s.use(fleet)
-		} else if now-x.RequestedAt > s.Rules.Patience && s.HoldReason == "" && !s.stuck(x, fleet, now) {
+			op.Permit, op.LeftBy, op.Holder, op.Start = s.LastPermit, nil, 0, 0
+			op.setPhase(Permitted, now)
+			emit(op, fmt.Sprintf("leave %d", op.Permit))
+			u = s.countUsage(fleet)
+		} else if now-op.RequestedAt > s.Rules.Patience && s.HoldReason == "" && !s.stuck(op, fleet, now) {
 			break // nothing goes before it any more
 		}
 	}
-	return told
+	return events
 }
 
 // stuck tells that a work waits for something of its own, so that others need not
 // wait with it.
-func (s *State) stuck(x *Operation, fleet Fleet, now Micros) bool {
-	m := fleet.Find(x.Machine)
-	return x.Kind == Front && (m == nil || m.Lost || now < s.again(x))
+func (s *State) stuck(op *Operation, fleet Fleet, now Micros) bool {
+	m := fleet.Find(op.Machine)
+	return op.Kind == Front && (m == nil || m.Lost || now < s.retryAt(op))
 }
 
 // left tells whether every front has confirmed that it has left a box, or can't act
 // any more.
-func (s *State) left(x *Operation, fleet Fleet, now Micros) bool {
+func (s *State) allLeft(op *Operation, fleet Fleet, now Micros) bool {
 	for _, m := range fleet {
-		if _, ok := slices.BinarySearch(x.LeftBy, m.Name); !ok && !m.over(now) {
+		if _, ok := slices.BinarySearch(op.LeftBy, m.Name); !ok && !m.leaseExpired(now) {
 			return false
 		}
 	}
@@ -663,11 +663,13 @@
 }
 
 // over tells whether a front is lost and its lease surely over.
-func (m *Machine) over(now Micros) bool { return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry }
+func (m *Machine) leaseExpired(now Micros) bool {
+	return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry
+}
 
 func (s *State) ids() (ids []uint64) {
-	for _, x := range s.Operations {
-		ids = append(ids, x.ID)
+	for _, op := range s.Operations {
+		ids = append(ids, op.ID)
 	}
 	return ids
 }
@@ -682,30 +684,30 @@
 // Plan is who goes when: what is under way, then what waits in its order, each with
 // what stands in its way now.
 func (s *State) Plan(fleet Fleet, now Micros) (plan []PlanEntry) {
-	u := s.use(fleet)
+	u := s.countUsage(fleet)
 	for i := range s.Operations {
-		if x := &s.Operations[i]; x.Phase != Requested {
-			plan = append(plan, PlanEntry{Operation: *x, WaitsFor: s.waits(x, fleet, now)})
+		if op := &s.Operations[i]; op.Phase != Requested {
+			plan = append(plan, PlanEntry{Operation: *op, WaitsFor: s.waitReason(op, fleet, now)})
 		}
 	}
-	for i, x := range s.queue(now) {
-		plan = append(plan, PlanEntry{Operation: *x, Position: i + 1, WaitsFor: cmp.Or(s.bar(x, &u, fleet, now), "its turn")})
+	for i, op := range s.queue(now) {
+		plan = append(plan, PlanEntry{Operation: *op, Position: i + 1, WaitsFor: cmp.Or(s.blockedBy(op, &u, fleet, now), "its turn")})
 	}
 	return plan
 }
 
 // waits tells what a work under way waits for.
-func (s *State) waits(x *Operation, fleet Fleet, now Micros) string {
-	late := ""
-	if x.Overdue {
-		late = " (" + x.Note + ")"
+func (s *State) waitReason(op *Operation, fleet Fleet, now Micros) string {
+	overdue := ""
+	if op.Overdue {
+		overdue = " (" + op.Note + ")"
 	}
-	switch x.Phase {
+	switch op.Phase {
 	case Permitted:
-		if x.Kind == Box {
+		if op.Kind == Box {
 			var missing []string
 			for _, m := range fleet {
-				if _, ok := slices.BinarySearch(x.LeftBy, m.Name); !ok && !m.over(now) {
+				if _, ok := slices.BinarySearch(op.LeftBy, m.Name); !ok && !m.leaseExpired(now) {
 					if m.Lost && m.LeaseExpiry > 0 {
 						m.Name += fmt.Sprintf(" (not heard; its lease is surely over in %d s)", (m.LeaseExpiry-now)/second+1)
 					} else if m.Lost {
@@ -722,34 +724,34 @@
 		}
 		return "the front to accept"
 	case Draining:
-		return "its open requests to end" + late
+		return "its open requests to end" + overdue
 	case Out:
-		if x.EndsOnRestart {
-			return "its process to start anew" + late
+		if op.EndsOnRestart {
+			return "its process to start anew" + overdue
 		}
-		return "a person's word that it is done" + late
+		return "a person's word that it is done" + overdue
 	case Returning:
-		return "it to be ready and warm" + late
+		return "it to be ready and warm" + overdue
 	}
 	return ""
 }
 
 // Why says in a sentence what becomes of a machine's work.
 func (s *State) Explain(machine string, fleet Fleet, now Micros) string {
-	for _, l := range s.Plan(fleet, now) {
-		if l.Machine != machine {
+	for _, entry := range s.Plan(fleet, now) {
+		if entry.Machine != machine {
 			continue
 		}
-		if l.Position > 0 {
-			return fmt.Sprintf("%s waits as number %d (work %d, asked %d s ago): %s.", machine, l.Position, l.ID, (now-l.RequestedAt)/second, l.WaitsFor)
+		if entry.Position > 0 {
+			return fmt.Sprintf("%s waits as number %d (work %d, asked %d s ago): %s.", machine, entry.Position, entry.ID, (now-entry.RequestedAt)/second, entry.WaitsFor)
 		}
-		return fmt.Sprintf("%s is %s under permit %d (work %d) for %d s and waits for %s.", machine, l.Phase, l.Permit, l.ID, (now-l.Since)/second, l.WaitsFor)
+		return fmt.Sprintf("%s is %s under permit %d (work %d) for %d s and waits for %s.", machine, entry.Phase, entry.Permit, entry.ID, (now-entry.Since)/second, entry.WaitsFor)
 	}
 	for i := len(s.Ended) - 1; i >= 0; i-- {
-		if x := s.Ended[i]; x.Machine == machine {
-			text := fmt.Sprintf("%s has no work; its last one (work %d) was %s %d s ago", machine, x.ID, x.Phase, (now-x.Since)/second)
-			if x.Note != "" {
-				text += ": " + x.Note
+		if op := s.Ended[i]; op.Machine == machine {
+			text := fmt.Sprintf("%s has no work; its last one (work %d) was %s %d s ago", machine, op.ID, op.Phase, (now-op.Since)/second)
+			if op.Note != "" {
+				text += ": " + op.Note
 			}
 			return text + "."
 		}
@@ -760,13 +762,13 @@
 // Soon tells whether a front is about to go out, or is: it should hold no seat that
 // another can have.
 func (s *State) OutSoon(front string, fleet Fleet, now Micros) bool {
-	if x := s.ForMachine(front); x != nil && x.Kind == Front && x.Phase != Requested {
+	if op := s.ForMachine(front); op != nil && op.Kind == Front && op.Phase != Requested {
 		return true
 	}
-	u := s.use(fleet)
-	for _, x := range s.queue(now) {
-		if s.bar(x, &u, fleet, now) == seatFirst { // one seat at a time
-			return x.Machine == front
+	u := s.countUsage(fleet)
+	for _, op := range s.queue(now) {
+		if s.blockedBy(op, &u, fleet, now) == reasonSeatFirst { // one seat at a time
+			return op.Machine == front
 		}
 	}
 	return false
--- a/internal/decide/maintenance/maintenance_test.go
+++ b/internal/decide/maintenance/maintenance_test.go
@@ -13,15 +13,15 @@
 
 // Whatever boxes are asked for, those under way in a hub never have more of its pace
 // than the rules let, but for one that has more by itself; and all go in the end.
-func TestPaceOfAHub(t *testing.T) {
+func TestHubPaceLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		s.Rules.MaxOut, s.Rules.MaxZoneOut, s.Rules.MaxPacePercent, s.Rules.WarmUp = 1000, 1000, rapid.IntRange(10, 80).Draw(t, "pace"), 0
 		fleet := Fleet{{Name: "a", Zone: "x"}}
 		n := rapid.IntRange(1, 12).Draw(t, "boxes")
 		for i := range n {
-			x := Operation{Machine: string(rune('A' + i)), Kind: Box, Zone: []string{"h1", "h2"}[i%2], Duration: second, Pace: rapid.IntRange(1, 60).Draw(t, "share")}
-			if _, err := s.Request(x, fleet, 0); err != nil {
+			op := Operation{Machine: string(rune('A' + i)), Kind: Box, Zone: []string{"h1", "h2"}[i%2], Duration: second, Pace: rapid.IntRange(1, 60).Draw(t, "share")}
+			if _, err := s.Request(op, fleet, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -32,9 +32,9 @@
 			s.Step(fleet, now)
 			used, count := map[string]int{}, map[string]int{}
 			for i := range s.Operations {
-				if x := &s.Operations[i]; x.Phase == Permitted || x.Phase.IsOut() {
-					used[x.Zone] += x.Pace
-					count[x.Zone]++
+				if op := &s.Operations[i]; op.Phase == Permitted || op.Phase.IsOut() {
+					used[op.Zone] += op.Pace
+					count[op.Zone]++
 				}
 			}
 			for z, p := range used {
@@ -43,10 +43,10 @@
 				}
 			}
 			for _, id := range s.ids() {
-				x := s.Find(id)
-				switch x.Phase {
+				op := s.Find(id)
+				switch op.Phase {
 				case Permitted:
-					_ = s.ConfirmLeft(x.Machine, x.Permit, "a", now)
+					_ = s.ConfirmLeft(op.Machine, op.Permit, "a", now)
 				case Out:
 					_ = s.Finish(id, now)
 				}
@@ -56,7 +56,7 @@
 }
 
 // A front whose lease is surely over counts as having left a box, not a moment before.
-func TestLeaseOverLeavesABox(t *testing.T) {
+func TestExpiredLeaseCountsAsLeft(t *testing.T) {
 	s := New()
 	fleet := Fleet{{Name: "a"}, {Name: "b", Lost: true, LeaseExpiry: 60 * second}}
 	s.Rules.MaxOut, s.Rules.MaxZoneOut, s.Rules.UnhealthyPercent = 9, 9, 100
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -115,31 +115,31 @@
 }
 
 // Settle forgets the fronts that leave and have no seat, and gives their names.
-func (s *State) RemoveLeft(seats Seats) (gone []string) {
+func (s *State) RemoveLeft(seats Seats) (removed []string) {
 	s.Fronts = slices.DeleteFunc(s.Fronts, func(f Front) bool {
-		goes := f.Leaving && !seats.Has(f.ID) && !slices.Contains(seats.Learners, f.ID)
-		if goes {
-			gone = append(gone, f.Name)
+		remove := f.Leaving && !seats.Has(f.ID) && !slices.Contains(seats.Learners, f.ID)
+		if remove {
+			removed = append(removed, f.Name)
 		}
-		return goes
+		return remove
 	})
-	return gone
+	return removed
 }
 
 // Contact takes in whether a front is heard, whether it takes clients and whether
 // it is in trouble. It tells whether anything has changed.
-func (s *State) SetContact(name string, id uint64, lost, away, hurt bool, now Micros) (changed bool, err error) {
+func (s *State) SetContact(name string, id uint64, lost, notServing, unhealthy bool, now Micros) (changed bool, err error) {
 	f := s.Find(name)
 	if f == nil || f.ID != id {
 		return false, ErrUnknownFront
 	}
-	if f.Lost == lost && f.NotServing == away && f.Unhealthy == hurt {
+	if f.Lost == lost && f.NotServing == notServing && f.Unhealthy == unhealthy {
 		return false, nil
 	}
 	if f.Lost != lost {
 		f.Since = now
 	}
-	f.Lost, f.NotServing, f.Unhealthy = lost, away, hurt
+	f.Lost, f.NotServing, f.Unhealthy = lost, notServing, unhealthy
 	return true, nil
 }
 
@@ -220,7 +220,7 @@
 		return Change{Reason: "a change of voters is under way"}
 	}
 	// Who should go.
-	out, why := s.leaving(&seats, cfg, &v)
+	out, reason := s.departing(&seats, cfg, &v)
 	// Who should come: in place of the one that goes, or where seats are free.
 	free := s.TargetVoters() - len(seats.Voters)
 	var in *Front
@@ -228,11 +228,11 @@
 		in = s.candidate(&seats, out, &v)
 	}
 	if out == 0 && free < 0 {
-		out, why = s.surplus(&seats, &v), "more voters than are wanted"
+		out, reason = s.surplus(&seats, &v), "more voters than are wanted"
 	}
 	if out == 0 && free <= 0 {
-		if out, in = s.uneven(&seats, &v); out != 0 {
-			why = "its zone has two voters more than another"
+		if out, in = s.imbalanced(&seats, &v); out != 0 {
+			reason = "its zone has two voters more than another"
 		}
 	}
 	// Learners that are not wanted, or no more, go first: one learner at a time.
@@ -250,7 +250,7 @@
 		if !s.canChange(&seats, 0, 0) {
 			return Change{Reason: "no majority of the voters is heard"}
 		}
-		return Change{Kind: AddLearner, Add: in.ID, Reason: cmp.Or(why, "a seat is free") + ": " + in.Name + " learns"}
+		return Change{Kind: AddLearner, Add: in.ID, Reason: cmp.Or(reason, "a seat is free") + ": " + in.Name + " learns"}
 	}
 	if in != nil {
 		if !v.CaughtUp(in.ID) {
@@ -259,20 +259,20 @@
 		if !s.canChange(&seats, in.ID, out) {
 			return Change{Reason: "no majority of the voters is heard without the one replaced"}
 		}
-		return Change{Kind: Promote, Add: in.ID, Remove: out, Reason: cmp.Or(why, "a seat is free") + ": " + in.Name + " votes"}
+		return Change{Kind: Promote, Add: in.ID, Remove: out, Reason: cmp.Or(reason, "a seat is free") + ": " + in.Name + " votes"}
 	}
 	// Nobody takes its place. One of an even number bears no loss that those left do not.
-	if f := s.ByID(out); out != 0 && (free < 0 || f == nil || f.Leaving || s.even(f, &seats, &v)) {
+	if f := s.ByID(out); out != 0 && (free < 0 || f == nil || f.Leaving || s.isOneOfEven(f, &seats, &v)) {
 		if out == v.Leader {
 			return Change{Reason: "the leader's seat goes once it has handed over"}
 		}
 		if !s.canChange(&seats, 0, out) {
 			return Change{Reason: "no majority of the voters is heard without the one replaced"}
 		}
-		return Change{Kind: Remove, Remove: out, Reason: why}
+		return Change{Kind: Remove, Remove: out, Reason: reason}
 	}
 	if out != 0 {
-		return Change{Reason: why + ", and no other front can take its seat"}
+		return Change{Reason: reason + ", and no other front can take its seat"}
 	}
 	return Change{}
 }
@@ -280,7 +280,7 @@
 // leaving finds a voter that should give up its seat: one of an incarnation that
 // counts for nothing any more, one that has been lost for the grace, or one that
 // is about to go out for work.
-func (s *State) leaving(seats *Seats, cfg Config, v *View) (id uint64, why string) {
+func (s *State) departing(seats *Seats, cfg Config, v *View) (id uint64, reason string) {
 	for _, id := range seats.Voters {
 		if s.ByID(id) == nil {
 			return id, "a voter's incarnation has gone"
@@ -324,10 +324,10 @@
 }
 
 // spread counts the voters by zone and machine, but for one.
-func (s *State) spread(seats *Seats, but uint64) (zones, machines map[string]int) {
+func (s *State) spread(seats *Seats, except uint64) (zones, machines map[string]int) {
 	zones, machines = map[string]int{}, map[string]int{}
 	for _, id := range seats.Voters {
-		if f := s.ByID(id); f != nil && id != but {
+		if f := s.ByID(id); f != nil && id != except {
 			zones[f.Zone]++
 			machines[f.Machine]++
 		}
@@ -336,7 +336,7 @@
 }
 
 // even tells whether a voter that goes out for work is one of an even number.
-func (s *State) even(f *Front, seats *Seats, v *View) bool {
+func (s *State) isOneOfEven(f *Front, seats *Seats, v *View) bool {
 	return len(seats.Voters)%2 == 0 && v.Avoid(f)
 }
 
@@ -354,17 +354,17 @@
 // surplus finds a voter to do without: not the leader, of the fullest zone.
 func (s *State) surplus(seats *Seats, v *View) (id uint64) {
 	zones, _ := s.spread(seats, 0)
-	most := 0
+	highest := 0
 	for _, x := range seats.Voters {
-		if f := s.ByID(x); f != nil && x != v.Leader && zones[f.Zone] > most {
-			id, most = x, zones[f.Zone]
+		if f := s.ByID(x); f != nil && x != v.Leader && zones[f.Zone] > highest {
+			id, highest = x, zones[f.Zone]
 		}
 	}
 	return id
 }
 
 // uneven finds a voter whose zone has two more than a zone where a candidate is.
-func (s *State) uneven(seats *Seats, v *View) (out uint64, in *Front) {
+func (s *State) imbalanced(seats *Seats, v *View) (out uint64, in *Front) {
 	zones, _ := s.spread(seats, 0)
 	for _, id := range seats.Voters {
 		f := s.ByID(id)
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -18,8 +18,8 @@
 // disk is one front's: which incarnation it is, whether it holds the entry, and
 // whether it runs.
 type disk struct {
-	id    uint8 // front + 8 * incarnation; 0: it is wiped and has not come back
-	holds bool
+	id       uint8 // front + 8 * incarnation; 0: it is wiped and has not come back
+	hasEntry bool
 }
 
 type seatState struct {
@@ -36,12 +36,12 @@
 type mutation uint8
 
 const (
-	none          mutation = iota
-	noIncarnation          // a wiped front comes back as the one it was
-	noCaught               // a learner votes before it has the entries
+	noMutation       mutation = iota
+	reuseIncarnation          // a wiped front comes back as the one it was
+	promoteEarly              // a learner votes before it has the entries
 )
 
-func (s *seatState) council() (*State, Seats) {
+func (s *seatState) state() (*State, Seats) {
 	c := &State{}
 	for i := range modelFronts {
 		c.Fronts = append(c.Fronts, Front{Name: string('a' + rune(i)), Zone: fmt.Sprint(i), Machine: fmt.Sprint(i), Address: "x",
@@ -58,20 +58,20 @@
 }
 
 // holder tells of an incarnation whether its disk is whole, and holds the entry.
-func (s *seatState) holder(id uint8) (whole, holds bool) {
+func (s *seatState) diskState(id uint8) (whole, holds bool) {
 	for _, d := range s.disks {
 		if d.id == id {
-			return true, d.holds
+			return true, d.hasEntry
 		}
 	}
 	return false, false
 }
 
 // safe tells whether no election among whole disks can lose the entry.
-func (s *seatState) safe() bool {
+func (s *seatState) entrySafe() bool {
 	without := 0
 	for _, v := range []byte(s.voters) {
-		if whole, holds := s.holder(v); whole && !holds {
+		if whole, holds := s.diskState(v); whole && !holds {
 			without++
 		}
 	}
@@ -80,10 +80,10 @@
 
 // majority tells whether so many voters are whole that the agreement can go on,
 // with one of them that holds the entry to lead it.
-func (s *seatState) majority(voters string) bool {
+func (s *seatState) canCommit(voters string) bool {
 	n, leads := 0, false
 	for _, v := range []byte(voters) {
-		whole, holds := s.holder(v)
+		whole, holds := s.diskState(v)
 		if whole {
 			n++
 		}
@@ -92,13 +92,13 @@
 	return leads && n >= Majority(len(voters))
 }
 
-func (s seatState) steps(m mutation) (list []seatState) {
+func (s seatState) successors(m mutation) (list []seatState) {
 	for i := range modelFronts {
 		d := s.disks[i]
 		if d.id != 0 && s.wipes > 0 {
 			x := s
 			x.disks[i], x.wipes = disk{}, s.wipes-1
-			if x.majority(x.voters) { // more than that is not promised
+			if x.canCommit(x.voters) { // more than that is not promised
 				list = append(list, x)
 			}
 		}
@@ -106,12 +106,12 @@
 			x := s
 			x.lives[i]++
 			x.disks[i].id = uint8(i+1) + 8*x.lives[i]
-			if m == noIncarnation {
+			if m == reuseIncarnation {
 				x.disks[i].id = s.joined[i]
 			}
 			list = append(list, x)
 		}
-		if !s.majority(s.voters) { // nothing is agreed on
+		if !s.canCommit(s.voters) { // nothing is agreed on
 			continue
 		}
 		if d.id != 0 && s.joined[i] != d.id {
@@ -119,24 +119,24 @@
 			x.joined[i], x.lost[i] = d.id, false
 			list = append(list, x)
 		}
-		if whole, _ := s.holder(s.joined[i]); whole == s.lost[i] {
+		if whole, _ := s.diskState(s.joined[i]); whole == s.lost[i] {
 			x := s
 			x.lost[i] = !whole
 			list = append(list, x)
 		}
-		if d.id != 0 && !d.holds && (slices.Contains([]byte(s.voters), d.id) || s.learner == d.id) { // the leader copies
+		if d.id != 0 && !d.hasEntry && (slices.Contains([]byte(s.voters), d.id) || s.learner == d.id) { // the leader copies
 			x := s
-			x.disks[i].holds = true
+			x.disks[i].hasEntry = true
 			list = append(list, x)
 		}
 	}
-	if !s.majority(s.voters) {
+	if !s.canCommit(s.voters) {
 		return list
 	}
-	c, seats := s.council()
+	c, seats := s.state()
 	v := View{Now: 100, Leader: s.leader(), Avoid: func(*Front) bool { return false }, CaughtUp: func(id uint64) bool {
-		_, holds := s.holder(uint8(id))
-		return holds || m == noCaught
+		_, holds := s.diskState(uint8(id))
+		return holds || m == promoteEarly
 	}}
 	move := c.Next(seats, Config{Grace: 10}, v)
 	x := s
@@ -155,7 +155,7 @@
 		if uint64(x.learner) == move.Add || uint64(x.learner) == move.Remove {
 			x.learner = 0
 		}
-		if len(b) == 0 || !s.majority(x.voters) {
+		if len(b) == 0 || !s.canCommit(x.voters) {
 			return list // joint consensus: the new seats must have a majority too, or the change does not end
 		}
 	}
@@ -165,21 +165,21 @@
 // leader is a whole voter that holds the entry.
 func (s *seatState) leader() uint64 {
 	for _, v := range []byte(s.voters) {
-		if whole, holds := s.holder(v); whole && holds {
+		if whole, holds := s.diskState(v); whole && holds {
 			return uint64(v)
 		}
 	}
 	return 0
 }
 
-func playSeats(m mutation, wipes uint8) (states int, broken *seatState) {
+func exploreSeats(m mutation, wipes uint8) (states int, broken *seatState) {
 	var first []seatState
 	for _, holders := range [][2]int{{0, 1}, {0, 2}, {1, 2}} {
 		s := seatState{wipes: wipes, voters: string([]byte{1, 2, 3})}
 		for i := range modelFronts {
 			s.disks[i].id, s.joined[i] = uint8(i+1), uint8(i+1)
 		}
-		s.disks[holders[0]].holds, s.disks[holders[1]].holds = true, true
+		s.disks[holders[0]].hasEntry, s.disks[holders[1]].hasEntry = true, true
 		first = append(first, s)
 	}
 	seen := map[seatState]bool{}
@@ -191,22 +191,22 @@
 			continue
 		}
 		seen[s] = true
-		if !s.safe() {
+		if !s.entrySafe() {
 			return len(seen), &s
 		}
-		queue = append(queue, s.steps(m)...)
+		queue = append(queue, s.successors(m)...)
 	}
 	return len(seen), nil
 }
 
-func TestModelOfSeats(t *testing.T) {
-	n, broken := playSeats(none, 3)
+func TestSeatModel(t *testing.T) {
+	n, broken := exploreSeats(noMutation, 3)
 	t.Logf("%d states", n)
 	if broken != nil {
 		t.Errorf("the entry can be lost: %+v", *broken)
 	}
-	for _, m := range []mutation{noIncarnation, noCaught} {
-		n, broken := playSeats(m, 3)
+	for _, m := range []mutation{reuseIncarnation, promoteEarly} {
+		n, broken := exploreSeats(m, 3)
 		if broken == nil {
 			t.Errorf("rule %d left out, and nothing was found in %d states", m, n)
 		} else {
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -30,17 +30,17 @@
 
 // Bounds.
 const (
-	MaxPieceSize   = 8 << 10   // bytes of a piece
-	MaxVersionSize = 512 << 10 // bytes of a version
-	mostKept       = 32        // versions that are told of
-	mostPieces     = 4 * MaxVersionSize / MaxPieceSize
-	mostText       = 200
-	mostSteps      = 8
-	looseFor       = 120 * second // a piece that no version names is kept
-	checkFor       = 30 * second  // for every front that is heard to check a version
-	actFor         = 30 * second  // for the fronts of a step to act on it
-	flapFor        = 600 * second // after which a front that was shut out once counts as steady again
-	mostFlaps      = 5
+	MaxPieceSize      = 8 << 10   // bytes of a piece
+	MaxVersionSize    = 512 << 10 // bytes of a version
+	maxVersions       = 32        // versions that are told of
+	maxPieces         = 4 * MaxVersionSize / MaxPieceSize
+	maxTextSize       = 200
+	maxSteps          = 8
+	pieceRetention    = 120 * second // a piece that no version names is kept
+	checkTimeout      = 30 * second  // for every front that is heard to check a version
+	activationTimeout = 30 * second  // for the fronts of a step to act on it
+	flapWindow        = 600 * second // after which a front that was shut out once counts as steady again
+	maxFlaps          = 5
 )
 
 // Phase is how far a version has come.
@@ -56,12 +56,12 @@
 	RolledBack // it went back to the last good one
 )
 
-var phases = [...]string{"checking", "rolling", "standing", "replaced", "turned down", "rolled back"}
+var phaseNames = [...]string{"checking", "rolling", "standing", "replaced", "turned down", "rolled back"}
 
 // String is the phase's name.
 func (p Phase) String() string {
-	if int(p) < len(phases) {
-		return phases[p]
+	if int(p) < len(phaseNames) {
+		return phaseNames[p]
 	}
 	return "unknown"
 }
@@ -118,15 +118,15 @@
 }
 
 // Said is what the front itself said of it.
-func (x FrontStatus) OwnReport() FrontStatus {
-	x.Fenced, x.FencedAt, x.Flaps, x.LastFlapAt, x.WarmAt, x.BaselineFailedPercent, x.BaselineHasSample = 0, 0, 0, 0, 0, 0, false
-	return x
+func (status FrontStatus) OwnReport() FrontStatus {
+	status.Fenced, status.FencedAt, status.Flaps, status.LastFlapAt, status.WarmAt, status.BaselineFailedPercent, status.BaselineHasSample = 0, 0, 0, 0, 0, 0, false
+	return status
 }
 
 // Headless is a stand without its audit's head, which changes all the time.
-func (x FrontStatus) WithoutAuditHead() FrontStatus {
-	x.AuditSeq, x.AuditHead = 0, ""
-	return x
+func (status FrontStatus) WithoutAuditHead() FrontStatus {
+	status.AuditSeq, status.AuditHead = 0, ""
+	return status
 }
 
 // Piece is a part of a version's bytes.
@@ -175,17 +175,17 @@
 	FoundAt Micros `cbor:"5,keyasint"` // when it came back
 }
 
-const mostHoles = 256
+const maxLostAudits = 256
 
 // Errors of what was proposed.
 var (
 	ErrPieceSize       = fmt.Errorf("a piece of 1 to %d bytes is wanted", MaxPieceSize)
-	ErrTooManyPieces   = fmt.Errorf("too many pieces wait or are kept, %d at most", mostPieces)
+	ErrTooManyPieces   = fmt.Errorf("too many pieces wait or are kept, %d at most", maxPieces)
 	ErrDigest          = errors.New("the pieces do not make up the digest that was given, or some are not there")
-	ErrSteps           = fmt.Errorf("steps of 0 to 100 percent that grow, %d at most, are wanted", mostSteps)
+	ErrSteps           = fmt.Errorf("steps of 0 to 100 percent that grow, %d at most, are wanted", maxSteps)
 	ErrGateNeedsLeases = errors.New("a bar needs leases: set rules alone_s first")
 	ErrNoCandidate     = errors.New("no such version is on its way")
-	ErrReasonLength    = fmt.Errorf("a reason of %d bytes at most is wanted", mostText)
+	ErrReasonLength    = fmt.Errorf("a reason of %d bytes at most is wanted", maxTextSize)
 	ErrSpanRange       = errors.New("bar and watch: 0 to a day are possible")
 )
 
@@ -195,8 +195,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func find[T any](list []T, key string, of func(*T) string) (int, bool) {
-	return slices.BinarySearchFunc(list, key, func(x T, k string) int { return cmp.Compare(of(&x), k) })
+func search[T any](list []T, key string, keyOf func(*T) string) (int, bool) {
+	return slices.BinarySearchFunc(list, key, func(x T, k string) int { return cmp.Compare(keyOf(&x), k) })
 }
 
 // Keep takes a piece in. One that is there already costs nothing.
@@ -205,12 +205,12 @@
 		return "", ErrPieceSize
 	}
 	hash = Hash(data)
-	i, ok := find(s.Pieces, hash, func(p *Piece) string { return p.Hash })
+	i, ok := search(s.Pieces, hash, func(p *Piece) string { return p.Hash })
 	if ok {
 		s.Pieces[i].StoredAt = now
 		return hash, nil
 	}
-	if len(s.Pieces) >= mostPieces {
+	if len(s.Pieces) >= maxPieces {
 		return "", ErrTooManyPieces
 	}
 	s.Pieces = slices.Insert(s.Pieces, i, Piece{Hash: hash, Data: data, StoredAt: now})
@@ -223,12 +223,12 @@
 	if v == nil {
 		return nil
 	}
-	return s.join(v.Pieces)
+	return s.assemble(v.Pieces)
 }
 
-func (s *State) join(hashes []string) (out []byte) {
+func (s *State) assemble(hashes []string) (out []byte) {
 	for _, h := range hashes {
-		i, ok := find(s.Pieces, h, func(p *Piece) string { return p.Hash })
+		i, ok := search(s.Pieces, h, func(p *Piece) string { return p.Hash })
 		if !ok {
 			return nil
 		}
@@ -256,7 +256,7 @@
 
 // Stand gives a front's; nil: it has said nothing yet.
 func (s *State) Status(name string) *FrontStatus {
-	i, ok := find(s.Statuses, name, func(x *FrontStatus) string { return x.Name })
+	i, ok := search(s.Statuses, name, func(x *FrontStatus) string { return x.Name })
 	if !ok {
 		return nil
 	}
@@ -280,10 +280,10 @@
 	if len(v.Steps) == 0 {
 		v.Steps = []int{0, 10, 100}
 	}
-	grows := slices.IsSorted(v.Steps) && v.Steps[0] >= 0 && v.Steps[len(v.Steps)-1] <= 100 && len(v.Steps) <= mostSteps
-	data := s.join(v.Pieces)
+	grows := slices.IsSorted(v.Steps) && v.Steps[0] >= 0 && v.Steps[len(v.Steps)-1] <= 100 && len(v.Steps) <= maxSteps
+	data := s.assemble(v.Pieces)
 	switch {
-	case len(v.Reason) > mostText || len(v.ProposedBy) > mostText:
+	case len(v.Reason) > maxTextSize || len(v.ProposedBy) > maxTextSize:
 		return 0, ErrReasonLength
 	case !grows:
 		return 0, ErrSteps
@@ -312,16 +312,16 @@
 		Watch: v.Watch, Steps: v.Steps, Base: v.Base, Since: now})
 	c := &s.Versions[len(s.Versions)-1]
 	if c.Urgent {
-		s.stands(c, now)
+		s.makeStable(c, now)
 	}
-	if len(s.Versions) > mostKept {
-		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-mostKept)
+	if len(s.Versions) > maxVersions {
+		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-maxVersions)
 	}
 	return s.LastNumber, nil
 }
 
 // stands has a version be the fleet's.
-func (s *State) stands(v *Version, now Micros) {
+func (s *State) makeStable(v *Version, now Micros) {
 	if old := s.Find(s.Stable); old != nil {
 		old.Phase, old.Since = Replaced, now
 	}
@@ -335,36 +335,36 @@
 	if c == nil {
 		return ErrNoCandidate
 	}
-	s.end(c, RolledBack, cmp.Or(why, "stopped by a person"), now)
+	s.finish(c, RolledBack, cmp.Or(why, "stopped by a person"), now)
 	return nil
 }
 
-func (s *State) end(v *Version, p Phase, note string, now Micros) {
-	v.Phase, v.Since, v.Note = p, now, note[:min(len(note), 2*mostText)]
+func (s *State) finish(v *Version, p Phase, note string, now Micros) {
+	v.Phase, v.Since, v.Note = p, now, note[:min(len(note), 2*maxTextSize)]
 }
 
 // Reported takes in what a front says of itself, under the incarnation and process
 // that the fleet knows it by.
-func (s *State) ApplyReport(x FrontStatus, now Micros) {
-	x.Reason = x.Reason[:min(len(x.Reason), mostText)]
-	x = x.OwnReport()
-	i, ok := find(s.Statuses, x.Name, func(x *FrontStatus) string { return x.Name })
+func (s *State) ApplyReport(report FrontStatus, now Micros) {
+	report.Reason = report.Reason[:min(len(report.Reason), maxTextSize)]
+	report = report.OwnReport()
+	i, ok := search(s.Statuses, report.Name, func(report *FrontStatus) string { return report.Name })
 	if !ok {
-		s.Statuses = slices.Insert(s.Statuses, i, x)
+		s.Statuses = slices.Insert(s.Statuses, i, report)
 		return
 	}
 	old := &s.Statuses[i]
-	if old.ID != x.ID && old.AuditSeq > 0 {
-		s.LostAudits = append(s.LostAudits, LostAudit{Name: x.Name, ID: old.ID, Seq: old.AuditSeq, Head: old.AuditHead, FoundAt: now})
-		s.LostAudits = s.LostAudits[max(0, len(s.LostAudits)-mostHoles):]
+	if old.ID != report.ID && old.AuditSeq > 0 {
+		s.LostAudits = append(s.LostAudits, LostAudit{Name: report.Name, ID: old.ID, Seq: old.AuditSeq, Head: old.AuditHead, FoundAt: now})
+		s.LostAudits = s.LostAudits[max(0, len(s.LostAudits)-maxLostAudits):]
 	}
-	x.Fenced, x.FencedAt, x.Flaps, x.LastFlapAt, x.WarmAt, x.BaselineFailedPercent, x.BaselineHasSample = old.Fenced, old.FencedAt, old.Flaps, old.LastFlapAt, old.WarmAt, old.BaselineFailedPercent, old.BaselineHasSample
-	*old = x
+	report.Fenced, report.FencedAt, report.Flaps, report.LastFlapAt, report.WarmAt, report.BaselineFailedPercent, report.BaselineHasSample = old.Fenced, old.FencedAt, old.Flaps, old.LastFlapAt, old.WarmAt, old.BaselineFailedPercent, old.BaselineHasSample
+	*old = report
 }
 
 // Of gives a front's stand where it is of its incarnation and process; else one that
 // has said nothing.
-func (s *State) of(m *Machine) FrontStatus {
+func (s *State) currentStatus(m *Machine) FrontStatus {
 	if x := s.Status(m.Name); x != nil && x.ID == m.ID && x.Start == m.Start {
 		return *x
 	}
@@ -372,19 +372,19 @@
 }
 
 // rank orders the fronts for a version, differently for each.
-func rank(n uint64, name string) uint64 {
+func hashOrder(n uint64, name string) uint64 {
 	return xxhash.Sum64(fmt.Appendf(nil, "%d %s", n, name))
 }
 
 // begin begins a version's step, and says who takes it up: one a zone, or so many
 // percent, of those that are heard and serve, and all of the step before; at 100 all.
-func (s *State) begin(v *Version, step int, fleet []Machine, now Micros) {
-	part := map[string]bool{}
+func (s *State) beginStep(v *Version, step int, fleet []Machine, now Micros) {
+	cohort := map[string]bool{}
 	for _, name := range v.Cohort {
-		part[name] = true
+		cohort[name] = true
 	}
 	v.Phase, v.Step, v.Since, v.ActiveAt = Rolling, step, now, 0
-	s.began()
+	s.recordBaseline()
 	if v.Steps[step] >= 100 {
 		v.Cohort = nil
 		return
@@ -396,29 +396,29 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(rank(v.Number, a.Name), rank(v.Number, b.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(hashOrder(v.Number, a.Name), hashOrder(v.Number, b.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	if percent := v.Steps[step]; percent == 0 {
 		zones := map[string]bool{}
 		for _, m := range order {
 			if !zones[m.Zone] {
-				zones[m.Zone], part[m.Name] = true, true
+				zones[m.Zone], cohort[m.Name] = true, true
 			}
 		}
 	} else {
 		want := (len(order)*percent + 99) / 100
 		for _, m := range order {
-			if len(part) >= want {
+			if len(cohort) >= want {
 				break
 			}
-			part[m.Name] = true
+			cohort[m.Name] = true
 		}
 	}
-	v.Cohort = slices.Sorted(maps.Keys(part))
+	v.Cohort = slices.Sorted(maps.Keys(cohort))
 }
 
 // has tells whether a front is of the step's part.
-func (v *Version) has(name string) bool {
+func (v *Version) inCohort(name string) bool {
 	if v.Steps[v.Step] >= 100 {
 		return true
 	}
@@ -428,7 +428,7 @@
 
 // Target is the version that a front is to act on, by the state alone.
 func (s *State) Target(name string) uint64 {
-	if c := s.Candidate(); c != nil && c.Phase == Rolling && c.has(name) {
+	if c := s.Candidate(); c != nil && c.Phase == Rolling && c.inCohort(name) {
 		return c.Number
 	}
 	return s.Stable
@@ -436,8 +436,8 @@
 
 // Least is the oldest version that a front may act on where the state is known; bar
 // tells after how long since the state said so it must have stopped.
-func (s *State) MinVersion(name string) (n uint64, bar Micros) {
-	n = s.floor(name)
+func (s *State) MinVersion(name string) (n uint64, gate Micros) {
+	n = s.enforcedMinFor(name)
 	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 && !slices.Contains(g.Exempt, name) {
 		return max(n, g.Number), g.Gate
 	}
@@ -445,7 +445,7 @@
 }
 
 // floor is the version below which a front may not act at all, whatever newer bar runs.
-func (s *State) floor(name string) uint64 {
+func (s *State) enforcedMinFor(name string) uint64 {
 	n := s.EnforcedMin
 	if x := s.Status(name); x != nil {
 		n = max(n, x.Fenced)
@@ -455,34 +455,34 @@
 
 // Step draws the conclusions of a moment, and gives what has happened, a line each.
 // Facts tells that the entry is one by which time has moved on.
-func (s *State) Step(fleet []Machine, r Rules, now Micros, facts bool) (told []string) {
-	tell := func(v *Version, format string, args ...any) {
-		told = append(told, fmt.Sprintf("version %d: ", v.Number)+fmt.Sprintf(format, args...))
+func (s *State) Step(fleet []Machine, r Rules, now Micros, timeAdvanced bool) (events []string) {
+	emit := func(v *Version, format string, args ...any) {
+		events = append(events, fmt.Sprintf("version %d: ", v.Number)+fmt.Sprintf(format, args...))
 	}
 	if c := s.Candidate(); c != nil {
 		was, step := c.Phase, c.Step
 		switch c.Phase {
 		case Checking:
-			s.check(c, fleet, now)
+			s.advanceCheck(c, fleet, now)
 		case Rolling:
-			s.roll(c, fleet, now)
+			s.advanceStep(c, fleet, now)
 		}
 		if c.Phase != was || c.Step != step {
-			tell(c, "%s", s.line(c))
+			emit(c, "%s", s.describe(c))
 		}
 	}
 	// What is shut out by this entry is counted from the next on by which time moves on:
 	// until this one was committed, leases may have been asked for.
-	s.release(fleet, r, now, facts, func(text string) { told = append(told, text) })
+	s.updateFences(fleet, r, now, timeAdvanced, func(text string) { events = append(events, text) })
 	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
-		s.bar(g, fleet, r, now, tell)
+		s.advanceGate(g, fleet, r, now, emit)
 	}
-	s.loose(now)
-	return told
+	s.dropUnusedPieces(now)
+	return events
 }
 
 // line tells how far a version is.
-func (s *State) line(v *Version) string {
+func (s *State) describe(v *Version) string {
 	text := v.Phase.String()
 	if v.Phase == Rolling {
 		text += fmt.Sprintf(" to step %d of %d (%s)", v.Step+1, len(v.Steps), stepName(v.Steps[v.Step]))
@@ -501,31 +501,31 @@
 }
 
 // check waits for every front that is heard to have checked a version.
-func (s *State) check(c *Version, fleet []Machine, now Micros) {
-	waits := ""
+func (s *State) advanceCheck(c *Version, fleet []Machine, now Micros) {
+	waitingFor := ""
 	for i := range fleet {
 		m := &fleet[i]
 		if m.Lost {
 			continue
 		}
-		x := s.of(m)
-		if x.Refused == c.Number {
-			s.end(c, Rejected, m.Name+" turned it down: "+x.Reason, now)
+		status := s.currentStatus(m)
+		if status.Refused == c.Number {
+			s.finish(c, Rejected, m.Name+" turned it down: "+status.Reason, now)
 			return
 		}
-		if x.Checked < c.Number && waits == "" {
-			waits = m.Name
+		if status.Checked < c.Number && waitingFor == "" {
+			waitingFor = m.Name
 		}
 	}
-	if waits == "" {
-		s.begin(c, 0, fleet, now)
-	} else if now-c.Since > checkFor {
-		s.end(c, Rejected, fmt.Sprintf("%s has not checked it in %d s", waits, checkFor/second), now)
+	if waitingFor == "" {
+		s.beginStep(c, 0, fleet, now)
+	} else if now-c.Since > checkTimeout {
+		s.finish(c, Rejected, fmt.Sprintf("%s has not checked it in %d s", waitingFor, checkTimeout/second), now)
 	}
 }
 
 // began notes how the fronts fare at the moment at which a step begins.
-func (s *State) began() {
+func (s *State) recordBaseline() {
 	for i := range s.Statuses {
 		x := &s.Statuses[i]
 		x.BaselineFailedPercent, x.BaselineHasSample = x.FailedPercent, x.HasSample
@@ -533,100 +533,100 @@
 }
 
 // roll goes on with a version's step, or goes back.
-func (s *State) roll(c *Version, fleet []Machine, now Micros) {
-	waits, acting := "", 0
+func (s *State) advanceStep(c *Version, fleet []Machine, now Micros) {
+	waitingFor, acting := "", 0
 	for i := range fleet {
 		m := &fleet[i]
-		x := s.of(m)
+		status := s.currentStatus(m)
 		switch {
-		case x.Crashed == c.Number:
-			s.end(c, RolledBack, m.Name+" ended soon after it had taken it up", now)
+		case status.Crashed == c.Number:
+			s.finish(c, RolledBack, m.Name+" ended soon after it had taken it up", now)
 			return
-		case x.Refused == c.Number && c.has(m.Name):
-			s.end(c, RolledBack, m.Name+" turned it down: "+x.Reason, now)
+		case status.Refused == c.Number && c.inCohort(m.Name):
+			s.finish(c, RolledBack, m.Name+" turned it down: "+status.Reason, now)
 			return
-		case x.Active == c.Number:
+		case status.Active == c.Number:
 			acting++
-		case c.has(m.Name) && !m.Lost && waits == "":
-			waits = m.Name
+		case c.inCohort(m.Name) && !m.Lost && waitingFor == "":
+			waitingFor = m.Name
 		}
 	}
-	if text := s.sick(c, fleet); text != "" {
-		s.end(c, RolledBack, text, now)
+	if regression := s.healthRegression(c, fleet); regression != "" {
+		s.finish(c, RolledBack, regression, now)
 		return
 	}
 	switch {
-	case waits != "" || acting == 0:
+	case waitingFor != "" || acting == 0:
 		c.ActiveAt = 0
-		if now-c.Since > actFor+c.Watch {
-			s.end(c, RolledBack, cmp.Or(waits, "nobody")+fmt.Sprintf(" does not act on it after %d s", (now-c.Since)/second), now)
+		if now-c.Since > activationTimeout+c.Watch {
+			s.finish(c, RolledBack, cmp.Or(waitingFor, "nobody")+fmt.Sprintf(" does not act on it after %d s", (now-c.Since)/second), now)
 		}
 	case c.ActiveAt == 0:
 		c.ActiveAt = max(1, now)
 	case now-c.ActiveAt < c.Watch:
 	case c.Step+1 < len(c.Steps):
-		s.begin(c, c.Step+1, fleet, now)
+		s.beginStep(c, c.Step+1, fleet, now)
 	default:
-		s.stands(c, now)
+		s.makeStable(c, now)
 	}
 }
 
 // Sickness: percent points by which those who act on a version must fare worse than
 // they did before, and than the others do.
-const worse = 15
+const maxRegression = 15
 
 // sick compares how those who act on a version fare with how they did, and with the others.
-func (s *State) sick(c *Version, fleet []Machine) string {
+func (s *State) healthRegression(c *Version, fleet []Machine) string {
 	var on, was, others, n, nWas, nOthers int
 	for i := range fleet {
 		m := &fleet[i]
-		x := s.of(m)
-		if m.Lost || !x.HasSample {
+		status := s.currentStatus(m)
+		if m.Lost || !status.HasSample {
 			continue
 		}
-		if x.Active == c.Number {
-			on, n = on+x.FailedPercent, n+1
-			if x.BaselineHasSample {
-				was, nWas = was+x.BaselineFailedPercent, nWas+1
+		if status.Active == c.Number {
+			on, n = on+status.FailedPercent, n+1
+			if status.BaselineHasSample {
+				was, nWas = was+status.BaselineFailedPercent, nWas+1
 			}
 		} else {
-			others, nOthers = others+x.FailedPercent, nOthers+1
+			others, nOthers = others+status.FailedPercent, nOthers+1
 		}
 	}
 	if n == 0 {
 		return ""
 	}
-	before, beside := was/max(1, nWas), others/max(1, nOthers)
-	if on/n >= max(before, beside)+worse {
-		return fmt.Sprintf("of the requests of those who act on it %d%% were refused or failed; before %d%%, of the others' %d%%", on/n, before, beside)
+	before, concurrent := was/max(1, nWas), others/max(1, nOthers)
+	if on/n >= max(before, concurrent)+maxRegression {
+		return fmt.Sprintf("of the requests of those who act on it %d%% were refused or failed; before %d%%, of the others' %d%%", on/n, before, concurrent)
 	}
 	return ""
 }
 
 // bar follows a version's bar: who is late is shut out, within the quota, and it has
 // passed once nobody acts on an older one.
-func (s *State) bar(g *Version, fleet []Machine, r Rules, now Micros, tell func(*Version, string, ...any)) {
+func (s *State) advanceGate(g *Version, fleet []Machine, r Rules, now Micros, emit func(*Version, string, ...any)) {
 	late := now-g.Since >= g.Gate
-	total, zones, shut, zoneShut := 0, map[string]int{}, 0, map[string]int{}
+	total, zones, fenced, zoneFenced := 0, map[string]int{}, 0, map[string]int{}
 	for i := range fleet {
 		m := &fleet[i]
 		total++
 		zones[m.Zone]++
-		if x := s.Status(m.Name); m.Lost || x != nil && x.Fenced > 0 && x.Active < x.Fenced {
-			shut++
-			zoneShut[m.Zone]++
+		if status := s.Status(m.Name); m.Lost || status != nil && status.Fenced > 0 && status.Active < status.Fenced {
+			fenced++
+			zoneFenced[m.Zone]++
 		}
 	}
-	open, spared := 0, []string{}
+	open, exempt := 0, []string{}
 	for i := range fleet {
 		m := &fleet[i]
-		x := s.of(m)
-		if x.Active >= g.Number && x.none(g.Number) || x.SelfFenced >= g.Number && x.none(g.Number) || m.over(now) {
+		status := s.currentStatus(m)
+		if status.Active >= g.Number && status.noneOpenBefore(g.Number) || status.SelfFenced >= g.Number && status.noneOpenBefore(g.Number) || m.leaseExpired(now) {
 			continue
 		}
-		own := s.Status(m.Name)
-		if own != nil && own.Fenced >= g.Number {
-			if own.FencedAt == 0 || m.Lease == 0 || now < own.FencedAt+lease.ExpirySpan(m.Lease+r.DrainTimeout) {
+		reported := s.Status(m.Name)
+		if reported != nil && reported.Fenced >= g.Number {
+			if reported.FencedAt == 0 || m.Lease == 0 || now < reported.FencedAt+lease.ExpirySpan(m.Lease+r.DrainTimeout) {
 				open++
 			}
 			continue
@@ -635,69 +635,73 @@
 			open++
 			continue
 		}
-		if (shut+1)*100 > max(100, r.MaxFencedPercent*total) || (zoneShut[m.Zone]+1)*100 > max(100, r.MaxFencedPercent*zones[m.Zone]) {
-			spared = append(spared, m.Name)
+		if (fenced+1)*100 > max(100, r.MaxFencedPercent*total) || (zoneFenced[m.Zone]+1)*100 > max(100, r.MaxFencedPercent*zones[m.Zone]) {
+			exempt = append(exempt, m.Name)
 			open++
 			continue
 		}
-		shut++
-		zoneShut[m.Zone]++
+		fenced++
+		zoneFenced[m.Zone]++
 		open++
-		if own == nil {
+		if reported == nil {
 			s.ApplyReport(FrontStatus{Name: m.Name, ID: m.ID, Start: m.Start}, now)
-			own = s.Status(m.Name)
+			reported = s.Status(m.Name)
 		}
-		own.Fenced, own.FencedAt = g.Number, 0
-		if now-own.LastFlapAt > flapFor {
-			own.Flaps = 0
+		reported.Fenced, reported.FencedAt = g.Number, 0
+		if now-reported.LastFlapAt > flapWindow {
+			reported.Flaps = 0
 		}
-		own.Flaps, own.LastFlapAt = min(own.Flaps+1, mostFlaps), now
-		tell(g, "%s is shut out: %s", m.Name, s.LagCause(m, now))
+		reported.Flaps, reported.LastFlapAt = min(reported.Flaps+1, maxFlaps), now
+		emit(g, "%s is shut out: %s", m.Name, s.LagCause(m, now))
 	}
-	if !slices.Equal(spared, g.Exempt) {
-		if g.Exempt = spared; len(spared) > 0 {
-			tell(g, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(spared), r.MaxFencedPercent, few(spared))
+	if !slices.Equal(exempt, g.Exempt) {
+		if g.Exempt = exempt; len(exempt) > 0 {
+			emit(g, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(exempt), r.MaxFencedPercent, abbreviate(exempt))
 		}
 	}
 	if open == 0 {
 		g.GatePassedAt = max(1, now)
 		s.EnforcedMin = max(s.EnforcedMin, g.Number)
-		tell(g, "its bar has passed: nobody acts on an older one")
+		emit(g, "its bar has passed: nobody acts on an older one")
 	}
 }
 
 // none tells that no request is open that came under an older version than one.
-func (x *FrontStatus) none(n uint64) bool { return x.OldestInUse == 0 || x.OldestInUse > n }
+func (status *FrontStatus) noneOpenBefore(n uint64) bool {
+	return status.OldestInUse == 0 || status.OldestInUse > n
+}
 
 // over tells whether a front is lost and its lease surely over.
-func (m *Machine) over(now Micros) bool { return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry }
+func (m *Machine) leaseExpired(now Micros) bool {
+	return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry
+}
 
 // release counts from when a front that was shut out is granted nothing, and lets in
 // those that have come up to what they were shut out below.
-func (s *State) release(fleet []Machine, r Rules, now Micros, facts bool, tell func(string)) {
+func (s *State) updateFences(fleet []Machine, r Rules, now Micros, timeAdvanced bool, emit func(string)) {
 	for i := range s.Statuses {
-		x := &s.Statuses[i]
-		if x.Fenced == 0 {
+		status := &s.Statuses[i]
+		if status.Fenced == 0 {
 			continue
 		}
-		j := slices.IndexFunc(fleet, func(m Machine) bool { return m.Name == x.Name })
+		j := slices.IndexFunc(fleet, func(m Machine) bool { return m.Name == status.Name })
 		if j < 0 {
 			continue
 		}
 		m := &fleet[j]
-		if x.Active >= x.Fenced && x.ID == m.ID && x.Start == m.Start && !m.Lost {
-			x.Fenced, x.FencedAt = 0, 0
-			x.WarmAt = now + r.WarmUp<<max(0, x.Flaps-1)
-			tell(fmt.Sprintf("front %s: brought up to version %d; it is a full machine in %d s", x.Name, x.Active, (x.WarmAt-now)/second))
-		} else if x.FencedAt == 0 && facts {
-			x.FencedAt = max(1, now)
+		if status.Active >= status.Fenced && status.ID == m.ID && status.Start == m.Start && !m.Lost {
+			status.Fenced, status.FencedAt = 0, 0
+			status.WarmAt = now + r.WarmUp<<max(0, status.Flaps-1)
+			emit(fmt.Sprintf("front %s: brought up to version %d; it is a full machine in %d s", status.Name, status.Active, (status.WarmAt-now)/second))
+		} else if status.FencedAt == 0 && timeAdvanced {
+			status.FencedAt = max(1, now)
 		}
 	}
 }
 
 // loose forgets pieces that no version needs: those of versions that may be gone back
 // to, or are on their way, stay.
-func (s *State) loose(now Micros) {
+func (s *State) dropUnusedPieces(now Micros) {
 	needed := map[string]bool{}
 	for i := range s.Versions {
 		if v := &s.Versions[i]; v.Number == s.Stable || v.Phase == Checking || v.Phase == Rolling {
@@ -706,7 +710,7 @@
 			}
 		}
 	}
-	s.Pieces = slices.DeleteFunc(s.Pieces, func(p Piece) bool { return !needed[p.Hash] && now-p.StoredAt > looseFor })
+	s.Pieces = slices.DeleteFunc(s.Pieces, func(p Piece) bool { return !needed[p.Hash] && now-p.StoredAt > pieceRetention })
 }
 
 // Waiting tells whether anything here waits for time to pass.
@@ -729,25 +733,25 @@
 
 // Cause tells why a front lags, as far as the state knows.
 func (s *State) LagCause(m *Machine, now Micros) string {
-	x := s.of(m)
+	status := s.currentStatus(m)
 	target := s.Stable
 	switch {
 	case m.Lost:
 		return "it is not heard: cut off, stopped or down"
-	case x.ID == 0:
+	case status.ID == 0:
 		return "it has said nothing of versions: an older build, or only just started"
-	case x.Refused == target && target > 0:
-		return "it turned version " + fmt.Sprint(target) + " down: " + x.Reason
-	case x.Crashed == target && target > 0:
+	case status.Refused == target && target > 0:
+		return "it turned version " + fmt.Sprint(target) + " down: " + status.Reason
+	case status.Crashed == target && target > 0:
 		return fmt.Sprintf("its process ended soon after it had taken version %d up", target)
-	case x.Checked >= target && x.Active < target:
+	case status.Checked >= target && status.Active < target:
 		return "it has checked the version and does not act on it yet: its disk is slow or takes nothing"
-	case x.Active < target:
+	case status.Active < target:
 		return "it has not checked the version yet"
-	case !x.none(target):
-		return fmt.Sprintf("it has requests open that came under version %d", x.OldestInUse-1)
-	case x.Active > target:
-		return fmt.Sprintf("it is on its way back from version %d", x.Active)
+	case !status.noneOpenBefore(target):
+		return fmt.Sprintf("it has requests open that came under version %d", status.OldestInUse-1)
+	case status.Active > target:
+		return fmt.Sprintf("it is on its way back from version %d", status.Active)
 	}
 	return "it does not lag"
 }
@@ -770,23 +774,23 @@
 func (s *State) Lags(fleet []Machine, now Micros) (list []Lag) {
 	for i := range fleet {
 		m := &fleet[i]
-		x := s.of(m)
+		status := s.currentStatus(m)
 		if m.Lost {
-			if y := s.Status(m.Name); y != nil {
-				x.Active = y.Active
+			if reported := s.Status(m.Name); reported != nil {
+				status.Active = reported.Active
 			}
 		}
-		l := Lag{Name: m.Name, Active: x.Active, Target: s.Target(m.Name), OldestInUse: x.OldestInUse, Refused: x.Refused, Reason: x.Reason}
-		if y := s.Status(m.Name); y != nil {
-			l.Fenced, l.WarmingUp = y.Fenced > y.Active, now < y.WarmAt
+		lag := Lag{Name: m.Name, Active: status.Active, Target: s.Target(m.Name), OldestInUse: status.OldestInUse, Refused: status.Refused, Reason: status.Reason}
+		if reported := s.Status(m.Name); reported != nil {
+			lag.Fenced, lag.WarmingUp = reported.Fenced > reported.Active, now < reported.WarmAt
 		}
-		if l.Active != l.Target || m.Lost {
-			l.Cause = s.LagCause(m, now)
-			if l.Target > l.Active {
-				l.Behind = l.Target - l.Active
+		if lag.Active != lag.Target || m.Lost {
+			lag.Cause = s.LagCause(m, now)
+			if lag.Target > lag.Active {
+				lag.Behind = lag.Target - lag.Active
 			}
 		}
-		list = append(list, l)
+		list = append(list, lag)
 	}
 	return list
 }
@@ -797,25 +801,25 @@
 	if v == nil {
 		return fmt.Sprintf("version %d is not known here.", n)
 	}
-	var waits []string
+	var waitingFor []string
 	switch v.Phase {
 	case Checking:
 		for i := range fleet {
-			if m := &fleet[i]; !m.Lost && s.of(m).Checked < n {
-				waits = append(waits, m.Name)
+			if m := &fleet[i]; !m.Lost && s.currentStatus(m).Checked < n {
+				waitingFor = append(waitingFor, m.Name)
 			}
 		}
-		return fmt.Sprintf("version %d is being checked for %d s and waits for %s.", n, (now-v.Since)/second, few(waits))
+		return fmt.Sprintf("version %d is being checked for %d s and waits for %s.", n, (now-v.Since)/second, abbreviate(waitingFor))
 	case Rolling:
 		for i := range fleet {
-			if m := &fleet[i]; v.has(m.Name) && !m.Lost && s.of(m).Active != n {
-				waits = append(waits, m.Name)
+			if m := &fleet[i]; v.inCohort(m.Name) && !m.Lost && s.currentStatus(m).Active != n {
+				waitingFor = append(waitingFor, m.Name)
 			}
 		}
-		if len(waits) > 0 {
-			return fmt.Sprintf("version %d is %s and waits for %s to act on it.", n, s.line(v), few(waits))
+		if len(waitingFor) > 0 {
+			return fmt.Sprintf("version %d is %s and waits for %s to act on it.", n, s.describe(v), abbreviate(waitingFor))
 		}
-		return fmt.Sprintf("version %d is %s and watched for %d s more.", n, s.line(v), (max(0, v.Watch-(now-v.ActiveAt))+second-1)/second)
+		return fmt.Sprintf("version %d is %s and watched for %d s more.", n, s.describe(v), (max(0, v.Watch-(now-v.ActiveAt))+second-1)/second)
 	case Stable:
 		if v.Gate == 0 || v.GatePassedAt > 0 {
 			text := fmt.Sprintf("version %d stands for %d s", n, (now-v.Since)/second)
@@ -826,16 +830,16 @@
 		}
 		for i := range fleet {
 			m := &fleet[i]
-			if x := s.of(m); (x.Active < n && x.SelfFenced < n || !x.none(n)) && !m.over(now) {
-				waits = append(waits, fmt.Sprintf("%s (%s)", m.Name, s.LagCause(m, now)))
+			if x := s.currentStatus(m); (x.Active < n && x.SelfFenced < n || !x.noneOpenBefore(n)) && !m.leaseExpired(now) {
+				waitingFor = append(waitingFor, fmt.Sprintf("%s (%s)", m.Name, s.LagCause(m, now)))
 			}
 		}
-		return fmt.Sprintf("version %d stands for %d s; its bar of %d s has not passed: %s.", n, (now-v.Since)/second, v.Gate/second, few(waits))
+		return fmt.Sprintf("version %d stands for %d s; its bar of %d s has not passed: %s.", n, (now-v.Since)/second, v.Gate/second, abbreviate(waitingFor))
 	}
-	return fmt.Sprintf("version %d was %s %d s ago.", n, s.line(v), (now-v.Since)/second)
+	return fmt.Sprintf("version %d was %s %d s ago.", n, s.describe(v), (now-v.Since)/second)
 }
 
-func few(names []string) string {
+func abbreviate(names []string) string {
 	if n := len(names); n > 5 {
 		names = append(slices.Clone(names[:5]), fmt.Sprintf("%d more", n-5))
 	}
--- a/internal/decide/statemachine/model_test.go
+++ b/internal/decide/statemachine/model_test.go
@@ -19,14 +19,14 @@
 
 // kind of an entry.
 const (
-	eTime = iota
-	eLost
-	eFound
-	eAccept
-	eEmpty
-	eBack
-	eDone
-	eJoin
+	entryTime = iota
+	entryLost
+	entryFound
+	entryAccept
+	entryDrained
+	entryReturned
+	entryFinish
+	entryJoin
 )
 
 // entry is a command of the model, small enough to be a key.
@@ -35,31 +35,31 @@
 }
 
 // mState is one state of the model.
-type mState struct {
-	base   int // replica state that the one furthest behind has applied
-	log    string
-	off    [modelFronts]uint8
-	starts [modelFronts]uint8
-	up     [modelFronts]bool
-	fresh  [modelFronts]uint8 // entries to apply before it acts, from the log's begin; 0: it does
-	flight string             // reports on their way
-	left   [4]uint8           // how often time may pass, one may die, one may be told lost, a person may speak
+type modelState struct {
+	base        int // replica state that the one furthest behind has applied
+	log         string
+	applied     [modelFronts]uint8
+	starts      [modelFronts]uint8
+	up          [modelFronts]bool
+	replayUntil [modelFronts]uint8 // entries to apply before it acts, from the log's begin; 0: it does
+	inFlight    string             // reports on their way
+	budget      [4]uint8           // how often time may pass, one may die, one may be told lost, a person may speak
 }
 
 type model struct {
-	t       *testing.T
-	without Mutation
-	states  []*Replica
-	ids     map[string]int
-	next    map[[2]int]int
-	entries []entry
-	entryID map[entry]int
-	broken  string
-	seats   membership.Seats
+	t         *testing.T
+	mutation  Mutation
+	states    []*Replica
+	ids       map[string]int
+	next      map[[2]int]int
+	entries   []entry
+	entryID   map[entry]int
+	violation string
+	seats     membership.Seats
 }
 
-func newModel(t *testing.T, without Mutation) *model {
-	return &model{t: t, without: without, ids: map[string]int{}, next: map[[2]int]int{}, entryID: map[entry]int{}}
+func newModel(t *testing.T, mutation Mutation) *model {
+	return &model{t: t, mutation: mutation, ids: map[string]int{}, next: map[[2]int]int{}, entryID: map[entry]int{}}
 }
 
 func (m *model) intern(r *Replica) int {
@@ -68,7 +68,7 @@
 		return id
 	}
 	c := New()
-	c.SetMutation(m.without)
+	c.SetMutation(m.mutation)
 	if err := c.Restore([]byte(key)); err != nil {
 		m.t.Fatal(err)
 	}
@@ -101,17 +101,17 @@
 		return c
 	}
 	switch e.kind {
-	case eTime:
+	case entryTime:
 		return Command{Facts: &Facts{Span: 6_000_000}}
-	case eLost, eFound:
-		return Command{Facts: &Facts{Contacts: []Contact{{Name: name, ID: id, Lost: e.kind == eLost}}}}
-	case eAccept:
+	case entryLost, entryFound:
+		return Command{Facts: &Facts{Contacts: []Contact{{Name: name, ID: id, Lost: e.kind == entryLost}}}}
+	case entryAccept:
 		return report(Accepted)
-	case eEmpty:
+	case entryDrained:
 		return report(Drained)
-	case eBack:
+	case entryReturned:
 		return report(Returned)
-	case eDone:
+	case entryFinish:
 		return Command{Order: &Order{Action: Finish, Operation: uint64(e.front) + 1}}
 	}
 	return Command{Join: &Join{Front: modelFront(e.front, e.start)}}
@@ -129,23 +129,23 @@
 		return to
 	}
 	r := New()
-	r.SetMutation(m.without)
+	r.SetMutation(m.mutation)
 	if err := r.Restore(m.states[state].Snapshot()); err != nil {
 		m.t.Fatal(err)
 	}
 	last := r.State().Maintenance.LastPermit
 	r.Apply(m.command(m.entries[e]))
 	if r.State().Maintenance.LastPermit > last {
-		m.leave(r)
+		m.checkPermit(r)
 	}
 	to := m.intern(r)
 	m.next[key] = to
 	return to
 }
 
-func (m *model) leave(r *Replica) {
+func (m *model) checkPermit(r *Replica) {
 	s := r.State()
-	gone, stay := map[string]bool{}, 0
+	gone, staying := map[string]bool{}, 0
 	for _, x := range s.Maintenance.Operations {
 		if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
 			gone[x.Machine] = true
@@ -158,29 +158,29 @@
 	}
 	for _, f := range s.Members.Fronts {
 		if s.Seats.Has(f.ID) && !gone[f.Name] {
-			stay++
+			staying++
 		}
 	}
 	if len(gone) > s.Maintenance.Rules.MaxOut {
-		m.broken = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Maintenance.LastPermit, len(gone), s.Maintenance.Rules.MaxOut)
+		m.violation = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Maintenance.LastPermit, len(gone), s.Maintenance.Rules.MaxOut)
 	}
-	if stay < membership.Majority(len(s.Seats.Voters)) {
-		m.broken = fmt.Sprintf("leave %d leaves %d of %d voters", s.Maintenance.LastPermit, stay, len(s.Seats.Voters))
+	if staying < membership.Majority(len(s.Seats.Voters)) {
+		m.violation = fmt.Sprintf("leave %d leaves %d of %d voters", s.Maintenance.LastPermit, staying, len(s.Seats.Voters))
 	}
 }
 
 // view is what a front has applied.
-func (m *model) view(s *mState, i int) *Replica {
+func (m *model) view(s *modelState, i int) *Replica {
 	at := s.base
-	for _, e := range []byte(s.log[:s.off[i]]) {
+	for _, e := range []byte(s.log[:s.applied[i]]) {
 		at = m.apply(at, e)
 	}
 	return m.states[at]
 }
 
 // out tells whether a front is truly out: as the program has it, by what it has applied.
-func (m *model) out(s *mState, i int) bool {
-	if !s.up[i] || s.fresh[i] > s.off[i] {
+func (m *model) out(s *modelState, i int) bool {
+	if !s.up[i] || s.replayUntil[i] > s.applied[i] {
 		return false
 	}
 	x := m.view(s, i).State().Maintenance.ForMachine(frontName(uint8(i)))
@@ -188,74 +188,74 @@
 }
 
 // trim drops what all have applied.
-func (m *model) trim(s mState) mState {
-	low := slices.Min(s.off[:])
+func (m *model) trim(s modelState) modelState {
+	low := slices.Min(s.applied[:])
 	for _, e := range []byte(s.log[:low]) {
 		s.base = m.apply(s.base, e)
 	}
 	s.log = s.log[low:]
-	for i := range s.off {
-		s.off[i] -= low
-		if s.fresh[i] = max(s.fresh[i], low) - low; s.fresh[i] <= s.off[i] {
-			s.fresh[i] = 0
+	for i := range s.applied {
+		s.applied[i] -= low
+		if s.replayUntil[i] = max(s.replayUntil[i], low) - low; s.replayUntil[i] <= s.applied[i] {
+			s.replayUntil[i] = 0
 		}
 	}
 	return s
 }
 
 // steps gives all that may happen next.
-func (m *model) steps(s mState, mostLog, mostFlight int) (list []mState) {
-	add := func(x mState) { list = append(list, m.trim(x)) }
-	commit := func(x mState, e byte) (mState, bool) {
+func (m *model) successors(s modelState, maxLog, maxInFlight int) (list []modelState) {
+	add := func(x modelState) { list = append(list, m.trim(x)) }
+	commit := func(x modelState, e byte) (modelState, bool) {
 		x.log += string([]byte{e})
-		return x, len(x.log) <= mostLog
+		return x, len(x.log) <= maxLog
 	}
-	put := func(e entry) {
+	propose := func(e entry) {
 		if x, ok := commit(s, m.entry(e)); ok {
 			switch e.kind {
-			case eTime:
-				x.left[0]--
-			case eLost, eFound:
-				x.left[2]--
-			case eDone:
-				x.left[3]--
+			case entryTime:
+				x.budget[0]--
+			case entryLost, entryFound:
+				x.budget[2]--
+			case entryFinish:
+				x.budget[3]--
 			}
 			add(x)
 		}
 	}
-	if s.left[0] > 0 {
-		put(entry{kind: eTime})
+	if s.budget[0] > 0 {
+		propose(entry{kind: entryTime})
 	}
 	for i := range uint8(modelFronts) {
-		if s.left[2] > 0 {
-			put(entry{kind: eLost, front: i})
+		if s.budget[2] > 0 {
+			propose(entry{kind: entryLost, front: i})
 			if s.up[i] {
-				put(entry{kind: eFound, front: i})
+				propose(entry{kind: entryFound, front: i})
 			}
 		}
-		if s.left[3] > 0 && i < 2 {
-			put(entry{kind: eDone, front: i})
+		if s.budget[3] > 0 && i < 2 {
+			propose(entry{kind: entryFinish, front: i})
 		}
 		if !s.up[i] {
 			x := s // it starts anew, and says so
-			x.up[i], x.starts[i], x.fresh[i] = true, s.starts[i]+1, uint8(len(s.log))
-			if x, ok := commit(x, m.entry(entry{kind: eJoin, front: i, start: x.starts[i]})); ok {
+			x.up[i], x.starts[i], x.replayUntil[i] = true, s.starts[i]+1, uint8(len(s.log))
+			if x, ok := commit(x, m.entry(entry{kind: entryJoin, front: i, start: x.starts[i]})); ok {
 				add(x)
 			}
 			continue
 		}
-		if int(s.off[i]) < len(s.log) {
+		if int(s.applied[i]) < len(s.log) {
 			x := s
-			x.off[i]++
+			x.applied[i]++
 			add(x)
 		}
-		if s.left[1] > 0 {
+		if s.budget[1] > 0 {
 			x := s
-			x.left[1]--
+			x.budget[1]--
 			x.up[i] = false
 			add(x)
 		}
-		if s.fresh[i] > s.off[i] || len(s.flight) >= mostFlight {
+		if s.replayUntil[i] > s.applied[i] || len(s.inFlight) >= maxInFlight {
 			continue
 		}
 		w := m.view(&s, int(i)).State().Maintenance.ForMachine(frontName(i))
@@ -265,31 +265,31 @@
 		e := entry{front: i, permit: uint8(w.Permit), start: s.starts[i]}
 		switch {
 		case w.Phase == maintenance.Permitted:
-			e.kind = eAccept
+			e.kind = entryAccept
 		case w.Phase == maintenance.Draining && m.out(&s, int(i)):
-			e.kind = eEmpty
+			e.kind = entryDrained
 		case w.Phase == maintenance.Returning && !w.Serving:
-			e.kind = eBack
+			e.kind = entryReturned
 		default:
 			continue
 		}
 		x := s
-		b := []byte(x.flight + string([]byte{m.entry(e)}))
+		b := []byte(x.inFlight + string([]byte{m.entry(e)}))
 		slices.Sort(b)
-		x.flight = string(b)
+		x.inFlight = string(b)
 		add(x)
 	}
-	for k := range len(s.flight) {
-		if k > 0 && s.flight[k] == s.flight[k-1] {
+	for k := range len(s.inFlight) {
+		if k > 0 && s.inFlight[k] == s.inFlight[k-1] {
 			continue
 		}
-		gone := s
-		gone.flight = s.flight[:k] + s.flight[k+1:]
-		add(gone)
-		if x, ok := commit(gone, s.flight[k]); ok {
+		delivered := s
+		delivered.inFlight = s.inFlight[:k] + s.inFlight[k+1:]
+		add(delivered)
+		if x, ok := commit(delivered, s.inFlight[k]); ok {
 			add(x)
 		}
-		if x, ok := commit(s, s.flight[k]); ok { // it comes, and comes again
+		if x, ok := commit(s, s.inFlight[k]); ok { // it comes, and comes again
 			add(x)
 		}
 	}
@@ -297,9 +297,9 @@
 }
 
 // play goes through all orders, and gives how many states there are.
-func (m *model) play(out, mostLog, mostFlight, mostStates int, left [4]uint8) (states int) {
+func (m *model) explore(out, maxLog, maxInFlight, maxStates int, budget [4]uint8) (states int) {
 	r := New()
-	r.SetMutation(m.without)
+	r.SetMutation(m.mutation)
 	rules := maintenance.DefaultRules()
 	rules.MaxOut, rules.MaxZoneOut, rules.MaxFrontsPercent, rules.UnhealthyPercent, rules.AcceptTimeout, rules.WarmUp = out, 1, 100, 100, 5_000_000, 0
 	r.Apply(Command{ID: ID{Front: 1, N: 1 << 40}, Found: &Found{Name: "m", Fleet: 1, Rules: rules}})
@@ -312,12 +312,12 @@
 	}
 	for i := range uint8(2) {
 		r.Apply(Command{ID: ID{Front: 1, N: 1<<40 + 1 + uint64(i)}, Request: &Request{Operation: maintenance.Operation{Machine: frontName(i), Duration: 1_000_000}}})
-		m.leave(r)
+		m.checkPermit(r)
 	}
-	first := mState{base: m.intern(r), up: [modelFronts]bool{true, true, true}, left: left}
-	seen := map[mState]bool{first: true}
-	queue := []mState{first}
-	for len(queue) > 0 && m.broken == "" && len(seen) < mostStates {
+	first := modelState{base: m.intern(r), up: [modelFronts]bool{true, true, true}, budget: budget}
+	seen := map[modelState]bool{first: true}
+	queue := []modelState{first}
+	for len(queue) > 0 && m.violation == "" && len(seen) < maxStates {
 		s := queue[0]
 		queue = queue[1:]
 		outs := 0
@@ -327,22 +327,22 @@
 			}
 		}
 		if outs > out {
-			m.broken = fmt.Sprintf("%d fronts are truly out, %d may be", outs, out)
+			m.violation = fmt.Sprintf("%d fronts are truly out, %d may be", outs, out)
 		}
-		for _, x := range m.steps(s, mostLog, mostFlight) {
+		for _, x := range m.successors(s, maxLog, maxInFlight) {
 			if !seen[x] {
 				seen[x] = true
 				queue = append(queue, x)
 			}
 		}
 	}
-	if m.broken == "" && len(queue) > 0 {
-		m.t.Logf("bound of %d states reached", mostStates)
+	if m.violation == "" && len(queue) > 0 {
+		m.t.Logf("bound of %d states reached", maxStates)
 	}
 	return len(seen)
 }
 
-func TestModelOfPermits(t *testing.T) {
+func TestPermitModel(t *testing.T) {
 	for _, x := range []struct {
 		name            string
 		out             int
@@ -355,18 +355,18 @@
 		{"two dead or told lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Mutation{DisableMajority}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			const most = 3_000_000
+			const maxStates = 3_000_000
 			m := newModel(t, "")
-			n := m.play(x.out, x.mostLog, x.flight, most, x.left)
+			n := m.explore(x.out, x.mostLog, x.flight, maxStates, x.left)
 			t.Logf("%d states, %d of replicas", n, len(m.states))
-			if m.broken != "" || n >= most {
-				t.Errorf("%d states: %s", n, m.broken)
+			if m.violation != "" || n >= maxStates {
+				t.Errorf("%d states: %s", n, m.violation)
 			}
 			for _, rule := range x.found {
 				m := newModel(t, rule)
-				n := m.play(x.out, x.mostLog, x.flight, most, x.left)
-				t.Logf("without %s: found after %d states: %s", rule, n, m.broken)
-				if m.broken == "" {
+				n := m.explore(x.out, x.mostLog, x.flight, maxStates, x.left)
+				t.Logf("without %s: found after %d states: %s", rule, n, m.violation)
+				if m.violation == "" {
 					t.Errorf("without %s nothing was found", rule)
 				}
 			}
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -43,11 +43,11 @@
 // Bounds.
 const (
 	MaxCommandSize = 16 << 10      // bytes of a command
-	mostSeen       = 4096          // ids whose word is remembered
-	mostAdvance    = Micros(10e6)  // fleet time that one command moves on
-	seenFor        = Micros(600e6) // fleet time for which a word is remembered
-	mostWord       = 512           // bytes of a word
-	mostBatch      = membership.MaxFronts
+	maxSeen        = 4096          // ids whose word is remembered
+	maxAdvance     = Micros(10e6)  // fleet time that one command moves on
+	seenRetention  = Micros(600e6) // fleet time for which a word is remembered
+	maxErrorSize   = 512           // bytes of a word
+	maxBatch       = membership.MaxFronts
 )
 
 // ErrVersion tells of state or commands that this build can't read.
@@ -81,7 +81,7 @@
 }
 
 // needs is the version that a command belongs to.
-func (c *Command) needs() int {
+func (c *Command) requiredVersion() int {
 	if c.Join != nil && c.Join.Front.OwnerLease > 0 {
 		return versionOwners
 	}
@@ -172,10 +172,10 @@
 }
 
 // seen is a command that was applied.
-type seen struct {
-	ID   ID     `cbor:"1,keyasint"`
-	At   Micros `cbor:"2,keyasint"`
-	Word Result `cbor:"3,keyasint"`
+type appliedCommand struct {
+	ID     ID     `cbor:"1,keyasint"`
+	At     Micros `cbor:"2,keyasint"`
+	Result Result `cbor:"3,keyasint"`
 }
 
 // State is all that a replica holds.
@@ -186,7 +186,7 @@
 	Now         Micros            `cbor:"4,keyasint"` // fleet time
 	Members     membership.State  `cbor:"5,keyasint"`
 	Maintenance maintenance.State `cbor:"6,keyasint"`
-	Seen        []seen            `cbor:"7,keyasint,omitempty"` // by age
+	Seen        []appliedCommand  `cbor:"7,keyasint,omitempty"` // by age
 	Seats       membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
 
 	Rollout  rollout.State  `cbor:"9,keyasint,omitzero"`
@@ -208,29 +208,29 @@
 
 // Replica applies commands.
 type Replica struct {
-	s       State
-	byID    map[ID]int // place in Seen, less what was cut off
-	cut     int
-	without Mutation
+	state    State
+	byID     map[ID]int // place in Seen, less what was cut off
+	dropped  int
+	mutation Mutation
 }
 
 // New makes a replica of a fleet that is not founded.
 func New() *Replica {
-	return &Replica{s: State{Version: versionFirst, Maintenance: maintenance.New()}, byID: map[ID]int{}}
+	return &Replica{state: State{Version: versionFirst, Maintenance: maintenance.New()}, byID: map[ID]int{}}
 }
 
 // Without leaves a rule out.
-func (r *Replica) SetMutation(rule Mutation) { r.without = rule }
+func (r *Replica) SetMutation(m Mutation) { r.mutation = m }
 
 // Leaves tells whether a rule is left out.
-func (r *Replica) HasMutation(rule Mutation) bool { return rule != "" && r.without == rule }
+func (r *Replica) HasMutation(m Mutation) bool { return m != "" && r.mutation == m }
 
 // State is the state. The caller must not write to it.
-func (r *Replica) State() *State { return &r.s }
+func (r *Replica) State() *State { return &r.state }
 
 // Fleet is the fronts as works see them.
 func (r *Replica) Fleet() maintenance.Fleet {
-	s := &r.s
+	s := &r.state
 	avoid := func(f *membership.Front) bool {
 		x := s.Maintenance.ForMachine(f.Name)
 		return x != nil && x.Kind == maintenance.Front && x.Phase != maintenance.Requested
@@ -240,16 +240,16 @@
 		m := maintenance.Machine{Name: f.Name, Zone: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, NotServing: f.NotServing, Unhealthy: f.Unhealthy, Voter: s.Seats.Has(f.ID)}
 		if f.Lost && f.Lease > 0 {
 			m.LeaseExpiry = f.Since + lease.ExpirySpan(f.Lease+s.Maintenance.Rules.DrainTimeout)
-			if r.without == DisableDrift {
+			if r.mutation == DisableDrift {
 				m.LeaseExpiry = f.Since + f.Lease
 			}
 		}
 		m.Lease = f.Lease
 		m.CanYieldSeat = m.Voter && s.Members.CanYield(f.ID, s.Seats, avoid)
-		if r.without == DisableMajority {
+		if r.mutation == DisableMajority {
 			m.Voter, m.CanYieldSeat = false, false
 		}
-		if r.without == DisableLostCount && s.Maintenance.ForMachine(f.Name) == nil {
+		if r.mutation == DisableLostCount && s.Maintenance.ForMachine(f.Name) == nil {
 			m.Lost = false
 		}
 		fleet = append(fleet, m)
@@ -259,7 +259,7 @@
 
 // Avoid tells whether a front is about to go out for work.
 func (r *Replica) Avoid(f *membership.Front) bool {
-	return r.s.Maintenance.OutSoon(f.Name, r.Fleet(), r.s.Now)
+	return r.state.Maintenance.OutSoon(f.Name, r.Fleet(), r.state.Now)
 }
 
 var (
@@ -278,7 +278,7 @@
 
 // Encode writes a command.
 func Encode(c Command) ([]byte, error) {
-	if c.Version = c.needs(); c.Version > Version {
+	if c.Version = c.requiredVersion(); c.Version > Version {
 		return nil, ErrVersion
 	}
 	b, err := encoder.Marshal(c)
@@ -304,7 +304,7 @@
 
 // Snapshot writes the state: alike at all replicas that have applied the same.
 func (r *Replica) Snapshot() []byte {
-	b, err := encoder.Marshal(&r.s)
+	b, err := encoder.Marshal(&r.state)
 	if err != nil { // plain values always encode
 		panic(fmt.Sprintf("replica: %v", err))
 	}
@@ -323,7 +323,7 @@
 	if s.Maintenance.Fences == nil {
 		s.Maintenance.Fences = map[string]uint64{}
 	}
-	r.s, r.byID, r.cut = s, map[ID]int{}, 0
+	r.state, r.byID, r.dropped = s, map[ID]int{}, 0
 	for i, x := range s.Seen {
 		r.byID[x.ID] = i
 	}
@@ -331,36 +331,36 @@
 }
 
 // Sat tells of the seats after a change of them was applied.
-func (r *Replica) ApplySeats(seats membership.Seats) (told []string) {
+func (r *Replica) ApplySeats(seats membership.Seats) (events []string) {
 	slices.Sort(seats.Voters)
 	slices.Sort(seats.Learners)
-	r.s.Seats = seats
+	r.state.Seats = seats
 	return r.settle(false)
 }
 
 // settle draws the conclusions of a change; facts tells that time has moved on.
-func (r *Replica) settle(facts bool) (told []string) {
-	for _, name := range r.s.Members.RemoveLeft(r.s.Seats) {
-		told = append(told, "front "+name+": has left")
+func (r *Replica) settle(timeAdvanced bool) (events []string) {
+	for _, name := range r.state.Members.RemoveLeft(r.state.Seats) {
+		events = append(events, "front "+name+": has left")
 	}
 	fleet := r.Fleet()
-	told = append(told, r.s.Maintenance.Step(fleet, r.s.Now)...)
-	if r.s.Rollout.LastNumber > 0 || len(r.s.Rollout.Pieces) > 0 {
-		told = append(told, r.s.Rollout.Step(RolloutMachines(fleet), r.RolloutRules(), r.s.Now, facts)...)
+	events = append(events, r.state.Maintenance.Step(fleet, r.state.Now)...)
+	if r.state.Rollout.LastNumber > 0 || len(r.state.Rollout.Pieces) > 0 {
+		events = append(events, r.state.Rollout.Step(RolloutMachines(fleet), r.RolloutRules(), r.state.Now, timeAdvanced)...)
 	}
-	if r.s.Version >= versionOwners {
-		told = append(told, r.s.Topology.Step(r.TopologyFronts(fleet), r.s.Now)...)
+	if r.state.Version >= versionOwners {
+		events = append(events, r.state.Topology.Step(r.TopologyFronts(fleet), r.state.Now)...)
 	}
-	return told
+	return events
 }
 
 // Exchange is the fronts as keepers of sites are chosen of them.
 func (r *Replica) TopologyFronts(fleet maintenance.Fleet) []topology.Front {
 	list := make([]topology.Front, 0, len(fleet))
-	for i, f := range r.s.Members.Fronts {
+	for i, f := range r.state.Members.Fronts {
 		m := fleet[i]
 		list = append(list, topology.Front{Name: f.Name, Site: f.Zone, ID: f.ID, Start: f.Start, Lost: f.Lost, Leaving: f.Leaving, OwnerLease: f.OwnerLease,
-			Expired: f.Lost && m.LeaseExpiry > 0 && r.s.Now >= m.LeaseExpiry})
+			Expired: f.Lost && m.LeaseExpiry > 0 && r.state.Now >= m.LeaseExpiry})
 	}
 	return list
 }
@@ -376,205 +376,205 @@
 
 // VersionRules is what versions know of the fleet's rules.
 func (r *Replica) RolloutRules() rollout.Rules {
-	w := &r.s.Maintenance.Rules
-	return rollout.Rules{LeaseSpan: w.LeaseSpan, MaxFencedPercent: cmp.Or(w.MaxFencedPercent, defaultQuota), WarmUp: w.WarmUp, DrainTimeout: w.DrainTimeout}
+	rules := &r.state.Maintenance.Rules
+	return rollout.Rules{LeaseSpan: rules.LeaseSpan, MaxFencedPercent: cmp.Or(rules.MaxFencedPercent, defaultMaxFencedPercent), WarmUp: rules.WarmUp, DrainTimeout: rules.DrainTimeout}
 }
 
-const defaultQuota = 34 // percent
+const defaultMaxFencedPercent = 34 // percent
 
 // Apply applies a command. Told is what has happened, a line each.
-func (r *Replica) Apply(c Command) (w Result, told []string) {
-	if i, ok := r.byID[c.ID]; ok && c.ID != (ID{}) && r.without != DisableDedup {
-		return r.s.Seen[i-r.cut].Word, nil
+func (r *Replica) Apply(c Command) (result Result, events []string) {
+	if i, ok := r.byID[c.ID]; ok && c.ID != (ID{}) && r.mutation != DisableDedup {
+		return r.state.Seen[i-r.dropped].Result, nil
 	}
-	w, told, err := r.apply(c)
+	result, events, err := r.apply(c)
 	if err != nil {
 		text := err.Error()
-		w.Err = text[:min(len(text), mostWord)]
+		result.Err = text[:min(len(text), maxErrorSize)]
 	}
-	told = append(told, r.settle(c.Facts != nil)...)
-	r.remember(c.ID, w)
-	return w, told
+	events = append(events, r.settle(c.Facts != nil)...)
+	r.remember(c.ID, result)
+	return result, events
 }
 
 // Seen gives the word on a command that was applied lately.
 func (r *Replica) Seen(id ID) (Result, bool) {
 	i, ok := r.byID[id]
-	if !ok || r.without == DisableDedup {
+	if !ok || r.mutation == DisableDedup {
 		return Result{}, false
 	}
-	return r.s.Seen[i-r.cut].Word, true
+	return r.state.Seen[i-r.dropped].Result, true
 }
 
 // remember keeps the word on a command, for as long as it may come again.
-func (r *Replica) remember(id ID, w Result) {
+func (r *Replica) remember(id ID, result Result) {
 	if id == (ID{}) {
 		return
 	}
-	s := &r.s
-	for len(s.Seen) > 0 && (len(s.Seen) >= mostSeen || s.Now-s.Seen[0].At > seenFor) {
+	s := &r.state
+	for len(s.Seen) > 0 && (len(s.Seen) >= maxSeen || s.Now-s.Seen[0].At > seenRetention) {
 		delete(r.byID, s.Seen[0].ID)
 		s.Seen = s.Seen[1:]
-		r.cut++
+		r.dropped++
 	}
-	r.byID[id] = len(s.Seen) + r.cut
-	s.Seen = append(s.Seen, seen{ID: id, At: s.Now, Word: w})
+	r.byID[id] = len(s.Seen) + r.dropped
+	s.Seen = append(s.Seen, appliedCommand{ID: id, At: s.Now, Result: result})
 }
 
 // Errors of commands.
 var (
-	errFounded = errors.New("the fleet is founded already")
-	errNone    = errors.New("the fleet is not founded")
-	errUnknown = errors.New("a command that this build does not know")
-	errOlder   = errors.New("the fleet has fronts of older builds")
+	errFounded     = errors.New("the fleet is founded already")
+	errNotFounded  = errors.New("the fleet is not founded")
+	errUnknown     = errors.New("a command that this build does not know")
+	errOlderBuilds = errors.New("the fleet has fronts of older builds")
 )
 
 // Takes tells whether all fronts read a command. One that they do not must not even
 // be sent: it would end the part of those that can't read it.
 func (r *Replica) CheckSupported(c *Command) error {
-	if need := c.needs(); c.Found == nil && c.RaiseVersion == 0 && need > r.s.Version {
-		return fmt.Errorf("%w: it needs version %d of the state, which is at %d", errOlder, need, r.s.Version)
+	if need := c.requiredVersion(); c.Found == nil && c.RaiseVersion == 0 && need > r.state.Version {
+		return fmt.Errorf("%w: it needs version %d of the state, which is at %d", errOlderBuilds, need, r.state.Version)
 	}
 	return nil
 }
 
-func (r *Replica) apply(c Command) (w Result, told []string, err error) {
-	s := &r.s
+func (r *Replica) apply(c Command) (result Result, events []string, err error) {
+	s := &r.state
 	if c.Found == nil && s.Fleet == 0 {
-		return w, nil, errNone
+		return result, nil, errNotFounded
 	}
 	if err := r.CheckSupported(&c); err != nil {
-		return w, nil, err
+		return result, nil, err
 	}
 	switch {
 	case c.Found != nil:
 		if s.Fleet != 0 {
-			return w, nil, errFounded
+			return result, nil, errFounded
 		}
-		s.Name, s.Fleet, s.Maintenance.Rules, s.Version = c.Found.Name, c.Found.Fleet, c.Found.Rules, c.needs()
-		return w, []string{"the fleet " + s.Name + " is founded"}, nil
+		s.Name, s.Fleet, s.Maintenance.Rules, s.Version = c.Found.Name, c.Found.Fleet, c.Found.Rules, c.requiredVersion()
+		return result, []string{"the fleet " + s.Name + " is founded"}, nil
 	case c.Join != nil:
 		f := c.Join.Front
 		old := s.Members.Find(f.Name)
 		again := old != nil && (old.ID != f.ID || old.Start != f.Start)
 		if err := s.Members.Join(f, s.Now); err != nil {
-			return w, nil, err
+			return result, nil, err
 		}
 		if again {
 			s.Maintenance.Rejoined(f.Name)
-			told = append(told, "front "+f.Name+": started anew")
+			events = append(events, "front "+f.Name+": started anew")
 		} else if old == nil {
-			told = append(told, "front "+f.Name+": joined")
+			events = append(events, "front "+f.Name+": joined")
 		}
-		return w, told, nil
+		return result, events, nil
 	case c.Leave != nil:
-		return w, nil, s.Members.Leave(c.Leave.Name)
+		return result, nil, s.Members.Leave(c.Leave.Name)
 	case c.Facts != nil:
-		return w, r.facts(c.Facts), nil
+		return result, r.facts(c.Facts), nil
 	case c.Request != nil:
-		w.Number, err = s.Maintenance.Request(c.Request.Operation, r.Fleet(), s.Now)
-		return w, nil, err
+		result.Number, err = s.Maintenance.Request(c.Request.Operation, r.Fleet(), s.Now)
+		return result, nil, err
 	case c.Order != nil:
-		return w, nil, r.order(c.Order)
+		return result, nil, r.order(c.Order)
 	case len(c.Reports) > 0:
 		var errs []error
-		for _, x := range c.Reports[:min(len(c.Reports), mostBatch)] {
+		for _, x := range c.Reports[:min(len(c.Reports), maxBatch)] {
 			errs = append(errs, r.report(x))
 		}
-		return w, nil, errors.Join(errs...)
+		return result, nil, errors.Join(errs...)
 	case c.Piece != nil:
 		_, err = s.Rollout.StorePiece(c.Piece, s.Now)
-		return w, nil, err
+		return result, nil, err
 	case c.Propose != nil:
-		w.Number, err = s.Rollout.Propose(*c.Propose, r.RolloutRules(), s.Now)
+		result.Number, err = s.Rollout.Propose(*c.Propose, r.RolloutRules(), s.Now)
 		if err == nil {
-			told = []string{fmt.Sprintf("version %d was proposed: %s", w.Number, cmp.Or(c.Propose.Reason, "no reason given"))}
+			events = []string{fmt.Sprintf("version %d was proposed: %s", result.Number, cmp.Or(c.Propose.Reason, "no reason given"))}
 		}
-		return w, told, err
+		return result, events, err
 	case c.Stop != "":
-		return w, nil, s.Rollout.Stop(c.Stop, s.Now)
+		return result, nil, s.Rollout.Stop(c.Stop, s.Now)
 	case c.Statuses != nil:
-		for _, x := range c.Statuses[:min(len(c.Statuses), mostBatch)] {
+		for _, x := range c.Statuses[:min(len(c.Statuses), maxBatch)] {
 			if f := s.Members.Find(x.Name); f != nil && f.ID == x.ID && f.Start == x.Start {
 				s.Rollout.ApplyReport(x, s.Now)
 			}
 		}
-		return w, nil, nil
+		return result, nil, nil
 	case c.RaiseVersion > 0:
 		if c.RaiseVersion <= s.Version {
-			return w, nil, nil
+			return result, nil, nil
 		}
 		s.Version = c.RaiseVersion
-		return w, []string{fmt.Sprintf("the fleet's state is of version %d now, which all fronts read", s.Version)}, nil
+		return result, []string{fmt.Sprintf("the fleet's state is of version %d now, which all fronts read", s.Version)}, nil
 	case c.Rules != nil:
 		if err := c.Rules.Validate(); err != nil {
-			return w, nil, err
+			return result, nil, err
 		}
 		s.Maintenance.Rules = *c.Rules
-		return w, []string{"the rules of work have changed"}, nil
+		return result, []string{"the rules of work have changed"}, nil
 	}
-	return w, nil, errUnknown
+	return result, nil, errUnknown
 }
 
-func (r *Replica) facts(f *Facts) (told []string) {
-	s := &r.s
-	s.Now += min(max(0, f.Span), mostAdvance)
-	for _, x := range f.Contacts[:min(len(f.Contacts), mostBatch)] {
-		was := s.Members.Find(x.Name)
-		if was == nil {
+func (r *Replica) facts(f *Facts) (events []string) {
+	s := &r.state
+	s.Now += min(max(0, f.Span), maxAdvance)
+	for _, contact := range f.Contacts[:min(len(f.Contacts), maxBatch)] {
+		front := s.Members.Find(contact.Name)
+		if front == nil {
 			continue
 		}
-		lost := was.Lost
-		if changed, err := s.Members.SetContact(x.Name, x.ID, x.Lost, x.NotServing, x.Unhealthy, s.Now); err == nil && changed && lost != x.Lost {
-			told = append(told, "front "+x.Name+map[bool]string{true: ": lost", false: ": found"}[x.Lost])
+		wasLost := front.Lost
+		if changed, err := s.Members.SetContact(contact.Name, contact.ID, contact.Lost, contact.NotServing, contact.Unhealthy, s.Now); err == nil && changed && wasLost != contact.Lost {
+			events = append(events, "front "+contact.Name+map[bool]string{true: ": lost", false: ": found"}[contact.Lost])
 		}
 	}
-	return told
+	return events
 }
 
 func (r *Replica) order(o *Order) error {
-	w, now := &r.s.Maintenance, r.s.Now
+	ops, now := &r.state.Maintenance, r.state.Now
 	switch o.Action {
 	case Cancel:
-		return w.Cancel(o.Operation, o.Reason, now)
+		return ops.Cancel(o.Operation, o.Reason, now)
 	case Hold:
-		w.HoldReason = cmp.Or(o.Reason, "by a person")
+		ops.HoldReason = cmp.Or(o.Reason, "by a person")
 		return nil
 	case Resume:
-		w.HoldReason = ""
+		ops.HoldReason = ""
 		return nil
 	case Lost:
-		return w.DeclareLost(o.Operation, o.Reason, r.Fleet(), now)
+		return ops.DeclareLost(o.Operation, o.Reason, r.Fleet(), now)
 	case Finish:
-		return w.Finish(o.Operation, now)
+		return ops.Finish(o.Operation, now)
 	}
 	return errUnknown
 }
 
-func (r *Replica) report(x Report) error {
-	w, now := &r.s.Maintenance, r.s.Now
-	f := r.s.Members.Find(x.Front)
-	if f == nil || f.ID != x.ID || f.Start != x.Start {
+func (r *Replica) report(report Report) error {
+	ops, now := &r.state.Maintenance, r.state.Now
+	f := r.state.Members.Find(report.Front)
+	if f == nil || f.ID != report.ID || f.Start != report.Start {
 		return membership.ErrUnknownFront
 	}
-	switch x.Kind {
+	switch report.Kind {
 	case Accepted:
-		if r.without == DisableFence {
-			if y := w.ForMachine(x.Machine); y != nil && !y.Phase.IsOut() {
-				y.Phase, y.Permit = maintenance.Permitted, x.Permit
-				delete(w.Fences, x.Machine)
+		if r.mutation == DisableFence {
+			if op := ops.ForMachine(report.Machine); op != nil && !op.Phase.IsOut() {
+				op.Phase, op.Permit = maintenance.Permitted, report.Permit
+				delete(ops.Fences, report.Machine)
 			}
 		}
-		return w.Accept(x.Machine, x.Permit, x.ID, x.Start, now)
+		return ops.Accept(report.Machine, report.Permit, report.ID, report.Start, now)
 	case Drained:
-		return w.Drained(x.Machine, x.Permit, x.ID, now)
+		return ops.Drained(report.Machine, report.Permit, report.ID, now)
 	case Returned:
-		return w.Returned(x.Machine, x.Permit, x.ID, now)
+		return ops.Returned(report.Machine, report.Permit, report.ID, now)
 	case Left:
-		return w.ConfirmLeft(x.Machine, x.Permit, x.Front, now)
+		return ops.ConfirmLeft(report.Machine, report.Permit, report.Front, now)
 	}
 	return errUnknown
 }
 
 // Same tells whether two replicas hold the same.
-func (r *Replica) Equal(o *Replica) bool { return bytes.Equal(r.Snapshot(), o.Snapshot()) }
+func (r *Replica) Equal(other *Replica) bool { return bytes.Equal(r.Snapshot(), other.Snapshot()) }
--- a/internal/decide/statemachine/statemachine_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -92,7 +92,7 @@
 }
 
 // What can't be read is refused, never half taken.
-func TestBytesThatAreNone(t *testing.T) {
+func TestTruncatedInputRejected(t *testing.T) {
 	r := New()
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.DefaultRules()}})
 	whole := r.Snapshot()
