--- a/internal/decide/rollout/applier.go
+++ b/internal/decide/rollout/applier.go
@@ -5,60 +5,60 @@
 	"slices"
 )
 
-// survives is for how long at least, by its own clock, a process must go on after it
-// took a version up for the version to be no cause of its end; a version that is
-// watched for longer has that long.
+// minSurvival is how long, by its own clock, a process must keep running after it
+// activated a version before a crash is no longer attributed to that version. A longer
+// observation time of the version takes its place.
 const minSurvival = 5 * second
 
-// Action is what a front does next for a version.
+// Action is the next thing that a front does for a version.
 type Action uint8
 
 // The actions.
 const (
 	Idle             Action = iota
-	Check                   // look through the version whole, and tell Checked
-	RecordActivation        // keep a note on disk that it is about to be taken up, and tell Noted
-	Activate                // act on it, and tell Took
-	RecordSurvival          // keep a note on disk that it did not end the process
+	Check                   // validate the version, then call Checked
+	RecordActivation        // write to disk that it is about to be activated, then call Recorded
+	Activate                // act on it, then call Activated
+	RecordSurvival          // write to disk that the process survived it, then call Recorded
 )
 
-// Notes are what a front's disk knows of the versions that it took up.
+// ActivationRecord is what a front keeps on disk of the versions that it activated.
 type ActivationRecord struct {
-	Version  uint64 `cbor:"1,keyasint,omitempty"` // the last that was taken up
-	Survived bool   `cbor:"2,keyasint,omitempty"` // the process went on with it
-	Crashes  int    `cbor:"3,keyasint,omitempty"` // processes that took it up, one after the other, and did not
-	Crashed  uint64 `cbor:"4,keyasint,omitempty"` // the last version that ended a process
+	Version     uint64 `cbor:"1,keyasint,omitempty"` // last version that was activated
+	Survived    bool   `cbor:"2,keyasint,omitempty"` // the process kept running with it
+	Activations int    `cbor:"3,keyasint,omitempty"` // consecutive processes that activated it without having survived it
+	Crashed     uint64 `cbor:"4,keyasint,omitempty"` // last version that crashed a process
 }
 
-// Taker is a front's own side: which version it acts on, and what it does to act on
-// the one that the state wants of it.
+// Applier is the front's side of a rollout: the version that it acts on, and the steps
+// to activate the one that the state wants.
 type Applier struct {
 	active           uint64
-	checked          []uint64 // found good, the newest last
+	checked          []uint64 // versions found valid, the newest last
 	refused          uint64
 	reason           string
 	crashed          uint64
 	record           ActivationRecord
 	busy             bool
-	activationFailed uint64 // that was found good and could not be taken up
-	recorded         bool   // a note was kept for the version that ended a process before
+	activationFailed uint64 // was found valid, but could not be activated
+	recorded         bool   // the activation of the version that crashed before is on record
 	activatedAt      Micros // own clock
-	watch            Micros // of the version that it acts on
+	watch            Micros // of the active version
 	retryAt          Micros
 	settled          bool
 
-	// The bar that it is measured by.
+	// Limits set by the gate.
 	mayActUntil Micros
 	selfFenced  uint64
 	minVersion  uint64
 	minSince    Micros
 }
 
-// mostTries is how many processes take up a version that stands, where each of them
-// ended soon after; one that is only on its way goes back at the first.
-const maxCrashes = 3
+// maxActivations is how many processes in a row activate a stable version that crashes
+// them. A candidate is given up after its first crash.
+const maxActivations = 3
 
-// NewTaker makes a front's side on what its disk knows.
+// NewApplier returns the applier of a front with the given record on its disk.
 func NewApplier(record ActivationRecord) *Applier {
 	a := &Applier{record: record, crashed: record.Crashed}
 	if record.Version > 0 && !record.Survived {
@@ -67,19 +67,19 @@
 	return a
 }
 
-// Acts is the version that the front acts on.
+// Active returns the version that the front acts on.
 func (a *Applier) Active() uint64 { return a.active }
 
-// Settled tells whether the front acts on what is wanted, or has found that it can't:
-// until the first time it acts on nothing at all.
+// Settled reports whether the front acts on the wanted version or has found that it
+// can't. Until it has settled once, it acts on no version.
 func (a *Applier) Settled() bool { return a.settled }
 
-// Forever is past all moments.
+// Forever is later than any point in time.
 const Forever Micros = math.MaxInt64
 
-// Measure sees, at a moment of the front's own clock, up to when it may act on the
-// version that it acts on. A front that has once said that it acts on nothing below a
-// version keeps to it until it acts on that one.
+// Evaluate computes, at a time of the front's own clock, until when it may act on its
+// active version. A front that has once reported that it acts on nothing below a
+// version keeps to that until it acts on that version.
 func (a *Applier) Evaluate(s *State, name string, now Micros) {
 	minVersion, gate := s.MinVersion(name)
 	if minVersion != a.minVersion {
@@ -88,7 +88,7 @@
 	switch {
 	case a.active >= minVersion && (s.Stable == 0 || a.settled):
 		a.mayActUntil = Forever
-	case a.active >= minVersion: // it has only just started, and has not taken up what stands
+	case a.active >= minVersion: // just started, has not activated the stable version yet
 		a.mayActUntil = 0
 	case gate > 0:
 		a.mayActUntil = a.minSince + gate
@@ -103,13 +103,15 @@
 	}
 }
 
-// May tells whether the front may act at a moment of its own clock, by its version.
+// MayAct reports whether the active version lets the front act at a time of its own
+// clock.
 func (a *Applier) MayAct(now Micros) bool { return now < a.mayActUntil }
 
-// Below is the version below which it may not act, by what it was measured by last.
+// MinVersion returns the version below which the front may not act, as of the last call
+// of Evaluate.
 func (a *Applier) MinVersion() uint64 { return a.minVersion }
 
-// Report is what the front says of itself.
+// Report returns the status that the front reports of itself.
 func (a *Applier) Report() FrontStatus {
 	status := FrontStatus{Active: a.active, Refused: a.refused, Reason: a.reason, Crashed: a.crashed}
 	if a.selfFenced > a.active {
@@ -121,8 +123,8 @@
 	return status
 }
 
-// Next is what to do at a moment of the front's own clock, given the version on its
-// way (0: none) and the one that the state wants of this front.
+// Next returns the next action and its version at a time of the front's own clock,
+// given the candidate (0: none) and the version that the state wants of this front.
 func (a *Applier) Next(candidate, target uint64, now Micros) (Action, uint64) {
 	if a.busy || now < a.retryAt {
 		return Idle, 0
@@ -151,31 +153,31 @@
 	return Idle, 0
 }
 
-// ends tells whether a version has ended this front's process, so that it must not be
-// taken up again.
+// mustNotActivate reports whether a version has crashed this front's process and must
+// not be activated again.
 func (a *Applier) mustNotActivate(n, candidate uint64) bool {
-	return n > 0 && n == a.crashed && (n == candidate || a.record.Version == n && a.record.Crashes >= maxCrashes)
+	return n > 0 && n == a.crashed && (n == candidate || a.record.Version == n && a.record.Activations >= maxActivations)
 }
 
-// Noting is the note to keep for an action.
+// Record returns the record to write for an action.
 func (a *Applier) Record(action Action, n uint64) ActivationRecord {
 	record := ActivationRecord{Version: n, Survived: action == RecordSurvival || n == 0, Crashed: a.crashed}
 	if action == RecordSurvival && n == a.crashed {
 		record.Crashed = 0
 	}
 	if !record.Survived {
-		record.Crashes = 1
+		record.Activations = 1
 		if a.record.Version == n {
-			record.Crashes = a.record.Crashes + 1
+			record.Activations = a.record.Activations + 1
 		}
 	}
 	return record
 }
 
-// later is after how long what came to nothing is tried once more.
+// retryDelay is the pause before a failed action is retried.
 const retryDelay = second
 
-// Checked tells what came of a check; an error names the key at fault.
+// Checked takes the result of a check; an error names the key at fault.
 func (a *Applier) Checked(n uint64, err error) {
 	a.busy = false
 	if err != nil {
@@ -189,7 +191,7 @@
 	}
 }
 
-// Noted tells that a note was kept, or was not: without it nothing is taken up.
+// Recorded takes whether a record was written: without it no version is activated.
 func (a *Applier) Recorded(record ActivationRecord, ok bool, now Micros) {
 	a.busy = false
 	if !ok {
@@ -200,12 +202,12 @@
 	a.recorded, a.crashed = !record.Survived, record.Crashed
 }
 
-// Took tells that the front acts on a version, which is watched for a span, or why it
-// could not.
+// Activated takes the result of an activation. Watch is how long the version is
+// observed.
 func (a *Applier) Activated(n uint64, err error, watch, now Micros) {
 	a.busy = false
 	if err != nil {
-		if a.activationFailed != n { // what it was checked with may have changed since: once more from the check on
+		if a.activationFailed != n { // its check may be outdated: retry once, beginning with the check
 			a.activationFailed, a.retryAt = n, now+retryDelay
 			a.checked = slices.DeleteFunc(a.checked, func(g uint64) bool { return g == n })
 			return
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,11 +1,11 @@
-// Package rollout decides what each front of a fleet acts on: how a version that
-// was proposed reaches them, part by part, when it goes on, stops or goes back to the
-// last good one, who lags and why, who is shut out, and when nobody acts on an older
-// one any more.
+// Package rollout decides which configuration version each front of a fleet runs: how a
+// proposed version is rolled out in steps, when a step advances, stops or rolls back to
+// the last stable version, which fronts lag and why, which are fenced, and when no
+// front acts on an older version any more (the version gate).
 //
-// Its state is replicated, and every replica draws the same conclusions where it
-// applies an entry (Step). Versions are numbered through the fleet's life; 0 is what
-// each front has in files of its own. Time is fleet time.
+// The state is replicated. Every replica draws the same conclusions when it applies an
+// entry (Step). Versions are numbered throughout the fleet's life; version 0 stands for
+// the files that each front has locally. Time is fleet time.
 package rollout
 
 import (
@@ -23,42 +23,42 @@
 	"cherryramp/internal/decide/lease"
 )
 
-// Micros is a span, or a moment of fleet time, in microseconds.
+// Micros is a duration, or a point in fleet time, in microseconds.
 type Micros = int64
 
 const second Micros = 1_000_000
 
-// Bounds.
+// Limits and timeouts.
 const (
 	MaxPieceSize      = 8 << 10   // bytes of a piece
 	MaxVersionSize    = 512 << 10 // bytes of a version
-	maxVersions       = 32        // versions that are told of
+	maxVersions       = 32        // versions kept in the state
 	maxPieces         = 4 * MaxVersionSize / MaxPieceSize
 	maxTextSize       = 200
 	maxSteps          = 8
-	pieceRetention    = 120 * second // a piece that no version names is kept
-	checkTimeout      = 30 * second  // for every front that is heard to check a version
-	activationTimeout = 30 * second  // for the fronts of a step to act on it
-	flapWindow        = 600 * second // after which a front that was shut out once counts as steady again
+	pieceRetention    = 120 * second // for a piece that no version refers to
+	checkTimeout      = 30 * second  // for all reachable fronts to check a version
+	activationTimeout = 30 * second  // for the fronts of a step to act on the version
+	flapWindow        = 600 * second // a front not fenced for this long starts again at zero flaps
 	maxFlaps          = 5
 )
 
-// Phase is how far a version has come.
+// Phase is the stage of a version's rollout.
 type Phase uint8
 
-// The phases.
+// The phases of a version.
 const (
-	Checking Phase = iota // every front that is heard checks it whole
-	Rolling               // part of the fleet acts on it, and is watched
-	Stable                // it is the fleet's
-	Replaced              // it was
+	Checking Phase = iota // every reachable front validates it
+	Rolling               // some of the fronts act on it and are observed
+	Stable                // the version of the whole fleet
+	Replaced              // was stable, a newer one is
 	Rejected
-	RolledBack // it went back to the last good one
+	RolledBack // abandoned during its rollout
 )
 
 var phaseNames = [...]string{"checking", "rolling", "standing", "replaced", "turned down", "rolled back"}
 
-// String is the phase's name.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -66,118 +66,119 @@
 	return "unknown"
 }
 
-// Void tells whether nobody may take a version up any more.
+// Withdrawn reports whether no front may activate the version any more.
 func (p Phase) Withdrawn() bool { return p == Rejected || p == RolledBack }
 
-// Version is one of them.
+// Version is a proposed configuration and the state of its rollout.
 type Version struct {
 	Number       uint64   `cbor:"1,keyasint"`
-	Digest       string   `cbor:"2,keyasint"` // SHA-256 of its bytes, in hex
-	Pieces       []string `cbor:"3,keyasint"` // digests of its pieces, in order
+	Digest       string   `cbor:"2,keyasint"` // SHA-256 of the content, in hex
+	Pieces       []string `cbor:"3,keyasint"` // hashes of the pieces, in order
 	Reason       string   `cbor:"4,keyasint,omitempty"`
 	ProposedBy   string   `cbor:"5,keyasint,omitempty"`
-	Urgent       bool     `cbor:"6,keyasint,omitempty"`  // to all at once, unwatched
-	Gate         Micros   `cbor:"7,keyasint,omitempty"`  // after it stands for so long nobody may act on older ones; 0: no bar
-	Watch        Micros   `cbor:"8,keyasint,omitempty"`  // for which each step is watched
-	Steps        []int    `cbor:"9,keyasint,omitempty"`  // percent of the fronts; 0: one a zone; the last is 100
-	Base         uint64   `cbor:"10,keyasint,omitempty"` // what stood when it was proposed
+	Urgent       bool     `cbor:"6,keyasint,omitempty"`  // goes to all fronts at once, without observation
+	Gate         Micros   `cbor:"7,keyasint,omitempty"`  // once stable for this long, no front may act on older versions; 0: no gate
+	Watch        Micros   `cbor:"8,keyasint,omitempty"`  // how long each step is observed
+	Steps        []int    `cbor:"9,keyasint,omitempty"`  // percent of the fronts; 0: one per zone; the last is 100
+	Base         uint64   `cbor:"10,keyasint,omitempty"` // stable version when this one was proposed
 	Phase        Phase    `cbor:"11,keyasint"`
-	Since        Micros   `cbor:"12,keyasint"` // when it came into its phase, or step
+	Since        Micros   `cbor:"12,keyasint"` // start of the current phase or step
 	Step         int      `cbor:"13,keyasint,omitempty"`
-	ActiveAt     Micros   `cbor:"14,keyasint,omitempty"` // rolling: when all of the step acted on it; 0: not yet
+	ActiveAt     Micros   `cbor:"14,keyasint,omitempty"` // rolling: when all fronts of the step acted on it; 0: not yet
 	Note         string   `cbor:"15,keyasint,omitempty"` // why it ended, or what is unusual
-	GatePassedAt Micros   `cbor:"16,keyasint,omitempty"` // when its bar had passed; 0: not yet, or none
-	Cohort       []string `cbor:"18,keyasint,omitempty"` // rolling: who takes it up in this step, by name; none: all
-	Exempt       []string `cbor:"17,keyasint,omitempty"` // fronts that are older and go on, since too many would be shut out
+	GatePassedAt Micros   `cbor:"16,keyasint,omitempty"` // when the gate passed; 0: not yet, or no gate
+	Cohort       []string `cbor:"18,keyasint,omitempty"` // rolling: names of the fronts in this step, sorted; none: all fronts
+	Exempt       []string `cbor:"17,keyasint,omitempty"` // fronts on older versions that go on, since fencing them would exceed the limit
 }
 
-// Stand is what a front says of itself, and what the state concludes.
+// FrontStatus is what a front reports of itself and what the state derives from it.
 type FrontStatus struct {
 	Name          string `cbor:"1,keyasint"`
 	ID            uint64 `cbor:"2,keyasint"`
 	Start         uint64 `cbor:"3,keyasint"`
 	Active        uint64 `cbor:"4,keyasint,omitempty"`  // version that it acts on
-	Checked       uint64 `cbor:"5,keyasint,omitempty"`  // the newest that it found good
-	Refused       uint64 `cbor:"6,keyasint,omitempty"`  // the newest that it turned down
-	Reason        string `cbor:"7,keyasint,omitempty"`  // with the key at fault
-	Crashed       uint64 `cbor:"8,keyasint,omitempty"`  // the newest under which its process ended soon after it took it up
-	OldestInUse   uint64 `cbor:"9,keyasint,omitempty"`  // the oldest under which it has open requests, and one; 0: none under an older one
-	FailedPercent int    `cbor:"10,keyasint,omitempty"` // percent of its requests lately that were refused or failed, in steps of 5
-	HasSample     bool   `cbor:"11,keyasint,omitempty"` // so many that it tells anything
-	SelfFenced    uint64 `cbor:"12,keyasint,omitempty"` // it acts on nothing below this version
-	AuditSeq      uint64 `cbor:"13,keyasint,omitempty"` // of its audit's chain
-	AuditHead     string `cbor:"14,keyasint,omitempty"` // digest of the chain there
-
-	Fenced                uint64 `cbor:"20,keyasint,omitempty"` // by the state: it is shut out below this version
-	FencedAt              Micros `cbor:"21,keyasint,omitempty"` // since when its lease is granted no more; 0: not counted yet
-	Flaps                 int    `cbor:"22,keyasint,omitempty"` // how often it was shut out lately
+	Checked       uint64 `cbor:"5,keyasint,omitempty"`  // newest version that it found valid
+	Refused       uint64 `cbor:"6,keyasint,omitempty"`  // newest version that it refused
+	Reason        string `cbor:"7,keyasint,omitempty"`  // of the refusal; names the key at fault
+	Crashed       uint64 `cbor:"8,keyasint,omitempty"`  // newest version under which its process ended shortly after activation
+	OldestInUse   uint64 `cbor:"9,keyasint,omitempty"`  // 1 + the oldest version with open requests; 0: none under an older version
+	FailedPercent int    `cbor:"10,keyasint,omitempty"` // percent of its recent requests that were refused or failed, in steps of 5
+	HasSample     bool   `cbor:"11,keyasint,omitempty"` // enough requests for FailedPercent to be meaningful
+	SelfFenced    uint64 `cbor:"12,keyasint,omitempty"` // it does not act on any version below this one
+	AuditSeq      uint64 `cbor:"13,keyasint,omitempty"` // last record of its audit chain
+	AuditHead     string `cbor:"14,keyasint,omitempty"` // digest of the chain at AuditSeq
+
+	Fenced                uint64 `cbor:"20,keyasint,omitempty"` // set by the state: it is fenced below this version
+	FencedAt              Micros `cbor:"21,keyasint,omitempty"` // since when it gets no more leases; 0: not yet counted
+	Flaps                 int    `cbor:"22,keyasint,omitempty"` // how often it was fenced recently
 	LastFlapAt            Micros `cbor:"23,keyasint,omitempty"`
-	WarmAt                Micros `cbor:"24,keyasint,omitempty"` // after it came back: until when it is not a full machine
-	BaselineFailedPercent int    `cbor:"25,keyasint,omitempty"` // Bad at the moment at which the step began
+	WarmAt                Micros `cbor:"24,keyasint,omitempty"` // after it was fenced: when it counts as a full machine again
+	BaselineFailedPercent int    `cbor:"25,keyasint,omitempty"` // FailedPercent at the start of the step
 	BaselineHasSample     bool   `cbor:"26,keyasint,omitempty"`
 }
 
-// Said is what the front itself said of it.
+// OwnReport returns the part of the status that the front itself reported.
 func (status FrontStatus) OwnReport() FrontStatus {
 	status.Fenced, status.FencedAt, status.Flaps, status.LastFlapAt, status.WarmAt, status.BaselineFailedPercent, status.BaselineHasSample = 0, 0, 0, 0, 0, 0, false
 	return status
 }
 
-// Headless is a stand without its audit's head, which changes all the time.
+// WithoutAuditHead returns the status without the head of the audit chain, which
+// changes constantly.
 func (status FrontStatus) WithoutAuditHead() FrontStatus {
 	status.AuditSeq, status.AuditHead = 0, ""
 	return status
 }
 
-// Piece is a part of a version's bytes.
+// Piece is a part of a version's content.
 type Piece struct {
 	Hash     string `cbor:"1,keyasint"`
 	Data     []byte `cbor:"2,keyasint"`
 	StoredAt Micros `cbor:"3,keyasint"`
 }
 
-// Machine is what Step must know of a front.
+// Machine is what Step needs to know about a front.
 type Machine struct {
 	Name, Zone  string
 	ID, Start   uint64
 	Lost        bool
 	NotServing  bool
-	LeaseExpiry Micros // lost: when its lease is surely over; 0: never
-	Lease       Micros // the longest that it acts without hearing the fleet; 0: for ever
+	LeaseExpiry Micros // lost: when its lease has certainly expired; 0: never
+	Lease       Micros // longest time that it acts without contact to the fleet; 0: unlimited
 }
 
-// Rules are what the operators set.
+// Rules are the settings of the operators.
 type Rules struct {
-	LeaseSpan        Micros // of leases; without them there are no bars
-	MaxFencedPercent int    // percent of the fronts, and of those of a zone, that may be shut out for lagging
-	WarmUp           Micros // for which a front that comes back is not a full machine
-	DrainTimeout     Micros // that open requests may take
+	LeaseSpan        Micros // of the fronts' leases; 0: no leases, so no gates
+	MaxFencedPercent int    // percent of all fronts, and of those of a zone, that may be fenced for lagging
+	WarmUp           Micros // time until a returning front counts as a full machine
+	DrainTimeout     Micros // time that open requests may take to finish
 }
 
-// State is all versions, and where the fronts stand.
+// State holds all versions and the status of every front.
 type State struct {
 	LastNumber  uint64        `cbor:"1,keyasint"`
-	Stable      uint64        `cbor:"2,keyasint"` // that stands; 0: what fronts have in files of their own
+	Stable      uint64        `cbor:"2,keyasint"` // the stable version; 0: the fronts' local files
 	Versions    []Version     `cbor:"3,keyasint,omitempty"`
-	Statuses    []FrontStatus `cbor:"4,keyasint,omitempty"` // by name
-	Pieces      []Piece       `cbor:"5,keyasint,omitempty"` // by hash
-	EnforcedMin uint64        `cbor:"6,keyasint,omitempty"` // nobody may act below this one, once its bar has passed
-	LostAudits  []LostAudit   `cbor:"7,keyasint,omitempty"` // audits that were lost with their disks
+	Statuses    []FrontStatus `cbor:"4,keyasint,omitempty"` // sorted by name
+	Pieces      []Piece       `cbor:"5,keyasint,omitempty"` // sorted by hash
+	EnforcedMin uint64        `cbor:"6,keyasint,omitempty"` // no front may act below this version: its gate has passed
+	LostAudits  []LostAudit   `cbor:"7,keyasint,omitempty"` // audit logs that were lost with their disks
 }
 
-// Hole is what the fleet knows of an audit that is gone: its front came back under
+// LostAudit describes an audit log that is gone because its front came back under
 // another incarnation.
 type LostAudit struct {
 	Name    string `cbor:"1,keyasint"`
-	ID      uint64 `cbor:"2,keyasint"` // that it was
-	Seq     uint64 `cbor:"3,keyasint"` // records up to here are gone, and those behind it that nobody heard of
+	ID      uint64 `cbor:"2,keyasint"` // the former incarnation
+	Seq     uint64 `cbor:"3,keyasint"` // records up to this one are gone, as are later ones that were never reported
 	Head    string `cbor:"4,keyasint"`
-	FoundAt Micros `cbor:"5,keyasint"` // when it came back
+	FoundAt Micros `cbor:"5,keyasint"` // when the front came back
 }
 
 const maxLostAudits = 256
 
-// Errors of what was proposed.
+// Errors of proposals and commands.
 var (
 	ErrPieceSize       = fmt.Errorf("a piece of 1 to %d bytes is wanted", MaxPieceSize)
 	ErrTooManyPieces   = fmt.Errorf("too many pieces wait or are kept, %d at most", maxPieces)
@@ -189,7 +190,7 @@
 	ErrSpanRange       = errors.New("bar and watch: 0 to a day are possible")
 )
 
-// Hash names a piece.
+// Hash returns the hash that identifies a piece: SHA-256, in hex.
 func Hash(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
@@ -199,7 +200,7 @@
 	return slices.BinarySearchFunc(list, key, func(x T, k string) int { return cmp.Compare(keyOf(&x), k) })
 }
 
-// Keep takes a piece in. One that is there already costs nothing.
+// StorePiece adds a piece. A piece that is already stored only has its time renewed.
 func (s *State) StorePiece(data []byte, now Micros) (hash string, err error) {
 	if len(data) == 0 || len(data) > MaxPieceSize {
 		return "", ErrPieceSize
@@ -217,7 +218,7 @@
 	return hash, nil
 }
 
-// Content puts a version's bytes together; nil: its pieces are not there any more.
+// Content assembles the content of a version; nil if its pieces are no longer stored.
 func (s *State) Content(n uint64) []byte {
 	v := s.Find(n)
 	if v == nil {
@@ -237,7 +238,7 @@
 	return out
 }
 
-// Find gives a version; nil: it is not kept, or there is none.
+// Find returns a version, or nil if it is unknown or no longer kept.
 func (s *State) Find(n uint64) *Version {
 	i, ok := slices.BinarySearchFunc(s.Versions, n, func(v Version, n uint64) int { return cmp.Compare(v.Number, n) })
 	if !ok {
@@ -246,7 +247,7 @@
 	return &s.Versions[i]
 }
 
-// Watch is for how long a version's steps are watched.
+// Watch returns how long the steps of a version are observed.
 func (s *State) Watch(n uint64) Micros {
 	if v := s.Find(n); v != nil {
 		return v.Watch
@@ -254,7 +255,7 @@
 	return 0
 }
 
-// Stand gives a front's; nil: it has said nothing yet.
+// Status returns the status of a front, or nil if it has not reported yet.
 func (s *State) Status(name string) *FrontStatus {
 	i, ok := search(s.Statuses, name, func(x *FrontStatus) string { return x.Name })
 	if !ok {
@@ -263,7 +264,7 @@
 	return &s.Statuses[i]
 }
 
-// Candidate is the version on its way; nil: there is none.
+// Candidate returns the version being checked or rolled out, or nil.
 func (s *State) Candidate() *Version {
 	if len(s.Versions) == 0 {
 		return nil
@@ -274,18 +275,18 @@
 	return nil
 }
 
-// Propose takes a version in, whose pieces are there. Base is what stood as far as
-// whoever proposes knew.
+// Propose adds a version whose pieces are already stored. Its Base is the stable
+// version that the proposer knew of; a proposal on any other base is refused.
 func (s *State) Propose(v Version, r Rules, now Micros) (uint64, error) {
 	if len(v.Steps) == 0 {
 		v.Steps = []int{0, 10, 100}
 	}
-	grows := slices.IsSorted(v.Steps) && v.Steps[0] >= 0 && v.Steps[len(v.Steps)-1] <= 100 && len(v.Steps) <= maxSteps
+	stepsValid := slices.IsSorted(v.Steps) && v.Steps[0] >= 0 && v.Steps[len(v.Steps)-1] <= 100 && len(v.Steps) <= maxSteps
 	data := s.assemble(v.Pieces)
 	switch {
 	case len(v.Reason) > maxTextSize || len(v.ProposedBy) > maxTextSize:
 		return 0, ErrReasonLength
-	case !grows:
+	case !stepsValid:
 		return 0, ErrSteps
 	case v.Gate < 0 || v.Watch < 0 || v.Gate > 86400*second || v.Watch > 86400*second:
 		return 0, ErrSpanRange
@@ -320,7 +321,7 @@
 	return s.LastNumber, nil
 }
 
-// stands has a version be the fleet's.
+// makeStable makes a version the stable one of the whole fleet.
 func (s *State) makeStable(v *Version, now Micros) {
 	if old := s.Find(s.Stable); old != nil {
 		old.Phase, old.Since = Replaced, now
@@ -329,7 +330,7 @@
 	s.Stable = v.Number
 }
 
-// Stop is a person's word that the version on its way goes back.
+// Stop rolls the candidate back on an operator's order.
 func (s *State) Stop(why string, now Micros) error {
 	c := s.Candidate()
 	if c == nil {
@@ -343,7 +344,7 @@
 	v.Phase, v.Since, v.Note = p, now, note[:min(len(note), 2*maxTextSize)]
 }
 
-// Reported takes in what a front says of itself, under the incarnation and process
+// ApplyReport stores what a front reports of itself, under the incarnation and process
 // that the fleet knows it by.
 func (s *State) ApplyReport(report FrontStatus, now Micros) {
 	report.Reason = report.Reason[:min(len(report.Reason), maxTextSize)]
@@ -362,8 +363,8 @@
 	*old = report
 }
 
-// Of gives a front's stand where it is of its incarnation and process; else one that
-// has said nothing.
+// currentStatus returns the status of a front if it comes from its current incarnation
+// and process, else an empty one.
 func (s *State) currentStatus(m *Machine) FrontStatus {
 	if x := s.Status(m.Name); x != nil && x.ID == m.ID && x.Start == m.Start {
 		return *x
@@ -371,13 +372,14 @@
 	return FrontStatus{Name: m.Name}
 }
 
-// rank orders the fronts for a version, differently for each.
+// hashOrder orders the fronts for a version, differently for each version.
 func hashOrder(n uint64, name string) uint64 {
 	return xxhash.Sum64(fmt.Appendf(nil, "%d %s", n, name))
 }
 
-// begin begins a version's step, and says who takes it up: one a zone, or so many
-// percent, of those that are heard and serve, and all of the step before; at 100 all.
+// beginStep begins a step of a version and selects its fronts: one per zone, or the
+// given percentage of the reachable, serving fronts, always including those of the
+// previous step. At 100 percent it is all fronts.
 func (s *State) beginStep(v *Version, step int, fleet []Machine, now Micros) {
 	cohort := map[string]bool{}
 	for _, name := range v.Cohort {
@@ -417,7 +419,7 @@
 	v.Cohort = slices.Sorted(maps.Keys(cohort))
 }
 
-// has tells whether a front is of the step's part.
+// inCohort reports whether a front belongs to the current step.
 func (v *Version) inCohort(name string) bool {
 	if v.Steps[v.Step] >= 100 {
 		return true
@@ -426,7 +428,7 @@
 	return ok
 }
 
-// Target is the version that a front is to act on, by the state alone.
+// Target returns the version that a front should act on according to the state.
 func (s *State) Target(name string) uint64 {
 	if c := s.Candidate(); c != nil && c.Phase == Rolling && c.inCohort(name) {
 		return c.Number
@@ -434,8 +436,9 @@
 	return s.Stable
 }
 
-// Least is the oldest version that a front may act on where the state is known; bar
-// tells after how long since the state said so it must have stopped.
+// MinVersion returns the oldest version that a front may act on according to the state.
+// If gate is not 0, the front must have stopped acting on older ones that long after it
+// learned of it.
 func (s *State) MinVersion(name string) (n uint64, gate Micros) {
 	n = s.enforcedMinFor(name)
 	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 && !slices.Contains(g.Exempt, name) {
@@ -444,7 +447,8 @@
 	return n, 0
 }
 
-// floor is the version below which a front may not act at all, whatever newer bar runs.
+// enforcedMinFor returns the version below which a front may not act at all, whatever
+// newer gate is still open.
 func (s *State) enforcedMinFor(name string) uint64 {
 	n := s.EnforcedMin
 	if x := s.Status(name); x != nil {
@@ -453,8 +457,8 @@
 	return n
 }
 
-// Step draws the conclusions of a moment, and gives what has happened, a line each.
-// Facts tells that the entry is one by which time has moved on.
+// Step draws the conclusions of the current time and returns one line for each event.
+// TimeAdvanced tells that the entry being applied advanced the fleet time.
 func (s *State) Step(fleet []Machine, r Rules, now Micros, timeAdvanced bool) (events []string) {
 	emit := func(v *Version, format string, args ...any) {
 		events = append(events, fmt.Sprintf("version %d: ", v.Number)+fmt.Sprintf(format, args...))
@@ -471,8 +475,8 @@
 			emit(c, "%s", s.describe(c))
 		}
 	}
-	// What is shut out by this entry is counted from the next on by which time moves on:
-	// until this one was committed, leases may have been asked for.
+	// Fences set by this entry are counted from the next entry that advances the time:
+	// until this one was committed, the front may have requested leases.
 	s.updateFences(fleet, r, now, timeAdvanced, func(text string) { events = append(events, text) })
 	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
 		s.advanceGate(g, fleet, r, now, emit)
@@ -481,7 +485,7 @@
 	return events
 }
 
-// line tells how far a version is.
+// describe returns the phase of a version as text, with its step and note.
 func (s *State) describe(v *Version) string {
 	text := v.Phase.String()
 	if v.Phase == Rolling {
@@ -500,7 +504,7 @@
 	return fmt.Sprintf("%d%%", percent)
 }
 
-// check waits for every front that is heard to have checked a version.
+// advanceCheck waits until every reachable front has checked a version.
 func (s *State) advanceCheck(c *Version, fleet []Machine, now Micros) {
 	waitingFor := ""
 	for i := range fleet {
@@ -524,7 +528,7 @@
 	}
 }
 
-// began notes how the fronts fare at the moment at which a step begins.
+// recordBaseline stores the failure rates of the fronts at the start of a step.
 func (s *State) recordBaseline() {
 	for i := range s.Statuses {
 		x := &s.Statuses[i]
@@ -532,7 +536,7 @@
 	}
 }
 
-// roll goes on with a version's step, or goes back.
+// advanceStep advances the rollout of a version, or rolls it back.
 func (s *State) advanceStep(c *Version, fleet []Machine, now Micros) {
 	waitingFor, acting := "", 0
 	for i := range fleet {
@@ -571,11 +575,12 @@
 	}
 }
 
-// Sickness: percent points by which those who act on a version must fare worse than
-// they did before, and than the others do.
+// maxRegression is the health limit of a step in percentage points: fronts on the new
+// version may not fail by this much more than before, and than the other fronts.
 const maxRegression = 15
 
-// sick compares how those who act on a version fare with how they did, and with the others.
+// healthRegression compares the failure rate of the fronts on a version with their
+// baseline and with the other fronts; empty: no regression.
 func (s *State) healthRegression(c *Version, fleet []Machine) string {
 	var on, was, others, n, nWas, nOthers int
 	for i := range fleet {
@@ -603,8 +608,8 @@
 	return ""
 }
 
-// bar follows a version's bar: who is late is shut out, within the quota, and it has
-// passed once nobody acts on an older one.
+// advanceGate fences the fronts that are past the gate of a version, within the limit.
+// The gate passes once no front acts on an older version.
 func (s *State) advanceGate(g *Version, fleet []Machine, r Rules, now Micros, emit func(*Version, string, ...any)) {
 	late := now-g.Since >= g.Gate
 	total, zones, fenced, zoneFenced := 0, map[string]int{}, 0, map[string]int{}
@@ -666,18 +671,19 @@
 	}
 }
 
-// none tells that no request is open that came under an older version than one.
+// noneOpenBefore reports whether no request is open that was accepted under an older
+// version than n.
 func (status *FrontStatus) noneOpenBefore(n uint64) bool {
 	return status.OldestInUse == 0 || status.OldestInUse > n
 }
 
-// over tells whether a front is lost and its lease surely over.
+// leaseExpired reports whether a front is lost and its lease has certainly expired.
 func (m *Machine) leaseExpired(now Micros) bool {
 	return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry
 }
 
-// release counts from when a front that was shut out is granted nothing, and lets in
-// those that have come up to what they were shut out below.
+// updateFences starts the time from which a fenced front gets no more leases, and lifts
+// the fences of fronts that have reached the version required of them.
 func (s *State) updateFences(fleet []Machine, r Rules, now Micros, timeAdvanced bool, emit func(string)) {
 	for i := range s.Statuses {
 		status := &s.Statuses[i]
@@ -699,8 +705,8 @@
 	}
 }
 
-// loose forgets pieces that no version needs: those of versions that may be gone back
-// to, or are on their way, stay.
+// dropUnusedPieces drops pieces that no version needs. Those of the stable version and
+// of the candidate stay.
 func (s *State) dropUnusedPieces(now Micros) {
 	needed := map[string]bool{}
 	for i := range s.Versions {
@@ -713,7 +719,7 @@
 	s.Pieces = slices.DeleteFunc(s.Pieces, func(p Piece) bool { return !needed[p.Hash] && now-p.StoredAt > pieceRetention })
 }
 
-// Waiting tells whether anything here waits for time to pass.
+// Waiting reports whether any transition depends on the passage of time.
 func (s *State) Waiting(now Micros) bool {
 	if s.Candidate() != nil || slices.ContainsFunc(s.Statuses, func(x FrontStatus) bool { return now < x.WarmAt }) {
 		return true
@@ -731,7 +737,7 @@
 	return len(s.Pieces) > named
 }
 
-// Cause tells why a front lags, as far as the state knows.
+// LagCause explains why a front lags, as far as the state knows.
 func (s *State) LagCause(m *Machine, now Micros) string {
 	status := s.currentStatus(m)
 	target := s.Stable
@@ -756,21 +762,21 @@
 	return "it does not lag"
 }
 
-// Lag is one front of a report.
+// Lag is the report on one front.
 type Lag struct {
 	Name        string
 	Active      uint64
 	Target      uint64
-	Behind      uint64 // versions
-	OldestInUse uint64 // with open requests
+	Behind      uint64 // number of versions
+	OldestInUse uint64 // 1 + the oldest version with open requests; 0: none under an older version
 	Cause       string // empty: it does not lag
 	Fenced      bool
-	WarmingUp   bool // it is not a full machine yet
+	WarmingUp   bool // it does not count as a full machine yet
 	Refused     uint64
 	Reason      string
 }
 
-// Lags tells where each front stands.
+// Lags reports on every front.
 func (s *State) Lags(fleet []Machine, now Micros) (list []Lag) {
 	for i := range fleet {
 		m := &fleet[i]
@@ -795,7 +801,7 @@
 	return list
 }
 
-// Why says in a sentence what a version waits for, or what became of it.
+// Explain returns a sentence on what a version waits for, or how it ended.
 func (s *State) Explain(n uint64, fleet []Machine, r Rules, now Micros) string {
 	v := s.Find(n)
 	if v == nil {
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -14,11 +14,11 @@
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
 func propose(t *rapid.T, s *State, text string, v Version, r Rules) uint64 {
-	h, err := s.StorePiece([]byte(text), 0)
+	hash, err := s.StorePiece([]byte(text), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Pieces, v.Digest, v.Base = []string{h}, h, s.Stable
+	v.Pieces, v.Digest, v.Base = []string{hash}, hash, s.Stable
 	n, err := s.Propose(v, r, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -26,9 +26,10 @@
 	return n
 }
 
-// However fronts lag, a bar shuts out no more than the quota lets, of the fleet and of a
-// zone, but for one; it passes only once each front that is heard acts on the version,
-// says that it acts on nothing older, or was shut out and its lease is over.
+// Whichever fronts lag, a gate fences no more of them than the limit allows, for the
+// fleet and for each zone, except that one is always allowed. It passes only once every
+// reachable front acts on the version, reports that it acts on nothing older, or was
+// fenced and its lease has expired.
 func TestGateRespectsFencedQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Rules{LeaseSpan: 5 * second, MaxFencedPercent: rapid.IntRange(0, 100).Draw(t, "quota")}
@@ -57,26 +58,27 @@
 				}
 			}
 			if fenced > max(1, r.MaxFencedPercent*len(fleet)/100) || fenced > behind {
-				t.Fatalf("%d of %d are shut out, %d%% may be, %d are behind", fenced, len(fleet), r.MaxFencedPercent, behind)
+				t.Fatalf("%d of %d fronts are fenced, limit %d%%, %d are behind", fenced, len(fleet), r.MaxFencedPercent, behind)
 			}
 			g := s.Find(n)
 			if g.GatePassedAt > 0 && fenced < behind {
-				t.Fatalf("the bar has passed with %d behind and %d shut out", behind, fenced)
+				t.Fatalf("the gate passed with %d fronts behind and %d fenced", behind, fenced)
 			}
 			if g.GatePassedAt > 0 && behind > 0 && now < second+minExpiry {
-				t.Fatalf("the bar has passed at %d s, within a lease", now/second)
+				t.Fatalf("the gate passed at %d s, before the leases expired", now/second)
 			}
 			if now > 15*second && (g.GatePassedAt > 0) != (len(g.Exempt) == 0) {
-				t.Fatalf("passed %d, spared %v", g.GatePassedAt, g.Exempt)
+				t.Fatalf("gate passed at %d, exempt fronts %v", g.GatePassedAt, g.Exempt)
 			}
 		}
 	})
 }
 
-const minExpiry = 6 * second // a lease of 5 s is surely over after so much at the least
+const minExpiry = 6 * second // a lease of 5 s has certainly expired after no less than this
 
-// A step has at least one front a zone, or its share, and all of the step before; what
-// is proposed beside another or on what no longer stands is refused with its name.
+// A step has at least one front per zone, or its percentage, and all fronts of the
+// previous step. A proposal beside a candidate, or on a base that is no longer stable,
+// is refused with that version's reason.
 func TestStepCohortsGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &State{}
@@ -84,22 +86,22 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "fronts") {
 			fleet = append(fleet, Machine{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprint("z", i%4), ID: uint64(i + 1), Lost: rapid.IntRange(0, 9).Draw(t, "lost") == 0})
 		}
-		n := propose(t, s, "a", Version{Steps: []int{0, 10, 50}, Reason: "the one before"}, Rules{})
+		n := propose(t, s, "a", Version{Steps: []int{0, 10, 50}, Reason: "previous version"}, Rules{})
 		v := s.Find(n)
 		var before []string
 		for step := range v.Steps {
 			s.beginStep(v, step, fleet, 0)
 			for _, name := range before {
 				if !v.inCohort(name) {
-					t.Fatalf("step %d has not %s", step, name)
+					t.Fatalf("step %d lacks front %s of the step before", step, name)
 				}
 			}
 			before = slices.Clone(v.Cohort)
 		}
 		if v.Steps[len(v.Steps)-1] != 100 || !v.inCohort("n00") {
-			t.Fatalf("the last step is not all: %+v", v)
+			t.Fatalf("the last step does not cover all fronts: %+v", v)
 		}
-		if _, err := s.Propose(Version{Pieces: v.Pieces, Digest: v.Digest}, Rules{}, 0); err == nil || !strings.Contains(err.Error(), "the one before") {
+		if _, err := s.Propose(Version{Pieces: v.Pieces, Digest: v.Digest}, Rules{}, 0); err == nil || !strings.Contains(err.Error(), "previous version") {
 			t.Fatal(err)
 		}
 	})
