--- a/internal/decide/maintenance/maintenance.go
+++ b/internal/decide/maintenance/maintenance.go
@@ -1,13 +1,13 @@
-// Package maintenance decides when machines are taken out for work, and in which order:
-// what was asked for, by which rules of budget one may go, its permit, and how it
-// comes back.
+// Package maintenance decides when machines are taken out for an operation, and in
+// which order: which operations were requested, which of them the budgets allow now,
+// their permits, and how machines return.
 //
-// Its state is replicated, and every replica draws the same conclusions where it
-// applies an entry (Step); nobody proposes a decision. A permit is taken in two
-// steps: leave, which can be taken back, and its acceptance by the machine's front,
-// from which on the machine counts as out until it is heard to be back or a person
-// declares it lost, never by time alone. Time is fleet time, which only entries
-// move on.
+// The state is replicated. Every replica draws the same conclusions when it applies an
+// entry (Step); nobody proposes a decision. An operation starts in two steps: a permit,
+// which can be withdrawn, and its acceptance by the machine's front. From the
+// acceptance on, the machine counts as out until it is known to be back or an operator
+// declares it lost, never by the passage of time alone. Time is fleet time, which only
+// entries advance.
 package maintenance
 
 import (
@@ -18,40 +18,40 @@
 	"strings"
 )
 
-// Micros is a span, or a moment of fleet time, in microseconds.
+// Micros is a duration, or a point in fleet time, in microseconds.
 type Micros = int64
 
 const second Micros = 1_000_000
 
-// Bounds.
+// Limits.
 const (
-	MaxOperations = 2000 // works that are not ended
-	maxEnded      = 256  // works that are, kept to be told of
-	maxFences     = 2000 // machines with a fence of their own
+	MaxOperations = 2000 // operations that have not ended
+	maxEnded      = 256  // ended operations kept for reports
+	maxFences     = 2000 // machines with an entry in State.Fences
 	maxTextSize   = 200  // bytes of a reason
-	maxConflicts  = 16   // machines that a work must not overlap with
+	maxConflicts  = 16   // machines that an operation must not overlap with
 	maxAge        = 1 << 20
 )
 
-// Phase is how far a work has come.
+// Phase is the stage of an operation.
 type Phase uint8
 
-// The phases.
+// The phases of an operation.
 const (
-	Requested Phase = iota // it waits for its turn
-	Permitted              // leave was given, and not accepted yet
-	Draining               // accepted: it counts as out from here on
-	Out                    // the work may be done
-	Returning              // it comes back, and is not a full machine yet
+	Requested Phase = iota // waits for its turn
+	Permitted              // has a permit that is not accepted yet
+	Draining               // accepted: counts as out from here on
+	Out                    // the operation may be carried out
+	Returning              // on its way back, not yet a full machine
 	Done
 	Cancelled
 	Refused
-	Lost // a person declared the machine lost
+	Lost // an operator declared the machine lost
 )
 
 var phaseNames = [...]string{"asked", "permitted", "emptying", "out", "returning", "done", "cancelled", "refused", "lost"}
 
-// String is the phase's name.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -59,85 +59,86 @@
 	return "unknown"
 }
 
-// Ended tells whether nothing more happens to a work.
+// Ended reports whether the operation is over.
 func (p Phase) Ended() bool { return p >= Done }
 
-// IsOut tells whether a machine counts as out.
+// IsOut reports whether the machine counts as out.
 func (p Phase) IsOut() bool { return p >= Draining && p <= Returning }
 
-// Kind is what is taken out.
+// Kind is the kind of machine that is taken out.
 type Kind uint8
 
-// The kinds.
+// The kinds of machines.
 const (
-	Front Kind = iota // a front: it empties itself
-	Box               // a cache box: every front leaves it
+	Front Kind = iota // a front: it drains itself
+	Box               // a cache box: every front stops using it
 )
 
-// Item is one work.
+// Operation is one maintenance operation on a machine.
 type Operation struct {
-	ID            uint64   `cbor:"1,keyasint"` // in the order in which they were asked for, from 1
-	Machine       string   `cbor:"2,keyasint"` // a front's name, or a box's
+	ID            uint64   `cbor:"1,keyasint"` // in the order of the requests, from 1
+	Machine       string   `cbor:"2,keyasint"` // name of a front or a box
 	Kind          Kind     `cbor:"3,keyasint,omitempty"`
-	Zone          string   `cbor:"4,keyasint,omitempty"` // of a box; of a front the fleet knows it
+	Zone          string   `cbor:"4,keyasint,omitempty"` // of a box; that of a front is known from the fleet
 	Reason        string   `cbor:"5,keyasint,omitempty"`
-	Duration      Micros   `cbor:"6,keyasint"`           // that the work takes, once the machine is out
-	StartWithin   Micros   `cbor:"7,keyasint,omitempty"` // from when it was asked, until which leave must be given; 0: any time
+	Duration      Micros   `cbor:"6,keyasint"`           // of the operation, once the machine is out
+	StartWithin   Micros   `cbor:"7,keyasint,omitempty"` // time after the request within which a permit must be given; 0: unlimited
 	Importance    int      `cbor:"8,keyasint,omitempty"`
 	ConflictsWith []string `cbor:"9,keyasint,omitempty"`  // machines that must not be out at the same time
-	SingleZone    bool     `cbor:"10,keyasint,omitempty"` // only while nothing of another zone is out
-	Urgent        bool     `cbor:"11,keyasint,omitempty"` // goes before all that is not, also while the fleet is hurt
-	EndsOnRestart bool     `cbor:"12,keyasint,omitempty"` // it is back once its process has started anew; else once a person says so
+	SingleZone    bool     `cbor:"10,keyasint,omitempty"` // only while no machine of another zone is out
+	Urgent        bool     `cbor:"11,keyasint,omitempty"` // goes before all others that are not urgent, even while the fleet is unhealthy
+	EndsOnRestart bool     `cbor:"12,keyasint,omitempty"` // ends when the machine's process has restarted; else when an operator says so
 	RequestedAt   Micros   `cbor:"13,keyasint"`
 	Phase         Phase    `cbor:"14,keyasint,omitempty"`
-	Since         Micros   `cbor:"15,keyasint"`           // when it came into its phase
-	Permit        uint64   `cbor:"16,keyasint,omitempty"` // the last one given
-	Holder        uint64   `cbor:"17,keyasint,omitempty"` // incarnation that accepted it
-	Start         uint64   `cbor:"18,keyasint,omitempty"` // its process when it did
+	Since         Micros   `cbor:"15,keyasint"`           // start of the current phase
+	Permit        uint64   `cbor:"16,keyasint,omitempty"` // the latest one given
+	Holder        uint64   `cbor:"17,keyasint,omitempty"` // incarnation that accepted the permit
+	Start         uint64   `cbor:"18,keyasint,omitempty"` // process that accepted the permit
 	Note          string   `cbor:"19,keyasint,omitempty"` // why it ended, or what is unusual
-	LeftBy        []string `cbor:"20,keyasint,omitempty"` // of a box: the fronts that have confirmed, by name, ordered
+	LeftBy        []string `cbor:"20,keyasint,omitempty"` // of a box: names of the fronts that have confirmed leaving it, sorted
 	Overdue       bool     `cbor:"21,keyasint,omitempty"`
-	Unaccepted    int      `cbor:"22,keyasint,omitempty"` // leaves that were not accepted
-	Serving       bool     `cbor:"23,keyasint,omitempty"` // returning: the front itself has said that it takes clients
-	Pace          int      `cbor:"24,keyasint,omitempty"` // of a box: percent of its hub's pace, as the front that was asked saw it; 0: not known
+	Unaccepted    int      `cbor:"22,keyasint,omitempty"` // permits that were not accepted
+	Serving       bool     `cbor:"23,keyasint,omitempty"` // returning: the front itself has reported that it takes clients
+	Pace          int      `cbor:"24,keyasint,omitempty"` // of a box: its percentage of its hub's pace, as seen by the front that took the request; 0: unknown
 }
 
-// Rules are the budgets and bounds, replicated so that all replicas use the same.
+// Rules are the budgets and timeouts, replicated so that all replicas use the same
+// ones.
 type Rules struct {
 	MaxOut           int    `cbor:"1,keyasint"`            // machines out at once, lost ones included
-	MaxZoneOut       int    `cbor:"2,keyasint"`            // of one zone
-	MaxFrontsPercent int    `cbor:"3,keyasint"`            // of the fleet's fronts, rounded down, but one at least
-	UnhealthyPercent int    `cbor:"4,keyasint"`            // percent of the fronts lost from which nothing goes but what is urgent
-	AcceptTimeout    Micros `cbor:"5,keyasint"`            // for leave to be accepted
-	DrainTimeout     Micros `cbor:"6,keyasint"`            // for a machine to be empty, after which it is told as late
-	ReturnTimeout    Micros `cbor:"7,keyasint"`            // for it to come back, after which it is told as late
-	WarmUp           Micros `cbor:"8,keyasint"`            // it is not a full machine for so long after it came back
-	AgeStep          Micros `cbor:"9,keyasint"`            // waiting that counts as one step of importance
-	Patience         Micros `cbor:"10,keyasint"`           // after which a work that waits is not passed over any more
-	LeaseSpan        Micros `cbor:"11,keyasint,omitempty"` // for which a front acts without hearing the fleet; 0: for ever
-	MaxPacePercent   int    `cbor:"12,keyasint,omitempty"` // percent of a hub's pace that boxes out at once may have; 0: not looked at
-	MaxFencedPercent int    `cbor:"13,keyasint,omitempty"` // percent of the fronts, and of a zone's, that may be shut out for acting on old versions; 0: 34
-}
-
-// Defaults are the rules where the operators set none.
+	MaxZoneOut       int    `cbor:"2,keyasint"`            // machines of one zone out at once
+	MaxFrontsPercent int    `cbor:"3,keyasint"`            // percent of the fleet's fronts, rounded down, at least one
+	UnhealthyPercent int    `cbor:"4,keyasint"`            // percent of fronts lost or in trouble from which only urgent operations start
+	AcceptTimeout    Micros `cbor:"5,keyasint"`            // for a permit to be accepted
+	DrainTimeout     Micros `cbor:"6,keyasint"`            // for a machine to drain, after which it is reported as overdue
+	ReturnTimeout    Micros `cbor:"7,keyasint"`            // for a machine to return, after which it is reported as overdue
+	WarmUp           Micros `cbor:"8,keyasint"`            // time after its return until it counts as a full machine
+	AgeStep          Micros `cbor:"9,keyasint"`            // waiting time that counts as one step of importance
+	Patience         Micros `cbor:"10,keyasint"`           // waiting time after which no other operation may overtake
+	LeaseSpan        Micros `cbor:"11,keyasint,omitempty"` // how long a front acts without contact to the fleet; 0: unlimited
+	MaxPacePercent   int    `cbor:"12,keyasint,omitempty"` // percent of a hub's pace that boxes out at once may have; 0: no limit
+	MaxFencedPercent int    `cbor:"13,keyasint,omitempty"` // percent of all fronts, and of those of a zone, that may be fenced for acting on old versions; 0: 34
+}
+
+// DefaultRules returns the rules for what the operators have not set.
 func DefaultRules() Rules {
 	return Rules{MaxOut: 1, MaxZoneOut: 1, MaxFrontsPercent: 34, UnhealthyPercent: 20, AcceptTimeout: 20 * second, DrainTimeout: 90 * second, ReturnTimeout: 120 * second,
 		WarmUp: 15 * second, AgeStep: 60 * second, Patience: 600 * second}
 }
 
-// Check names the first rule that can't be.
+// Validate returns an error that names the first invalid rule.
 func (r Rules) Validate() error {
-	for _, x := range []struct {
-		key         string
-		n           int64
-		least, most int64
+	for _, rule := range []struct {
+		key              string
+		n                int64
+		minimum, maximum int64
 	}{{"out", int64(r.MaxOut), 1, 1000}, {"zone", int64(r.MaxZoneOut), 1, 1000}, {"percent", int64(r.MaxFrontsPercent), 1, 100},
 		{"hurt_percent", int64(r.UnhealthyPercent), 1, 100}, {"accept_s", r.AcceptTimeout, second / 10, 3600 * second}, {"empty_s", r.DrainTimeout, second / 10, 3600 * second},
 		{"back_s", r.ReturnTimeout, second / 10, 24 * 3600 * second}, {"cold_s", r.WarmUp, 0, 3600 * second},
 		{"age_step_s", r.AgeStep, second / 10, 24 * 3600 * second}, {"patience_s", r.Patience, second / 10, 24 * 3600 * second},
 		{"alone_s", r.LeaseSpan, 0, 24 * 3600 * second}} {
-		if x.n < x.least || x.n > x.most {
-			return fmt.Errorf("%s: %d is not %d to %d", x.key, x.n, x.least, x.most)
+		if rule.n < rule.minimum || rule.n > rule.maximum {
+			return fmt.Errorf("%s: %d is not %d to %d", rule.key, rule.n, rule.minimum, rule.maximum)
 		}
 	}
 	if r.MaxPacePercent < 0 || r.MaxPacePercent > 100 {
@@ -152,25 +153,25 @@
 	return nil
 }
 
-// Machine is what Step must know of a front.
+// Machine is what Step needs to know about a front.
 type Machine struct {
 	Name         string
 	Zone         string
 	ID           uint64
 	Start        uint64
 	Lost         bool
-	NotServing   bool // it says itself that it takes no clients
-	Unhealthy    bool // it says itself that it is in trouble
+	NotServing   bool // it reports that it takes no clients
+	Unhealthy    bool // it reports that it is in trouble
 	Voter        bool
-	CanYieldSeat bool   // it votes, and another front can take its seat, or it can be done without
-	LeaseExpiry  Micros // lost: fleet time at which its lease is surely over, with all that it had open; 0: never
-	Lease        Micros // the longest that it acts without hearing the fleet; 0: for ever
+	CanYieldSeat bool   // voter whose seat another front can take, or that is dispensable
+	LeaseExpiry  Micros // lost: fleet time at which its lease, with all its open requests, has certainly expired; 0: never
+	Lease        Micros // longest time that it acts without contact to the fleet; 0: unlimited
 }
 
-// Fleet is the fronts as the council's state has them, ordered by name.
+// Fleet is the fronts as in the replicated state, sorted by name.
 type Fleet []Machine
 
-// Find gives a front by name; nil: there is none.
+// Find returns the front of a name, or nil.
 func (f Fleet) Find(name string) *Machine {
 	i, ok := slices.BinarySearchFunc(f, name, func(m Machine, n string) int { return cmp.Compare(m.Name, n) })
 	if !ok {
@@ -179,21 +180,21 @@
 	return &f[i]
 }
 
-// State is all works. Permits are numbered through the fleet's life.
+// State holds all operations. Permits are numbered throughout the fleet's life.
 type State struct {
 	Rules      Rules             `cbor:"1,keyasint"`
-	LastPermit uint64            `cbor:"2,keyasint"` // permit
+	LastPermit uint64            `cbor:"2,keyasint"` // number of the latest permit
 	LastID     uint64            `cbor:"3,keyasint"`
-	HoldReason string            `cbor:"4,keyasint,omitempty"` // why nothing new goes; empty: it does
-	Operations []Operation       `cbor:"5,keyasint,omitempty"` // not ended, by ID
-	Ended      []Operation       `cbor:"6,keyasint,omitempty"` // the last ones
-	Fences     map[string]uint64 `cbor:"7,keyasint,omitempty"` // permits of a machine below it are void
+	HoldReason string            `cbor:"4,keyasint,omitempty"` // why no operation may start; empty: they may
+	Operations []Operation       `cbor:"5,keyasint,omitempty"` // not ended, sorted by ID
+	Ended      []Operation       `cbor:"6,keyasint,omitempty"` // the most recent ones
+	Fences     map[string]uint64 `cbor:"7,keyasint,omitempty"` // by machine: permits below this number are void
 }
 
-// New makes the state of a fleet that has never taken a machine out.
+// New returns the state of a fleet without any operations.
 func New() State { return State{Rules: DefaultRules(), Fences: map[string]uint64{}} }
 
-// Errors of what was asked.
+// Errors of requests and reports.
 var (
 	ErrNoOperation       = errors.New("no such work, or it has ended")
 	ErrTooManyOperations = fmt.Errorf("%d works wait or are under way, which is the most", MaxOperations)
@@ -206,7 +207,8 @@
 	ErrFrontReachable    = errors.New("the front is heard: it can say itself that it is back")
 )
 
-// Ask takes a work in. A front's must be of the fleet; one work a machine.
+// Request adds an operation and returns its ID. A front must belong to the fleet, and a
+// machine has at most one operation at a time.
 func (s *State) Request(op Operation, fleet Fleet, now Micros) (id uint64, err error) {
 	switch {
 	case op.Machine == "" || len(op.Machine) > maxTextSize || len(op.Reason) > maxTextSize || len(op.ConflictsWith) > maxConflicts || len(op.Zone) > maxTextSize:
@@ -227,7 +229,7 @@
 	return s.LastID, nil
 }
 
-// Find gives a work that is not ended; nil: there is none.
+// Find returns an operation that has not ended, or nil.
 func (s *State) Find(id uint64) *Operation {
 	i, ok := slices.BinarySearchFunc(s.Operations, id, func(op Operation, id uint64) int { return cmp.Compare(op.ID, id) })
 	if !ok {
@@ -236,7 +238,7 @@
 	return &s.Operations[i]
 }
 
-// On gives a machine's work that is not ended; nil: there is none.
+// ForMachine returns the operation of a machine that has not ended, or nil.
 func (s *State) ForMachine(machine string) *Operation {
 	i := slices.IndexFunc(s.Operations, func(op Operation) bool { return op.Machine == machine })
 	if i < 0 {
@@ -249,7 +251,7 @@
 	op.Phase, op.Since, op.Overdue, op.Serving = p, now, false, false
 }
 
-// fence voids the permit that a machine may still have in hand.
+// voidPermit voids the permit that a machine may still hold.
 func (s *State) voidPermit(op *Operation) {
 	if op.Permit == 0 {
 		return
@@ -257,7 +259,7 @@
 	if s.Fences == nil {
 		s.Fences = map[string]uint64{}
 	}
-	if len(s.Fences) >= maxFences { // the lowest tell least: their permits are the oldest
+	if len(s.Fences) >= maxFences { // the lowest matter least: their permits are the oldest
 		var lowest string
 		for m, n := range s.Fences {
 			if lowest == "" || n < s.Fences[lowest] || n == s.Fences[lowest] && m < lowest {
@@ -269,7 +271,7 @@
 	s.Fences[op.Machine] = op.Permit + 1
 }
 
-// end ends a work and voids its permit.
+// finish ends an operation and voids its permit.
 func (s *State) finish(op *Operation, p Phase, note string, now Micros) {
 	s.voidPermit(op)
 	op.setPhase(p, now)
@@ -284,7 +286,8 @@
 	}
 }
 
-// Cancel ends a work that has not begun; one that has comes back at once.
+// Cancel ends an operation whose machine is not out yet. A machine that is out returns
+// at once.
 func (s *State) Cancel(id uint64, why string, now Micros) error {
 	op := s.Find(id)
 	switch {
@@ -299,8 +302,8 @@
 	return nil
 }
 
-// Finish is a person's word, or the front's own, that the work is done and the
-// machine comes back.
+// Finish ends the work on a machine, on a report of an operator or of the front itself:
+// the machine returns.
 func (s *State) Finish(id uint64, now Micros) error {
 	op := s.Find(id)
 	switch {
@@ -313,9 +316,9 @@
 	return nil
 }
 
-// Declare is a person's word that a machine in work will not come back: the only
-// way in which it stops counting as out without being heard. A front that is
-// heard can say so itself.
+// DeclareLost ends an operation on an operator's statement that the machine will not
+// come back. Apart from contact with the machine, this is the only way in which it
+// stops counting as out. A front that is reachable can report its return itself.
 func (s *State) DeclareLost(id uint64, why string, fleet Fleet, now Micros) error {
 	op := s.Find(id)
 	if op == nil {
@@ -331,8 +334,8 @@
 	return nil
 }
 
-// Accept is a front's acceptance of leave: from here on it is out. It stands only
-// while the leave does.
+// Accept takes a front's acceptance of a permit: the machine is out from here on. It is
+// valid only while the permit is.
 func (s *State) Accept(machine string, permit, id, start uint64, now Micros) error {
 	op := s.ForMachine(machine)
 	if op == nil || permit < s.Fences[machine] || op.Permit != permit {
@@ -346,7 +349,7 @@
 	return nil
 }
 
-// Empty is a front's word that it holds no request any more.
+// Drained takes a front's report that it has no open requests.
 func (s *State) Drained(machine string, permit, id uint64, now Micros) error {
 	op := s.ForMachine(machine)
 	if op == nil || op.Permit != permit || op.Holder != id {
@@ -359,8 +362,8 @@
 	return nil
 }
 
-// Back is a front's word that it takes clients again. Only that ends its work: what
-// others last heard of it may be older than its way out.
+// Returned takes a front's report that it takes clients again. Nothing else ends its
+// operation: what others last heard of it may date from before it went out.
 func (s *State) Returned(machine string, permit, id uint64, now Micros) error {
 	op := s.ForMachine(machine)
 	if op == nil || op.Permit != permit {
@@ -375,8 +378,8 @@
 	return nil
 }
 
-// Leave is a front's word, for a box in work, that it sends nothing new there and
-// has nothing open there.
+// ConfirmLeft takes a front's report that it sends nothing new to a box and has no open
+// requests there.
 func (s *State) ConfirmLeft(machine string, permit uint64, front string, now Micros) error {
 	op := s.ForMachine(machine)
 	if op == nil || op.Kind != Box || op.Permit != permit {
@@ -391,8 +394,8 @@
 	return nil
 }
 
-// Rejoined is told when a front came under a new incarnation, or its process
-// started anew: what the one before confirmed of boxes counts no more.
+// Rejoined handles a front that came back under a new incarnation or process: what the
+// previous one confirmed about boxes is void.
 func (s *State) Rejoined(front string) {
 	for i := range s.Operations {
 		if j, ok := slices.BinarySearch(s.Operations[i].LeftBy, front); ok && s.Operations[i].Phase < Out {
@@ -401,7 +404,7 @@
 	}
 }
 
-// Zone is where a work's machine stands.
+// zone returns the zone of the operation's machine.
 func (op *Operation) zone(fleet Fleet) string {
 	if m := fleet.Find(op.Machine); op.Kind == Front && m != nil {
 		return m.Zone
@@ -409,17 +412,18 @@
 	return op.Zone
 }
 
-// usage is what is out now, by every reason.
+// usage counts what is out, for whatever reason.
 type usage struct {
 	out, fronts, lost int
 	unhealthy         int
 	zones             map[string]int
-	pace              map[string]int // of hubs: percent that boxes under way have
+	pace              map[string]int // by hub: percent of its pace that boxes with a permit have
 	machines          map[string]bool
-	voters, staying   int // heard: those that are and stay in
+	voters, staying   int // staying: the reachable voters without an operation
 }
 
-// use counts. What has leave counts as out already: it may be accepted.
+// countUsage counts the usage. A machine with a permit already counts as out, since the
+// permit may be accepted.
 func (s *State) countUsage(fleet Fleet) usage {
 	u := usage{zones: map[string]int{}, pace: map[string]int{}, machines: map[string]bool{}}
 	count := func(name, zone string, front bool) {
@@ -442,7 +446,7 @@
 	for _, m := range fleet {
 		if m.Voter {
 			u.voters++
-			if !u.machines[m.Name] && !m.Lost { // one that is away by itself votes all the same
+			if !u.machines[m.Name] && !m.Lost { // a voter that takes no clients still votes
 				u.staying++
 			}
 		}
@@ -459,12 +463,13 @@
 	return u
 }
 
-// score orders what waits: importance, and a step of it for every span waited.
+// score is the priority of a waiting operation: its importance, plus one for each
+// AgeStep that it has waited.
 func (op *Operation) score(r Rules, now Micros) int64 {
 	return int64(op.Importance) + min(maxAge, (now-op.RequestedAt)/max(1, r.AgeStep))
 }
 
-// queue is what waits, the next first.
+// queue returns the waiting operations, the next one first.
 func (s *State) queue(now Micros) (list []*Operation) {
 	for i := range s.Operations {
 		if op := &s.Operations[i]; op.Phase == Requested {
@@ -485,7 +490,7 @@
 
 const reasonSeatFirst = "its seat in the council goes to another front first"
 
-// bar tells why a work can't have leave now; empty: it can.
+// blockedBy returns why an operation can't get a permit now; empty: it can.
 func (s *State) blockedBy(op *Operation, u *usage, fleet Fleet, now Micros) string {
 	m := fleet.Find(op.Machine)
 	zone := op.zone(fleet)
@@ -503,7 +508,7 @@
 		return fmt.Sprintf("%s; it is asked again in %d s", op.Note, (retry-now)/second+1)
 	}
 	others, sameZone, fronts := u.out, u.zones[zone], u.fronts
-	if u.machines[op.Machine] { // it says that it is away, and so counts already
+	if u.machines[op.Machine] { // it takes no clients, so it is already counted
 		others, sameZone, fronts = others-1, sameZone-1, fronts-1
 	}
 	switch {
@@ -523,8 +528,9 @@
 	return s.conflict(op, u, zone)
 }
 
-// again is when a work whose leave was not accepted may have the next: it waits twice
-// as long after each, so that a front that hears and is not heard costs little.
+// retryAt returns when an operation whose permit was not accepted may get the next one.
+// The wait doubles each time, so that a front that receives but can't be heard costs
+// little.
 func (s *State) retryAt(op *Operation) Micros {
 	if op.Unaccepted == 0 {
 		return 0
@@ -532,7 +538,7 @@
 	return op.Since + s.Rules.AcceptTimeout<<(op.Unaccepted-1)
 }
 
-// apart tells what stands against a work beside the budgets.
+// conflict returns what prevents an operation apart from the budgets; empty: nothing.
 func (s *State) conflict(op *Operation, u *usage, zone string) string {
 	for _, other := range op.ConflictsWith {
 		if other != op.Machine && u.machines[other] {
@@ -555,9 +561,9 @@
 	return ""
 }
 
-// Step draws the conclusions of a moment: bounds that have passed, works that are
-// over, leave for those whose turn it is. It must run after every change, and
-// gives what has happened, a line each.
+// Step draws the conclusions of the current time: timeouts, ended operations, and
+// permits for those whose turn it is. It must run after every change, and returns one
+// line for each event.
 func (s *State) Step(fleet Fleet, now Micros) (events []string) {
 	emit := func(op *Operation, what string) {
 		events = append(events, fmt.Sprintf("work %d on %s: %s", op.ID, op.Machine, what))
@@ -591,7 +597,7 @@
 			case elapsed > s.Rules.AcceptTimeout || m == nil || m.Lost:
 				op.Unaccepted = min(op.Unaccepted+1, 8)
 				withdraw(op, "was not accepted and was taken back")
-			case m.Voter: // it may have got a seat, or another voter been lost, since
+			case m.Voter: // it may have become a voter, or another voter been lost, since the permit
 				if u := s.countUsage(fleet); u.voters > 1 && u.staying < u.voters/2+1 {
 					withdraw(op, "was taken back: those voters that are left are no majority any more")
 				}
@@ -626,7 +632,8 @@
 	}
 	u := s.countUsage(fleet)
 	for _, op := range s.queue(now) {
-		// Where the budget is spent, nobody who is not part of what spent it need be looked at.
+		// Once the budget is used up, only operations on machines that are already
+		// counted need a closer look.
 		reason := "the budget is spent"
 		if u.out < s.Rules.MaxOut || u.machines[op.Machine] {
 			reason = s.blockedBy(op, &u, fleet, now)
@@ -638,20 +645,20 @@
 			emit(op, fmt.Sprintf("leave %d", op.Permit))
 			u = s.countUsage(fleet)
 		} else if now-op.RequestedAt > s.Rules.Patience && s.HoldReason == "" && !s.stuck(op, fleet, now) {
-			break // nothing goes before it any more
+			break // nothing may overtake it any more
 		}
 	}
 	return events
 }
 
-// stuck tells that a work waits for something of its own, so that others need not
-// wait with it.
+// stuck reports whether an operation waits for its own machine, so that others need not
+// wait behind it.
 func (s *State) stuck(op *Operation, fleet Fleet, now Micros) bool {
 	m := fleet.Find(op.Machine)
 	return op.Kind == Front && (m == nil || m.Lost || now < s.retryAt(op))
 }
 
-// left tells whether every front has confirmed that it has left a box, or can't act
+// allLeft reports whether every front has confirmed that it left a box, or can't act
 // any more.
 func (s *State) allLeft(op *Operation, fleet Fleet, now Micros) bool {
 	for _, m := range fleet {
@@ -662,7 +669,7 @@
 	return true
 }
 
-// over tells whether a front is lost and its lease surely over.
+// leaseExpired reports whether a front is lost and its lease has certainly expired.
 func (m *Machine) leaseExpired(now Micros) bool {
 	return m.Lost && m.LeaseExpiry > 0 && now >= m.LeaseExpiry
 }
@@ -674,15 +681,15 @@
 	return ids
 }
 
-// Line is one work of a plan, with what it waits for.
+// PlanEntry is an operation in the plan and what it waits for.
 type PlanEntry struct {
 	Operation
-	Position int    // in the order, from 1; 0: it is under way
-	WaitsFor string // for what; empty: for nothing
+	Position int    // in the queue, from 1; 0: already started
+	WaitsFor string // empty: for nothing
 }
 
-// Plan is who goes when: what is under way, then what waits in its order, each with
-// what stands in its way now.
+// Plan returns the started operations, then the waiting ones in order, each with what
+// it waits for.
 func (s *State) Plan(fleet Fleet, now Micros) (plan []PlanEntry) {
 	u := s.countUsage(fleet)
 	for i := range s.Operations {
@@ -696,7 +703,7 @@
 	return plan
 }
 
-// waits tells what a work under way waits for.
+// waitReason returns what a started operation waits for.
 func (s *State) waitReason(op *Operation, fleet Fleet, now Micros) string {
 	overdue := ""
 	if op.Overdue {
@@ -736,7 +743,7 @@
 	return ""
 }
 
-// Why says in a sentence what becomes of a machine's work.
+// Explain returns a sentence on the operation of a machine.
 func (s *State) Explain(machine string, fleet Fleet, now Micros) string {
 	for _, entry := range s.Plan(fleet, now) {
 		if entry.Machine != machine {
@@ -759,8 +766,8 @@
 	return machine + " has no work."
 }
 
-// Soon tells whether a front is about to go out, or is: it should hold no seat that
-// another can have.
+// OutSoon reports whether a front is out or about to go out: it should not hold a seat
+// that another front can take.
 func (s *State) OutSoon(front string, fleet Fleet, now Micros) bool {
 	if op := s.ForMachine(front); op != nil && op.Kind == Front && op.Phase != Requested {
 		return true
--- a/internal/decide/maintenance/maintenance_test.go
+++ b/internal/decide/maintenance/maintenance_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever boxes are asked for, those under way in a hub never have more of its pace
-// than the rules let, but for one that has more by itself; and all go in the end.
+// Whichever boxes are requested, those out of one hub never have more of its pace than
+// the rules allow, except a single box that exceeds it alone; and all operations end.
 func TestHubPaceLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -27,7 +27,7 @@
 		}
 		for now := Micros(0); len(s.Operations) > 0; now += second {
 			if now > Micros(5*n)*second {
-				t.Fatalf("%d works never end: %+v", len(s.Operations), s.Plan(fleet, now))
+				t.Fatalf("%d operations never end: %+v", len(s.Operations), s.Plan(fleet, now))
 			}
 			s.Step(fleet, now)
 			used, count := map[string]int{}, map[string]int{}
@@ -39,7 +39,7 @@
 			}
 			for z, p := range used {
 				if p > s.Rules.MaxPacePercent && count[z] > 1 {
-					t.Fatalf("%d%% of %s are out, %d%% may be", p, z, s.Rules.MaxPacePercent)
+					t.Fatalf("%d%% of the pace of %s is out, limit %d%%", p, z, s.Rules.MaxPacePercent)
 				}
 			}
 			for _, id := range s.ids() {
@@ -55,7 +55,8 @@
 	})
 }
 
-// A front whose lease is surely over counts as having left a box, not a moment before.
+// A lost front counts as having left a box once its lease has certainly expired, and no
+// earlier.
 func TestExpiredLeaseCountsAsLeft(t *testing.T) {
 	s := New()
 	fleet := Fleet{{Name: "a"}, {Name: "b", Lost: true, LeaseExpiry: 60 * second}}
