--- a/internal/decide/statemachine/model_test.go
+++ b/internal/decide/statemachine/model_test.go
@@ -9,15 +9,15 @@
 	"cherryramp/internal/decide/membership"
 )
 
-// The model of permits: one log, fronts that apply it late, reports that are lost,
-// late and doubled, fronts that die and start anew, time that passes, and a person.
-// Every order of events is played up to a bound. What must hold: never are more
-// fronts truly out than the budget lets, and leave is never given beside one that is
-// known to be lost or to a voter without whom there is no majority.
+// The model of permits: one log; fronts that apply it late; reports that are lost,
+// delayed and duplicated; fronts that crash and restart; time that passes; an operator.
+// Every order of events is explored up to a bound. Checked: never are more fronts
+// actually out than the budget allows, and no permit is given while too many are out or
+// known to be lost, or to a voter without which there is no majority.
 
 const modelFronts = 3
 
-// kind of an entry.
+// The kinds of entries.
 const (
 	entryTime = iota
 	entryLost
@@ -29,21 +29,21 @@
 	entryJoin
 )
 
-// entry is a command of the model, small enough to be a key.
+// entry is a command of the model, small enough to be a map key.
 type entry struct {
 	kind, front, permit, start uint8
 }
 
-// mState is one state of the model.
+// modelState is one state of the model.
 type modelState struct {
-	base        int // replica state that the one furthest behind has applied
+	base        int // replica state that the slowest front has applied
 	log         string
 	applied     [modelFronts]uint8
 	starts      [modelFronts]uint8
 	up          [modelFronts]bool
-	replayUntil [modelFronts]uint8 // entries to apply before it acts, from the log's begin; 0: it does
-	inFlight    string             // reports on their way
-	budget      [4]uint8           // how often time may pass, one may die, one may be told lost, a person may speak
+	replayUntil [modelFronts]uint8 // log entries to apply before it acts; 0: it may act
+	inFlight    string             // reports in flight
+	budget      [4]uint8           // how often time may pass, a front crash, a front be marked lost or found, an operator act
 }
 
 type model struct {
@@ -92,7 +92,7 @@
 
 func frontName(i uint8) string { return string('a' + rune(i)) }
 
-// command is an entry as the log has it. The same report has the same id.
+// command returns the command of an entry. The same report has the same ID.
 func (m *model) command(e entry) Command {
 	name, id := frontName(e.front), uint64(e.front)+1
 	c := Command{ID: ID{Front: id, Start: uint64(e.start) + 1, N: uint64(e.kind)<<16 | uint64(e.permit)<<8 | 1}}
@@ -121,8 +121,8 @@
 	return membership.Front{Name: frontName(i), Zone: fmt.Sprintf("z%d", i), Machine: frontName(i), Address: "x", ID: uint64(i) + 1, Start: uint64(start) + 1}
 }
 
-// apply gives the replica state behind an entry, and holds every leave that comes of
-// it against what is known there.
+// apply returns the replica state after an entry, and checks every permit that it gives
+// against that state.
 func (m *model) apply(state int, e byte) int {
 	key := [2]int{state, int(e)}
 	if to, ok := m.next[key]; ok {
@@ -145,31 +145,31 @@
 
 func (m *model) checkPermit(r *Replica) {
 	s := r.State()
-	gone, staying := map[string]bool{}, 0
+	out, staying := map[string]bool{}, 0
 	for _, x := range s.Maintenance.Operations {
 		if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
-			gone[x.Machine] = true
+			out[x.Machine] = true
 		}
 	}
 	for _, f := range s.Members.Fronts {
 		if f.Lost {
-			gone[f.Name] = true
+			out[f.Name] = true
 		}
 	}
 	for _, f := range s.Members.Fronts {
-		if s.Seats.Has(f.ID) && !gone[f.Name] {
+		if s.Seats.Has(f.ID) && !out[f.Name] {
 			staying++
 		}
 	}
-	if len(gone) > s.Maintenance.Rules.MaxOut {
-		m.violation = fmt.Sprintf("leave %d makes %d out or lost, %d may be", s.Maintenance.LastPermit, len(gone), s.Maintenance.Rules.MaxOut)
+	if len(out) > s.Maintenance.Rules.MaxOut {
+		m.violation = fmt.Sprintf("permit %d makes %d machines out or lost, limit %d", s.Maintenance.LastPermit, len(out), s.Maintenance.Rules.MaxOut)
 	}
 	if staying < membership.Majority(len(s.Seats.Voters)) {
-		m.violation = fmt.Sprintf("leave %d leaves %d of %d voters", s.Maintenance.LastPermit, staying, len(s.Seats.Voters))
+		m.violation = fmt.Sprintf("permit %d leaves %d of %d voters", s.Maintenance.LastPermit, staying, len(s.Seats.Voters))
 	}
 }
 
-// view is what a front has applied.
+// view returns what a front has applied.
 func (m *model) view(s *modelState, i int) *Replica {
 	at := s.base
 	for _, e := range []byte(s.log[:s.applied[i]]) {
@@ -178,7 +178,8 @@
 	return m.states[at]
 }
 
-// out tells whether a front is truly out: as the program has it, by what it has applied.
+// out reports whether a front is actually out: as the program does it, by what the
+// front has applied.
 func (m *model) out(s *modelState, i int) bool {
 	if !s.up[i] || s.replayUntil[i] > s.applied[i] {
 		return false
@@ -187,7 +188,7 @@
 	return x != nil && (x.Phase == maintenance.Out || x.Phase == maintenance.Draining && x.Holder == uint64(i)+1)
 }
 
-// trim drops what all have applied.
+// trim drops the log entries that all fronts have applied.
 func (m *model) trim(s modelState) modelState {
 	low := slices.Min(s.applied[:])
 	for _, e := range []byte(s.log[:low]) {
@@ -203,7 +204,7 @@
 	return s
 }
 
-// steps gives all that may happen next.
+// successors returns all states that may come next.
 func (m *model) successors(s modelState, maxLog, maxInFlight int) (list []modelState) {
 	add := func(x modelState) { list = append(list, m.trim(x)) }
 	commit := func(x modelState, e byte) (modelState, bool) {
@@ -237,7 +238,7 @@
 			propose(entry{kind: entryFinish, front: i})
 		}
 		if !s.up[i] {
-			x := s // it starts anew, and says so
+			x := s // it restarts, and joins again
 			x.up[i], x.starts[i], x.replayUntil[i] = true, s.starts[i]+1, uint8(len(s.log))
 			if x, ok := commit(x, m.entry(entry{kind: entryJoin, front: i, start: x.starts[i]})); ok {
 				add(x)
@@ -289,14 +290,14 @@
 		if x, ok := commit(delivered, s.inFlight[k]); ok {
 			add(x)
 		}
-		if x, ok := commit(s, s.inFlight[k]); ok { // it comes, and comes again
+		if x, ok := commit(s, s.inFlight[k]); ok { // delivered, and delivered again
 			add(x)
 		}
 	}
 	return list
 }
 
-// play goes through all orders, and gives how many states there are.
+// explore visits all orders of events and returns the number of states.
 func (m *model) explore(out, maxLog, maxInFlight, maxStates int, budget [4]uint8) (states int) {
 	r := New()
 	r.SetMutation(m.mutation)
@@ -327,7 +328,7 @@
 			}
 		}
 		if outs > out {
-			m.violation = fmt.Sprintf("%d fronts are truly out, %d may be", outs, out)
+			m.violation = fmt.Sprintf("%d fronts are actually out, limit %d", outs, out)
 		}
 		for _, x := range m.successors(s, maxLog, maxInFlight) {
 			if !seen[x] {
@@ -337,7 +338,7 @@
 		}
 	}
 	if m.violation == "" && len(queue) > 0 {
-		m.t.Logf("bound of %d states reached", maxStates)
+		m.t.Logf("limit of %d states reached", maxStates)
 	}
 	return len(seen)
 }
@@ -347,12 +348,12 @@
 		name            string
 		out             int
 		mostLog, flight int
-		left            [4]uint8 // time, deaths, told lost or found, a person's words
+		left            [4]uint8 // time, crashes, marked lost or found, operator actions
 		found           []Mutation
 	}{
-		{"time and a person", 1, 2, 2, [4]uint8{2, 0, 0, 1}, []Mutation{DisableFence}},
-		{"deaths, and who is told lost", 1, 2, 2, [4]uint8{1, 1, 1, 0}, []Mutation{DisableLostCount}},
-		{"two dead or told lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Mutation{DisableMajority}},
+		{"time and an operator", 1, 2, 2, [4]uint8{2, 0, 0, 1}, []Mutation{DisableFence}},
+		{"crashes and fronts marked lost", 1, 2, 2, [4]uint8{1, 1, 1, 0}, []Mutation{DisableLostCount}},
+		{"two crashed or marked lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Mutation{DisableMajority}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			const maxStates = 3_000_000
@@ -365,9 +366,9 @@
 			for _, rule := range x.found {
 				m := newModel(t, rule)
 				n := m.explore(x.out, x.mostLog, x.flight, maxStates, x.left)
-				t.Logf("without %s: found after %d states: %s", rule, n, m.violation)
+				t.Logf("mutation %s: detected after %d states: %s", rule, n, m.violation)
 				if m.violation == "" {
-					t.Errorf("without %s nothing was found", rule)
+					t.Errorf("mutation %s was not detected", rule)
 				}
 			}
 		})
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -1,11 +1,11 @@
-// Package statemachine is what every front of a fleet holds alike: the fronts, and the
-// works on machines. A committed command goes in, state and a word on what became
-// of it come out; the same commands in the same order make the same state
-// everywhere, down to the bytes of its snapshot.
+// Package statemachine is the replicated state of a fleet: its fronts, the maintenance
+// operations, the configuration versions and the owners of sites. It applies committed
+// commands, each of which yields a result and events; the same commands in the same
+// order make the same state on every replica, down to the bytes of its snapshot.
 //
-// A command carries an id and is applied once, however often it is sent. The
-// state is versioned: a front that can't read a snapshot or a command says so and
-// does not act on what it did not understand.
+// A command carries an ID and is applied once, however often it is sent. The state is
+// versioned: a front that can't read a snapshot or a command says so and does not act
+// on it.
 package statemachine
 
 import (
@@ -24,43 +24,44 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Micros is a span, or a moment of fleet time, in microseconds.
+// Micros is a duration, or a point in fleet time, in microseconds.
 type Micros = int64
 
-// Versions of the state and its commands. A fleet stays at the one that all its fronts
-// read until the leader has heard that each of them reads a newer one.
+// Versions of the state and its commands. A fleet stays at the version that all its
+// fronts read until the leader knows that each of them reads a newer one.
 const (
 	versionFirst  = 1
-	versionLeases = 2 // leases, a hub's pace, versions
+	versionLeases = 2 // leases, a hub's pace, rollouts
 
-	// Stands is the version from which on fronts' stands on versions may be proposed.
+	// VersionStatuses is the first version in which the rollout statuses of fronts may
+	// be proposed.
 	VersionStatuses = versionLeases
-	versionOwners   = 3 // keepers of sites
-	// Keepers is the version from which on sites have keepers.
+	versionOwners   = 3 // owners of sites
+	// VersionOwners is the first version in which sites have owners.
 	VersionOwners = versionOwners
 )
 
-// Bounds.
+// Limits.
 const (
 	MaxCommandSize = 16 << 10      // bytes of a command
-	maxSeen        = 4096          // ids whose word is remembered
-	maxAdvance     = Micros(10e6)  // fleet time that one command moves on
-	seenRetention  = Micros(600e6) // fleet time for which a word is remembered
-	maxErrorSize   = 512           // bytes of a word
+	maxSeen        = 4096          // commands whose result is kept
+	maxAdvance     = Micros(10e6)  // fleet time by which one command may advance
+	seenRetention  = Micros(600e6) // fleet time for which a result is kept
+	maxErrorSize   = 512           // bytes of an error text in a result
 	maxBatch       = membership.MaxFronts
 )
 
-// ErrVersion tells of state or commands that this build can't read.
+// ErrVersion is the error for state or commands that this build can't read.
 var ErrVersion = errors.New("replica: of a version that this build can't read")
 
-// ID names a command: who sends it, and a number that only it uses.
+// ID identifies a command: its sender, and a number that is unique to it.
 type ID struct {
 	Front uint64 `cbor:"1,keyasint"` // incarnation
-	Start uint64 `cbor:"2,keyasint"` // of its process
+	Start uint64 `cbor:"2,keyasint"` // process of the front
 	N     uint64 `cbor:"3,keyasint"`
 }
 
-// Command is what an entry holds. Exactly one part is set.
+// Command is the content of a log entry. Exactly one of its parts is set.
 type Command struct {
 	Version      int                `cbor:"1,keyasint"`
 	ID           ID                 `cbor:"2,keyasint"`
@@ -74,13 +75,13 @@
 	Rules        *maintenance.Rules `cbor:"10,keyasint,omitempty"`
 	RaiseVersion int                `cbor:"11,keyasint,omitempty"` // the version that all fronts read
 
-	Piece    []byte                `cbor:"12,keyasint,omitempty"` // of a version of what fronts act on
-	Propose  *rollout.Version      `cbor:"13,keyasint,omitempty"` // a version, whose pieces came before
-	Stop     string                `cbor:"14,keyasint,omitempty"` // why the version on its way goes back
-	Statuses []rollout.FrontStatus `cbor:"15,keyasint,omitempty"` // what fronts say of the versions that they act on
+	Piece    []byte                `cbor:"12,keyasint,omitempty"` // of the content of a configuration version
+	Propose  *rollout.Version      `cbor:"13,keyasint,omitempty"` // a configuration version whose pieces are already stored
+	Stop     string                `cbor:"14,keyasint,omitempty"` // why the candidate is rolled back
+	Statuses []rollout.FrontStatus `cbor:"15,keyasint,omitempty"` // what fronts report of their configuration versions
 }
 
-// needs is the version that a command belongs to.
+// requiredVersion returns the version of the state that the command needs.
 func (c *Command) requiredVersion() int {
 	if c.Join != nil && c.Join.Front.OwnerLease > 0 {
 		return versionOwners
@@ -92,31 +93,31 @@
 	return versionFirst
 }
 
-// Found begins a fleet. It is the first command of its log.
+// Found founds a fleet. It is the first command of the log.
 type Found struct {
 	Name  string            `cbor:"1,keyasint"`
-	Fleet uint64            `cbor:"2,keyasint"` // drawn at the founding
+	Fleet uint64            `cbor:"2,keyasint"` // random, drawn when the fleet is founded
 	Rules maintenance.Rules `cbor:"3,keyasint"`
 }
 
-// Join takes a front in, or what has changed of it.
+// Join adds a front or updates its data.
 type Join struct {
 	Front membership.Front `cbor:"1,keyasint"`
 }
 
-// Leave takes a front out for good.
+// Leave removes a front for good.
 type Leave struct {
 	Name string `cbor:"1,keyasint"`
 }
 
-// Facts are what the leader saw: how much time has passed, and who was lost, found,
-// or says that it takes no clients.
+// Facts are the observations of the leader: how much time has passed, and which fronts
+// were lost or found or take no clients.
 type Facts struct {
 	Span     Micros    `cbor:"1,keyasint"`
 	Contacts []Contact `cbor:"2,keyasint,omitempty"`
 }
 
-// Contact is one front as the leader sees it.
+// Contact is the leader's view of one front.
 type Contact struct {
 	Name       string `cbor:"1,keyasint"`
 	ID         uint64 `cbor:"2,keyasint"`
@@ -125,13 +126,13 @@
 	Unhealthy  bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Ask asks for a work.
+// Request requests a maintenance operation.
 type Request struct {
 	Operation   maintenance.Operation `cbor:"1,keyasint"`
 	RequestedBy string                `cbor:"2,keyasint,omitempty"`
 }
 
-// What a person orders.
+// The actions of an Order.
 const (
 	Cancel = "cancel"
 	Hold   = "hold"
@@ -140,22 +141,22 @@
 	Finish = "done"
 )
 
-// Order is a person's word.
+// Order is an operator's order.
 type Order struct {
 	Action    string `cbor:"1,keyasint"`
 	Operation uint64 `cbor:"2,keyasint,omitempty"`
 	Reason    string `cbor:"3,keyasint,omitempty"`
 }
 
-// What a front reports of a permit.
+// The kinds of reports on a permit.
 const (
 	Accepted = "accepted"
 	Drained  = "emptied"
 	Returned = "back"
-	Left     = "left" // a box
+	Left     = "left" // of a box
 )
 
-// Report is a front's word on a permit.
+// Report is a front's report on a permit.
 type Report struct {
 	Kind    string `cbor:"1,keyasint"`
 	Machine string `cbor:"2,keyasint"`
@@ -165,20 +166,20 @@
 	Start   uint64 `cbor:"6,keyasint"`
 }
 
-// Word is what became of a command.
+// Result is the outcome of a command.
 type Result struct {
 	Err    string `cbor:"1,keyasint,omitempty"`
-	Number uint64 `cbor:"2,keyasint,omitempty"` // that was asked for, or the version that was proposed
+	Number uint64 `cbor:"2,keyasint,omitempty"` // of the requested operation or the proposed version
 }
 
-// seen is a command that was applied.
+// appliedCommand records a command that was applied, for deduplication.
 type appliedCommand struct {
 	ID     ID     `cbor:"1,keyasint"`
 	At     Micros `cbor:"2,keyasint"`
 	Result Result `cbor:"3,keyasint"`
 }
 
-// State is all that a replica holds.
+// State is everything that a replica holds.
 type State struct {
 	Version     int               `cbor:"1,keyasint"`
 	Name        string            `cbor:"2,keyasint"`
@@ -186,49 +187,49 @@
 	Now         Micros            `cbor:"4,keyasint"` // fleet time
 	Members     membership.State  `cbor:"5,keyasint"`
 	Maintenance maintenance.State `cbor:"6,keyasint"`
-	Seen        []appliedCommand  `cbor:"7,keyasint,omitempty"` // by age
-	Seats       membership.Seats  `cbor:"8,keyasint"`           // as the agreement has them
+	Seen        []appliedCommand  `cbor:"7,keyasint,omitempty"` // oldest first
+	Seats       membership.Seats  `cbor:"8,keyasint"`           // as in the consensus group's configuration
 
 	Rollout  rollout.State  `cbor:"9,keyasint,omitzero"`
 	Topology topology.State `cbor:"10,keyasint,omitzero"`
 }
 
-// Rule is a rule that a mutation leaves out, for the checkers' own test.
+// Mutation disables one rule, to show that the checkers detect its absence.
 type Mutation string
 
-// The rules that can be left out.
+// The mutations.
 const (
-	DisableFence      Mutation = "fence"       // an acceptance stands whatever became of the leave
-	DisableDedup      Mutation = "once"        // a command that comes again is applied again
-	DisableLostCount  Mutation = "lost-is-out" // what is lost does not count as out
-	DisableMajority   Mutation = "majority"    // a voter goes though no majority is left
-	DisableDrift      Mutation = "drift"       // a lease is over once the fleet's clock says so
-	DisableLeaseCheck Mutation = "look"        // a front does not look at its lease before it acts
+	DisableFence      Mutation = "fence"       // an acceptance is valid even if its permit is void
+	DisableDedup      Mutation = "once"        // a repeated command is applied again
+	DisableLostCount  Mutation = "lost-is-out" // a lost machine does not count as out
+	DisableMajority   Mutation = "majority"    // a voter goes out though no majority remains
+	DisableDrift      Mutation = "drift"       // a lease counts as expired without an allowance for clock drift
+	DisableLeaseCheck Mutation = "look"        // a front does not check its lease before it acts
 )
 
-// Replica applies commands.
+// Replica holds the state and applies commands to it.
 type Replica struct {
 	state    State
-	byID     map[ID]int // place in Seen, less what was cut off
+	byID     map[ID]int // index in Seen, plus dropped
 	dropped  int
 	mutation Mutation
 }
 
-// New makes a replica of a fleet that is not founded.
+// New returns a replica of a fleet that is not founded.
 func New() *Replica {
 	return &Replica{state: State{Version: versionFirst, Maintenance: maintenance.New()}, byID: map[ID]int{}}
 }
 
-// Without leaves a rule out.
+// SetMutation disables a rule.
 func (r *Replica) SetMutation(m Mutation) { r.mutation = m }
 
-// Leaves tells whether a rule is left out.
+// HasMutation reports whether the given mutation is in force.
 func (r *Replica) HasMutation(m Mutation) bool { return m != "" && r.mutation == m }
 
-// State is the state. The caller must not write to it.
+// State returns the state. The caller must not modify it.
 func (r *Replica) State() *State { return &r.state }
 
-// Fleet is the fronts as works see them.
+// Fleet returns the fronts as package maintenance needs them.
 func (r *Replica) Fleet() maintenance.Fleet {
 	s := &r.state
 	avoid := func(f *membership.Front) bool {
@@ -257,7 +258,7 @@
 	return fleet
 }
 
-// Avoid tells whether a front is about to go out for work.
+// Avoid reports whether a front is about to go out for maintenance.
 func (r *Replica) Avoid(f *membership.Front) bool {
 	return r.state.Maintenance.OutSoon(f.Name, r.Fleet(), r.state.Now)
 }
@@ -276,7 +277,7 @@
 	return x
 }
 
-// Encode writes a command.
+// Encode returns the encoding of a command, and sets the version that it needs.
 func Encode(c Command) ([]byte, error) {
 	if c.Version = c.requiredVersion(); c.Version > Version {
 		return nil, ErrVersion
@@ -288,7 +289,7 @@
 	return b, err
 }
 
-// Decode reads a command.
+// Decode decodes a command.
 func Decode(b []byte) (c Command, err error) {
 	if len(b) > MaxCommandSize {
 		return c, fmt.Errorf("replica: a command of %d bytes, %d at most", len(b), MaxCommandSize)
@@ -302,7 +303,8 @@
 	return c, nil
 }
 
-// Snapshot writes the state: alike at all replicas that have applied the same.
+// Snapshot encodes the state. Replicas that have applied the same commands give the
+// same bytes.
 func (r *Replica) Snapshot() []byte {
 	b, err := encoder.Marshal(&r.state)
 	if err != nil { // plain values always encode
@@ -311,7 +313,7 @@
 	return b
 }
 
-// Restore takes the place of all that was held.
+// Restore replaces the state by that of a snapshot.
 func (r *Replica) Restore(b []byte) error {
 	var s State
 	if err := decoder.Unmarshal(b, &s); err != nil {
@@ -330,7 +332,8 @@
 	return nil
 }
 
-// Sat tells of the seats after a change of them was applied.
+// ApplySeats sets the seats after a committed configuration change, and returns the
+// events that follow from it.
 func (r *Replica) ApplySeats(seats membership.Seats) (events []string) {
 	slices.Sort(seats.Voters)
 	slices.Sort(seats.Learners)
@@ -338,7 +341,8 @@
 	return r.settle(false)
 }
 
-// settle draws the conclusions of a change; facts tells that time has moved on.
+// settle draws the conclusions of a change. TimeAdvanced tells that the fleet time has
+// advanced.
 func (r *Replica) settle(timeAdvanced bool) (events []string) {
 	for _, name := range r.state.Members.RemoveLeft(r.state.Seats) {
 		events = append(events, "front "+name+": has left")
@@ -354,7 +358,8 @@
 	return events
 }
 
-// Exchange is the fronts as keepers of sites are chosen of them.
+// TopologyFronts returns the fronts as package topology needs them to choose the owners
+// of sites.
 func (r *Replica) TopologyFronts(fleet maintenance.Fleet) []topology.Front {
 	list := make([]topology.Front, 0, len(fleet))
 	for i, f := range r.state.Members.Fronts {
@@ -365,7 +370,7 @@
 	return list
 }
 
-// Machines is the fronts as versions see them.
+// RolloutMachines returns the fronts as package rollout needs them.
 func RolloutMachines(fleet maintenance.Fleet) []rollout.Machine {
 	list := make([]rollout.Machine, 0, len(fleet))
 	for _, m := range fleet {
@@ -374,7 +379,7 @@
 	return list
 }
 
-// VersionRules is what versions know of the fleet's rules.
+// RolloutRules returns the rules that apply to rollouts.
 func (r *Replica) RolloutRules() rollout.Rules {
 	rules := &r.state.Maintenance.Rules
 	return rollout.Rules{LeaseSpan: rules.LeaseSpan, MaxFencedPercent: cmp.Or(rules.MaxFencedPercent, defaultMaxFencedPercent), WarmUp: rules.WarmUp, DrainTimeout: rules.DrainTimeout}
@@ -382,7 +387,7 @@
 
 const defaultMaxFencedPercent = 34 // percent
 
-// Apply applies a command. Told is what has happened, a line each.
+// Apply applies a command and returns its result and one line for each event.
 func (r *Replica) Apply(c Command) (result Result, events []string) {
 	if i, ok := r.byID[c.ID]; ok && c.ID != (ID{}) && r.mutation != DisableDedup {
 		return r.state.Seen[i-r.dropped].Result, nil
@@ -397,7 +402,7 @@
 	return result, events
 }
 
-// Seen gives the word on a command that was applied lately.
+// Seen returns the result of a command that was applied recently.
 func (r *Replica) Seen(id ID) (Result, bool) {
 	i, ok := r.byID[id]
 	if !ok || r.mutation == DisableDedup {
@@ -406,7 +411,7 @@
 	return r.state.Seen[i-r.dropped].Result, true
 }
 
-// remember keeps the word on a command, for as long as it may come again.
+// remember keeps the result of a command for as long as the command may be repeated.
 func (r *Replica) remember(id ID, result Result) {
 	if id == (ID{}) {
 		return
@@ -429,8 +434,8 @@
 	errOlderBuilds = errors.New("the fleet has fronts of older builds")
 )
 
-// Takes tells whether all fronts read a command. One that they do not must not even
-// be sent: it would end the part of those that can't read it.
+// CheckSupported returns an error unless all fronts can read a command. A command that
+// they can't read must not even be sent: those fronts could no longer take part.
 func (r *Replica) CheckSupported(c *Command) error {
 	if need := c.requiredVersion(); c.Found == nil && c.RaiseVersion == 0 && need > r.state.Version {
 		return fmt.Errorf("%w: it needs version %d of the state, which is at %d", errOlderBuilds, need, r.state.Version)
@@ -576,5 +581,5 @@
 	return errUnknown
 }
 
-// Same tells whether two replicas hold the same.
+// Equal reports whether two replicas hold the same state.
 func (r *Replica) Equal(other *Replica) bool { return bytes.Equal(r.Snapshot(), other.Snapshot()) }
--- a/internal/decide/statemachine/statemachine_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -39,9 +39,9 @@
 	return c
 }
 
-// Two replicas that apply the same hold the same bytes, also where one of them was
-// written out and read back on the way; commands survive their encoding; works that
-// count as out never pass the budget by leave; each machine has one work.
+// Replicas that apply the same commands hold the same bytes, also if one of them was
+// restored from a snapshot in between; commands survive encoding; permits never exceed
+// the budget of machines out; each machine has one operation.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -63,10 +63,10 @@
 			wa, _ := a.Apply(c)
 			wb, _ := b.Apply(c)
 			if wa != wb {
-				t.Fatalf("%+v and %+v", wa, wb)
+				t.Fatalf("results differ: %+v and %+v", wa, wb)
 			}
 			if !bytes.Equal(a.Snapshot(), b.Snapshot()) {
-				t.Fatal("two replicas differ")
+				t.Fatal("the snapshots of two replicas differ")
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restore") == 0 {
 				if err := b.Restore(a.Snapshot()); err != nil {
@@ -77,7 +77,7 @@
 			out, machines := 0, map[string]bool{}
 			for _, x := range s.Maintenance.Operations {
 				if machines[x.Machine] || x.Phase.Ended() {
-					t.Fatalf("two works on %s, or one that has ended", x.Machine)
+					t.Fatalf("two operations on %s, or one that has ended", x.Machine)
 				}
 				machines[x.Machine] = true
 				if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
@@ -85,31 +85,31 @@
 				}
 			}
 			if s.Maintenance.LastPermit > last && out > rules.MaxOut {
-				t.Fatalf("%d out, %d may be", out, rules.MaxOut)
+				t.Fatalf("%d machines out, limit %d", out, rules.MaxOut)
 			}
 		}
 	})
 }
 
-// What can't be read is refused, never half taken.
+// Truncated snapshots and commands are rejected.
 func TestTruncatedInputRejected(t *testing.T) {
 	r := New()
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.DefaultRules()}})
 	whole := r.Snapshot()
 	for cut := range len(whole) {
 		if err := New().Restore(whole[:cut]); err == nil {
-			t.Fatalf("a snapshot cut at %d was taken", cut)
+			t.Fatalf("a snapshot truncated at %d was accepted", cut)
 		}
 	}
 	text, _ := Encode(Command{ID: ID{N: 1}, Leave: &Leave{"x"}})
 	for cut := range len(text) {
 		if _, err := Decode(text[:cut]); err == nil {
-			t.Fatalf("a command cut at %d was taken", cut)
+			t.Fatalf("a command truncated at %d was accepted", cut)
 		}
 	}
 }
 
-// The plan of a thousand machines.
+// BenchmarkPlan measures the plan, a step and a command with a thousand operations.
 func BenchmarkPlan(b *testing.B) {
 	r := New()
 	rules := maintenance.DefaultRules()
--- a/internal/decide/statemachine/version_older.go
+++ b/internal/decide/statemachine/version_older.go
@@ -2,6 +2,6 @@
 
 package statemachine
 
-// Version is the one before the newest: a build with the tag cherryramp_older is the
-// older one in tests of fleets of two builds.
+// Version is the newest version that a build with the tag cherryramp_older reads: it is
+// the older build in tests of fleets with two builds.
 const Version = 1
