--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -1,10 +1,10 @@
-// Package membership decides who of a fleet's fronts votes: which fronts there are,
-// under which incarnation, which of them take part in the agreement as voters,
-// and when a voter that is lost is replaced. The others follow the log.
+// Package membership decides which fronts of a fleet vote: which fronts there are,
+// under which incarnation, which of them are voters of the consensus group, and when a
+// lost voter is replaced. The others follow the log.
 //
-// Its state is replicated: every front that has applied the same entries holds
-// the same one. The voters themselves are the agreement library's to know, and
-// are handed in. Time is fleet time, which only entries move on.
+// The state is replicated: every front that has applied the same entries holds the same
+// state. The voters themselves are known to the consensus library and are passed in.
+// Time is fleet time, which only entries advance.
 package membership
 
 import (
@@ -14,39 +14,39 @@
 	"slices"
 )
 
-// Micros is a span, or a moment of fleet time, in microseconds.
+// Micros is a duration, or a point in fleet time, in microseconds.
 type Micros = int64
 
-// Bounds.
+// Limits.
 const (
 	MaxFronts   = 1000 // in a fleet
 	MaxNameSize = 64   // bytes of a name, zone, machine or address
 )
 
-// Front is one front as the fleet knows it.
+// Front is a front as known to the fleet.
 type Front struct {
 	Name       string `cbor:"1,keyasint"`
 	Zone       string `cbor:"2,keyasint"`
-	Machine    string `cbor:"3,keyasint"` // what is taken out; fronts may share one
-	Address    string `cbor:"4,keyasint"` // where the others reach it
-	ID         uint64 `cbor:"5,keyasint"` // its incarnation: its life with one disk
+	Machine    string `cbor:"3,keyasint"` // what is taken out; several fronts may share it
+	Address    string `cbor:"4,keyasint"` // where the other fronts reach it
+	ID         uint64 `cbor:"5,keyasint"` // incarnation: its life with one disk
 	Build      string `cbor:"6,keyasint,omitempty"`
-	Start      uint64 `cbor:"7,keyasint,omitempty"`  // of its process, drawn anew at each
-	Lost       bool   `cbor:"8,keyasint,omitempty"`  // not heard for longer than it may be
-	NotServing bool   `cbor:"9,keyasint,omitempty"`  // heard, and says itself that it takes no clients
-	Since      Micros `cbor:"10,keyasint"`           // fleet time at which it came, was lost or was found
-	Unhealthy  bool   `cbor:"12,keyasint,omitempty"` // heard, and says itself that it is in trouble
-	Leaving    bool   `cbor:"11,keyasint,omitempty"` // it goes for good once it has no seat
-	Lease      Micros `cbor:"13,keyasint,omitempty"` // the longest that it acts without hearing the fleet; 0: for ever
-	OwnerLease Micros `cbor:"14,keyasint,omitempty"` // the span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
+	Start      uint64 `cbor:"7,keyasint,omitempty"`  // of its process, drawn anew at each start
+	Lost       bool   `cbor:"8,keyasint,omitempty"`  // not heard for longer than allowed
+	NotServing bool   `cbor:"9,keyasint,omitempty"`  // reachable, and reports that it takes no clients
+	Since      Micros `cbor:"10,keyasint"`           // fleet time at which it joined, was lost or was found
+	Unhealthy  bool   `cbor:"12,keyasint,omitempty"` // reachable, and reports that it is in trouble
+	Leaving    bool   `cbor:"11,keyasint,omitempty"` // is removed once it has no seat
+	Lease      Micros `cbor:"13,keyasint,omitempty"` // longest time that it acts without contact to the fleet; 0: unlimited
+	OwnerLease Micros `cbor:"14,keyasint,omitempty"` // span of its lease as an owner of sites; 0: it never owns a site
 }
 
-// State is the fleet's fronts, ordered by name.
+// State is the fleet's fronts, sorted by name.
 type State struct {
 	Fronts []Front `cbor:"1,keyasint"`
 }
 
-// Errors of a front that can't be taken in.
+// Errors of joining and leaving.
 var (
 	ErrInvalidFront  = fmt.Errorf("council: a name, zone, machine and address of 1 to %d bytes are wanted", MaxNameSize)
 	ErrTooManyFronts = fmt.Errorf("council: %d fronts at most", MaxFronts)
@@ -54,7 +54,7 @@
 	ErrLastFront     = errors.New("council: the last front can't leave")
 )
 
-// Find gives a front by name; nil: there is none.
+// Find returns the front of a name, or nil.
 func (s *State) Find(name string) *Front {
 	i, ok := slices.BinarySearchFunc(s.Fronts, name, func(f Front, n string) int { return cmp.Compare(f.Name, n) })
 	if !ok {
@@ -63,7 +63,7 @@
 	return &s.Fronts[i]
 }
 
-// ByID gives a front by incarnation; nil: none that counts has it.
+// ByID returns the front of an incarnation, or nil if no current front has it.
 func (s *State) ByID(id uint64) *Front {
 	i := slices.IndexFunc(s.Fronts, func(f Front) bool { return f.ID == id })
 	if i < 0 {
@@ -72,10 +72,9 @@
 	return &s.Fronts[i]
 }
 
-// Join takes a front in, or takes in what has changed of one: its address, its
-// build, its process. Under a new incarnation it takes the place of the one it
-// was, which counts for nothing from then on. A new process counts as away until it
-// is heard to take clients.
+// Join adds a front, or updates its address, build or process. A new incarnation
+// replaces the former one, which no longer counts. A new process counts as taking no
+// clients until it is heard to take them.
 func (s *State) Join(f Front, now Micros) error {
 	for _, x := range []string{f.Name, f.Zone, f.Machine, f.Address} {
 		if x == "" || len(x) > MaxNameSize {
@@ -101,7 +100,7 @@
 	return nil
 }
 
-// Leave has a front go for good, once its seat, if it has one, was given up.
+// Leave marks a front as leaving. It is removed once it has no seat.
 func (s *State) Leave(name string) error {
 	f := s.Find(name)
 	if f == nil {
@@ -114,7 +113,7 @@
 	return nil
 }
 
-// Settle forgets the fronts that leave and have no seat, and gives their names.
+// RemoveLeft removes the leaving fronts that have no seat, and returns their names.
 func (s *State) RemoveLeft(seats Seats) (removed []string) {
 	s.Fronts = slices.DeleteFunc(s.Fronts, func(f Front) bool {
 		remove := f.Leaving && !seats.Has(f.ID) && !slices.Contains(seats.Learners, f.ID)
@@ -126,8 +125,8 @@
 	return removed
 }
 
-// Contact takes in whether a front is heard, whether it takes clients and whether
-// it is in trouble. It tells whether anything has changed.
+// SetContact records whether a front is reachable, takes clients and is in trouble. It
+// returns whether anything has changed.
 func (s *State) SetContact(name string, id uint64, lost, notServing, unhealthy bool, now Micros) (changed bool, err error) {
 	f := s.Find(name)
 	if f == nil || f.ID != id {
@@ -143,12 +142,12 @@
 	return true, nil
 }
 
-// Majority is how many of so many voters are one.
+// Majority returns the size of a majority of the given number of voters.
 func Majority(voters int) int { return voters/2 + 1 }
 
-// Target is how many voters there should be: 7 where twenty fronts stand in three
-// zones or more, 5 from five fronts on, 3 from three; fewer fronts vote all. An
-// even number bears no more losses than the odd one below it.
+// TargetVoters returns how many voters there should be: 7 with twenty fronts in at
+// least three zones, 5 from five fronts on, 3 from three; with fewer, all fronts vote.
+// An even number tolerates no more losses than the odd number below it.
 func (s *State) TargetVoters() int {
 	zones, n := map[string]bool{}, 0
 	for _, f := range s.Fronts {
@@ -169,59 +168,59 @@
 	}
 }
 
-// Seats is who takes part in the agreement now, by incarnation.
+// Seats are the voters and learners of the consensus group, by incarnation.
 type Seats struct {
 	Voters   []uint64
 	Learners []uint64
-	Joint    bool // a change is under way
+	Joint    bool // a joint configuration: a change is in progress
 }
 
-// Has tells whether an incarnation votes.
+// Has reports whether an incarnation is a voter.
 func (s *Seats) Has(id uint64) bool { return slices.Contains(s.Voters, id) }
 
-// Kind is what a move does.
+// Kind is the kind of a change.
 type Kind uint8
 
-// The moves.
+// The kinds of changes.
 const (
 	Stay       Kind = iota
 	AddLearner      // Add becomes a learner
-	Promote         // Add, a learner that has caught up, becomes a voter; in place of Drop, where that is not 0
-	Remove          // Drop is neither voter nor learner any more
+	Promote         // Add, a learner that has caught up, becomes a voter; it replaces the voter Remove, if not 0
+	Remove          // Remove is no longer a voter or learner
 )
 
-// Move is one change of the seats.
+// Change is one change of the seats.
 type Change struct {
 	Kind        Kind
 	Add, Remove uint64
 	Reason      string
 }
 
-// Config holds what the operators set.
+// Config holds the settings of the operators.
 type Config struct {
-	Grace Micros // fleet time for which a lost voter keeps its seat; a restart must not reach it
+	Grace Micros // fleet time for which a lost voter keeps its seat; must exceed the time of a restart
 }
 
-// View is what the leader knows beside the state.
+// View is what the leader knows in addition to the state.
 type View struct {
 	Now      Micros
 	Leader   uint64
 	CaughtUp func(id uint64) bool // the learner has all but the newest entries
 	KeepsUp  func(f *Front) bool  // it follows the log closely enough to become a learner; nil: all do
-	Avoid    func(f *Front) bool  // it is about to go out for work: no seat for it, if another can have it
+	Avoid    func(f *Front) bool  // it is about to go out for maintenance: no seat for it, if another front can take it
 }
 
-// Next gives the next change of the seats, one at a time, and why; Stay tells in
-// Why what is waited for, if anything is. What it never does: begin a change
-// that the voters who are heard could not end, or give up a voter while those
-// who are left and heard would be no majority, before and after.
+// Next returns the next change of the seats and the reason for it, one change at a
+// time. With Stay, the reason says what the change waits for, if anything. Next never
+// begins a change that the reachable voters could not complete, and never gives up a
+// voter unless the remaining reachable ones are a majority before and after.
 func (s *State) Next(seats Seats, cfg Config, v View) Change {
 	if seats.Joint {
 		return Change{Reason: "a change of voters is under way"}
 	}
-	// Who should go.
+	// Which voter should go.
 	out, reason := s.departing(&seats, cfg, &v)
-	// Who should come: in place of the one that goes, or where seats are free.
+	// Which front should come: in place of that voter, or for a free seat.
 	free := s.TargetVoters() - len(seats.Voters)
 	var in *Front
 	if out != 0 || free > 0 {
@@ -235,11 +234,11 @@
 			reason = "its zone has two voters more than another"
 		}
 	}
-	// Learners that are not wanted, or no more, go first: one learner at a time.
+	// Learners that are not wanted any more go first: one learner at a time.
 	for _, id := range seats.Learners {
 		if in == nil || in.ID != id {
 			f := s.ByID(id)
-			if in != nil && f != nil && !f.Lost && !v.Avoid(f) { // one that already learns will do as well
+			if in != nil && f != nil && !f.Lost && !v.Avoid(f) { // an existing learner will do as well
 				in = f
 				continue
 			}
@@ -261,7 +260,8 @@
 		}
 		return Change{Kind: Promote, Add: in.ID, Remove: out, Reason: cmp.Or(reason, "a seat is free") + ": " + in.Name + " votes"}
 	}
-	// Nobody takes its place. One of an even number bears no loss that those left do not.
+	// No front replaces it. Without one of an even number, the group tolerates as many
+	// losses as before.
 	if f := s.ByID(out); out != 0 && (free < 0 || f == nil || f.Leaving || s.isOneOfEven(f, &seats, &v)) {
 		if out == v.Leader {
 			return Change{Reason: "the leader's seat goes once it has handed over"}
@@ -277,9 +277,9 @@
 	return Change{}
 }
 
-// leaving finds a voter that should give up its seat: one of an incarnation that
-// counts for nothing any more, one that has been lost for the grace, or one that
-// is about to go out for work.
+// departing finds a voter that should give up its seat: one whose incarnation no longer
+// exists, one that leaves, one that has been lost for the grace time, or one that is
+// about to go out for maintenance.
 func (s *State) departing(seats *Seats, cfg Config, v *View) (id uint64, reason string) {
 	for _, id := range seats.Voters {
 		if s.ByID(id) == nil {
@@ -297,7 +297,7 @@
 		}
 	}
 	if slices.ContainsFunc(seats.Voters, func(id uint64) bool { return s.ByID(id).Lost }) {
-		return 0, "" // seats move for work while all voters are heard: one thing at a time
+		return 0, "" // seats move for maintenance only while all voters are reachable: one thing at a time
 	}
 	for _, id := range seats.Voters {
 		if f := s.ByID(id); id != v.Leader && v.Avoid(f) {
@@ -307,8 +307,8 @@
 	return 0, ""
 }
 
-// candidate finds the front that should have the next seat: one that is heard and
-// stays, in the zone with the fewest voters, on a machine with none.
+// candidate finds the front that should get the next seat: one that is reachable and
+// stays, in the zone with the fewest voters, on a machine without voters.
 func (s *State) candidate(seats *Seats, out uint64, v *View) (best *Front) {
 	zones, machines := s.spread(seats, out)
 	for i := range s.Fronts {
@@ -323,7 +323,7 @@
 	return best
 }
 
-// spread counts the voters by zone and machine, but for one.
+// spread counts the voters by zone and machine, except one.
 func (s *State) spread(seats *Seats, except uint64) (zones, machines map[string]int) {
 	zones, machines = map[string]int{}, map[string]int{}
 	for _, id := range seats.Voters {
@@ -335,13 +335,14 @@
 	return zones, machines
 }
 
-// even tells whether a voter that goes out for work is one of an even number.
+// isOneOfEven reports whether a voter that goes out for maintenance is one of an even
+// number.
 func (s *State) isOneOfEven(f *Front, seats *Seats, v *View) bool {
 	return len(seats.Voters)%2 == 0 && v.Avoid(f)
 }
 
-// Yields tells whether a voter's seat can be taken by another front, or given up,
-// before it goes out for work.
+// CanYield reports whether a voter's seat can be taken by another front, or given up,
+// before it goes out for maintenance.
 func (s *State) CanYield(id uint64, seats Seats, avoid func(f *Front) bool) bool {
 	f := s.ByID(id)
 	if f == nil || !seats.Has(id) {
@@ -351,7 +352,8 @@
 	return s.candidate(&seats, id, &v) != nil || len(seats.Voters)%2 == 0 && len(seats.Voters) > 1
 }
 
-// surplus finds a voter to do without: not the leader, of the fullest zone.
+// surplus finds a dispensable voter: not the leader, from the zone with the most
+// voters.
 func (s *State) surplus(seats *Seats, v *View) (id uint64) {
 	zones, _ := s.spread(seats, 0)
 	highest := 0
@@ -363,7 +365,8 @@
 	return id
 }
 
-// uneven finds a voter whose zone has two more than a zone where a candidate is.
+// imbalanced finds a voter whose zone has at least two more voters than the zone of a
+// candidate.
 func (s *State) imbalanced(seats *Seats, v *View) (out uint64, in *Front) {
 	zones, _ := s.spread(seats, 0)
 	for _, id := range seats.Voters {
@@ -378,13 +381,13 @@
 	return 0, nil
 }
 
-// canChange tells whether the voters who are heard are a majority of those before
-// a change, and without the one that goes of those after it.
+// canChange reports whether the reachable voters are a majority before a change and,
+// without the voter that goes, after it.
 func (s *State) canChange(seats *Seats, add, drop uint64) bool {
 	heard, heardAfter := 0, 0
 	for _, id := range seats.Voters {
 		if f := s.ByID(id); f != nil && !f.Lost {
-			heard++ // also the one that goes in order, and votes for it itself
+			heard++ // includes the voter that goes in an orderly way, which takes part in the change itself
 			if id != drop {
 				heardAfter++
 			}
@@ -400,8 +403,8 @@
 	return heard >= Majority(len(seats.Voters)) && after > 0 && heardAfter >= Majority(after)
 }
 
-// Bears is how many further losses of voters leave a majority that is heard;
-// below 0: there is none now.
+// TolerableLosses returns how many more voters may be lost while the reachable ones
+// remain a majority; negative: they are none now.
 func (s *State) TolerableLosses(seats Seats) int {
 	heard := 0
 	for _, id := range seats.Voters {
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -6,39 +6,38 @@
 	"testing"
 )
 
-// The model of seats: fronts whose disks are lost come back, under a new
-// incarnation, while one entry is committed and spreads. Every order of wipes,
-// returns, contacts, changes of seats and copying is played. What must hold: among
-// the voters whose disks are whole, those without the entry are never a majority of
-// the voters, or it could be lost by an election. Disks are lost one at a time, and only while
-// a majority of the voters has whole ones.
+// The model of seats: fronts whose disks are lost come back under a new incarnation
+// while one entry is committed and spreads. Every order of disk losses, returns,
+// contacts, changes of seats and copying is explored. Checked: among the voters with
+// intact disks, those without the entry are never a majority of the voters, or an
+// election could lose the entry. Disks are lost one at a time, and only while a
+// majority of the voters has intact ones.
 
 const modelFronts = 4
 
-// disk is one front's: which incarnation it is, whether it holds the entry, and
-// whether it runs.
+// disk is the disk of one front: its incarnation, and whether it holds the entry.
 type disk struct {
-	id       uint8 // front + 8 * incarnation; 0: it is wiped and has not come back
+	id       uint8 // front + 8 * incarnation; 0: it was lost and the front is not back
 	hasEntry bool
 }
 
 type seatState struct {
-	disks   [modelFronts]disk
-	joined  [modelFronts]uint8 // incarnation that the fleet knows
-	lost    [modelFronts]bool
-	voters  string // incarnations, ordered
-	learner uint8
-	wipes   uint8
-	lives   [modelFronts]uint8
+	disks        [modelFronts]disk
+	joined       [modelFronts]uint8 // incarnation known to the fleet
+	lost         [modelFronts]bool
+	voters       string // incarnations, sorted
+	learner      uint8
+	losses       uint8
+	incarnations [modelFronts]uint8
 }
 
-// mutation leaves a rule out.
+// mutation disables one rule.
 type mutation uint8
 
 const (
 	noMutation       mutation = iota
-	reuseIncarnation          // a wiped front comes back as the one it was
-	promoteEarly              // a learner votes before it has the entries
+	reuseIncarnation          // a front with an empty disk comes back under its former incarnation
+	promoteEarly              // a learner becomes a voter before it has the entries
 )
 
 func (s *seatState) state() (*State, Seats) {
@@ -57,7 +56,8 @@
 	return c, seats
 }
 
-// holder tells of an incarnation whether its disk is whole, and holds the entry.
+// diskState reports whether the disk of an incarnation is intact, and whether it holds
+// the entry.
 func (s *seatState) diskState(id uint8) (whole, holds bool) {
 	for _, d := range s.disks {
 		if d.id == id {
@@ -67,7 +67,7 @@
 	return false, false
 }
 
-// safe tells whether no election among whole disks can lose the entry.
+// entrySafe reports whether no election among intact disks can lose the entry.
 func (s *seatState) entrySafe() bool {
 	without := 0
 	for _, v := range []byte(s.voters) {
@@ -78,8 +78,8 @@
 	return without < Majority(len(s.voters))
 }
 
-// majority tells whether so many voters are whole that the agreement can go on,
-// with one of them that holds the entry to lead it.
+// canCommit reports whether enough voters are intact for consensus to continue, with
+// one that holds the entry as the leader.
 func (s *seatState) canCommit(voters string) bool {
 	n, leads := 0, false
 	for _, v := range []byte(voters) {
@@ -95,23 +95,23 @@
 func (s seatState) successors(m mutation) (list []seatState) {
 	for i := range modelFronts {
 		d := s.disks[i]
-		if d.id != 0 && s.wipes > 0 {
+		if d.id != 0 && s.losses > 0 {
 			x := s
-			x.disks[i], x.wipes = disk{}, s.wipes-1
-			if x.canCommit(x.voters) { // more than that is not promised
+			x.disks[i], x.losses = disk{}, s.losses-1
+			if x.canCommit(x.voters) { // more losses than that are not tolerated
 				list = append(list, x)
 			}
 		}
 		if d.id == 0 { // it comes back with an empty disk
 			x := s
-			x.lives[i]++
-			x.disks[i].id = uint8(i+1) + 8*x.lives[i]
+			x.incarnations[i]++
+			x.disks[i].id = uint8(i+1) + 8*x.incarnations[i]
 			if m == reuseIncarnation {
 				x.disks[i].id = s.joined[i]
 			}
 			list = append(list, x)
 		}
-		if !s.canCommit(s.voters) { // nothing is agreed on
+		if !s.canCommit(s.voters) { // no entry can be committed
 			continue
 		}
 		if d.id != 0 && s.joined[i] != d.id {
@@ -124,7 +124,7 @@
 			x.lost[i] = !whole
 			list = append(list, x)
 		}
-		if d.id != 0 && !d.hasEntry && (slices.Contains([]byte(s.voters), d.id) || s.learner == d.id) { // the leader copies
+		if d.id != 0 && !d.hasEntry && (slices.Contains([]byte(s.voters), d.id) || s.learner == d.id) { // the leader copies the entry
 			x := s
 			x.disks[i].hasEntry = true
 			list = append(list, x)
@@ -156,13 +156,13 @@
 			x.learner = 0
 		}
 		if len(b) == 0 || !s.canCommit(x.voters) {
-			return list // joint consensus: the new seats must have a majority too, or the change does not end
+			return list // joint consensus: the new seats must have a majority too, or the change does not complete
 		}
 	}
 	return append(list, x)
 }
 
-// leader is a whole voter that holds the entry.
+// leader returns an intact voter that holds the entry.
 func (s *seatState) leader() uint64 {
 	for _, v := range []byte(s.voters) {
 		if whole, holds := s.diskState(v); whole && holds {
@@ -172,10 +172,10 @@
 	return 0
 }
 
-func exploreSeats(m mutation, wipes uint8) (states int, broken *seatState) {
+func exploreSeats(m mutation, losses uint8) (states int, violation *seatState) {
 	var first []seatState
 	for _, holders := range [][2]int{{0, 1}, {0, 2}, {1, 2}} {
-		s := seatState{wipes: wipes, voters: string([]byte{1, 2, 3})}
+		s := seatState{losses: losses, voters: string([]byte{1, 2, 3})}
 		for i := range modelFronts {
 			s.disks[i].id, s.joined[i] = uint8(i+1), uint8(i+1)
 		}
@@ -200,17 +200,17 @@
 }
 
 func TestSeatModel(t *testing.T) {
-	n, broken := exploreSeats(noMutation, 3)
+	n, violation := exploreSeats(noMutation, 3)
 	t.Logf("%d states", n)
-	if broken != nil {
-		t.Errorf("the entry can be lost: %+v", *broken)
+	if violation != nil {
+		t.Errorf("the entry can be lost: %+v", *violation)
 	}
 	for _, m := range []mutation{reuseIncarnation, promoteEarly} {
-		n, broken := exploreSeats(m, 3)
-		if broken == nil {
-			t.Errorf("rule %d left out, and nothing was found in %d states", m, n)
+		n, violation := exploreSeats(m, 3)
+		if violation == nil {
+			t.Errorf("mutation %d was not detected in %d states", m, n)
 		} else {
-			t.Logf("rule %d left out: found after %d states: %+v", m, n, *broken)
+			t.Logf("mutation %d: detected after %d states: %+v", m, n, *violation)
 		}
 	}
 }
