--- a/internal/decide/health/health.go
+++ b/internal/decide/health/health.go
@@ -1,38 +1,38 @@
-// Package health tells whether a front is in trouble, as its fleet must know before it
-// takes further machines out: boxes that refuse or are found down, or requests that
-// are turned away or fail, as in a storm. It is state only; the front shows it its
-// counts now and then.
+// Package health decides whether a front is in trouble, which its fleet must know
+// before it takes more machines out: servers that refuse or are found down, or requests
+// that are refused or fail, as under overload. It holds state only; the front passes in
+// its counts from time to time.
 package health
 
-// Micros is a moment in microseconds.
+// Micros is a point in time, or a duration, in microseconds.
 type Micros = int64
 
-// When a front is in trouble, and when it is well again: less than half of that for
-// as long as a window.
+// Thresholds at which a front becomes unhealthy. It is healthy again once it has stayed
+// below half of them for a whole window.
 const (
 	maxAvoidedShare = 0.25       // of the listed servers avoided
 	maxFailedShare  = 0.10       // of the requests refused or failed
-	minRequests     = 20         // requests of a window that say anything
+	minRequests     = 20         // fewer requests in a window are not meaningful
 	window          = 10_000_000 // us
 )
 
-// Counts are the front's, from its start.
+// Counts are the counts of a front since its start.
 type Counts struct {
 	Known, Avoided int    // servers
 	Served, Failed uint64 // requests served, and refused or failed
 }
 
-// Watch holds what was seen last.
+// Detector holds the state between two updates.
 type Detector struct {
-	baseline     Counts // at the window's begin
+	baseline     Counts // at the start of the window
 	windowStart  Micros
 	started      bool
 	unhealthy    bool
 	reason       string
-	healthySince Micros // since when nothing was wrong; 0: it is now
+	healthySince Micros // since when all was below half of the thresholds; 0: it is not
 }
 
-// Look takes the counts of a moment and tells whether the front is in trouble, and why.
+// Update takes the current counts and returns whether the front is unhealthy, and why.
 func (d *Detector) Update(c Counts, now Micros) (unhealthy bool, reason string) {
 	if !d.started || now < d.windowStart {
 		d.baseline, d.windowStart, d.started = c, now, true
--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Trouble is told at once, and over only after a window without it; few requests
-// say nothing; a quarter of the servers down is trouble by itself.
+// A front is unhealthy at once, and healthy only after a window without trouble; too
+// few requests are not meaningful; a quarter of the servers down makes it unhealthy by
+// itself.
 func TestDetector(t *testing.T) {
 	const s = 1_000_000
 	var d Detector
@@ -20,12 +21,12 @@
 		{22 * s, Counts{Known: 8, Failed: 19, Served: 1100}, true},
 		{25 * s, Counts{Known: 8, Failed: 19, Served: 1200}, false},
 		{26 * s, Counts{Known: 8, Avoided: 2, Failed: 19, Served: 1300}, true},
-		{27 * s, Counts{Known: 8, Avoided: 1, Failed: 19, Served: 1400}, true}, // not well yet
+		{27 * s, Counts{Known: 8, Avoided: 1, Failed: 19, Served: 1400}, true}, // not healthy yet
 		{60 * s, Counts{Known: 8, Failed: 19, Served: 1500}, true},
 		{71 * s, Counts{Known: 8, Failed: 19, Served: 1600}, false},
 	} {
 		if got, reason := d.Update(x.c, x.at); got != x.want {
-			t.Errorf("%d: got %v (%s)", i, got, reason)
+			t.Errorf("update %d: got %v (%s)", i, got, reason)
 		}
 	}
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease decides for how long a front may act without hearing its fleet: what
-// a grant is worth to who asked, what it may pass on, and when the others may take a
-// lease as surely over.
+// Package lease decides how long a front may act without contact to its fleet: what a
+// grant is worth to the front that requested it, what a holder may delegate, and when
+// the others may take a lease as certainly expired.
 //
-// Moments are the holder's own and never leave it but as a stamp that comes back;
-// spans travel. Nothing rests on clocks being equal, only on their rates differing
-// from true time by no more than Drift.
+// Points in time belong to the holder's own clock and leave it only as a stamp that is
+// returned; durations are sent. Nothing depends on clocks being equal, only on their
+// rates deviating from true time by no more than Drift.
 package lease
 
 import (
@@ -12,50 +12,50 @@
 	"slices"
 )
 
-// Micros is a span, or a moment of one front's own clock, in microseconds.
+// Micros is a duration, or a point in time of one front's own clock, in microseconds.
 type Micros = int64
 
-// Drift is by how much a clock's rate may differ from true time, in percent.
+// Drift is the maximum deviation of a clock's rate from true time, in percent.
 const Drift = 10
 
-// mostWaiting bounds the grants that wait for entries to be applied.
+// maxWaiting limits the grants that wait for entries to be applied.
 const maxWaiting = 4
 
-// Ask asks for a lease. It travels to who grants, and its stamp back.
+// Request requests a lease. The grant returns its stamp.
 type Request struct {
-	Stamp Micros `cbor:"1,keyasint"` // the asker's own clock at its making; 0: none is wanted
+	Stamp Micros `cbor:"1,keyasint"` // requester's own clock when it was made; 0: no lease wanted
 }
 
-// Grant is the answer.
+// Grant is the answer to a request.
 type Grant struct {
-	Stamp     Micros `cbor:"1,keyasint"`           // of the ask
+	Stamp     Micros `cbor:"1,keyasint"`           // of the request
 	Span      Micros `cbor:"2,keyasint"`           // from the stamp on
-	Index     uint64 `cbor:"3,keyasint"`           // committed when a majority confirmed it, after the ask
-	OwnerSpan Micros `cbor:"4,keyasint,omitempty"` // from the stamp on, as a keeper of sites
+	Index     uint64 `cbor:"3,keyasint"`           // committed index when a majority confirmed the leader, after the request
+	OwnerSpan Micros `cbor:"4,keyasint,omitempty"` // from the stamp on, as an owner of sites
 }
 
-// Lease is the holder's side. The zero value holds nothing.
+// Lease is the holder's side. The zero value is a lease that was never granted.
 type Lease struct {
 	expiry  Micros
 	index   uint64
 	waiting []Grant
 }
 
-// Take takes a grant in; it counts once entries up to its index have been applied.
-// A span longer than most counts as most.
+// Accept adds a grant. It takes effect once the entries up to its index have been
+// applied. Spans longer than maxSpan are cut to maxSpan.
 func (l *Lease) Accept(g Grant, maxSpan Micros, applied uint64) {
 	if g.Span <= 0 || g.Stamp == 0 {
 		return
 	}
 	g.Span = min(g.Span, maxSpan)
-	if len(l.waiting) >= maxWaiting { // the newest takes the last one's place: the first will count soonest
+	if len(l.waiting) >= maxWaiting { // the newest replaces the last one: the first ones take effect soonest
 		l.waiting = l.waiting[:maxWaiting-1]
 	}
 	l.waiting = append(l.waiting, g)
 	l.Applied(applied)
 }
 
-// Applied tells how far entries have been applied.
+// Applied takes the index up to which entries have been applied.
 func (l *Lease) Applied(index uint64) {
 	kept := l.waiting[:0]
 	for _, g := range l.waiting {
@@ -68,21 +68,22 @@
 	l.waiting = kept
 }
 
-// Shorten has a lease end a span from now at the latest.
+// Shorten makes a lease end no later than now plus a span.
 func (l *Lease) Shorten(now, span Micros) { l.expiry = min(l.expiry, now+span) }
 
-// End is the moment from which on it does not hold; 0: it never did.
+// End returns the time at which the lease expires; 0: it was never granted.
 func (l *Lease) End() Micros { return l.expiry }
 
-// Holds tells whether it does at a moment.
+// Valid reports whether the lease is valid at a point in time.
 func (l *Lease) Valid(now Micros) bool { return now < l.expiry }
 
-// Index is the entry that had been committed when what is held was confirmed.
+// Index returns the index that had been committed when the lease was confirmed.
 func (l *Lease) Index() uint64 { return l.index }
 
-// Pass is what a holder grants to one that it feeds, at a moment after the ask came:
-// what is left of its own. The caller has seen that the asker is not lost in the
-// state that the holder has applied, which goes beyond the lease's own index.
+// Delegate returns the grant of a holder to a front that it feeds, at a time after the
+// request arrived: the remainder of its own lease. The caller has checked that the
+// requester is not lost in the state that the holder has applied, which is past the
+// index of the lease.
 func (l *Lease) Delegate(a Request, now Micros) (Grant, bool) {
 	if a.Stamp == 0 || !l.Valid(now) {
 		return Grant{}, false
@@ -90,29 +91,30 @@
 	return Grant{Stamp: a.Stamp, Span: l.expiry - now, Index: l.index}, true
 }
 
-// Span is the longest lease that a holder may live by: what the rules have for it,
-// and no more than the others believe that it does. Rule and known are 0 for ever.
-func EffectiveSpan(configured, known Micros) Micros {
+// EffectiveSpan returns the longest lease that a holder may use: the configured one,
+// but no more than the other fronts assume for it. 0 means unlimited.
+func EffectiveSpan(configured, assumed Micros) Micros {
 	switch {
 	case configured == 0:
-		return known // until the others know better
-	case known == 0:
-		return configured // the others may hear of it at any moment
+		return assumed // until the others know the configured one
+	case assumed == 0:
+		return configured // the others may learn of it at any time
 	}
-	return min(configured, known)
+	return min(configured, assumed)
 }
 
-// Over tells whether a lease of a span is surely over for one that asked before a
-// moment, once a clock has gone on by elapsed since. A span of 0 is for ever.
+// Expired reports whether a lease has certainly expired for a holder that requested it
+// before a point in time, once a clock has advanced by elapsed since. A span of 0 is
+// unlimited.
 func Expired(span, elapsed Micros) bool {
 	return span > 0 && elapsed >= ExpirySpan(span)
 }
 
-// Until is how much must have passed on a clock for a lease of a span to be surely
-// over: the holder's runs slow, and that one fast.
+// ExpirySpan returns how much time must pass on a clock until a lease has certainly
+// expired, if the holder's clock runs slow and that clock runs fast.
 func ExpirySpan(span Micros) Micros { return (span*(100+Drift) + (100 - Drift) - 1) / (100 - Drift) }
 
-// Asker is one who waits for the leader's word.
+// Requester is a front that waits for the leader's grant.
 type Requester struct {
 	Name    string
 	ID      uint64 // incarnation
@@ -120,23 +122,24 @@
 	Request Request
 }
 
-// Round is what a leader grants after a majority has confirmed it once.
+// Round is the set of requests that a leader grants after one confirmation by a
+// majority.
 type Round struct {
 	Number     uint64
 	Requesters []Requester
 }
 
-// Grantor is the leader's side: it gathers asks, has a majority confirm that it
-// leads, and then answers those that were there before the confirmation began.
+// Grantor is the leader's side: it collects requests, has a majority confirm that it
+// leads, and then grants those that were there before the confirmation began.
 type Grantor struct {
 	number    uint64
 	pending   map[string]Requester
 	open      *Round
-	index     uint64 // of the open one, once confirmed
+	index     uint64 // of the open round, once confirmed
 	confirmed bool
 }
 
-// Asked notes an ask; the newest of an asker counts.
+// Add adds a request; the newest of a requester counts.
 func (g *Grantor) Add(a Requester, maxPending int) {
 	if a.Request.Stamp == 0 {
 		return
@@ -149,15 +152,15 @@
 	}
 }
 
-// Begin begins a round, if anybody waits and none is under way; the number goes
-// through the confirmation.
+// Begin begins a round if there are requests and no round is in progress. The number is
+// passed through the confirmation.
 func (g *Grantor) Begin() (number uint64, ok bool) {
 	if g.open != nil || len(g.pending) == 0 {
 		return 0, false
 	}
 	g.number++
 	g.open, g.confirmed = &Round{Number: g.number}, false
-	for _, name := range slices.Sorted(maps.Keys(g.pending)) { // like rounds have like effects
+	for _, name := range slices.Sorted(maps.Keys(g.pending)) { // sorted, so that equal rounds have equal effects
 		g.open.Requesters = append(g.open.Requesters, g.pending[name])
 	}
 	g.pending = nil
@@ -171,8 +174,8 @@
 	}
 }
 
-// Answers gives the askers of a round that was confirmed, once entries up to its
-// index have been applied, and ends it.
+// TakeConfirmed returns the requesters of a confirmed round once the entries up to its
+// index have been applied, and ends the round.
 func (g *Grantor) TakeConfirmed(applied uint64) (list []Requester, index uint64) {
 	if g.open == nil || !g.confirmed || applied < g.index {
 		return nil, 0
@@ -182,8 +185,8 @@
 	return list, g.index
 }
 
-// Reset forgets all: the front leads no more, or a round came to nothing.
+// Reset drops all requests: the front no longer leads, or a round failed.
 func (g *Grantor) Reset() { g.open, g.pending, g.confirmed = nil, nil, false }
 
-// Under tells whether a round is under way.
+// InProgress reports whether a round is in progress.
 func (g *Grantor) InProgress() bool { return g.open != nil }
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -5,46 +5,47 @@
 	"testing"
 )
 
-// The model of leases and bars: a council and one front, whose clocks run at 0.9 to 1.1
-// of true time, each at every pair of rates; messages that come late or never; a front
-// that stops at every point, also between its look and its act, is restarted, and
-// takes versions up late. The council counts a bar as passed on the front's word for
-// the version, or once its lease is surely over. What must hold: no act begins on the
-// old version after the bar is said to have passed. All orders are played to a bound.
+// The model of leases and version gates: the fleet and one front, whose clocks run at
+// 0.9 to 1.1 of true time, explored at each pair of extreme rates; messages that are
+// late or lost; a front that stops at any point, also between its check and its act, is
+// restarted, and activates versions late. The fleet counts a gate as passed when the
+// front has reported the new version, or once its lease has certainly expired. Checked:
+// no act begins on the old version after the gate has passed. All orders of events are
+// explored up to a bound.
 
-// Spans of the model, in ticks of true time; a clock moves 9 to 11 tenths a tick.
+// Sizes of the model. A clock moves 9 or 11 tenths of a tick per tick of true time.
 const (
 	modelSpan  = 110 // lease, in tenths of a tick
-	modelLost  = 5   // unheard for so long a front counts as lost, by the council's clock
+	modelLost  = 5   // a front unheard for this long counts as lost, by the fleet's clock, in tenths of a tick
 	modelTicks = 14
 )
 
-// leaveOut is a rule that the model leaves out.
+// mutation is a rule that the model disables.
 type mutation int
 
 const (
 	noMutation     mutation = iota
-	skipLeaseCheck          // the front acts without a look at its lease
-	ignoreProcess           // what an earlier process of the front said counts for the next
-	ignoreDrift             // the lease is over once the council's clock says so
+	skipLeaseCheck          // the front acts without checking its lease
+	ignoreProcess           // reports of an earlier process of the front count for the next
+	ignoreDrift             // the lease counts as expired without an allowance for drift
 )
 
 type modelState struct {
 	tick              int8
-	front, council    int16 // clocks, in tenths
-	leaseEnd          int16 // of the front's lease, by its clock
-	request           int16 // stamp on its way; 0: none
-	requestProc       int8  // process that asked
-	grant             int16 // stamp of a grant on its way back
+	front, fleet      int16 // clocks, in tenths of a tick
+	leaseEnd          int16 // of the front, by its clock
+	request           int16 // stamp of a request in flight; 0: none
+	requestProc       int8  // process that made the request
+	grant             int16 // stamp of a grant in flight
 	grantProc         int8
 	proc              int8 // process of the front
-	knownProc         int8 // process that the council knows
+	knownProc         int8 // process known to the fleet
 	active            int8 // version that the front acts on: 0 or 1
 	knowsNew          bool // the front knows of the new version
-	reportInFlight    int8 // its word that it acts on 1 is on its way, by process and 1; 0: none
-	reportedProc      int8 // the council has it
-	heard             int16
-	lost              int16 // council's clock when it counted as lost; 0: it does not
+	reportInFlight    int8 // process whose report that it acts on version 1 is in flight; 0: none
+	reportedProc      int8 // process whose report the fleet has
+	heardAt           int16
+	lostAt            int16 // fleet's clock when the front counted as lost; 0: not lost
 	gated, gatePassed bool
 	restarts          int8
 }
@@ -74,14 +75,14 @@
 	}
 }
 
-func explore(m mutation, f, c int16) (int, string) {
-	first := modelState{front: 1, council: 1, leaseEnd: 1 + modelSpan, proc: 1, knownProc: 1, heard: 1}
+func explore(m mutation, frontRate, fleetRate int16) (int, string) {
+	first := modelState{front: 1, fleet: 1, leaseEnd: 1 + modelSpan, proc: 1, knownProc: 1, heardAt: 1}
 	seen := map[modelState]bool{first: true}
 	queue := []modelState{first}
 	for len(queue) > 0 {
 		s := queue[0]
 		queue = queue[1:]
-		for _, n := range successors(s, m, f, c) {
+		for _, n := range successors(s, m, frontRate, fleetRate) {
 			if n.violation != "" {
 				return len(seen), n.violation
 			}
@@ -99,42 +100,43 @@
 	violation string
 }
 
-func successors(s modelState, m mutation, f, c int16) (list []step) {
+func successors(s modelState, m mutation, frontRate, fleetRate int16) (list []step) {
 	add := func(do func(n *modelState)) {
 		n := s
 		do(&n)
 		list = append(list, step{modelState: n})
 	}
-	// True time passes, each clock at a rate of its own.
+	// True time passes, each clock at its own rate.
 	if s.tick < modelTicks {
 		add(func(n *modelState) {
 			n.tick++
-			n.front += f
-			n.council += c
-			if n.lost == 0 && n.council-n.heard >= modelLost {
-				n.lost = n.council
+			n.front += frontRate
+			n.fleet += fleetRate
+			if n.lostAt == 0 && n.fleet-n.heardAt >= modelLost {
+				n.lostAt = n.fleet
 			}
 			n.settle(m)
 		})
 	}
-	// The front asks; the council hears it, and grants in one step with what a majority confirmed.
+	// The front requests a lease; the fleet receives the request, and grants it in one
+	// step with the confirmation by a majority.
 	if s.request == 0 && s.tick < modelTicks {
 		add(func(n *modelState) { n.request, n.requestProc = n.front, n.proc })
 	}
 	if s.request != 0 {
-		add(func(n *modelState) { // heard, and found again where it was lost
-			n.heard, n.lost = n.council, 0
+		add(func(n *modelState) { // heard, and found again if it was lost
+			n.heardAt, n.lostAt = n.fleet, 0
 			n.grant, n.grantProc, n.request = n.request, n.requestProc, 0
 			if n.requestProc != n.knownProc && m != ignoreProcess {
 				n.grant = 0 // not before its new process is known
 			}
 			n.settle(m)
 		})
-		add(func(n *modelState) { n.request = 0 }) // lost on its way
+		add(func(n *modelState) { n.request = 0 }) // lost in transit
 	}
 	if s.grant != 0 {
 		if s.grantProc == s.proc {
-			add(func(n *modelState) { // what had been committed when it was confirmed is applied with it
+			add(func(n *modelState) { // entries committed before the confirmation are applied with the grant
 				var l Lease
 				l.expiry = Micros(n.leaseEnd)
 				l.Accept(Grant{Stamp: Micros(n.grant), Span: modelSpan}, modelSpan, 0)
@@ -144,11 +146,11 @@
 		}
 		add(func(n *modelState) { n.grant = 0 })
 	}
-	// The new version, with its bar.
+	// The new version, with its gate.
 	if !s.gated {
 		add(func(n *modelState) { n.gated = true; n.settle(m) })
 	}
-	if !s.knowsNew { // it is rolled out before it stands with its bar
+	if !s.knowsNew { // it is rolled out before its gate is set
 		add(func(n *modelState) { n.knowsNew = true })
 	}
 	if s.knowsNew && s.active == 0 {
@@ -167,7 +169,7 @@
 		})
 		add(func(n *modelState) { n.reportInFlight = 0 })
 	}
-	// A new process knows nothing that its disk did not keep, and holds no lease.
+	// A new process knows only what its disk kept, and holds no lease.
 	if s.restarts < 1 {
 		add(func(n *modelState) {
 			n.restarts++
@@ -177,33 +179,34 @@
 	}
 	if s.knownProc < s.proc {
 		add(func(n *modelState) { // it has joined
-			n.knownProc, n.reportedProc, n.heard, n.lost = n.proc, 0, n.council, 0
+			n.knownProc, n.reportedProc, n.heardAt, n.lostAt = n.proc, 0, n.fleet, 0
 			n.settle(m)
 		})
 	}
-	// It looks, and then acts; between both no time passes that it could not see: what
-	// it had in hand is looked at again. A stop is that any number of other steps come between.
+	// The front checks, then acts. Between the two no time passes that it could not
+	// notice: pending work is checked again. A stop is any number of other steps in
+	// between.
 	mayAct := (&Lease{expiry: Micros(s.leaseEnd)}).Valid(Micros(s.front)) || m == skipLeaseCheck
 	if mayAct && !(s.knowsNew && s.gated && s.active == 0) {
 		n := step{modelState: s}
 		if s.gatePassed && s.active == 0 {
-			n.violation = fmt.Sprintf("acts on the old version after the bar: %+v", s)
+			n.violation = fmt.Sprintf("acts on the old version after the gate passed: %+v", s)
 		}
 		list = append(list, n)
 	}
 	return list
 }
 
-// settle counts the bar as passed where it may be.
+// settle marks the gate as passed when it may be.
 func (s *modelState) settle(rule mutation) {
 	if !s.gated || s.gatePassed {
 		return
 	}
-	over := Expired(modelSpan, Micros(s.council-s.lost))
+	over := Expired(modelSpan, Micros(s.fleet-s.lostAt))
 	if rule == ignoreDrift {
-		over = s.council-s.lost >= modelSpan
+		over = s.fleet-s.lostAt >= modelSpan
 	}
-	if s.reportedProc == s.knownProc && s.reportedProc != 0 || s.lost != 0 && over {
+	if s.reportedProc == s.knownProc && s.reportedProc != 0 || s.lostAt != 0 && over {
 		s.gatePassed = true
 	}
 }
