--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -175,7 +175,7 @@
 	keep("settings.machine-types", !slices.Equal(n.Kinds, c.Kinds), func() { n.Kinds = c.Kinds })
 	keep("settings.extra.upper-kind", s.ParentKind != was.ParentKind, func() { s.ParentKind = was.ParentKind })
 	keep("settings.extra.store-kind", s.OriginKind != was.OriginKind, func() { s.OriginKind = was.OriginKind })
-	keep("settings.discovery", s.OnRequest != was.OnRequest, func() { s.OnRequest = was.OnRequest })
+	keep("settings.discovery", s.ListOnRequest != was.ListOnRequest, func() { s.ListOnRequest = was.ListOnRequest })
 	n.Seed, n.Known = c.Seed, c.Known // only a start asks for them
 	return &n, fixed
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// Open returns the number of calls that are not answered yet.
-func (g *Gateway) Open() int { return len(g.calls) }
+// OpenCalls returns the number of calls that are not answered yet.
+func (g *Gateway) OpenCalls() int { return len(g.calls) }
 
 // Servers returns the number of listed servers, and of those avoided now: draining, or
 // ejected by the router.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -123,8 +123,8 @@
 	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
 	g.EndAttempt(n.started[0], AttemptResult{Code: rules.OK})
 	g.ProcessEvents()
-	if len(got.answers) != 1 || got.answers[0].Kind != Served || g.Open() != 0 {
-		t.Errorf("answers %v, %d open", got.answers, g.Open())
+	if len(got.answers) != 1 || got.answers[0].Kind != Served || g.OpenCalls() != 0 {
+		t.Errorf("answers %v, %d open", got.answers, g.OpenCalls())
 	}
 	c, got := submit(g, 2, "b")
 	g.EndAttempt(n.started[1], AttemptResult{Code: rules.Reset}) // it may have run: failed without a retry
@@ -136,8 +136,8 @@
 	c, got = submit(g, 0, "c")
 	g.Leave(c)
 	g.ProcessEvents()
-	if len(got.answers) != 0 || len(n.stopped) != 1 || g.Open() != 0 {
-		t.Errorf("left: answers %v, stopped %d, open %d", got.answers, len(n.stopped), g.Open())
+	if len(got.answers) != 0 || len(n.stopped) != 1 || g.OpenCalls() != 0 {
+		t.Errorf("left: answers %v, stopped %d, open %d", got.answers, len(n.stopped), g.OpenCalls())
 	}
 }
 
@@ -284,8 +284,8 @@
 			for _, k := range got.answers {
 				kinds = append(kinds, k.Kind)
 			}
-			if !slices.Equal(kinds, x.want) || g.Open() != 0 {
-				t.Errorf("answers %v, want %v; %d open", kinds, x.want, g.Open())
+			if !slices.Equal(kinds, x.want) || g.OpenCalls() != 0 {
+				t.Errorf("answers %v, want %v; %d open", kinds, x.want, g.OpenCalls())
 			}
 			if len(n.started) != 1 {
 				t.Errorf("%d attempts", len(n.started))
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -45,7 +45,7 @@
 	}
 	d.loop.Stop(d.retry)
 	d.reopening = false
-	d.log.Info("drain: begins", "reason", reason, "requests", d.gate.Open(), "connections", d.connections(),
+	d.log.Info("drain: begins", "reason", reason, "requests", d.gate.OpenCalls(), "connections", d.connections(),
 		"accepting_ms", acceptFor/1000)
 	d.look()
 }
@@ -62,7 +62,7 @@
 // look ends the connections that have nothing to bring, and takes the next step.
 func (d *drain) look() {
 	d.loop.Stop(d.poll)
-	observed := draining.Observation{Pending: d.gate.Open()}
+	observed := draining.Observation{Pending: d.gate.OpenCalls()}
 	for _, f := range d.fronts {
 		f.Drain()
 		observed.Accepting = observed.Accepting || f.Accepting()
@@ -86,7 +86,7 @@
 		}
 	}
 	if step.Warn {
-		d.log.Warn("drain: not over", "after_ms", spent, "accepting", observed.Accepting, "requests", d.gate.Open(),
+		d.log.Warn("drain: not over", "after_ms", spent, "accepting", observed.Accepting, "requests", d.gate.OpenCalls(),
 			"connections", d.connections())
 	}
 	d.poll = d.loop.At(now+drainPoll, d.look)
--- a/internal/program/end.go
+++ b/internal/program/end.go
@@ -26,7 +26,7 @@
 		return
 	}
 	now := p.loop.Now()
-	p.log.Info("told to end", "signal", got.String(), "open", p.gate.Open())
+	p.log.Info("told to end", "signal", got.String(), "open", p.gate.OpenCalls())
 	p.loop.At(now+acceptGrace, func() { p.drain.end(got.String(), p.loop.Quit) })
 	last := max(acceptGrace, min(p.longestDeadline(), endMost)+endSlack)
 	p.loop.At(now+last, p.abandon)
@@ -43,7 +43,7 @@
 
 // abandon fails what is still open, so that it has its answer before the program ends.
 func (p *program) abandon() {
-	open := p.gate.Open()
+	open := p.gate.OpenCalls()
 	if open == 0 {
 		return
 	}
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -99,7 +99,7 @@
 // Takes is part of FleetHost.
 func (h fleetHost) ServiceState() (clients, empty, troubled bool) {
 	ready, _ := h.p.Ready()
-	busy := h.p.gate.Open()
+	busy := h.p.gate.OpenCalls()
 	for _, f := range h.p.fronts {
 		busy += f.Busy() + f.Coming()
 	}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -106,7 +106,7 @@
 			log.Error("fleet: the end", "error", err)
 		}
 	}
-	log.Info("ended", "open", p.gate.Open())
+	log.Info("ended", "open", p.gate.OpenCalls())
 	return nil
 }
 
--- a/lab/world/inside.go
+++ b/lab/world/inside.go
@@ -82,7 +82,7 @@
 func (x *inside) heard()                  { x.gate.BoardAnswered() }
 func (x *inside) mute(bool)               {}
 func (x *inside) settle()                 { x.gate.ProcessEvents() }
-func (x *inside) held() (int, int, int)   { return x.gate.Open(), 0, 0 }
+func (x *inside) held() (int, int, int)   { return x.gate.OpenCalls(), 0, 0 }
 func (x *inside) reload()                 {}
 
 // retire has clients go elsewhere and waits for what is open.
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -254,7 +254,7 @@
 func (s *Spec) settings(zone int) rules.Settings {
 	out := rules.Settings{Zone: zone, ParentKind: parentKind, OriginKind: originKind, Flow: s.Flow / 1000, Weights: rules.WeightsNominal,
 		Direct: true, Joins: true, Siblings: rules.SiblingsAny, Notes: rules.NotesAll, Cancel: true, Hedges: true, RetryAfter: true,
-		MaxAttempts: 6, MaxHeld: s.Held, MaxAway: s.MaxAway, ConnectTime: connectTime, ReportAt: map[string]int{}, Tick: milli,
+		MaxAttempts: 6, MaxHeld: s.Held, MaxAway: s.MaxAway, ConnectTime: connectTime, ReportFields: map[string]int{}, Tick: milli,
 		DrainGrace: s.DrainGrace, FallMultiple: s.FallTimes, FallTime: s.FallTime, ColdFrom: s.BoxCold, WarmUp: s.BoxWarm,
 		AnswerGrace: s.Grace, PurgeGrace: s.PurgeGrace, PurgeSettle: s.PurgeDone, ParentColdFrom: s.ParentCold,
 		ParentWarmUp: s.ParentWarm, ParentFallMultiple: s.FallTimes, OriginFallMultiple: s.OriginFall, OriginFallTime: 3 * second,
--- a/rules/api.go
+++ b/rules/api.go
@@ -97,32 +97,32 @@
 
 // Settings configures a Router. See [Router.UpdateSettings] for changes.
 type Settings struct {
-	Classes     []Class
-	Gateways    int       // gateways in total
-	Rank        int       // own number among them, from 1; 0 if unknown
-	Zone        int       // own zone
-	ZoneGates   []int     // gateways in each zone; nil if unknown
-	ZoneHub     []int     // the hub of each zone; nil if unknown
-	ZoneLink    []float64 // link into each zone, KB/s; 0 where unknown
-	ParentKind  int       // kind of the parent caches; -1 for none
-	OriginKind  int       // kind of the origin; -1 if it is not listed
-	Flow        float64   // maximum rate of one transfer, KB/s; 0 if unknown
-	Weights     Weights
-	OnRequest   bool // the server list must be subscribed to
-	Direct      bool // requests may go straight to parents and the origin
-	Joins       bool // a request may join a fill in progress
-	Siblings    Siblings
-	Notes       Notes
-	Cancel      bool
-	Hedges      bool // a second attempt may run beside the first
-	Probes      bool
-	RetryAfter  bool // clients are told when to come back
-	MaxAttempts int
-	MaxHeld     int
-	MaxAway     Micros // longest retry delay that a client respects
-	ConnectTime Micros
-	ReportAt    map[string]int // index of each field in a load report
-	Tick        Micros
+	Classes       []Class
+	Gateways      int       // gateways in total
+	Rank          int       // own number among them, from 1; 0 if unknown
+	Zone          int       // own zone
+	ZoneGates     []int     // gateways in each zone; nil if unknown
+	ZoneHub       []int     // the hub of each zone; nil if unknown
+	ZoneLink      []float64 // link into each zone, KB/s; 0 where unknown
+	ParentKind    int       // kind of the parent caches; -1 for none
+	OriginKind    int       // kind of the origin; -1 if it is not listed
+	Flow          float64   // maximum rate of one transfer, KB/s; 0 if unknown
+	Weights       Weights
+	ListOnRequest bool // the server list must be subscribed to
+	Direct        bool // requests may go straight to parents and the origin
+	Joins         bool // a request may join a fill in progress
+	Siblings      Siblings
+	Notes         Notes
+	Cancel        bool
+	Hedges        bool // a second attempt may run beside the first
+	Probes        bool
+	RetryAfter    bool // clients are told when to come back
+	MaxAttempts   int
+	MaxHeld       int
+	MaxAway       Micros // longest retry delay that a client respects
+	ConnectTime   Micros
+	ReportFields  map[string]int // index of each field in a load report
+	Tick          Micros
 
 	DrainGrace   Micros
 	FallMultiple float64
--- a/rules/path_test.go
+++ b/rules/path_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestListIsSubscribedToWhereRequired(t *testing.T) {
-	r, err := New(func() Settings { s := testSettings(); s.OnRequest = true; return s }(), 1)
+	r, err := New(func() Settings { s := testSettings(); s.ListOnRequest = true; return s }(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -53,7 +53,7 @@
 	s := testSettings()
 	p := func() bool { return w.rnd.IntN(2) == 0 }
 	s.Direct, s.Joins, s.Cancel, s.RetryAfter, s.Probes = p(), p(), p(), p(), p()
-	s.OnRequest = w.rnd.IntN(4) == 0
+	s.ListOnRequest = w.rnd.IntN(4) == 0
 	s.Siblings, s.Notes = Siblings(w.rnd.IntN(3)), Notes(w.rnd.IntN(3))
 	s.Weights = Weights(w.rnd.IntN(4))
 	s.MaxAttempts = 1 + w.rnd.IntN(8)
@@ -241,7 +241,7 @@
 		if m := w.members[x.ID]; m.State != x.State {
 			w.members[x.ID] = &seenMember{x, w.now}
 		}
-		w.step(Members{List: []Member{x}}, Members{Failed: w.cfg.OnRequest})
+		w.step(Members{List: []Member{x}}, Members{Failed: w.cfg.ListOnRequest})
 	default:
 		if w.rnd.IntN(20) == 0 {
 			w.restart()
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -250,7 +250,7 @@
 // onMembers applies a change of the server list. The lists are sorted by id, so that every gateway and
 // every run sees the same order.
 func (r *Router) onMembers(e Members) {
-	if r.cfg.OnRequest && (e.Failed || !r.subscribed) {
+	if r.cfg.ListOnRequest && (e.Failed || !r.subscribed) {
 		r.subscribed = true
 		r.emit(Watch{})
 	}
