--- a/cmd/cherryramp-fleet/exchange.go
+++ b/cmd/cherryramp-fleet/exchange.go
@@ -21,18 +21,18 @@
 
 func (c *fleetCalls) treeCommand() *cobra.Command {
 	return &cobra.Command{Use: "tree", Short: "Sites, who keeps them, and where this front is attached", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		var t exchange.TreeTold
+		var t exchange.TreeStatus
 		return c.show("TREE", &t, func(w io.Writer) {
 			_, _ = fmt.Fprintln(w, "SITE\tKEEPER\tNUMBER")
 			for _, s := range t.Sites {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%d\n", s.Site, s.Keeper, s.Number)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%d\n", s.Site, s.Owner, s.Number)
 			}
 			_, _ = fmt.Fprintln(w, "\nROLE\tATTACHED TO\tOF SITE\tPASSED OVER\tBELOW")
 			for _, r := range t.Roles {
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.Role, r.To, r.Site, strings.Join(r.Passed, ", "), strings.Join(r.Below, "; "))
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.Role, r.AttachedTo, r.OwnerSite, strings.Join(r.PassedOver, ", "), strings.Join(r.Children, "; "))
 			}
 			open := "serves"
-			if !t.Open {
+			if !t.CaughtUp {
 				open = "waits for purges that it missed"
 			}
 			_, _ = fmt.Fprintf(w, "\n%s %s; %d messages sent (%d bytes), %d received, %d dropped; tasks started anew: %d\n", t.Front, open, t.Sent, t.Bytes, t.Received, t.Dropped, t.Restarts)
@@ -42,12 +42,12 @@
 
 func (c *fleetCalls) limitsCommand() *cobra.Command {
 	return &cobra.Command{Use: "limits", Short: "Limits of the whole fleet: bounds, this front's parts, and what its sites deal out", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		var t exchange.LimitsTold
+		var t exchange.LimitsStatus
 		return c.show("LIMITS", &t, func(w io.Writer) {
-			for _, b := range t.Rules {
+			for _, b := range t.Bounds {
 				_, _ = fmt.Fprintln(w, b)
 			}
-			_, _ = fmt.Fprintf(w, "\n%s, attached to %s\nLIMIT\tOF\tPART\tTAKEN\tREFUSED\tFROM\n", t.Front, t.To)
+			_, _ = fmt.Fprintf(w, "\n%s, attached to %s\nLIMIT\tOF\tPART\tTAKEN\tREFUSED\tFROM\n", t.Front, t.AttachedTo)
 			for _, s := range t.Own {
 				var from []string
 				for _, p := range s.Allocations {
@@ -84,10 +84,10 @@
 			})
 		}},
 		&cobra.Command{Use: "why ID", Short: "Whether a purge is complete, and who holds it up", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			var p exchange.Purged
+			var p exchange.PurgeProgress
 			return c.show("PURGE WHY "+args[0], &p, func(w io.Writer) {
-				_, _ = fmt.Fprintf(w, "purge %s of %s: %s\n", p.ID, p.Scope, p.Told)
-				for _, l := range p.Late {
+				_, _ = fmt.Fprintf(w, "purge %s of %s: %s\n", p.ID, p.Scope, p.Detail)
+				for _, l := range p.Laggards {
 					_, _ = fmt.Fprintf(w, "  %s: %s\n", l.Front, l.Reason)
 				}
 			})
@@ -139,15 +139,15 @@
 func (c *fleetCalls) waitPurge(id string, within time.Duration) error {
 	told := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(askAgain / 2) {
-		var p exchange.Purged
+		var p exchange.PurgeProgress
 		line := ""
 		if _, err := c.call("PURGE WHY "+id, &p); err != nil {
 			line = err.Error()
 		} else if p.Complete {
 			return nil
 		} else {
-			line = p.Told
-			for _, l := range p.Late {
+			line = p.Detail
+			for _, l := range p.Laggards {
 				line += fmt.Sprintf("; %s: %s", l.Front, l.Reason)
 			}
 		}
@@ -162,17 +162,17 @@
 
 func (c *fleetCalls) verdictsCommand() *cobra.Command {
 	return &cobra.Command{Use: "verdicts", Short: "What holds of boxes, hubs and prefixes for the whole fleet, with witnesses and age", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		var t exchange.VerdictsTold
+		var t exchange.VerdictsStatus
 		return c.show("VERDICTS", &t, func(w io.Writer) {
-			line := func(v exchange.VerdictTold) {
+			line := func(v exchange.VerdictStatus) {
 				var names []string
 				for _, x := range v.Witnesses {
 					names = append(names, fmt.Sprintf("%s (/%s, %.0f)", x.Front, x.Site, x.Evidence))
 				}
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f s\t%s\n", v.Thing, v.State, v.Count, v.Sites, v.LeftS, strings.Join(names, ", "))
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.1f s\t%s\n", v.Subject, v.State, v.Count, v.Sites, v.RemainingS, strings.Join(names, ", "))
 			}
 			_, _ = fmt.Fprintln(w, "HOLDS\tSTATE\tWITNESSES\tSITES\tLEFT\tSOME OF THEM")
-			for _, v := range t.Holds {
+			for _, v := range t.Active {
 				line(v)
 			}
 			_, _ = fmt.Fprintf(w, "\nOPINIONS OF %s\tSTATE\t\t\t\tEVIDENCE\n", t.Front)
@@ -185,9 +185,9 @@
 
 func (c *fleetCalls) steerCommand() *cobra.Command {
 	return &cobra.Command{Use: "steer REGION", Short: "In which order and with which shares a region's clients should go to edges", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		var t exchange.Steered
+		var t exchange.RegionOrder
 		return c.show("STEER "+args[0], &t, func(w io.Writer) {
-			_, _ = fmt.Fprintf(w, "%s: by %s; holds for %.1f s more, stale by %.1f s at most\nEDGE\tSHARE\tTAKES\tREQUESTS\tROOM\n", t.Region, t.By, t.HoldsS, t.StaleS)
+			_, _ = fmt.Fprintf(w, "%s: by %s; holds for %.1f s more, stale by %.1f s at most\nEDGE\tSHARE\tTAKES\tREQUESTS\tROOM\n", t.Region, t.Source, t.RemainingS, t.MaxAgeS)
 			for _, e := range t.Edges {
 				_, _ = fmt.Fprintf(w, "%s\t%.0f%%\t%.1f ms\t%.0f\t%.0f%%\n", e.Edge, 100*e.Share, e.Median/1000, e.Weight, 100*e.Capacity)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,7 +50,7 @@
 	Flow, Link float64 // bytes a second of one transfer of our own copies, and of all; 0: none
 
 	Board string // address of the notice board; empty: none
-	Known *discovery.News
+	Known *discovery.Update
 }
 
 // file is the platform's configuration file.
@@ -135,7 +135,7 @@
 		}
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = discovery.ParseNews(f.Known); err != nil {
+		if c.Known, err = discovery.ParseUpdate(f.Known); err != nil {
 			fault("known: %w", err)
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,7 +27,7 @@
 // whether a watch on it still speaks or not. So a silent watch has to be noticed, and the
 // board asked on another connection, within the grace; and after an outage the board has to be
 // found within it too, whether connects are refused or hang.
-type Times struct {
+type Timeouts struct {
 	linger gateway.Micros // that the board may hold a poll
 	silent gateway.Micros // after a poll, from which a connection is taken for dead
 	stall  gateway.Micros // between two parts of an answer, likewise
@@ -37,10 +37,10 @@
 
 // Within gives the times for a grace; 0 stands for the least that a site has been
 // seen with.
-func Within(grace gateway.Micros) Times {
+func TimeoutsFor(grace gateway.Micros) Timeouts {
 	g := max(graceLeast, cmp.Or(max(0, grace), 300_000))
 	linger := min(lingerMost, g/2)
-	return Times{linger: linger, silent: linger + g/3, stall: g / 3, redial: g / 3, pause: g / 4}
+	return Timeouts{linger: linger, silent: linger + g/3, stall: g / 3, redial: g / 3, pause: g / 4}
 }
 
 var limits = httpwire.Limits{Head: 16 << 10, Body: maxAnswer}
@@ -53,12 +53,12 @@
 }
 
 // Board is a client of the notice board.
-type Board struct {
+type Client struct {
 	loop     *loop.Loop
 	log      *slog.Logger
 	address  string
 	sink     Sink
-	times    Times
+	times    Timeouts
 	last     int64
 	link     *link   // the one that counts; nil while none is up
 	search   *search // for one
@@ -69,7 +69,7 @@
 }
 
 // Answered tells whether the board has given a whole answer since the start.
-func (b *Board) Answered() bool { return b.answered }
+func (b *Client) Answered() bool { return b.answered }
 
 // search is one search for a connection to an address; dials of it run beside each
 // other, and the first to come up ends it.
@@ -82,7 +82,7 @@
 // link is one connection to the board. What an older one still brings is passed
 // over: its events come again under their numbers.
 type link struct {
-	board *Board
+	board *Client
 	conn  *transport.Conn // nil where another came up first
 	good  bool            // it has brought an answer
 	asked loop.Micros     // when the last poll went out
@@ -90,8 +90,8 @@
 }
 
 // New makes a client that starts from what is known.
-func New(l *loop.Loop, log *slog.Logger, address string, times Times, known *News, sink Sink) *Board {
-	b := &Board{loop: l, log: log, address: address, times: times, sink: sink, pause: pauseFirst}
+func New(l *loop.Loop, log *slog.Logger, address string, times Timeouts, known *Update, sink Sink) *Client {
+	b := &Client{loop: l, log: log, address: address, times: times, sink: sink, pause: pauseFirst}
 	if known != nil {
 		b.take(known)
 	}
@@ -99,13 +99,13 @@
 }
 
 // Start begins to follow the board.
-func (b *Board) Start() { b.seek() }
+func (b *Client) Start() { b.seek() }
 
 // Renew takes other times over, for what begins from now on.
-func (b *Board) Renew(t Times) { b.times = t }
+func (b *Client) SetTimeouts(t Timeouts) { b.times = t }
 
 // Move follows the board at another address, at once and from the last event known.
-func (b *Board) Move(address string) {
+func (b *Client) SetAddress(address string) {
 	if address == b.address {
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // take passes on the events that are new.
-func (b *Board) take(n *News) {
+func (b *Client) take(n *Update) {
 	for _, e := range n.Events {
 		if e.Number <= b.last {
 			continue
@@ -136,7 +136,7 @@
 }
 
 // seek begins to look for a connection, in place of any search under way.
-func (b *Board) seek() {
+func (b *Client) seek() {
 	if b.search != nil {
 		b.search.over = true
 	}
@@ -144,7 +144,7 @@
 	b.dial(b.search)
 }
 
-func (b *Board) dial(s *search) {
+func (b *Client) dial(s *search) {
 	s.dials++
 	k := &link{board: b}
 	transport.Dial(b.loop, b.address, maxAnswer+limits.Head, &b.held, k, b.loop.Now()+connectTime,
@@ -175,7 +175,7 @@
 }
 
 // again connects anew after a pause, unless the search is over by then.
-func (b *Board) again(s *search) {
+func (b *Client) again(s *search) {
 	b.loop.At(b.loop.Now()+b.pause, func() {
 		if !s.over && s.dials == 0 {
 			b.dial(s)
@@ -185,7 +185,7 @@
 }
 
 // warn logs trouble, but not each time where it repeats.
-func (b *Board) warn(text string, args ...any) {
+func (b *Client) warn(text string, args ...any) {
 	if now := b.loop.Now(); now-b.warned > warnEvery {
 		b.warned = now
 		b.log.Warn(text, append(args, "last", b.last)...)
@@ -252,12 +252,12 @@
 		}
 		err = errors.New("board: answer is too long")
 	}
-	var news *News
+	var news *Update
 	if err == nil && r.Status != 200 {
 		err = fmt.Errorf("board: status %d", r.Status)
 	}
 	if err == nil {
-		news, err = ParseNews(r.Body)
+		news, err = ParseUpdate(r.Body)
 	}
 	if err != nil {
 		b.warn("notice board's answer can't be used", "error", err)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -46,11 +46,11 @@
 func (told) BoardAnswered()      {}
 
 // follow begins to follow a board at an address, on a running loop.
-func follow(t *testing.T, address string) (*Board, told, func(func())) {
+func follow(t *testing.T, address string) (*Client, told, func(func())) {
 	t.Helper()
 	l := loop.New(func() {})
 	sink := told{make(chan gateway.Member, 100)}
-	b := New(l, quiet, address, Within(500_000), nil, sink)
+	b := New(l, quiet, address, TimeoutsFor(500_000), nil, sink)
 	done := make(chan struct{})
 	go func() { l.Run(); close(done) }()
 	t.Cleanup(func() { l.Post(l.Quit); <-done })
@@ -155,7 +155,7 @@
 	w.poll()
 	text := whole(strings.Replace(event, `"notices"`, strings.Repeat(" ", 400)+`"notices"`, 1))
 	var silent time.Duration
-	on(func() { silent = time.Duration(Within(500_000).silent) * time.Microsecond })
+	on(func() { silent = time.Duration(TimeoutsFor(500_000).silent) * time.Microsecond })
 	for began := time.Now(); time.Since(began) < 2*silent; time.Sleep(20 * time.Millisecond) {
 		w.send(text[:1])
 		text = text[1:]
@@ -244,7 +244,7 @@
 func TestTimesFitTheGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Int64Range(graceLeast, 10_000_000).Draw(t, "grace")
-		x := Within(grace)
+		x := TimeoutsFor(grace)
 		if x.silent+x.linger/3 > grace || x.redial+x.pause > grace*3/4 || x.silent <= x.linger {
 			t.Fatalf("%+v", x)
 		}
@@ -253,8 +253,8 @@
 		}
 	})
 	for _, grace := range []gateway.Micros{-5, 0} {
-		if Within(grace) != Within(300_000) {
-			t.Errorf("%d: %+v", grace, Within(grace))
+		if TimeoutsFor(grace) != TimeoutsFor(300_000) {
+			t.Errorf("%d: %+v", grace, TimeoutsFor(grace))
 		}
 	}
 }
--- a/internal/discovery/news.go
+++ b/internal/discovery/news.go
@@ -12,7 +12,7 @@
 )
 
 // News is a run of events.
-type News struct {
+type Update struct {
 	Last   int64
 	Events []Event
 }
@@ -83,7 +83,7 @@
 }
 
 // ParseNews reads {"rev":LAST,"notices":[...]}.
-func ParseNews(data []byte) (*News, error) {
+func ParseUpdate(data []byte) (*Update, error) {
 	var w wireNews
 	if err := json.Unmarshal(data, &w); err != nil {
 		return nil, fmt.Errorf("board: %w", err)
@@ -91,7 +91,7 @@
 	if w.Rev == nil {
 		return nil, fmt.Errorf("board: rev: missing")
 	}
-	n := &News{Last: *w.Rev}
+	n := &Update{Last: *w.Rev}
 	for _, x := range w.Notices {
 		e := Event{Number: x.Rev}
 		if x.Pool != nil {
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -14,7 +14,7 @@
 	{"rev":42,"flush":{"asset":"7f3a","ms":1764576000123}},{"rev":43,"flush":{"collection":17,"ms":9}}]}`
 
 func TestParseNews(t *testing.T) {
-	n, err := ParseNews([]byte(news))
+	n, err := ParseUpdate([]byte(news))
 	if err != nil || n.Last != 43 || len(n.Events) != 3 {
 		t.Fatalf("got %+v, %v", n, err)
 	}
@@ -30,7 +30,7 @@
 	}
 	for _, bad := range []string{"", "[]", `{"notices":[]}`, `{"rev":"x"}`,
 		`{"rev":1,"notices":[{"rev":1,"pool":{"members":[{"id":"s","phase":"ODD"}]}}]}`} {
-		if _, err := ParseNews([]byte(bad)); err == nil {
+		if _, err := ParseUpdate([]byte(bad)); err == nil {
 			t.Errorf("%q: no error", bad)
 		}
 	}
@@ -40,11 +40,11 @@
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(news)[:rapid.IntRange(0, len(news)-1).Draw(t, "cut")]
-		if _, err := ParseNews(b); err == nil {
+		if _, err := ParseUpdate(b); err == nil {
 			t.Fatalf("cut news was taken: %s", b)
 		}
 		b = []byte(news)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "place")] = rapid.Byte().Draw(t, "byte")
-		_, _ = ParseNews(b) // an error or not, but no panic
+		_, _ = ParseUpdate(b) // an error or not, but no panic
 	})
 }
--- a/internal/ephemeral/ephemeral_test.go
+++ b/internal/ephemeral/ephemeral_test.go
@@ -72,14 +72,14 @@
 	return len(line), nil
 }
 
-func start(t *testing.T, k *zookeepertest.Keeper) *sink {
+func start(t *testing.T, k *zookeepertest.Server) *sink {
 	t.Helper()
 	s := &sink{lists: make(chan string, 100)}
 	startWith(t, k, s, io.Discard)
 	return s
 }
 
-func startWith(t *testing.T, k *zookeepertest.Keeper, s *sink, log io.Writer) {
+func startWith(t *testing.T, k *zookeepertest.Server, s *sink, log io.Writer) {
 	t.Helper()
 	l := loop.New(func() {})
 	done := make(chan struct{})
@@ -134,7 +134,7 @@
 	k.Set("s-1", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+")
-	k.Cut(false)
+	k.Disconnect(false)
 	k.Set("s-2", box("SERVING"))
 	s.await(t, "true s-1+ s-2+")
 	select {
@@ -159,7 +159,7 @@
 	k.Set("s-2", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+ s-2+")
-	k.Cut(false)
+	k.Disconnect(false)
 	k.Set("s-1", box("DRAINING"))
 	s.await(t, "true s-1- s-2+")
 	k.Set("s-1", box("SERVING"))
@@ -181,12 +181,12 @@
 	s := start(t, k)
 	s.await(t, "true s-1+")
 	for i := range 3 {
-		k.Cut(false)
+		k.Disconnect(false)
 		name := fmt.Sprintf("s-%d", i+2)
 		k.Set(name, box("SERVING"))
 		s.awaitLast(t, name+"+")
 	}
-	if n := k.WatchesSetAgain(); n > 0 {
+	if n := k.SetWatchesCalls(); n > 0 {
 		t.Errorf("old watches were set again %d times", n)
 	}
 }
@@ -199,7 +199,7 @@
 	k.Set("s-2", box("SERVING"))
 	s := start(t, k)
 	s.await(t, "true s-1+ s-2+")
-	k.Cut(true)
+	k.Disconnect(true)
 	k.Set("s-1", "")
 	k.Set("s-2", box("DRAINING"))
 	s.await(t, "true s-2-")
--- a/internal/ephemeral/zookeepertest/zookeepertest.go
+++ b/internal/ephemeral/zookeepertest/zookeepertest.go
@@ -17,7 +17,7 @@
 
 // Keeper is a stand-in that speaks the part of ZooKeeper's published protocol
 // that reading children and data with watches takes.
-type Keeper struct {
+type Server struct {
 	ln      net.Listener
 	mu      sync.Mutex
 	nodes   map[string]node // by child
@@ -41,7 +41,7 @@
 const Root = "/padma/boxes"
 
 // New starts a keeper without nodes, which ends with the test.
-func New(t testing.TB) *Keeper {
+func New(t testing.TB) *Server {
 	t.Helper()
 	k, err := Open("")
 	if err != nil {
@@ -53,12 +53,12 @@
 
 // Open starts a keeper without nodes at an address, or at one of this process's own if it
 // is empty. It must be closed.
-func Open(address string) (*Keeper, error) {
+func Open(address string) (*Server, error) {
 	ln, err := loopbacktest.ListenAt(address)
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
-	k := &Keeper{ln: ln, nodes: map[string]node{}, session: 100, conns: map[net.Conn]bool{},
+	k := &Server{ln: ln, nodes: map[string]node{}, session: 100, conns: map[net.Conn]bool{},
 		watches: map[net.Conn]map[string]bool{}}
 	k.thawed.L = &k.mu
 	go func() {
@@ -74,15 +74,15 @@
 }
 
 // Close ends a keeper and its connections.
-func (k *Keeper) Close() {
+func (k *Server) Close() {
 	_ = k.ln.Close()
-	k.Cut(false)
+	k.Disconnect(false)
 	k.Freeze(false)
 }
 
 // Freeze has the keeper say nothing until it is thawed: connections come up and
 // stay, and what is asked meanwhile is answered then.
-func (k *Keeper) Freeze(frozen bool) {
+func (k *Server) Freeze(frozen bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.frozen = frozen
@@ -130,7 +130,7 @@
 	_, _ = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(p.b))), p.b...))
 }
 
-func (k *Keeper) serve(c net.Conn) {
+func (k *Server) serve(c net.Conn) {
 	p, err := receive(c)
 	if err != nil {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-func (k *Keeper) answer(c net.Conn, p *packet) {
+func (k *Server) answer(c net.Conn, p *packet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for k.frozen {
@@ -246,7 +246,7 @@
 }
 
 // Set makes, changes or, with empty data, removes a node.
-func (k *Keeper) Set(child, data string) {
+func (k *Server) Set(child, data string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, known := k.nodes[child]
@@ -271,7 +271,7 @@
 }
 
 // Cut ends all connections, and the session too where it is to expire.
-func (k *Keeper) Cut(expire bool) {
+func (k *Server) Disconnect(expire bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if expire {
@@ -284,11 +284,11 @@
 }
 
 // WatchesSetAgain counts the calls in which clients set watches of an older connection again.
-func (k *Keeper) WatchesSetAgain() int {
+func (k *Server) SetWatchesCalls() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.setAgain
 }
 
 // Addr is where the keeper listens.
-func (k *Keeper) Addr() string { return k.ln.Addr().String() }
+func (k *Server) Addr() string { return k.ln.Addr().String() }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -37,32 +37,32 @@
 
 // Limiter is what spends parts of limits, on the loop.
 type Limiter interface {
-	Give(g quotalease.Grant, newest uint64)
-	Tell() []quotalease.BucketReport
-	Fronts(n int)
+	ApplyGrant(g quotalease.Grant, newest uint64)
+	Report() []quotalease.BucketReport
+	SetFronts(n int)
 }
 
 // Obeyer obeys purges, on the loop.
-type Obeyer interface {
+type Invalidator interface {
 	// Obey has no copy served any more that is older than the purge, which was asked for
 	// so long ago.
-	Obey(s invalidation.Scope, age Micros)
+	Invalidate(s invalidation.Scope, age Micros)
 }
 
 // Config is one front's place in the exchange.
 type Config struct {
-	Name    string
-	Folder  string // of this front alone
-	Keys    *peers.Keys
-	Address func(v *topology.View, name string) string // where a front is reached from here
-	Section *config.Exchange
-	Now     func() Micros // the clock by which leases are
-	Loop    Loop
-	Limiter Limiter
-	Obeyer  Obeyer
-
-	Witness  Witness
-	Surveyor Surveyor
+	Name        string
+	Folder      string // of this front alone
+	Keys        *peers.Keys
+	Address     func(v *topology.View, name string) string // where a front is reached from here
+	Section     *config.Exchange
+	Now         func() Micros // the clock by which leases are
+	Loop        Loop
+	Limiter     Limiter
+	Invalidator Invalidator
+
+	Observer      Observer
+	LatencySource LatencySource
 
 	fault func(task string, message any) // for tests: panics or stalls
 }
@@ -71,11 +71,11 @@
 type Counts struct{ Sent, Received, Bytes, Dropped, Restarts atomic.Int64 }
 
 // Standing is what the log says of this front now, as the fleet's driver publishes it.
-type Standing struct {
-	View    *topology.View
-	Changed uint64 // index at which the fleet's fronts were last changed
-	Keep    Micros // up to which this front may act as a keeper
-	Asked   Micros // a moment before which a majority was asked whether it may
+type FleetState struct {
+	View          *topology.View
+	FrontsChanged uint64 // index at which the fleet's fronts were last changed
+	OwnerUntil    Micros // up to which this front may act as a keeper
+	MajorityAsked Micros // a moment before which a majority was asked whether it may
 }
 
 // Exchange is one front's part.
@@ -93,7 +93,7 @@
 	history  *history
 	disk     *disk // nil: no purges
 
-	standing atomic.Pointer[Standing]
+	standing atomic.Pointer[FleetState]
 	links    atomic.Pointer[links] // who attaches where, by the hub
 	open     atomic.Bool           // this front has what it missed, and may serve
 	section  atomic.Pointer[config.Exchange]
@@ -172,17 +172,17 @@
 }
 
 // Know tells what the log says now. The newest takes the place of those before.
-func (x *Exchange) Know(s *Standing) { x.standing.Store(s) }
+func (x *Exchange) SetFleetState(s *FleetState) { x.standing.Store(s) }
 
 // Renew takes a new section over; what needs a restart stays as it was.
-func (x *Exchange) Renew(s *config.Exchange) {
+func (x *Exchange) Reconfigure(s *config.Exchange) {
 	next := *x.section.Load()
 	next.Limits = s.Limits
 	x.section.Store(&next)
 }
 
 // Open tells whether this front has what purges it missed, so that it may serve.
-func (x *Exchange) Open() bool { return x.open.Load() }
+func (x *Exchange) CaughtUp() bool { return x.open.Load() }
 
 func (x *Exchange) fleetID() uint64 {
 	if s := x.standing.Load(); s != nil {
@@ -202,7 +202,7 @@
 }
 
 // May tells whether this process may act as a keeper now.
-func (s *Standing) May(now Micros) bool { return now < s.Keep }
+func (s *FleetState) MayActAsOwner(now Micros) bool { return now < s.OwnerUntil }
 
 // Close ends all tasks.
 func (x *Exchange) Close() error {
@@ -225,14 +225,14 @@
 // up sends what a role has to say to the keeper that it is attached to.
 func (t teller) up(subject Subject, r topology.Role, what any) {
 	if k, ok := t.x.links.Load().up[r]; ok && t.ctx.Err() == nil {
-		t.x.hub.put(goes{Envelope{Subject: subject, Up: true, Role: r, Site: k.Site, Keeper: k.Number, Body: encode(what)}})
+		t.x.hub.put(goes{Envelope{Subject: subject, Up: true, Role: r, Site: k.Site, Owner: k.Number, Body: encode(what)}})
 	}
 }
 
 // down sends what a keeper of this process has to say to a role below it.
 func (t teller) down(subject Subject, r topology.Role, k topology.Owner, what any) {
 	if t.ctx.Err() == nil {
-		t.x.hub.put(goes{Envelope{Subject: subject, Role: r, Site: k.Site, Keeper: k.Number, Body: encode(what)}})
+		t.x.hub.put(goes{Envelope{Subject: subject, Role: r, Site: k.Site, Owner: k.Number, Body: encode(what)}})
 	}
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -31,19 +31,19 @@
 	obeys []string
 }
 
-func (h *host) Post(do func())                         { h.todo <- do }
-func (h *host) Give(g quotalease.Grant, newest uint64) { h.purse.ApplyGrant(g, newest, h.now()) }
-func (h *host) Tell() []quotalease.BucketReport        { return h.purse.Report(h.now()) }
-func (h *host) Fronts(n int)                           { h.purse.SetFronts(n) }
-func (h *host) Judged([]outlier.HeldVerdict)           {}
-func (h *host) Sights(func(string, string, int64))     {}
-func (h *host) Room() map[string]float64               { return nil }
-func (h *host) Obey(s invalidation.Scope, _ Micros) {
+func (h *host) Post(do func())                               { h.todo <- do }
+func (h *host) ApplyGrant(g quotalease.Grant, newest uint64) { h.purse.ApplyGrant(g, newest, h.now()) }
+func (h *host) Report() []quotalease.BucketReport            { return h.purse.Report(h.now()) }
+func (h *host) SetFronts(n int)                              { h.purse.SetFronts(n) }
+func (h *host) ApplyVerdicts([]outlier.HeldVerdict)          {}
+func (h *host) LatencySamples(func(string, string, int64))   {}
+func (h *host) EdgeCapacity() map[string]float64             { return nil }
+func (h *host) Invalidate(s invalidation.Scope, _ Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.obeys = append(h.obeys, s.String())
 }
-func (h *host) Opinions(string, string) ([]outlier.Observation, map[string]int) { return nil, nil }
+func (h *host) Observations(string, string) ([]outlier.Observation, map[string]int) { return nil, nil }
 
 // alone plays one front that keeps every site itself, in virtual time.
 func alone(t *testing.T, fault func(task string, m any), play func(x *Exchange, h *host)) {
@@ -68,7 +68,7 @@
 		require.NoError(t, err)
 		rules, list := o.Exchange.Allowances()
 		h.purse = quotalease.NewLimiter(rules, list, h.now())
-		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Obeyer: h, Witness: h, Surveyor: h, fault: fault,
+		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Invalidator: h, Observer: h, LatencySource: h, fault: fault,
 			Address: func(*topology.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
 		me := topology.Front{Name: "a", Site: "west/hub", ID: 1, Start: 2, OwnerLease: 2_000_000}
@@ -77,7 +77,7 @@
 			v.Owners = append(v.Owners, topology.Owner{Site: site, Name: "a", ID: 1, Start: 2, Number: uint64(i + 1)})
 		}
 		know := func() {
-			x.Know(&Standing{View: v, Changed: 1, Keep: h.now() + 2_000_000, Asked: h.now()})
+			x.SetFleetState(&FleetState{View: v, FrontsChanged: 1, OwnerUntil: h.now() + 2_000_000, MajorityAsked: h.now()})
 		}
 		know()
 		go func() {
@@ -154,18 +154,18 @@
 // Guards the way of a purge of a fleet of one, and that what is asked twice is one.
 func TestPurgeOfOne(t *testing.T) {
 	alone(t, nil, func(x *Exchange, h *host) {
-		require.False(t, x.Open())
+		require.False(t, x.CaughtUp())
 		time.Sleep(3 * time.Second)
-		require.True(t, x.Open())
+		require.True(t, x.CaughtUp())
 		ids := make(chan string, 2)
 		for range 2 {
-			x.AskPurge(invalidation.Scope{Kind: invalidation.Prefix, Name: "o1"}, "once", "", func(p invalidation.Purge, err error) { ids <- p.ID() })
+			x.RequestPurge(invalidation.Scope{Kind: invalidation.Prefix, Name: "o1"}, "once", "", func(p invalidation.Purge, err error) { ids <- p.ID() })
 		}
 		require.Equal(t, <-ids, <-ids)
 		time.Sleep(3 * time.Second)
 		done := make(chan any, 1)
-		x.LookPurges("once", func(v any, err error) { done <- v })
-		require.True(t, (<-done).(Purged).Complete)
+		x.QueryPurges("once", func(v any, err error) { done <- v })
+		require.True(t, (<-done).(PurgeProgress).Complete)
 		require.Contains(t, h.obeys, "prefix o1")
 	})
 }
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -120,7 +120,7 @@
 		to, _ := a.Owner()
 		for _, k := range ask {
 			wanted[k.Name] = true
-			h.send(Envelope{Subject: Tree, Up: true, Role: r, Site: k.Site, Keeper: k.Number, Seq: h.x.sequence.Add(1), Body: encode(greet{k.Number == to.Number})})
+			h.send(Envelope{Subject: Tree, Up: true, Role: r, Site: k.Site, Owner: k.Number, Seq: h.x.sequence.Add(1), Body: encode(greet{k.Number == to.Number})})
 		}
 		if k, ok := a.Owner(); ok {
 			up[r] = k
@@ -183,7 +183,7 @@
 	name := e.Role.Front
 	if e.Up {
 		k := s.View.Owner(e.Site)
-		if k == nil || k.Number != e.Keeper {
+		if k == nil || k.Number != e.Owner {
 			return
 		}
 		name = k.Name
@@ -214,7 +214,7 @@
 	}
 	v, now := s.View, h.x.cfg.Now()
 	k := v.Owner(e.Site)
-	if k == nil || k.Number != e.Keeper {
+	if k == nil || k.Number != e.Owner {
 		return // of a keeper before, or one that this front does not know yet
 	}
 	speaker := e.Role.Front // who may say what comes up for a role
@@ -240,15 +240,15 @@
 			return
 		}
 		if e.Up {
-			t := tie{e.Role, e.Keeper}
+			t := tie{e.Role, e.Owner}
 			if _, known := h.children[t]; g.Attached && (known || len(h.children) < mostChilds) {
 				h.children[t] = now
 			} else if !g.Attached {
 				delete(h.children, t)
 			}
-			h.send(Envelope{Subject: Tree, Role: e.Role, Site: e.Site, Keeper: e.Keeper, Seq: h.x.sequence.Add(1), Body: e.Body})
+			h.send(Envelope{Subject: Tree, Role: e.Role, Site: e.Site, Owner: e.Owner, Seq: h.x.sequence.Add(1), Body: e.Body})
 		} else if a := h.attached[e.Role]; a != nil {
-			a.Answered(e.Keeper, now, h.x.spans())
+			a.Answered(e.Owner, now, h.x.spans())
 		}
 	case Limits:
 		h.x.limits.put(e)
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -14,7 +14,7 @@
 type (
 	says      struct{ list []quotalease.BucketReport } // what the loop has to tell of its purse
 	newcomer  struct{}                                 // a name came that was not known
-	limitsAsk struct{ answer func(LimitsTold) }
+	limitsAsk struct{ answer func(LimitsStatus) }
 )
 
 func (newcomer) replaces() string { return "newcomer" }
@@ -80,15 +80,15 @@
 	}
 	x.cfg.Loop.Post(func() {
 		if fronts > 0 {
-			x.cfg.Limiter.Fronts(fronts)
+			x.cfg.Limiter.SetFronts(fronts)
 		}
-		x.limits.offer(says{x.cfg.Limiter.Tell()})
+		x.limits.offer(says{x.cfg.Limiter.Report()})
 	})
 	l.deal(s, now)
 }
 
 // keeps has a dealer for each site that this process keeps.
-func (l *limits) keeps(s *Standing, now Micros) {
+func (l *limits) keeps(s *FleetState, now Micros) {
 	own := s.View.OwnedBySelf()
 	for site, d := range l.dealers {
 		if !slices.ContainsFunc(own, func(k topology.Owner) bool { return k.Site == site && k.Number == d.Number() }) {
@@ -119,7 +119,7 @@
 }
 
 // deal has each site's parts dealt out, and asked for above.
-func (l *limits) deal(s *Standing, now Micros) {
+func (l *limits) deal(s *FleetState, now Micros) {
 	links := l.x.links.Load()
 	for _, k := range s.View.OwnedBySelf() {
 		d := l.dealers[k.Site]
@@ -127,7 +127,7 @@
 			continue
 		}
 		above := links.up[topology.SiteRole(k)]
-		if k.Site == topology.Root && !s.May(now) {
+		if k.Site == topology.Root && !s.MayActAsOwner(now) {
 			continue
 		}
 		grants := d.Allocate(source(above), now)
@@ -159,7 +159,7 @@
 }
 
 // ask asks for this front's own parts.
-func (l *limits) ask(s *Standing, now Micros) {
+func (l *limits) ask(s *FleetState, now Micros) {
 	r := s.View.SelfRole()
 	k, ok := l.x.links.Load().up[r]
 	if !ok {
@@ -229,14 +229,14 @@
 	}
 }
 
-func (l *limits) came(s *Standing, e Envelope, now Micros) {
+func (l *limits) came(s *FleetState, e Envelope, now Micros) {
 	if e.Up {
 		var a quotalease.Request
 		if decoder.Unmarshal(e.Body, &a) != nil || l.dealers[e.Site] == nil {
 			return
 		}
 		d := l.dealers[e.Site]
-		if d.Number() != e.Keeper {
+		if d.Number() != e.Owner {
 			return
 		}
 		d.HandleRequest(roleName(e.Role), a, now)
@@ -247,7 +247,7 @@
 		return
 	}
 	var g quotalease.Grant
-	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Owner != e.Keeper {
+	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Owner != e.Owner {
 		return
 	}
 	newest := uint64(0)
@@ -256,7 +256,7 @@
 	}
 	if e.Role == s.View.SelfRole() {
 		x := l.x
-		x.cfg.Loop.Post(func() { x.cfg.Limiter.Give(g, newest) })
+		x.cfg.Loop.Post(func() { x.cfg.Limiter.ApplyGrant(g, newest) })
 	} else if d := l.dealers[e.Role.Site]; d != nil && d.Number() == e.Role.Owner {
 		d.ApplyGrant(g, newest, now)
 	}
@@ -266,22 +266,22 @@
 func (x *Exchange) NewName() { x.limits.offer(newcomer{}) }
 
 // LimitsTold is what a front tells of limits.
-type LimitsTold struct {
-	Front string                    `json:"front"`
-	To    string                    `json:"attached_to"`
-	Own   []quotalease.BucketReport `json:"own"`
-	Sites map[string][]Sheet        `json:"sites,omitempty"`
-	Rules []string                  `json:"bounds"`
+type LimitsStatus struct {
+	Front      string                    `json:"front"`
+	AttachedTo string                    `json:"attached_to"`
+	Own        []quotalease.BucketReport `json:"own"`
+	Sites      map[string][]SiteLimit    `json:"sites,omitempty"`
+	Bounds     []string                  `json:"bounds"`
 }
 
 // Sheet is one limit as a site's keeper deals it out.
-type Sheet = quotalease.LimitStatus
+type SiteLimit = quotalease.LimitStatus
 
-func (l *limits) tell(s *Standing, now Micros) LimitsTold {
+func (l *limits) tell(s *FleetState, now Micros) LimitsStatus {
 	links := l.x.links.Load()
-	t := LimitsTold{Front: s.View.Self.Name, Own: l.said, Rules: l.x.section.Load().Bounds(), Sites: map[string][]Sheet{}}
+	t := LimitsStatus{Front: s.View.Self.Name, Own: l.said, Bounds: l.x.section.Load().Bounds(), Sites: map[string][]SiteLimit{}}
 	if k, ok := links.up[s.View.SelfRole()]; ok {
-		t.To = k.Name
+		t.AttachedTo = k.Name
 	}
 	for site, d := range l.dealers {
 		up := quotalease.Source{}
@@ -294,6 +294,6 @@
 }
 
 // LimitsOf asks for what this front knows of limits; the answer comes on the loop.
-func (x *Exchange) LimitsOf(answer func(LimitsTold)) {
-	x.limits.offer(limitsAsk{func(t LimitsTold) { x.cfg.Loop.Post(func() { answer(t) }) }})
+func (x *Exchange) QueryLimits(answer func(LimitsStatus)) {
+	x.limits.offer(limitsAsk{func(t LimitsStatus) { x.cfg.Loop.Post(func() { answer(t) }) }})
 }
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -9,11 +9,11 @@
 )
 
 // Surveyor is what measures latencies, on the loop.
-type Surveyor interface {
+type LatencySource interface {
 	// Sights gives what attempts took since it was last asked.
-	Sights(each func(region, edge string, took int64))
+	LatencySamples(each func(region, edge string, took int64))
 	// Room is which part of each edge can be used, as far as this front knows.
-	Room() map[string]float64
+	EdgeCapacity() map[string]float64
 }
 
 // pathsUp is what a role says, and pathsDown what it is told.
@@ -74,14 +74,14 @@
 	x := t.x
 	x.cfg.Loop.Post(func() {
 		var list []latency.Sample
-		x.cfg.Surveyor.Sights(func(region, edge string, took int64) {
+		x.cfg.LatencySource.LatencySamples(func(region, edge string, took int64) {
 			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Latency: took})
 		})
-		x.paths.offer(samples{list, x.cfg.Surveyor.Room()})
+		x.paths.offer(samples{list, x.cfg.LatencySource.EdgeCapacity()})
 	})
 }
 
-func (t *pathTask) tell(s *Standing, now Micros) {
+func (t *pathTask) tell(s *FleetState, now Micros) {
 	links := t.x.links.Load()
 	t.up(Paths, s.View.SelfRole(), pathsUp{now, t.model.Summaries(now), t.room})
 	keeps := s.View.OwnedBySelf()
@@ -113,7 +113,7 @@
 			if t.planner == nil || t.root != k.Number {
 				t.planner, t.root = latency.NewPlanner(t.rules), k.Number
 			}
-			if s.May(now) {
+			if s.MayActAsOwner(now) {
 				list = t.planner.Step(merged, func(e string) float64 {
 					if x, ok := room[e]; ok {
 						return x
@@ -162,7 +162,7 @@
 				t.said[m.Site] = &topology.Reports[pathsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
-			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
+			t.stamps[tie{m.Role, m.Owner}] = u.Stamp
 			return
 		}
 		var d pathsDown
@@ -188,21 +188,21 @@
 }
 
 // Steered is what a front tells of a region.
-type Steered struct {
-	Region string          `json:"region"`
-	By     string          `json:"by"` // the fleet's order, own sight, static
-	Edges  []latency.Share `json:"edges"`
-	HoldsS float64         `json:"holds_s"` // from now on
-	StaleS float64         `json:"stale_by_s"`
+type RegionOrder struct {
+	Region     string          `json:"region"`
+	Source     string          `json:"by"` // the fleet's order, own sight, static
+	Edges      []latency.Share `json:"edges"`
+	RemainingS float64         `json:"holds_s"` // from now on
+	MaxAgeS    float64         `json:"stale_by_s"`
 }
 
 // steer falls back in steps: the fleet's order until its end, then this front's own
 // sight, then the static order, which is none: evenly.
-func (t *pathTask) steer(s *Standing, region string, now Micros) Steered {
-	out := Steered{Region: region, StaleS: float64(t.rules.OrderTTL) / 1e6}
+func (t *pathTask) steer(s *FleetState, region string, now Micros) RegionOrder {
+	out := RegionOrder{Region: region, MaxAgeS: float64(t.rules.OrderTTL) / 1e6}
 	if m := t.maps[s.View.SelfRole()]; m != nil {
 		if o, ok := m.Lookup(region, now); ok {
-			out.By, out.Edges, out.HoldsS = "the fleet's order", o.Edges, float64(o.Remaining)/1e6
+			out.Source, out.Edges, out.RemainingS = "the fleet's order", o.Edges, float64(o.Remaining)/1e6
 			return out
 		}
 	}
@@ -214,15 +214,15 @@
 	}, now)
 	for _, o := range own {
 		if o.Region == region {
-			out.By, out.Edges, out.HoldsS = "own sight", o.Edges, float64(t.x.round().Microseconds()*pathRounds)/1e6
+			out.Source, out.Edges, out.RemainingS = "own sight", o.Edges, float64(t.x.round().Microseconds()*pathRounds)/1e6
 			return out
 		}
 	}
-	out.By = "static"
+	out.Source = "static"
 	return out
 }
 
 // Steer asks for a region's order; the answer comes on the loop.
-func (x *Exchange) Steer(region string, answer func(any, error)) bool {
+func (x *Exchange) QueryRegion(region string, answer func(any, error)) bool {
 	return x.cfg.Section.Paths != nil && x.paths.offer(steerAsk{region, func(v any, err error) { x.cfg.Loop.Post(func() { answer(v, err) }) }})
 }
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -167,7 +167,7 @@
 	}
 	x.cfg.Loop.Post(func() {
 		for _, p := range list {
-			x.cfg.Obeyer.Obey(p.Scope, p.Age+max(0, x.cfg.Now()-now))
+			x.cfg.Invalidator.Invalidate(p.Scope, p.Age+max(0, x.cfg.Now()-now))
 			x.history.write("obey", map[string]any{"purge": p.ID(), "scope": p.Scope.String(), "asked": p.RequestKey})
 		}
 		x.purges.put(obeyed{list})
@@ -222,12 +222,12 @@
 func (t *purgeTask) floor(at, now Micros) {
 	x := t.x
 	age := max(0, now-at)
-	x.cfg.Loop.Post(func() { x.cfg.Obeyer.Obey(invalidation.Scope{Kind: invalidation.All}, age) })
+	x.cfg.Loop.Post(func() { x.cfg.Invalidator.Invalidate(invalidation.Scope{Kind: invalidation.All}, age) })
 }
 
 // returns opens the front once it has what it missed: as much as a keeper has that is
 // open itself, or, after a while, by trusting no copy from before.
-func (t *purgeTask) returns(s *Standing, now Micros) {
+func (t *purgeTask) returns(s *FleetState, now Micros) {
 	if t.x.open.Load() || t.opened || !s.View.Registered {
 		return
 	}
@@ -251,13 +251,13 @@
 }
 
 // keeperFor is who numbers a purge asked here: the keeper that this front is attached to.
-func (t *purgeTask) keeperFor(s *Standing) (k topology.Owner, own, ok bool) {
+func (t *purgeTask) keeperFor(s *FleetState) (k topology.Owner, own, ok bool) {
 	k, ok = t.x.links.Load().up[s.View.SelfRole()]
 	return k, ok && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start), ok
 }
 
 // number gives purges asked here their number, or has them go to who does.
-func (t *purgeTask) number(s *Standing, now Micros) {
+func (t *purgeTask) number(s *FleetState, now Micros) {
 	if len(t.asks) == 0 {
 		return
 	}
@@ -280,12 +280,12 @@
 }
 
 // own is this front's own acknowledgement.
-func (t *purgeTask) own(s *Standing) invalidation.Summary {
+func (t *purgeTask) own(s *FleetState) invalidation.Summary {
 	return invalidation.Summary{Index: s.View.Index, Stored: t.book.Stored(), FrontCount: 1}
 }
 
 // tell tells neighbours what they lack, and what is acknowledged.
-func (t *purgeTask) tell(s *Standing, now Micros) {
+func (t *purgeTask) tell(s *FleetState, now Micros) {
 	t.rounds, t.dirty, t.toldAt = 0, false, now
 	links := t.x.links.Load()
 	stale := staleSpans * t.x.spans().FailoverAfter
@@ -299,15 +299,15 @@
 	for _, k := range own { // the deepest first, so that what is acknowledged goes up at once
 		g := t.gather(k)
 		g.Prune(s.View)
-		sum := g.Summarize(s.View, s.Changed, marks, stale, now)
+		sum := g.Summarize(s.View, s.FrontsChanged, marks, stale, now)
 		if k.Site == topology.Root {
 			t.sum = sum
 			if t.closing == nil || t.root != k.Number {
 				t.closing, t.root = &invalidation.CompletionTracker{}, k.Number
 			}
-			if s.May(now) {
+			if s.MayActAsOwner(now) {
 				before := t.book.Completed()
-				t.book.MarkComplete(t.closing.Step(sum.Stored, s.Asked, now))
+				t.book.MarkComplete(t.closing.Step(sum.Stored, s.MajorityAsked, now))
 				t.completed(before)
 			}
 		} else {
@@ -440,8 +440,8 @@
 	}
 }
 
-func (t *purgeTask) came(s *Standing, e Envelope, now Micros) {
-	x := tie{e.Role, e.Keeper}
+func (t *purgeTask) came(s *FleetState, e Envelope, now Micros) {
+	x := tie{e.Role, e.Owner}
 	before := t.book.Completed()
 	if e.Up {
 		var u purgeUp
@@ -471,7 +471,7 @@
 	}
 	t.book.Receive(d.News, now)
 	t.book.HandleForgotten(d.Gone, now)
-	t.above[e.Keeper] = d.Marks
+	t.above[e.Owner] = d.Marks
 	if len(t.above) > 64 {
 		clear(t.above)
 	}
@@ -486,7 +486,7 @@
 
 // syncedBy opens the front once all is here that one has who serves already. Every
 // purge that is complete is among that.
-func (t *purgeTask) syncedBy(s *Standing, marks invalidation.Watermarks, serves bool, now Micros) {
+func (t *purgeTask) syncedBy(s *FleetState, marks invalidation.Watermarks, serves bool, now Micros) {
 	if t.x.open.Load() || t.opened || !serves || !s.View.Registered {
 		return
 	}
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -9,11 +9,11 @@
 )
 
 // Witness is what sees boxes, clients and its own hub, on the loop.
-type Witness interface {
+type Observer interface {
 	// Opinions are this front's own, and how many boxes each hub has.
-	Opinions(front, site string) (list []outlier.Observation, boxes map[string]int)
+	Observations(front, site string) (list []outlier.Observation, boxes map[string]int)
 	// Judged takes the verdicts that hold now.
-	Judged(list []outlier.HeldVerdict)
+	ApplyVerdicts(list []outlier.HeldVerdict)
 }
 
 // verdictsUp is what a role says, and verdictsDown what it is told.
@@ -70,13 +70,13 @@
 	}
 	x := t.x
 	x.cfg.Loop.Post(func() {
-		list, boxes := x.cfg.Witness.Opinions(s.View.Self.Name, s.View.Self.Site)
+		list, boxes := x.cfg.Observer.Observations(s.View.Self.Name, s.View.Self.Site)
 		x.verdicts.offer(opinions{list, boxes})
 	})
 }
 
 // tell merges what is said below, sends it up, and tells verdicts down.
-func (t *verdictTask) tell(s *Standing, now Micros) {
+func (t *verdictTask) tell(s *FleetState, now Micros) {
 	links := t.x.links.Load()
 	own := s.View.SelfRole()
 	t.up(Verdicts, own, verdictsUp{now, t.own.list, t.own.boxes})
@@ -107,7 +107,7 @@
 				t.bench.Disable(outlier.Mutation(without))
 			}
 			list = t.bench.Step(merged, boxes, now)
-			if !s.May(now) { // another one may judge by now
+			if !s.MayActAsOwner(now) { // another one may judge by now
 				list = nil
 			}
 		} else {
@@ -157,7 +157,7 @@
 				t.said[m.Site] = &topology.Reports[verdictsUp]{}
 			}
 			t.said[m.Site].Put(m.Role, m.Seq, u, now)
-			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
+			t.stamps[tie{m.Role, m.Owner}] = u.Stamp
 			return
 		}
 		var d verdictsDown
@@ -174,7 +174,7 @@
 				held = append(held, outlier.HeldVerdict{Verdict: v, Until: now + v.Remaining})
 			}
 			x := t.x
-			x.cfg.Loop.Post(func() { x.cfg.Witness.Judged(held) })
+			x.cfg.Loop.Post(func() { x.cfg.Observer.ApplyVerdicts(held) })
 		}
 		for r := range t.docket {
 			if !slices.Contains(roles(s.View), r) {
@@ -192,48 +192,48 @@
 }
 
 // VerdictTold is one verdict, or an opinion of this front's own, for a person.
-type VerdictTold struct {
-	Thing     string            `json:"thing"`
-	State     string            `json:"state"`
-	Number    uint64            `json:"number,omitempty"`
-	Witnesses []outlier.Witness `json:"witnesses"`
-	Count     int               `json:"count"`
-	Sites     int               `json:"sites,omitempty"`
-	Possible  int               `json:"possible,omitempty"`
-	LeftS     float64           `json:"left_s,omitempty"`
-	SpanS     float64           `json:"span_s,omitempty"`
-	Factor    float64           `json:"factor,omitempty"`
+type VerdictStatus struct {
+	Subject       string            `json:"thing"`
+	State         string            `json:"state"`
+	Number        uint64            `json:"number,omitempty"`
+	Witnesses     []outlier.Witness `json:"witnesses"`
+	Count         int               `json:"count"`
+	Sites         int               `json:"sites,omitempty"`
+	PossibleSites int               `json:"possible,omitempty"`
+	RemainingS    float64           `json:"left_s,omitempty"`
+	SpanS         float64           `json:"span_s,omitempty"`
+	Factor        float64           `json:"factor,omitempty"`
 }
 
 // VerdictsTold is what a front tells of verdicts.
-type VerdictsTold struct {
-	Front string        `json:"front"`
-	Holds []VerdictTold `json:"holds"`
-	Own   []VerdictTold `json:"own"`
+type VerdictsStatus struct {
+	Front  string          `json:"front"`
+	Active []VerdictStatus `json:"holds"`
+	Own    []VerdictStatus `json:"own"`
 }
 
-func (t *verdictTask) tells(s *Standing, now Micros) VerdictsTold {
-	out := VerdictsTold{Front: s.View.Self.Name}
+func (t *verdictTask) tells(s *FleetState, now Micros) VerdictsStatus {
+	out := VerdictsStatus{Front: s.View.Self.Name}
 	if d := t.docket[s.View.SelfRole()]; d != nil {
 		for _, v := range d.Active(now) {
-			out.Holds = append(out.Holds, VerdictTold{v.Subject, v.State.String(), v.Number, v.Witnesses, v.Count, v.Sites, v.PossibleSites, float64(v.Remaining) / 1e6, float64(v.Span) / 1e6, v.Factor})
+			out.Active = append(out.Active, VerdictStatus{v.Subject, v.State.String(), v.Number, v.Witnesses, v.Count, v.Sites, v.PossibleSites, float64(v.Remaining) / 1e6, float64(v.Span) / 1e6, v.Factor})
 		}
 	}
 	for _, o := range t.own.list {
-		out.Own = append(out.Own, VerdictTold{Thing: o.Subject, State: o.State.String(), Witnesses: o.Witnesses, Count: o.Count})
+		out.Own = append(out.Own, VerdictStatus{Subject: o.Subject, State: o.State.String(), Witnesses: o.Witnesses, Count: o.Count})
 	}
 	return out
 }
 
 // VerdictsOf asks for what this front knows of verdicts; the answer comes on the loop.
-func (x *Exchange) VerdictsOf(answer func(any)) bool {
+func (x *Exchange) QueryVerdicts(answer func(any)) bool {
 	return x.cfg.Section.Verdicts != nil && x.verdicts.offer(verdictsAsk{func(v any) { x.cfg.Loop.Post(func() { answer(v) }) }})
 }
 
 // Acted notes for the laboratory that this front acts on a verdict, or does so no more.
 // Boxes is how many its hub has, and ready how many of them are left. It is called on the
 // loop.
-func (x *Exchange) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
+func (x *Exchange) RecordVerdict(v outlier.HeldVerdict, on bool, boxes, ready int) {
 	if !x.history.on() {
 		return
 	}
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -43,7 +43,7 @@
 	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the keeper
 	Role    topology.Role   `cbor:"3,keyasint"`           // who says, or who is told
 	Site    string          `cbor:"4,keyasint,omitempty"` // of the keeper
-	Keeper  uint64          `cbor:"5,keyasint"`           // its number
+	Owner   uint64          `cbor:"5,keyasint"`           // its number
 	Seq     uint64          `cbor:"6,keyasint,omitempty"` // of its sender's messages, growing
 	Body    cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
@@ -53,7 +53,7 @@
 	if e.Subject == Purges { // what they tell of comes once
 		return ""
 	}
-	return fmt.Sprint(e.Subject, e.Up, e.Role, e.Site, e.Keeper)
+	return fmt.Sprint(e.Subject, e.Up, e.Role, e.Site, e.Owner)
 }
 
 // Spans and bounds of connections.
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -19,9 +19,9 @@
 type ExchangeHost interface {
 	Mono() int64
 	exchange.Limiter
-	exchange.Obeyer
-	exchange.Witness
-	exchange.Surveyor
+	exchange.Invalidator
+	exchange.Observer
+	exchange.LatencySource
 }
 
 // changed is what the exchange was last told of the fleet's fronts.
@@ -45,7 +45,7 @@
 	}
 	var err error
 	f.ex, err = exchange.Start(exchange.Config{Name: f.cfg.Name, Folder: filepath.Clean(f.cfg.Folder), Keys: f.keys, Section: f.cfg.Exchange, Now: host.Mono,
-		Loop: f.loop, Limiter: host, Obeyer: host, Witness: host, Surveyor: host, Address: func(v *topology.View, name string) string {
+		Loop: f.loop, Limiter: host, Invalidator: host, Observer: host, LatencySource: host, Address: func(v *topology.View, name string) string {
 			if a := reach[name]; a != "" {
 				return a
 			}
@@ -89,7 +89,7 @@
 	}
 	end, asked := f.node.OwnerLease()
 	now, mono := f.now(), host.Mono()
-	f.ex.Know(&exchange.Standing{View: c.view, Changed: c.index, Keep: mono + end - now, Asked: mono + asked - now})
+	f.ex.SetFleetState(&exchange.FleetState{View: c.view, FrontsChanged: c.index, OwnerUntil: mono + end - now, MajorityAsked: mono + asked - now})
 }
 
 func num(list ...uint64) (b []byte) {
@@ -104,7 +104,7 @@
 // Took is part of program.ExchangePart.
 func (f *Fleet) Took(b *quotalease.Bucket, ok bool) {
 	if f.ex != nil {
-		f.ex.Took(b, ok)
+		f.ex.RecordTake(b, ok)
 	}
 }
 
@@ -118,14 +118,14 @@
 // Acted is part of program.ExchangePart.
 func (f *Fleet) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
 	if f.ex != nil {
-		f.ex.Acted(v, on, boxes, ready)
+		f.ex.RecordVerdict(v, on, boxes, ready)
 	}
 }
 
 // RenewExchange takes a new section over.
 func (f *Fleet) UpdateExchange(x *config.Exchange) {
 	if f.ex != nil {
-		f.ex.Renew(x)
+		f.ex.Reconfigure(x)
 	}
 }
 
@@ -158,19 +158,19 @@
 	}
 	switch word {
 	case "TREE":
-		give(f.ex.Tree())
+		give(f.ex.TreeStatus())
 	case "VERDICTS":
-		if !f.ex.VerdictsOf(give) {
+		if !f.ex.QueryVerdicts(give) {
 			fail(errOff)
 		}
 	case "STEER":
 		if rest == "" {
 			fail(errName)
-		} else if !f.ex.Steer(rest, answer) {
+		} else if !f.ex.QueryRegion(rest, answer) {
 			fail(errOff)
 		}
 	case "LIMITS":
-		f.ex.LimitsOf(func(t exchange.LimitsTold) { give(t) })
+		f.ex.QueryLimits(func(t exchange.LimitsStatus) { give(t) })
 	case "PURGE":
 		what, rest, _ := strings.Cut(rest, " ")
 		switch rest = strings.TrimSpace(rest); what {
@@ -190,17 +190,17 @@
 				fail(err)
 				return
 			}
-			f.ex.AskPurge(scope, a.Asked, a.Reason, func(p invalidation.Purge, err error) {
+			f.ex.RequestPurge(scope, a.Asked, a.Reason, func(p invalidation.Purge, err error) {
 				answer(map[string]string{"id": p.ID(), "asked": p.RequestKey}, err)
 			})
 		case "LIST":
-			f.ex.LookPurges("", answer)
+			f.ex.QueryPurges("", answer)
 		case "WHY":
 			if rest == "" {
 				fail(errPurge)
 				return
 			}
-			f.ex.LookPurges(rest, answer)
+			f.ex.QueryPurges(rest, answer)
 		default:
 			fail(errPurge)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -319,7 +319,7 @@
 		ok = f.node.LeaseSpan() == 0 && f.node.Stale() == nil && f.ver.taker.MayAct(f.now())
 	}
 	if ok && f.cfg.Exchange != nil && f.cfg.Exchange.Purges != nil { // what it missed comes first
-		ok = f.ex != nil && f.ex.Open()
+		ok = f.ex != nil && f.ex.CaughtUp()
 	}
 	return ok, awayUnknown
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -30,10 +30,10 @@
 	frameHead  = 8
 	recordHead = 4
 	// MostRecord bounds a record's bytes.
-	MostRecord = 1 << 20
+	MaxRecord = 1 << 20
 	// mostBatch is how many bytes of records a frame has at most, before its last one.
 	mostBatch = 4 << 20
-	mostFrame = mostBatch + MostRecord + 2*recordHead
+	mostFrame = mostBatch + MaxRecord + 2*recordHead
 )
 
 var (
@@ -252,8 +252,8 @@
 // bytes must stay as they are until then. A record that is told not to be kept does
 // not come back at the next start.
 func (j *Journal) Append(record []byte, kept func(error)) {
-	if len(record) > MostRecord {
-		j.post(func() { kept(fmt.Errorf("journal: a record of %d bytes, %d at most", len(record), MostRecord)) })
+	if len(record) > MaxRecord {
+		j.post(func() { kept(fmt.Errorf("journal: a record of %d bytes, %d at most", len(record), MaxRecord)) })
 		return
 	}
 	j.put(job{record: record, kept: kept})
@@ -380,8 +380,8 @@
 		return err
 	}
 	for _, r := range snapshot {
-		if len(r) > MostRecord {
-			return fmt.Errorf("a record of %d bytes, %d at most", len(r), MostRecord)
+		if len(r) > MaxRecord {
+			return fmt.Errorf("a record of %d bytes, %d at most", len(r), MaxRecord)
 		}
 		if buf = add(buf, r); len(buf) > mostBatch {
 			if err := flush(); err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -250,7 +250,7 @@
 	for range 2 {
 		j.Append([]byte("x"), func(err error) { told = append(told, err) })
 	}
-	j.Append(make([]byte, MostRecord+1), func(err error) { told = append(told, err) })
+	j.Append(make([]byte, MaxRecord+1), func(err error) { told = append(told, err) })
 	if len(told) != 2 || !errors.Is(told[0], ErrFull) || told[1] == nil {
 		t.Error(told)
 	}
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -46,9 +46,9 @@
 		p.log.Warn("configuration: these keys need a restart, their old values stay", "keys", fixed)
 	}
 	p.cfg = next
-	p.news.Renew(discovery.Within(grace(p.cfg)))
+	p.news.SetTimeouts(discovery.TimeoutsFor(grace(p.cfg)))
 	if p.cfg.Board != "" {
-		p.news.Move(p.cfg.Board)
+		p.news.SetAddress(p.cfg.Board)
 	}
 	p.gate.SetCacheLimits(copies(p.cfg))
 	if p.shared != nil && operator.Exchange != nil {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -119,7 +119,7 @@
 	pools          *upstream.Pools
 	loop           *loop.Loop
 	gate           *gateway.Gateway
-	news           *discovery.Board
+	news           *discovery.Client
 	fronts         []*session.Server
 	operator       *config.Operator
 	signed         *signed.Front  // nil: off
@@ -189,7 +189,7 @@
 			return nil, err
 		}
 	}
-	p.news = discovery.New(p.loop, log, cfg.Board, discovery.Within(grace(cfg)), cfg.Known, sink)
+	p.news = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(grace(cfg)), cfg.Known, sink)
 	limits := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
 	bound(&limits, operator.Clients)
 	limits.Connections, limits.Away = held(cfg, operator.Clients), away(cfg)
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -139,18 +139,18 @@
 func (h fleetHost) Mono() int64 { return mono() }
 
 // Give is part of exchange.Limiter.
-func (h fleetHost) Give(g quotalease.Grant, newest uint64) {
+func (h fleetHost) ApplyGrant(g quotalease.Grant, newest uint64) {
 	h.p.shared.purse.ApplyGrant(g, newest, mono())
 }
 
 // Tell is part of exchange.Limiter.
-func (h fleetHost) Tell() []quotalease.BucketReport { return h.p.shared.purse.Report(mono()) }
+func (h fleetHost) Report() []quotalease.BucketReport { return h.p.shared.purse.Report(mono()) }
 
 // Fronts is part of exchange.Limiter.
-func (h fleetHost) Fronts(n int) { h.p.shared.purse.SetFronts(n) }
+func (h fleetHost) SetFronts(n int) { h.p.shared.purse.SetFronts(n) }
 
 // Obey is part of exchange.Obeyer.
-func (h fleetHost) Obey(s invalidation.Scope, age int64) { h.p.shared.obey(s, age) }
+func (h fleetHost) Invalidate(s invalidation.Scope, age int64) { h.p.shared.obey(s, age) }
 
 func (s *shared) obey(scope invalidation.Scope, age int64) {
 	s.index.Add(scope, s.p.loop.Now()-age)
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -190,7 +190,7 @@
 }
 
 // Opinions is part of exchange.Witness.
-func (h fleetHost) Opinions(front, site string) (list []outlier.Observation, boxes map[string]int) {
+func (h fleetHost) Observations(front, site string) (list []outlier.Observation, boxes map[string]int) {
 	s := h.p.shared
 	if s.seen == nil {
 		return nil, nil
@@ -199,10 +199,10 @@
 }
 
 // Judged is part of exchange.Witness.
-func (h fleetHost) Judged(list []outlier.HeldVerdict) { h.p.shared.judged(list) }
+func (h fleetHost) ApplyVerdicts(list []outlier.HeldVerdict) { h.p.shared.judged(list) }
 
 // Sights gives what attempts took since it was last asked.
-func (h fleetHost) Sights(each func(region, edge string, took int64)) {
+func (h fleetHost) LatencySamples(each func(region, edge string, took int64)) {
 	s := h.p.shared
 	for _, x := range s.samples {
 		each(x.region, x.edge, x.took)
@@ -211,7 +211,7 @@
 }
 
 // Room is which part of each edge's boxes no verdict takes away.
-func (h fleetHost) Room() map[string]float64 {
+func (h fleetHost) EdgeCapacity() map[string]float64 {
 	s, out, now := h.p.shared, map[string]float64{}, mono()
 	for hub, n := range h.p.bars.CountByZoneAndKind() {
 		zone, bad := hub, 0
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -228,7 +228,7 @@
 	dir     string
 	listen  string
 	signed  string
-	keeper  *zookeepertest.Keeper // with ephemeral nodes
+	keeper  *zookeepertest.Server // with ephemeral nodes
 	board   *http.Server
 	client  *http.Client
 	rev     int64
