--- a/internal/decide/health/health_test.go
+++ b/internal/decide/health/health_test.go
@@ -8,7 +8,7 @@
 func TestDetector(t *testing.T) {
 	const s = 1_000_000
 	var d Detector
-	for i, x := range []struct {
+	for i, tc := range []struct {
 		at   Micros
 		c    Counts
 		want bool
@@ -25,7 +25,7 @@
 		{60 * s, Counts{Known: 8, Failed: 19, Served: 1500}, true},
 		{71 * s, Counts{Known: 8, Failed: 19, Served: 1600}, false},
 	} {
-		if got, reason := d.Update(x.c, x.at); got != x.want {
+		if got, reason := d.Update(tc.c, tc.at); got != tc.want {
 			t.Errorf("update %d: got %v (%s)", i, got, reason)
 		}
 	}
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -51,23 +51,23 @@
 }
 
 func TestLeaseModel(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name  string
 		rule  mutation
 		found bool
 	}{{"whole", noMutation, false}, {"look", skipLeaseCheck, true}, {"process", ignoreProcess, true}, {"drift", ignoreDrift, true}} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			n, violation := 0, ""
 			for _, f := range []int16{9, 11} {
 				for _, c := range []int16{9, 11} {
-					states, text := explore(x.rule, f, c)
+					states, text := explore(tc.rule, f, c)
 					n += states
 					if violation == "" {
 						violation = text
 					}
 				}
 			}
-			if (violation != "") != x.found {
+			if (violation != "") != tc.found {
 				t.Errorf("%d states: %q", n, violation)
 			}
 			t.Logf("%d states %s", n, violation)
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -76,8 +76,8 @@
 // replaces the former one, which no longer counts. A new process counts as taking no
 // clients until it is heard to take them.
 func (s *State) Join(f Front, now Micros) error {
-	for _, x := range []string{f.Name, f.Zone, f.Machine, f.Address} {
-		if x == "" || len(x) > MaxNameSize {
+	for _, text := range []string{f.Name, f.Zone, f.Machine, f.Address} {
+		if text == "" || len(text) > MaxNameSize {
 			return ErrInvalidFront
 		}
 	}
@@ -86,8 +86,8 @@
 	}
 	f.Lost, f.NotServing, f.Since = false, true, now // until it is heard to take clients
 	if old := s.Find(f.Name); old != nil {
-		if same := *old; same.ID == f.ID && same.Start == f.Start {
-			f.Since, f.Lost, f.NotServing, f.Unhealthy = same.Since, same.Lost, same.NotServing, same.Unhealthy
+		if known := *old; known.ID == f.ID && known.Start == f.Start {
+			f.Since, f.Lost, f.NotServing, f.Unhealthy = known.Since, known.Lost, known.NotServing, known.Unhealthy
 		}
 		*old = f
 		return nil
@@ -357,9 +357,9 @@
 func (s *State) surplus(seats *Seats, v *View) (id uint64) {
 	zones, _ := s.spread(seats, 0)
 	highest := 0
-	for _, x := range seats.Voters {
-		if f := s.ByID(x); f != nil && x != v.Leader && zones[f.Zone] > highest {
-			id, highest = x, zones[f.Zone]
+	for _, voter := range seats.Voters {
+		if f := s.ByID(voter); f != nil && voter != v.Leader && zones[f.Zone] > highest {
+			id, highest = voter, zones[f.Zone]
 		}
 	}
 	return id
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -96,38 +96,38 @@
 	for i := range modelFronts {
 		d := s.disks[i]
 		if d.id != 0 && s.losses > 0 {
-			x := s
-			x.disks[i], x.losses = disk{}, s.losses-1
-			if x.canCommit(x.voters) { // more losses than that are not tolerated
-				list = append(list, x)
+			next := s
+			next.disks[i], next.losses = disk{}, s.losses-1
+			if next.canCommit(next.voters) { // more losses than that are not tolerated
+				list = append(list, next)
 			}
 		}
 		if d.id == 0 { // it comes back with an empty disk
-			x := s
-			x.incarnations[i]++
-			x.disks[i].id = uint8(i+1) + 8*x.incarnations[i]
+			next := s
+			next.incarnations[i]++
+			next.disks[i].id = uint8(i+1) + 8*next.incarnations[i]
 			if m == reuseIncarnation {
-				x.disks[i].id = s.joined[i]
+				next.disks[i].id = s.joined[i]
 			}
-			list = append(list, x)
+			list = append(list, next)
 		}
 		if !s.canCommit(s.voters) { // no entry can be committed
 			continue
 		}
 		if d.id != 0 && s.joined[i] != d.id {
-			x := s
-			x.joined[i], x.lost[i] = d.id, false
-			list = append(list, x)
+			next := s
+			next.joined[i], next.lost[i] = d.id, false
+			list = append(list, next)
 		}
 		if whole, _ := s.diskState(s.joined[i]); whole == s.lost[i] {
-			x := s
-			x.lost[i] = !whole
-			list = append(list, x)
+			next := s
+			next.lost[i] = !whole
+			list = append(list, next)
 		}
 		if d.id != 0 && !d.hasEntry && (slices.Contains([]byte(s.voters), d.id) || s.learner == d.id) { // the leader copies the entry
-			x := s
-			x.disks[i].hasEntry = true
-			list = append(list, x)
+			next := s
+			next.disks[i].hasEntry = true
+			list = append(list, next)
 		}
 	}
 	if !s.canCommit(s.voters) {
@@ -139,27 +139,27 @@
 		return holds || m == promoteEarly
 	}}
 	move := c.Next(seats, Config{Grace: 10}, v)
-	x := s
+	next := s
 	switch move.Kind {
 	case Stay:
 		return list
 	case AddLearner:
-		x.learner = uint8(move.Add)
+		next.learner = uint8(move.Add)
 	case Promote, Remove:
 		b := slices.DeleteFunc([]byte(s.voters), func(v byte) bool { return uint64(v) == move.Remove })
 		if move.Kind == Promote {
 			b = append(b, byte(move.Add))
 		}
 		slices.Sort(b)
-		x.voters = string(b)
-		if uint64(x.learner) == move.Add || uint64(x.learner) == move.Remove {
-			x.learner = 0
+		next.voters = string(b)
+		if uint64(next.learner) == move.Add || uint64(next.learner) == move.Remove {
+			next.learner = 0
 		}
-		if len(b) == 0 || !s.canCommit(x.voters) {
+		if len(b) == 0 || !s.canCommit(next.voters) {
 			return list // joint consensus: the new seats must have a majority too, or the change does not complete
 		}
 	}
-	return append(list, x)
+	return append(list, next)
 }
 
 // leader returns an intact voter that holds the entry.
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -299,11 +299,11 @@
 		return 0, fmt.Errorf("version %d (%s) is %s, and one goes at a time", c.Number, cmp.Or(c.Reason, "no reason given"), c.Phase)
 	}
 	if v.Base != s.Stable {
-		why := ""
-		if g := s.Find(s.Stable); g != nil {
-			why = fmt.Sprintf(" (%s, by %s)", cmp.Or(g.Reason, "no reason given"), cmp.Or(g.ProposedBy, "nobody named"))
+		detail := ""
+		if stable := s.Find(s.Stable); stable != nil {
+			detail = fmt.Sprintf(" (%s, by %s)", cmp.Or(stable.Reason, "no reason given"), cmp.Or(stable.ProposedBy, "nobody named"))
 		}
-		return 0, fmt.Errorf("it was made on version %d, and version %d%s stands now", v.Base, s.Stable, why)
+		return 0, fmt.Errorf("it was made on version %d, and version %d%s stands now", v.Base, s.Stable, detail)
 	}
 	if v.Steps[len(v.Steps)-1] < 100 {
 		v.Steps = append(slices.Clone(v.Steps), 100)
@@ -366,8 +366,8 @@
 // currentStatus returns the status of a front if it comes from its current incarnation
 // and process, else an empty one.
 func (s *State) currentStatus(m *Machine) FrontStatus {
-	if x := s.Status(m.Name); x != nil && x.ID == m.ID && x.Start == m.Start {
-		return *x
+	if status := s.Status(m.Name); status != nil && status.ID == m.ID && status.Start == m.Start {
+		return *status
 	}
 	return FrontStatus{Name: m.Name}
 }
@@ -441,8 +441,8 @@
 // learned of it.
 func (s *State) MinVersion(name string) (n uint64, gate Micros) {
 	n = s.enforcedMinFor(name)
-	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 && !slices.Contains(g.Exempt, name) {
-		return max(n, g.Number), g.Gate
+	if stable := s.Find(s.Stable); stable != nil && stable.Gate > 0 && stable.GatePassedAt == 0 && !slices.Contains(stable.Exempt, name) {
+		return max(n, stable.Number), stable.Gate
 	}
 	return n, 0
 }
@@ -451,8 +451,8 @@
 // newer gate is still open.
 func (s *State) enforcedMinFor(name string) uint64 {
 	n := s.EnforcedMin
-	if x := s.Status(name); x != nil {
-		n = max(n, x.Fenced)
+	if status := s.Status(name); status != nil {
+		n = max(n, status.Fenced)
 	}
 	return n
 }
@@ -478,8 +478,8 @@
 	// Fences set by this entry are counted from the next entry that advances the time:
 	// until this one was committed, the front may have requested leases.
 	s.updateFences(fleet, r, now, timeAdvanced, func(text string) { events = append(events, text) })
-	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
-		s.advanceGate(g, fleet, r, now, emit)
+	if stable := s.Find(s.Stable); stable != nil && stable.Gate > 0 && stable.GatePassedAt == 0 {
+		s.advanceGate(stable, fleet, r, now, emit)
 	}
 	s.dropUnusedPieces(now)
 	return events
@@ -531,8 +531,8 @@
 // recordBaseline stores the failure rates of the fronts at the start of a step.
 func (s *State) recordBaseline() {
 	for i := range s.Statuses {
-		x := &s.Statuses[i]
-		x.BaselineFailedPercent, x.BaselineHasSample = x.FailedPercent, x.HasSample
+		status := &s.Statuses[i]
+		status.BaselineFailedPercent, status.BaselineHasSample = status.FailedPercent, status.HasSample
 	}
 }
 
@@ -610,8 +610,8 @@
 
 // advanceGate fences the fronts that are past the gate of a version, within the limit.
 // The gate passes once no front acts on an older version.
-func (s *State) advanceGate(g *Version, fleet []Machine, r Rules, now Micros, emit func(*Version, string, ...any)) {
-	late := now-g.Since >= g.Gate
+func (s *State) advanceGate(stable *Version, fleet []Machine, r Rules, now Micros, emit func(*Version, string, ...any)) {
+	late := now-stable.Since >= stable.Gate
 	total, zones, fenced, zoneFenced := 0, map[string]int{}, 0, map[string]int{}
 	for i := range fleet {
 		m := &fleet[i]
@@ -626,11 +626,11 @@
 	for i := range fleet {
 		m := &fleet[i]
 		status := s.currentStatus(m)
-		if status.Active >= g.Number && status.noneOpenBefore(g.Number) || status.SelfFenced >= g.Number && status.noneOpenBefore(g.Number) || m.leaseExpired(now) {
+		if status.Active >= stable.Number && status.noneOpenBefore(stable.Number) || status.SelfFenced >= stable.Number && status.noneOpenBefore(stable.Number) || m.leaseExpired(now) {
 			continue
 		}
 		reported := s.Status(m.Name)
-		if reported != nil && reported.Fenced >= g.Number {
+		if reported != nil && reported.Fenced >= stable.Number {
 			if reported.FencedAt == 0 || m.Lease == 0 || now < reported.FencedAt+lease.ExpirySpan(m.Lease+r.DrainTimeout) {
 				open++
 			}
@@ -652,22 +652,22 @@
 			s.ApplyReport(FrontStatus{Name: m.Name, ID: m.ID, Start: m.Start}, now)
 			reported = s.Status(m.Name)
 		}
-		reported.Fenced, reported.FencedAt = g.Number, 0
+		reported.Fenced, reported.FencedAt = stable.Number, 0
 		if now-reported.LastFlapAt > flapWindow {
 			reported.Flaps = 0
 		}
 		reported.Flaps, reported.LastFlapAt = min(reported.Flaps+1, maxFlaps), now
-		emit(g, "%s is shut out: %s", m.Name, s.LagCause(m, now))
+		emit(stable, "%s is shut out: %s", m.Name, s.LagCause(m, now))
 	}
-	if !slices.Equal(exempt, g.Exempt) {
-		if g.Exempt = exempt; len(exempt) > 0 {
-			emit(g, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(exempt), r.MaxFencedPercent, abbreviate(exempt))
+	if !slices.Equal(exempt, stable.Exempt) {
+		if stable.Exempt = exempt; len(exempt) > 0 {
+			emit(stable, "LOUD: %d fronts act on older versions and go on, since more than %d%% would be shut out: %s", len(exempt), r.MaxFencedPercent, abbreviate(exempt))
 		}
 	}
 	if open == 0 {
-		g.GatePassedAt = max(1, now)
-		s.EnforcedMin = max(s.EnforcedMin, g.Number)
-		emit(g, "its bar has passed: nobody acts on an older one")
+		stable.GatePassedAt = max(1, now)
+		s.EnforcedMin = max(s.EnforcedMin, stable.Number)
+		emit(stable, "its bar has passed: nobody acts on an older one")
 	}
 }
 
@@ -724,17 +724,17 @@
 	if s.Candidate() != nil || slices.ContainsFunc(s.Statuses, func(x FrontStatus) bool { return now < x.WarmAt }) {
 		return true
 	}
-	if g := s.Find(s.Stable); g != nil && g.Gate > 0 && g.GatePassedAt == 0 {
+	if stable := s.Find(s.Stable); stable != nil && stable.Gate > 0 && stable.GatePassedAt == 0 {
 		return true
 	}
 	if slices.ContainsFunc(s.Statuses, func(x FrontStatus) bool { return x.Fenced > 0 && x.FencedAt == 0 }) {
 		return true
 	}
-	named := 0
-	if g := s.Find(s.Stable); g != nil {
-		named = len(g.Pieces)
+	inUse := 0
+	if stable := s.Find(s.Stable); stable != nil {
+		inUse = len(stable.Pieces)
 	}
-	return len(s.Pieces) > named
+	return len(s.Pieces) > inUse
 }
 
 // LagCause explains why a front lags, as far as the state knows.
@@ -836,7 +836,7 @@
 		}
 		for i := range fleet {
 			m := &fleet[i]
-			if x := s.currentStatus(m); (x.Active < n && x.SelfFenced < n || !x.noneOpenBefore(n)) && !m.leaseExpired(now) {
+			if status := s.currentStatus(m); (status.Active < n && status.SelfFenced < n || !status.noneOpenBefore(n)) && !m.leaseExpired(now) {
 				waitingFor = append(waitingFor, fmt.Sprintf("%s (%s)", m.Name, s.LagCause(m, now)))
 			}
 		}
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -60,15 +60,15 @@
 			if fenced > max(1, r.MaxFencedPercent*len(fleet)/100) || fenced > behind {
 				t.Fatalf("%d of %d fronts are fenced, limit %d%%, %d are behind", fenced, len(fleet), r.MaxFencedPercent, behind)
 			}
-			g := s.Find(n)
-			if g.GatePassedAt > 0 && fenced < behind {
+			stable := s.Find(n)
+			if stable.GatePassedAt > 0 && fenced < behind {
 				t.Fatalf("the gate passed with %d fronts behind and %d fenced", behind, fenced)
 			}
-			if g.GatePassedAt > 0 && behind > 0 && now < second+minExpiry {
+			if stable.GatePassedAt > 0 && behind > 0 && now < second+minExpiry {
 				t.Fatalf("the gate passed at %d s, before the leases expired", now/second)
 			}
-			if now > 15*second && (g.GatePassedAt > 0) != (len(g.Exempt) == 0) {
-				t.Fatalf("gate passed at %d, exempt fronts %v", g.GatePassedAt, g.Exempt)
+			if now > 15*second && (stable.GatePassedAt > 0) != (len(stable.Exempt) == 0) {
+				t.Fatalf("gate passed at %d, exempt fronts %v", stable.GatePassedAt, stable.Exempt)
 			}
 		}
 	})
--- a/internal/decide/statemachine/model_test.go
+++ b/internal/decide/statemachine/model_test.go
@@ -96,8 +96,8 @@
 func (m *model) command(e entry) Command {
 	name, id := frontName(e.front), uint64(e.front)+1
 	c := Command{ID: ID{Front: id, Start: uint64(e.start) + 1, N: uint64(e.kind)<<16 | uint64(e.permit)<<8 | 1}}
-	report := func(what string) Command {
-		c.Reports = []Report{{Kind: what, Machine: name, Permit: uint64(e.permit), Front: name, ID: id, Start: uint64(e.start) + 1}}
+	report := func(kind string) Command {
+		c.Reports = []Report{{Kind: kind, Machine: name, Permit: uint64(e.permit), Front: name, ID: id, Start: uint64(e.start) + 1}}
 		return c
 	}
 	switch e.kind {
@@ -146,9 +146,9 @@
 func (m *model) checkPermit(r *Replica) {
 	s := r.State()
 	out, staying := map[string]bool{}, 0
-	for _, x := range s.Maintenance.Operations {
-		if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
-			out[x.Machine] = true
+	for _, op := range s.Maintenance.Operations {
+		if op.Phase == maintenance.Permitted || op.Phase.IsOut() {
+			out[op.Machine] = true
 		}
 	}
 	for _, f := range s.Members.Fronts {
@@ -184,8 +184,8 @@
 	if !s.up[i] || s.replayUntil[i] > s.applied[i] {
 		return false
 	}
-	x := m.view(s, i).State().Maintenance.ForMachine(frontName(uint8(i)))
-	return x != nil && (x.Phase == maintenance.Out || x.Phase == maintenance.Draining && x.Holder == uint64(i)+1)
+	op := m.view(s, i).State().Maintenance.ForMachine(frontName(uint8(i)))
+	return op != nil && (op.Phase == maintenance.Out || op.Phase == maintenance.Draining && op.Holder == uint64(i)+1)
 }
 
 // trim drops the log entries that all fronts have applied.
@@ -206,22 +206,22 @@
 
 // successors returns all states that may come next.
 func (m *model) successors(s modelState, maxLog, maxInFlight int) (list []modelState) {
-	add := func(x modelState) { list = append(list, m.trim(x)) }
-	commit := func(x modelState, e byte) (modelState, bool) {
-		x.log += string([]byte{e})
-		return x, len(x.log) <= maxLog
+	add := func(next modelState) { list = append(list, m.trim(next)) }
+	commit := func(next modelState, e byte) (modelState, bool) {
+		next.log += string([]byte{e})
+		return next, len(next.log) <= maxLog
 	}
 	propose := func(e entry) {
-		if x, ok := commit(s, m.entry(e)); ok {
+		if next, ok := commit(s, m.entry(e)); ok {
 			switch e.kind {
 			case entryTime:
-				x.budget[0]--
+				next.budget[0]--
 			case entryLost, entryFound:
-				x.budget[2]--
+				next.budget[2]--
 			case entryFinish:
-				x.budget[3]--
+				next.budget[3]--
 			}
-			add(x)
+			add(next)
 		}
 	}
 	if s.budget[0] > 0 {
@@ -238,47 +238,47 @@
 			propose(entry{kind: entryFinish, front: i})
 		}
 		if !s.up[i] {
-			x := s // it restarts, and joins again
-			x.up[i], x.starts[i], x.replayUntil[i] = true, s.starts[i]+1, uint8(len(s.log))
-			if x, ok := commit(x, m.entry(entry{kind: entryJoin, front: i, start: x.starts[i]})); ok {
-				add(x)
+			next := s // it restarts, and joins again
+			next.up[i], next.starts[i], next.replayUntil[i] = true, s.starts[i]+1, uint8(len(s.log))
+			if next, ok := commit(next, m.entry(entry{kind: entryJoin, front: i, start: next.starts[i]})); ok {
+				add(next)
 			}
 			continue
 		}
 		if int(s.applied[i]) < len(s.log) {
-			x := s
-			x.applied[i]++
-			add(x)
+			next := s
+			next.applied[i]++
+			add(next)
 		}
 		if s.budget[1] > 0 {
-			x := s
-			x.budget[1]--
-			x.up[i] = false
-			add(x)
+			next := s
+			next.budget[1]--
+			next.up[i] = false
+			add(next)
 		}
 		if s.replayUntil[i] > s.applied[i] || len(s.inFlight) >= maxInFlight {
 			continue
 		}
-		w := m.view(&s, int(i)).State().Maintenance.ForMachine(frontName(i))
-		if w == nil || w.Permit == 0 {
+		op := m.view(&s, int(i)).State().Maintenance.ForMachine(frontName(i))
+		if op == nil || op.Permit == 0 {
 			continue
 		}
-		e := entry{front: i, permit: uint8(w.Permit), start: s.starts[i]}
+		e := entry{front: i, permit: uint8(op.Permit), start: s.starts[i]}
 		switch {
-		case w.Phase == maintenance.Permitted:
+		case op.Phase == maintenance.Permitted:
 			e.kind = entryAccept
-		case w.Phase == maintenance.Draining && m.out(&s, int(i)):
+		case op.Phase == maintenance.Draining && m.out(&s, int(i)):
 			e.kind = entryDrained
-		case w.Phase == maintenance.Returning && !w.Serving:
+		case op.Phase == maintenance.Returning && !op.Serving:
 			e.kind = entryReturned
 		default:
 			continue
 		}
-		x := s
-		b := []byte(x.inFlight + string([]byte{m.entry(e)}))
+		next := s
+		b := []byte(next.inFlight + string([]byte{m.entry(e)}))
 		slices.Sort(b)
-		x.inFlight = string(b)
-		add(x)
+		next.inFlight = string(b)
+		add(next)
 	}
 	for k := range len(s.inFlight) {
 		if k > 0 && s.inFlight[k] == s.inFlight[k-1] {
@@ -287,11 +287,11 @@
 		delivered := s
 		delivered.inFlight = s.inFlight[:k] + s.inFlight[k+1:]
 		add(delivered)
-		if x, ok := commit(delivered, s.inFlight[k]); ok {
-			add(x)
+		if next, ok := commit(delivered, s.inFlight[k]); ok {
+			add(next)
 		}
-		if x, ok := commit(s, s.inFlight[k]); ok { // delivered, and delivered again
-			add(x)
+		if next, ok := commit(s, s.inFlight[k]); ok { // delivered, and delivered again
+			add(next)
 		}
 	}
 	return list
@@ -330,10 +330,10 @@
 		if outs > out {
 			m.violation = fmt.Sprintf("%d fronts are actually out, limit %d", outs, out)
 		}
-		for _, x := range m.successors(s, maxLog, maxInFlight) {
-			if !seen[x] {
-				seen[x] = true
-				queue = append(queue, x)
+		for _, next := range m.successors(s, maxLog, maxInFlight) {
+			if !seen[next] {
+				seen[next] = true
+				queue = append(queue, next)
 			}
 		}
 	}
@@ -344,7 +344,7 @@
 }
 
 func TestPermitModel(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name            string
 		out             int
 		mostLog, flight int
@@ -355,17 +355,17 @@
 		{"crashes and fronts marked lost", 1, 2, 2, [4]uint8{1, 1, 1, 0}, []Mutation{DisableLostCount}},
 		{"two crashed or marked lost", 3, 2, 1, [4]uint8{0, 1, 2, 0}, []Mutation{DisableMajority}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			const maxStates = 3_000_000
 			m := newModel(t, "")
-			n := m.explore(x.out, x.mostLog, x.flight, maxStates, x.left)
+			n := m.explore(tc.out, tc.mostLog, tc.flight, maxStates, tc.left)
 			t.Logf("%d states, %d of replicas", n, len(m.states))
 			if m.violation != "" || n >= maxStates {
 				t.Errorf("%d states: %s", n, m.violation)
 			}
-			for _, rule := range x.found {
+			for _, rule := range tc.found {
 				m := newModel(t, rule)
-				n := m.explore(x.out, x.mostLog, x.flight, maxStates, x.left)
+				n := m.explore(tc.out, tc.mostLog, tc.flight, maxStates, tc.left)
 				t.Logf("mutation %s: detected after %d states: %s", rule, n, m.violation)
 				if m.violation == "" {
 					t.Errorf("mutation %s was not detected", rule)
--- a/internal/decide/statemachine/statemachine.go
+++ b/internal/decide/statemachine/statemachine.go
@@ -233,8 +233,8 @@
 func (r *Replica) Fleet() maintenance.Fleet {
 	s := &r.state
 	avoid := func(f *membership.Front) bool {
-		x := s.Maintenance.ForMachine(f.Name)
-		return x != nil && x.Kind == maintenance.Front && x.Phase != maintenance.Requested
+		op := s.Maintenance.ForMachine(f.Name)
+		return op != nil && op.Kind == maintenance.Front && op.Phase != maintenance.Requested
 	}
 	fleet := make(maintenance.Fleet, 0, len(s.Members.Fronts))
 	for _, f := range s.Members.Fronts {
@@ -326,8 +326,8 @@
 		s.Maintenance.Fences = map[string]uint64{}
 	}
 	r.state, r.byID, r.dropped = s, map[ID]int{}, 0
-	for i, x := range s.Seen {
-		r.byID[x.ID] = i
+	for i, applied := range s.Seen {
+		r.byID[applied.ID] = i
 	}
 	return nil
 }
--- a/internal/decide/statemachine/statemachine_test.go
+++ b/internal/decide/statemachine/statemachine_test.go
@@ -52,11 +52,11 @@
 		b.Apply(found)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawCommand(t)
-			text, err := Encode(c)
+			encoded, err := Encode(c)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c, err = Decode(text); err != nil {
+			if c, err = Decode(encoded); err != nil {
 				t.Fatal(err)
 			}
 			last := a.State().Maintenance.LastPermit
@@ -75,12 +75,12 @@
 			}
 			s := a.State()
 			out, machines := 0, map[string]bool{}
-			for _, x := range s.Maintenance.Operations {
-				if machines[x.Machine] || x.Phase.Ended() {
-					t.Fatalf("two operations on %s, or one that has ended", x.Machine)
+			for _, op := range s.Maintenance.Operations {
+				if machines[op.Machine] || op.Phase.Ended() {
+					t.Fatalf("two operations on %s, or one that has ended", op.Machine)
 				}
-				machines[x.Machine] = true
-				if x.Phase == maintenance.Permitted || x.Phase.IsOut() {
+				machines[op.Machine] = true
+				if op.Phase == maintenance.Permitted || op.Phase.IsOut() {
 					out++
 				}
 			}
@@ -95,15 +95,15 @@
 func TestTruncatedInputRejected(t *testing.T) {
 	r := New()
 	r.Apply(Command{ID: ID{N: 1}, Found: &Found{Name: "x", Fleet: 7, Rules: maintenance.DefaultRules()}})
-	whole := r.Snapshot()
-	for cut := range len(whole) {
-		if err := New().Restore(whole[:cut]); err == nil {
+	snapshot := r.Snapshot()
+	for cut := range len(snapshot) {
+		if err := New().Restore(snapshot[:cut]); err == nil {
 			t.Fatalf("a snapshot truncated at %d was accepted", cut)
 		}
 	}
-	text, _ := Encode(Command{ID: ID{N: 1}, Leave: &Leave{"x"}})
-	for cut := range len(text) {
-		if _, err := Decode(text[:cut]); err == nil {
+	encoded, _ := Encode(Command{ID: ID{N: 1}, Leave: &Leave{"x"}})
+	for cut := range len(encoded) {
+		if _, err := Decode(encoded[:cut]); err == nil {
 			t.Fatalf("a command truncated at %d was accepted", cut)
 		}
 	}
@@ -120,11 +120,11 @@
 		r.Apply(Command{Facts: &Facts{Contacts: []Contact{{Name: name, ID: uint64(i + 1)}}}})
 	}
 	for i := range 1000 {
-		x := maintenance.Operation{Machine: fmt.Sprintf("box%04d", i), Kind: maintenance.Box, Zone: fmt.Sprintf("z%d", i%5), Duration: 1_000_000}
+		op := maintenance.Operation{Machine: fmt.Sprintf("box%04d", i), Kind: maintenance.Box, Zone: fmt.Sprintf("z%d", i%5), Duration: 1_000_000}
 		if i < 300 {
-			x.Machine, x.Kind = fmt.Sprintf("n%03d", i), maintenance.Front
+			op.Machine, op.Kind = fmt.Sprintf("n%03d", i), maintenance.Front
 		}
-		r.Apply(Command{ID: ID{N: uint64(i + 2)}, Request: &Request{Operation: x}})
+		r.Apply(Command{ID: ID{N: uint64(i + 2)}, Request: &Request{Operation: op}})
 	}
 	s := r.State()
 	b.Run("plan", func(b *testing.B) {
