--- a/internal/decide/invalidation/index.go
+++ b/internal/decide/invalidation/index.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// RaiseFloor makes all copies up to a time count as purged and removes entries that this
-// covers.
+// RaiseFloor makes all copies up to a time count as purged and removes the entries that
+// this covers.
 func (index *Index) RaiseFloor(at Micros) {
 	if at <= index.floor {
 		return
--- a/internal/decide/latency/latency.go
+++ b/internal/decide/latency/latency.go
@@ -225,8 +225,8 @@
 // estimate is a pair's median in microseconds, and its weight.
 type estimate struct{ median, weight float64 }
 
-// Step returns the order of every region. The function returns an edge's usable fraction,
-// 0 to 1, by verdicts and limits; 1 if nothing is known about it.
+// Step returns the order of every region. Capacity returns an edge's usable fraction, 0 to
+// 1, by verdicts and limits; 1 if nothing is known about it.
 func (planner *Planner) Step(list []Summary, capacity func(edge string) float64, now Micros) (out []Order) {
 	estimates := map[Pair]estimate{}
 	edges, regions := map[string]bool{}, map[string]bool{}
