--- a/internal/decide/audit/answer.go
+++ b/internal/decide/audit/answer.go
@@ -5,36 +5,37 @@
 	"fmt"
 )
 
-// Question is what is asked of a front's audit. Exactly one part is set.
+// Question is a query of a front's audit. Exactly one kind of query is set: All, ByVersion,
+// Request, ByTime, Verify or Gaps.
 type Question struct {
-	All       bool   `json:"front,omitempty"` // all that it acted on
+	All       bool   `json:"front,omitempty"` // everything that the front acted on
 	Version   uint64 `json:"version,omitempty"`
-	ByVersion bool   `json:"by_version,omitempty"` // Version is asked for, 0 among them
+	ByVersion bool   `json:"by_version,omitempty"` // Version is asked for; it may be 0
 	Request   string `json:"request,omitempty"`
-	FleetTime Micros `json:"fleet_us,omitempty"` // which version at this fleet time
+	FleetTime Micros `json:"fleet_us,omitempty"` // with ByTime: the version active at this fleet time
 	ByTime    bool   `json:"at,omitempty"`
 	Verify    bool   `json:"verify,omitempty"`
 	Gaps      bool   `json:"holes,omitempty"`
-	Seq       uint64 `json:"seq,omitempty"` // with Verify and Holes: the head that the fleet's log has
+	Seq       uint64 `json:"seq,omitempty"` // with Verify and Gaps: the head of this chain in the fleet's log
 	Head      string `json:"head,omitempty"`
 }
 
-// Span is a stretch of a chain in which the front acted on one version.
+// Span is a range of records in which the front acted on one version.
 type Span struct {
 	Version     uint64  `json:"version"`
-	From        uint64  `json:"from"` // record
+	From        uint64  `json:"from"` // sequence number of the first record
 	To          uint64  `json:"to"`
 	Began       Micros  `json:"began_us"` // by the front's own clock
 	Ended       Micros  `json:"ended_us"`
-	FleetTime   Micros  `json:"fleet_us"`     // fleet time known at its begin
-	AfterEntry  uint64  `json:"after_entry"`  // what is in it happened after this entry of the log was committed
-	BeforeEntry uint64  `json:"before_entry"` // and before this one was; 0: can't tell
+	FleetTime   Micros  `json:"fleet_us"`     // fleet time known when it began
+	AfterEntry  uint64  `json:"after_entry"`  // everything in it happened after this entry of the log was committed
+	BeforeEntry uint64  `json:"before_entry"` // and before this entry was; 0: unknown
 	Counts      []Count `json:"counts,omitempty"`
 	First       string  `json:"first,omitempty"`
 	Last        string  `json:"last,omitempty"`
 }
 
-// Event is something that a chain tells of.
+// Event is an event recorded in a chain, other than requests and anchors.
 type Event struct {
 	Seq     uint64 `json:"seq"`
 	Kind    string `json:"kind"`
@@ -44,14 +45,14 @@
 	Text    string `json:"text,omitempty"`
 }
 
-// Gap is a stretch of which a chain tells nothing, or nothing that is proven.
+// Gap is a range for which a chain has no records, or none that can be proven.
 type Gap struct {
-	From uint64 `json:"from"` // records
+	From uint64 `json:"from"` // sequence numbers
 	To   uint64 `json:"to"`
 	Why  string `json:"why"`
 }
 
-// Answer is what one front's audit says.
+// Answer is the result of a query of one front's audit.
 type Answer struct {
 	Front    string  `json:"front"`
 	Error    string  `json:"error,omitempty"`
@@ -60,176 +61,179 @@
 	Spans    []Span  `json:"spans,omitempty"`
 	Events   []Event `json:"events,omitempty"`
 	Gaps     []Gap   `json:"gaps,omitempty"`
-	Proven   string  `json:"proven,omitempty"` // up to where, and by what
-	Unproven string  `json:"said,omitempty"`   // what rests on the front's own word
-	Broken   string  `json:"broken,omitempty"` // where the chain is
+	Proven   string  `json:"proven,omitempty"` // up to which record, and by what
+	Unproven string  `json:"said,omitempty"`   // what rests on the front's own statement alone
+	Broken   string  `json:"broken,omitempty"` // where the chain is broken
 }
 
-// Bounds of an answer.
+// Limits of an answer.
 const (
-	mostSpans  = 400
-	mostEvents = 100
+	maxSpans  = 400
+	maxEvents = 100
 )
 
 // Reader answers a question from a chain's records, one after the other.
 type Reader struct {
-	q      Question
-	a      Answer
-	c      Chain
-	mark   uint64
-	began  bool
-	atHead bool // the head that the log has was met
-	last   Record
-	spans  []Span
-	hit    bool
-	rolled bool
+	question    Question
+	answer      Answer
+	chain       Chain
+	idHash      uint64
+	started     bool
+	headMatched bool // the record with the head in the fleet's log was found and matches
+	last        Record
+	spans       []Span
+	found       bool
+	rollupSeen  bool
 }
 
-// NewReader begins an answer.
-func NewReader(q Question) *Reader { return &Reader{q: q, mark: HashID(q.Request)} }
+// NewReader starts an answer.
+func NewReader(question Question) *Reader {
+	return &Reader{question: question, idHash: HashID(question.Request)}
+}
 
-// Take takes the next record, as it lay on the disk.
-func (d *Reader) Add(b []byte) {
-	d.a.Bytes += int64(len(b))
-	r, err := Decode(b)
+// Add processes the next record as stored on disk. A record that can't be decoded or does not
+// follow the one before is noted in Answer.Broken.
+func (reader *Reader) Add(raw []byte) {
+	reader.answer.Bytes += int64(len(raw))
+	record, err := Decode(raw)
 	if err != nil {
-		d.broken(err.Error())
+		reader.setBroken(err.Error())
 		return
 	}
-	if err := d.c.Replay(&r); err != nil {
-		d.broken(err.Error())
-		d.c = Chain{}
-		_ = d.c.Replay(&r)
+	if err := reader.chain.Replay(&record); err != nil {
+		reader.setBroken(err.Error())
+		reader.chain = Chain{}
+		_ = reader.chain.Replay(&record)
 	}
-	d.a.Records += r.Seq - r.start() + 1
-	if r.Seq == d.q.Seq && d.q.Head != "" {
-		d.atHead = hex.EncodeToString(r.Digest()) == d.q.Head
-		if !d.atHead {
-			d.broken(fmt.Sprintf("record %d is not the one that the fleet's log knows", r.Seq))
+	reader.answer.Records += record.Seq - record.firstSeq() + 1
+	if record.Seq == reader.question.Seq && reader.question.Head != "" {
+		reader.headMatched = hex.EncodeToString(record.Digest()) == reader.question.Head
+		if !reader.headMatched {
+			reader.setBroken(fmt.Sprintf("record %d is not the one that the fleet's log knows", record.Seq))
 		}
 	}
-	d.gaps(&r)
-	d.span(&r)
-	if r.Kind == KindAnchor {
-		for _, list := range [][]Span{d.spans, d.a.Spans} {
+	reader.addGaps(&record)
+	reader.addSpan(&record)
+	if record.Kind == KindAnchor {
+		for _, list := range [][]Span{reader.spans, reader.answer.Spans} {
 			for i := range list {
-				if s := &list[i]; s.BeforeEntry == 0 && s.To <= r.Seen {
-					s.BeforeEntry = r.Entry
+				if s := &list[i]; s.BeforeEntry == 0 && s.To <= record.Seen {
+					s.BeforeEntry = record.Entry
 				}
 			}
 		}
-	} else if r.Kind != KindRequests && r.Kind != KindRollup {
-		e := Event{Seq: r.Seq, Kind: r.Kind, At: r.At, Entry: r.Index, Version: r.Version, Text: r.Text}
-		if d.a.Events = append(d.a.Events, e); len(d.a.Events) > mostEvents {
-			d.a.Events = d.a.Events[1:]
+	} else if record.Kind != KindRequests && record.Kind != KindRollup {
+		e := Event{Seq: record.Seq, Kind: record.Kind, At: record.At, Entry: record.Index, Version: record.Version, Text: record.Text}
+		if reader.answer.Events = append(reader.answer.Events, e); len(reader.answer.Events) > maxEvents {
+			reader.answer.Events = reader.answer.Events[1:]
 		}
 	}
-	d.last, d.began = r, true
+	reader.last, reader.started = record, true
 }
 
-func (d *Reader) broken(text string) {
-	if d.a.Broken == "" {
-		d.a.Broken = text
+func (reader *Reader) setBroken(text string) {
+	if reader.answer.Broken == "" {
+		reader.answer.Broken = text
 	}
 }
 
-// gaps notes what the chain does not tell: records that are gone, and requests that a
-// process took with it which ended without closing its last record.
-func (d *Reader) gaps(r *Record) {
-	if !d.began && r.start() > 1 {
-		d.a.Gaps = append(d.a.Gaps, Gap{From: 1, To: r.start() - 1, Why: "the chain's begin is gone"})
+// addGaps notes what is missing in the chain: records that are gone, and requests lost with a
+// process that ended without closing its last record.
+func (reader *Reader) addGaps(record *Record) {
+	if !reader.started && record.firstSeq() > 1 {
+		reader.answer.Gaps = append(reader.answer.Gaps, Gap{From: 1, To: record.firstSeq() - 1, Why: "the chain's begin is gone"})
 	}
-	if r.Kind == KindRollup {
-		if n := len(d.a.Gaps); n > 0 && d.rolled && d.a.Gaps[n-1].To+1 == r.From {
-			d.a.Gaps[n-1].To = r.Seq
+	if record.Kind == KindRollup {
+		if n := len(reader.answer.Gaps); n > 0 && reader.rollupSeen && reader.answer.Gaps[n-1].To+1 == record.From {
+			reader.answer.Gaps[n-1].To = record.Seq
 		} else {
-			d.a.Gaps = append(d.a.Gaps, Gap{From: r.From, To: r.Seq, Why: "rolled up: counts are only said, ids are gone"})
+			reader.answer.Gaps = append(reader.answer.Gaps, Gap{From: record.From, To: record.Seq, Why: "rolled up: counts are only said, ids are gone"})
 		}
-		d.rolled = true
+		reader.rollupSeen = true
 	}
-	if r.Kind == KindStarted && d.began && d.last.Text != CleanExit {
-		d.a.Gaps = append(d.a.Gaps, Gap{From: d.last.Seq, To: r.Seq, Why: fmt.Sprintf(
-			"its process ended without a last word: requests of its last moments, after entry %d and before %d, are in no record", d.last.To, r.Index)})
+	if record.Kind == KindStarted && reader.started && reader.last.Text != CleanExit {
+		reader.answer.Gaps = append(reader.answer.Gaps, Gap{From: reader.last.Seq, To: record.Seq, Why: fmt.Sprintf(
+			"its process ended without a last word: requests of its last moments, after entry %d and before %d, are in no record", reader.last.To, record.Index)})
 	}
-	if len(d.a.Gaps) > mostSpans {
-		d.a.Gaps = d.a.Gaps[1:]
+	if len(reader.answer.Gaps) > maxSpans {
+		reader.answer.Gaps = reader.answer.Gaps[1:]
 	}
 }
 
-// Ended is the text of the last record of a process that ended in order.
+// CleanExit is the text of the last record of a process that ended in order.
 const CleanExit = "the process ends"
 
-// span adds a record to the stretch of its version, or begins another.
-func (d *Reader) span(r *Record) {
-	n := len(d.spans)
-	if r.Kind == KindAnchor && n > 0 {
-		return // it is no act, and bounds those before it
+// addSpan adds a record to the span of its version, or begins another span.
+func (reader *Reader) addSpan(record *Record) {
+	n := len(reader.spans)
+	if record.Kind == KindAnchor && n > 0 {
+		return // an anchor is no action of the front; it only bounds those before it
 	}
-	if n == 0 || d.spans[n-1].Version != r.Version || r.Kind == KindStarted {
-		d.spans = append(d.spans, Span{Version: r.Version, From: r.start(), Began: r.At, FleetTime: r.Fleet, AfterEntry: r.Index})
+	if n == 0 || reader.spans[n-1].Version != record.Version || record.Kind == KindStarted {
+		reader.spans = append(reader.spans, Span{Version: record.Version, From: record.firstSeq(), Began: record.At, FleetTime: record.Fleet, AfterEntry: record.Index})
 		n++
 	}
-	s := &d.spans[n-1]
-	s.To, s.Ended, s.BeforeEntry = r.Seq, r.At, 0
-	if r.Kind == KindRequests || r.Kind == KindRollup {
-		if d.q.Request == "" {
-			s.Counts = AddCounts(s.Counts, r.Counts)
-			if s.First == "" {
-				s.First = r.First
+	span := &reader.spans[n-1]
+	span.To, span.Ended, span.BeforeEntry = record.Seq, record.At, 0
+	if record.Kind == KindRequests || record.Kind == KindRollup {
+		if reader.question.Request == "" {
+			span.Counts = AddCounts(span.Counts, record.Counts)
+			if span.First == "" {
+				span.First = record.First
 			}
-			s.Last = r.Last
-		} else if has, known := r.MayContain(d.mark); has {
-			d.hit = true
-			d.a.Spans = append(d.a.Spans, Span{Version: r.Version, From: r.Seq, To: r.Seq, Began: r.At, Ended: r.At, FleetTime: r.Fleet, AfterEntry: r.Index,
-				Counts: r.Counts, First: r.First, Last: r.Last})
+			span.Last = record.Last
+		} else if contained, known := record.MayContain(reader.idHash); contained {
+			reader.found = true
+			reader.answer.Spans = append(reader.answer.Spans, Span{Version: record.Version, From: record.Seq, To: record.Seq, Began: record.At, Ended: record.At, FleetTime: record.Fleet, AfterEntry: record.Index,
+				Counts: record.Counts, First: record.First, Last: record.Last})
 		} else if !known {
-			d.a.Unproven = "records whose ids are gone may hold it too"
+			reader.answer.Unproven = "records whose ids are gone may hold it too"
 		}
 	}
 }
 
-// Answer is what the records told.
-func (d *Reader) Answer(front string) Answer {
-	d.a.Front = front
+// Answer returns the result after the last record was added.
+func (reader *Reader) Answer(front string) Answer {
+	reader.answer.Front = front
 	switch {
-	case d.q.Request != "":
-	case d.q.ByTime:
-		for i, s := range d.spans {
-			if s.FleetTime <= d.q.FleetTime && (i+1 == len(d.spans) || d.spans[i+1].FleetTime > d.q.FleetTime) {
-				d.a.Spans = append(d.a.Spans, s)
+	case reader.question.Request != "":
+	case reader.question.ByTime:
+		for i, s := range reader.spans {
+			if s.FleetTime <= reader.question.FleetTime && (i+1 == len(reader.spans) || reader.spans[i+1].FleetTime > reader.question.FleetTime) {
+				reader.answer.Spans = append(reader.answer.Spans, s)
 			}
 		}
-	case d.q.ByVersion:
-		for _, s := range d.spans {
-			if s.Version == d.q.Version {
-				d.a.Spans = append(d.a.Spans, s)
+	case reader.question.ByVersion:
+		for _, s := range reader.spans {
+			if s.Version == reader.question.Version {
+				reader.answer.Spans = append(reader.answer.Spans, s)
 			}
 		}
-	case d.q.All:
-		d.a.Spans = d.spans
+	case reader.question.All:
+		reader.answer.Spans = reader.spans
 	}
-	d.a.Spans = d.a.Spans[max(0, len(d.a.Spans)-mostSpans):]
-	if !d.q.All && !d.q.ByVersion {
-		d.a.Events = nil
+	reader.answer.Spans = reader.answer.Spans[max(0, len(reader.answer.Spans)-maxSpans):]
+	if !reader.question.All && !reader.question.ByVersion {
+		reader.answer.Events = nil
 	}
 	switch {
-	case d.q.Head == "":
-		d.a.Unproven = join(d.a.Unproven, "the fleet's log has no head of this chain yet: all is the front's word")
-	case d.atHead:
-		d.a.Proven = fmt.Sprintf("records up to %d of %d: the fleet's log has their head", d.q.Seq, d.c.seq)
-		if d.c.seq > d.q.Seq {
-			d.a.Unproven = join(d.a.Unproven, fmt.Sprintf("records %d to %d are the front's word", d.q.Seq+1, d.c.seq))
+	case reader.question.Head == "":
+		reader.answer.Unproven = joinText(reader.answer.Unproven, "the fleet's log has no head of this chain yet: all is the front's word")
+	case reader.headMatched:
+		reader.answer.Proven = fmt.Sprintf("records up to %d of %d: the fleet's log has their head", reader.question.Seq, reader.chain.seq)
+		if reader.chain.seq > reader.question.Seq {
+			reader.answer.Unproven = joinText(reader.answer.Unproven, fmt.Sprintf("records %d to %d are the front's word", reader.question.Seq+1, reader.chain.seq))
 		}
-	case d.c.seq < d.q.Seq:
-		d.a.Gaps = append(d.a.Gaps, Gap{From: d.c.seq + 1, To: d.q.Seq, Why: "the fleet's log knows of these records, and the disk has them no more"})
-		d.broken(fmt.Sprintf("the chain ends at record %d, and the fleet's log knows it up to %d", d.c.seq, d.q.Seq))
-	case d.a.Broken == "":
-		d.a.Unproven = join(d.a.Unproven, "the head that the fleet's log has is rolled up: all is the front's word")
+	case reader.chain.seq < reader.question.Seq:
+		reader.answer.Gaps = append(reader.answer.Gaps, Gap{From: reader.chain.seq + 1, To: reader.question.Seq, Why: "the fleet's log knows of these records, and the disk has them no more"})
+		reader.setBroken(fmt.Sprintf("the chain ends at record %d, and the fleet's log knows it up to %d", reader.chain.seq, reader.question.Seq))
+	case reader.answer.Broken == "":
+		reader.answer.Unproven = joinText(reader.answer.Unproven, "the head that the fleet's log has is rolled up: all is the front's word")
 	}
-	return d.a
+	return reader.answer
 }
 
-func join(a, b string) string {
+func joinText(a, b string) string {
 	if a == "" {
 		return b
 	}
--- a/internal/decide/audit/audit.go
+++ b/internal/decide/audit/audit.go
@@ -1,13 +1,12 @@
-// Package audit is a front's account of what it acted on: a chain of records, each of
-// which holds the digest of the one before, with the requests that were decided
-// under each version, and what happened beside them.
+// Package audit keeps a front's record of what it acted on: a hash chain of records with the
+// requests that were decided under each version, and other events in between.
 //
-// A request costs a count and six bytes of its id's hash, kept apart from a record's
-// own bytes by their digest: older records lose the ids first and stay provable, and
-// the oldest are rolled up into counts, whose end the chain still names. Moments are
-// the front's own and told, never compared with another's: what bounds a record is
-// the entry of the fleet's log that had been applied before it, and the entry in
-// which its chain's head was seen again after it.
+// A request costs a counter and six bytes of the hash of its id. The id hashes enter a record's
+// digest only by their own digest: older records lose them first and stay verifiable, and the
+// oldest records are rolled up into counts that name the digest of the last record they
+// replace. Timestamps are the front's own and are never compared with another front's. A record
+// is bounded instead by the entry of the fleet's log that had been applied before it, and by
+// the entry in which the head of its chain was seen again after it.
 package audit
 
 import (
@@ -24,42 +23,42 @@
 	"cherryramp/internal/decide/counters"
 )
 
-// Micros is a moment in microseconds: of the front's own clock, or of fleet time.
+// Micros is a moment in microseconds, of the front's own clock or of fleet time.
 type Micros = int64
 
-// Bounds.
+// Limits.
 const (
-	MaxIDs    = 100_000 // of one record, which is closed there
-	idSize    = 6       // bytes of an id's hash
-	mostText  = 240
-	mostWords = 128 // bytes of an id
-	mostRoll  = 60  // records that become one
+	MaxIDs     = 100_000 // of one record; it is closed at this number
+	idSize     = 6       // bytes of the hash of an id
+	maxText    = 240
+	maxIDBytes = 128 // bytes of an id
+	maxRollup  = 60  // records merged into one
 )
 
-// What a record is.
+// Kinds of records.
 const (
-	KindStarted   = "began"    // the front's process
-	KindActivated = "took"     // a version
+	KindStarted   = "began"    // the front's process started
+	KindActivated = "took"     // the front began to act on a version
 	KindRequests  = "decided"  // requests, under one version
-	KindLease     = "lease"    // held again, or over
-	KindContact   = "contact"  // with the fleet's leader, found or lost
-	KindPermit    = "permit"   // out under one, or back
-	KindOutdated  = "shut"     // refuses because of its version's age, or no more
-	KindAnchor    = "anchor"   // the chain's head was seen in the fleet's log
+	KindLease     = "lease"    // the lease is held again, or is over
+	KindContact   = "contact"  // contact with the fleet's leader found or lost
+	KindPermit    = "permit"   // out under a permit, or back
+	KindOutdated  = "shut"     // the front refuses requests because its version is too old, or no longer does
+	KindAnchor    = "anchor"   // the head of the chain was seen in the fleet's log
 	KindRollup    = "rolledup" // counts of records that are gone
 )
 
 // Outcome is how a request ended.
 type Outcome = counters.Outcome
 
-// The outcomes.
+// Outcomes.
 const (
 	Served  = counters.Passed
 	Refused = counters.Dropped
 	Failed  = counters.BadGateway
 )
 
-// Count is the requests of a class.
+// Count holds the numbers of requests of one class by outcome.
 type Count struct {
 	Class   string `cbor:"1,keyasint" json:"class"`
 	Served  uint64 `cbor:"2,keyasint,omitempty" json:"served"`
@@ -67,27 +66,27 @@
 	Failed  uint64 `cbor:"4,keyasint,omitempty" json:"failed"`
 }
 
-// Record is one of the chain.
+// Record is one record of the chain.
 type Record struct {
 	Seq     uint64  `cbor:"1,keyasint"`
-	Prev    []byte  `cbor:"2,keyasint"` // digest of the one before
+	Prev    []byte  `cbor:"2,keyasint"` // digest of the record before
 	Kind    string  `cbor:"3,keyasint"`
-	At      Micros  `cbor:"4,keyasint"`                     // the front's wall clock, as it says
-	Fleet   Micros  `cbor:"5,keyasint"`                     // fleet time as far as it had applied
-	Index   uint64  `cbor:"6,keyasint"`                     // entry that it had applied at the record's begin
-	To      uint64  `cbor:"7,keyasint"`                     // and at its end
-	Version uint64  `cbor:"8,keyasint"`                     // that it acted on
-	Text    string  `cbor:"9,keyasint,omitempty"`           //
-	Counts  []Count `cbor:"10,keyasint,omitempty"`          //
+	At      Micros  `cbor:"4,keyasint"` // the front's wall clock
+	Fleet   Micros  `cbor:"5,keyasint"` // fleet time as far as it was applied
+	Index   uint64  `cbor:"6,keyasint"` // entry that was applied when the record began
+	To      uint64  `cbor:"7,keyasint"` // and when it ended
+	Version uint64  `cbor:"8,keyasint"` // that the front acted on
+	Text    string  `cbor:"9,keyasint,omitempty"`
+	Counts  []Count `cbor:"10,keyasint,omitempty"`
 	First   string  `cbor:"11,keyasint,omitempty"`          // id of the first request
 	Last    string  `cbor:"12,keyasint,omitempty"`          // and of the last
-	IDSum   []byte  `cbor:"13,keyasint,omitempty"`          // digest of the ids' hashes
-	IDs     []byte  `cbor:"14,keyasint,omitempty" json:"-"` // not part of the digest; gone from older records
-	Seen    uint64  `cbor:"15,keyasint,omitempty"`          // an anchor: records up to here were seen
-	Entry   uint64  `cbor:"16,keyasint,omitempty"`          // in this entry
-	From    uint64  `cbor:"17,keyasint,omitempty"`          // rolled up: the first record
-	End     []byte  `cbor:"18,keyasint,omitempty"`          // and the digest of the last, which the next one names
-	ID      uint64  `cbor:"19,keyasint,omitempty"`          // began: the front's incarnation
+	IDSum   []byte  `cbor:"13,keyasint,omitempty"`          // digest of IDs
+	IDs     []byte  `cbor:"14,keyasint,omitempty" json:"-"` // hashes of the request ids; not part of the digest, dropped from older records
+	Seen    uint64  `cbor:"15,keyasint,omitempty"`          // anchor: records up to this one were seen
+	Entry   uint64  `cbor:"16,keyasint,omitempty"`          // anchor: in this entry
+	From    uint64  `cbor:"17,keyasint,omitempty"`          // rollup: the first record
+	End     []byte  `cbor:"18,keyasint,omitempty"`          // rollup: the digest of the last record, which the next one names
+	ID      uint64  `cbor:"19,keyasint,omitempty"`          // process start: the front's incarnation
 	Start   uint64  `cbor:"20,keyasint,omitempty"`          // and process
 }
 
@@ -104,241 +103,245 @@
 	return x
 }
 
-// Encode writes a record.
-func (r *Record) Encode() []byte {
-	b, err := encoder.Marshal(r)
+// Encode returns the canonical CBOR encoding of a record.
+func (record *Record) Encode() []byte {
+	b, err := encoder.Marshal(record)
 	if err != nil { // plain values always encode
 		panic(fmt.Sprintf("audit: %v", err))
 	}
 	return b
 }
 
-// Decode reads a record.
-func Decode(b []byte) (r Record, err error) {
-	if err := decoder.Unmarshal(b, &r); err != nil {
-		return r, fmt.Errorf("audit: %w", err)
+// Decode decodes a record; unknown fields are an error.
+func Decode(b []byte) (record Record, err error) {
+	if err := decoder.Unmarshal(b, &record); err != nil {
+		return record, fmt.Errorf("audit: %w", err)
 	}
-	return r, nil
+	return record, nil
 }
 
-// Digest is what the next record names. It holds for a record without its ids.
-func (r *Record) Digest() []byte {
-	if r.Kind == KindRollup {
-		return r.End
+// Digest returns the digest that the next record names. It doesn't cover IDs, so it holds for a
+// record whose ids were dropped. For a rollup it is the digest of the last record that was
+// rolled up.
+func (record *Record) Digest() []byte {
+	if record.Kind == KindRollup {
+		return record.End
 	}
-	x := *r
+	x := *record
 	x.IDs = nil
 	sum := sha256.Sum256(x.Encode())
 	return sum[:16]
 }
 
-// Mark is the hash of a request's id: 48 bits of its xxhash.
+// HashID returns the hash of a request's id: the low 48 bits of its xxhash.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) & (1<<48 - 1) }
 
-// Chain is the chain's end, and the requests that are being counted for its next
-// records, by version. The zero value is a chain that has not begun.
+// Chain is the end of a chain, with the requests counted for its next records by version. The
+// zero value is an empty chain.
 type Chain struct {
 	seq     uint64
 	head    []byte
 	version uint64
 	classes []string
-	buckets []*bucket // the newest version's first; those of others are few and short-lived
+	buckets []*bucket // the newest version's first; those of other versions are few and short-lived
 }
 
-// bucket is the requests of one version that no record holds yet.
+// bucket holds the requests of one version that are not in a record yet.
 type bucket struct {
-	version uint64
-	from    uint64 // entry that had been applied when the first was counted
-	counts  []Count
-	ids     []byte
-	number  int
-	first   [mostWords]byte
-	firstN  int
-	last    [mostWords]byte
-	lastN   int
+	version  uint64
+	from     uint64 // entry that had been applied when the first was counted
+	counts   []Count
+	ids      []byte
+	requests int
+	first    [maxIDBytes]byte
+	firstLen int
+	last     [maxIDBytes]byte
+	lastLen  int
 }
 
-// mostBuckets bounds the versions that requests are counted under at once.
-const mostBuckets = 16
+// maxBuckets limits the number of versions that requests are counted under at once.
+const maxBuckets = 16
 
-// Seq and Head name the chain's end.
-func (c *Chain) Seq() uint64 { return c.seq }
+// Seq returns the sequence number of the last record.
+func (chain *Chain) Seq() uint64 { return chain.seq }
 
-// Head is the digest of the last record.
-func (c *Chain) Head() []byte { return c.head }
+// Head returns the digest of the last record; nil for an empty chain.
+func (chain *Chain) Head() []byte { return chain.head }
 
 // Errors of a chain.
 var (
 	ErrBroken = errors.New("audit: the chain is broken")
 )
 
-// Follow takes a record of the disk as the chain's next.
-func (c *Chain) Replay(r *Record) error {
-	if c.head != nil && (r.start() != c.seq+1 || !bytes.Equal(r.Prev, c.head)) {
-		return fmt.Errorf("%w: record %d does not follow record %d", ErrBroken, r.Seq, c.seq)
+// Replay adds a record read from disk as the next one of the chain. It returns ErrBroken if the
+// record doesn't follow the last one, or its ids don't match their digest.
+func (chain *Chain) Replay(record *Record) error {
+	if chain.head != nil && (record.firstSeq() != chain.seq+1 || !bytes.Equal(record.Prev, chain.head)) {
+		return fmt.Errorf("%w: record %d does not follow record %d", ErrBroken, record.Seq, chain.seq)
 	}
-	if len(r.IDs) > 0 && !bytes.Equal(sumOf(r.IDs), r.IDSum) {
-		return fmt.Errorf("%w: the ids of record %d are others", ErrBroken, r.Seq)
+	if len(record.IDs) > 0 && !bytes.Equal(digestOf(record.IDs), record.IDSum) {
+		return fmt.Errorf("%w: the ids of record %d are others", ErrBroken, record.Seq)
 	}
-	c.seq, c.head = r.Seq, r.Digest()
-	if r.Kind != KindRequests {
-		c.version = r.Version
+	chain.seq, chain.head = record.Seq, record.Digest()
+	if record.Kind != KindRequests {
+		chain.version = record.Version
 	}
 	return nil
 }
 
-// start is the first record that one stands for.
-func (r *Record) start() uint64 {
-	if r.Kind == KindRollup {
-		return r.From
+// firstSeq returns the sequence number of the first record that this one stands for.
+func (record *Record) firstSeq() uint64 {
+	if record.Kind == KindRollup {
+		return record.From
 	}
-	return r.Seq
+	return record.Seq
 }
 
-func sumOf(b []byte) []byte {
+func digestOf(b []byte) []byte {
 	sum := sha256.Sum256(b)
 	return sum[:16]
 }
 
-// Moment is when a record is made.
+// Timestamp is when a record is made.
 type Timestamp struct {
 	At    Micros // the front's wall clock
 	Fleet Micros
-	Index uint64 // applied
+	Index uint64 // last entry applied
 }
 
-// Add makes the chain's next record.
-func (c *Chain) Append(r Record, m Timestamp) *Record {
-	r.Seq, r.Prev, r.At, r.Fleet = c.seq+1, c.head, m.At, m.Fleet
-	if r.Kind != KindRequests {
-		r.Index, r.To = m.Index, m.Index
+// Append adds the next record to the chain and returns it complete.
+func (chain *Chain) Append(record Record, now Timestamp) *Record {
+	record.Seq, record.Prev, record.At, record.Fleet = chain.seq+1, chain.head, now.At, now.Fleet
+	if record.Kind != KindRequests {
+		record.Index, record.To = now.Index, now.Index
 	}
-	if r.Kind != KindActivated && r.Kind != KindRequests {
-		r.Version = c.version
+	if record.Kind != KindActivated && record.Kind != KindRequests {
+		record.Version = chain.version
 	}
-	r.Text = r.Text[:min(len(r.Text), mostText)]
-	c.seq, c.head = r.Seq, r.Digest()
-	if r.Kind != KindRequests {
-		c.version = r.Version
+	record.Text = record.Text[:min(len(record.Text), maxText)]
+	chain.seq, chain.head = record.Seq, record.Digest()
+	if record.Kind != KindRequests {
+		chain.version = record.Version
 	}
-	return &r
+	return &record
 }
 
-// Classes names the classes by place, so that a request costs no look-up.
-func (c *Chain) SetClasses(names []string) { c.classes = names }
-
-// Count counts a request that was decided under a version, with entries up to index
-// applied; full tells that the records must be closed. It allocates nothing but where a
-// record is the first of its version or the largest.
-func (c *Chain) Count(version uint64, class int, o Outcome, id string, index uint64) (full bool) {
-	var b *bucket
-	for _, x := range c.buckets {
-		if x.version == version {
-			b = x
+// SetClasses sets the names of the classes by index, so that counting a request needs no
+// lookup.
+func (chain *Chain) SetClasses(names []string) { chain.classes = names }
+
+// Count counts a request that was decided under a version, with entries up to index applied. It
+// returns true when the records must be flushed. It allocates only for the first record of a
+// version and when a record outgrows all before it.
+func (chain *Chain) Count(version uint64, class int, outcome Outcome, id string, index uint64) (full bool) {
+	var current *bucket
+	for _, counts := range chain.buckets {
+		if counts.version == version {
+			current = counts
 			break
 		}
 	}
-	if b == nil {
-		b = &bucket{version: version}
-		c.buckets = append([]*bucket{b}, c.buckets...)
+	if current == nil {
+		current = &bucket{version: version}
+		chain.buckets = append([]*bucket{current}, chain.buckets...)
 	}
-	for len(b.counts) <= class {
-		b.counts = append(b.counts, Count{})
+	for len(current.counts) <= class {
+		current.counts = append(current.counts, Count{})
 	}
-	x := &b.counts[class]
-	switch o {
+	counts := &current.counts[class]
+	switch outcome {
 	case Served:
-		x.Served++
+		counts.Served++
 	case Refused:
-		x.Refused++
+		counts.Refused++
 	case Failed:
-		x.Failed++
+		counts.Failed++
 	}
-	h := HashID(id)
-	b.ids = append(b.ids, byte(h>>40), byte(h>>32), byte(h>>24), byte(h>>16), byte(h>>8), byte(h))
-	if b.number == 0 {
-		b.firstN, b.from = copy(b.first[:], id), index
+	hash := HashID(id)
+	current.ids = append(current.ids, byte(hash>>40), byte(hash>>32), byte(hash>>24), byte(hash>>16), byte(hash>>8), byte(hash))
+	if current.requests == 0 {
+		current.firstLen, current.from = copy(current.first[:], id), index
 	}
-	b.lastN = copy(b.last[:], id)
-	b.number++
-	return b.number >= MaxIDs || len(c.buckets) > mostBuckets
+	current.lastLen = copy(current.last[:], id)
+	current.requests++
+	return current.requests >= MaxIDs || len(chain.buckets) > maxBuckets
 }
 
-// Close makes records of the requests counted, a version's each.
-func (c *Chain) Flush(m Timestamp) (list []*Record) {
-	for i := len(c.buckets) - 1; i >= 0; i-- {
-		b := c.buckets[i]
-		if b.number == 0 {
-			if i > 0 { // an older version, of which nothing came since
-				c.buckets = slices.Delete(c.buckets, i, i+1)
+// Flush turns the requests counted into records, one for each version.
+func (chain *Chain) Flush(now Timestamp) (list []*Record) {
+	for i := len(chain.buckets) - 1; i >= 0; i-- {
+		current := chain.buckets[i]
+		if current.requests == 0 {
+			if i > 0 { // an older version without requests since
+				chain.buckets = slices.Delete(chain.buckets, i, i+1)
 			}
 			continue
 		}
-		r := Record{Kind: KindRequests, Version: b.version, Index: b.from, To: m.Index, First: string(b.first[:b.firstN]), Last: string(b.last[:b.lastN]),
-			IDs: slices.Clone(b.ids), IDSum: sumOf(b.ids)}
-		for i, x := range b.counts {
+		record := Record{Kind: KindRequests, Version: current.version, Index: current.from, To: now.Index, First: string(current.first[:current.firstLen]), Last: string(current.last[:current.lastLen]),
+			IDs: slices.Clone(current.ids), IDSum: digestOf(current.ids)}
+		for i, x := range current.counts {
 			if x.Served+x.Refused+x.Failed > 0 {
 				x.Class = "class " + fmt.Sprint(i)
-				if i < len(c.classes) {
-					x.Class = c.classes[i]
+				if i < len(chain.classes) {
+					x.Class = chain.classes[i]
 				}
-				r.Counts = append(r.Counts, x)
+				record.Counts = append(record.Counts, x)
 			}
-			b.counts[i] = Count{}
+			current.counts[i] = Count{}
 		}
-		b.ids, b.number = b.ids[:0], 0
-		list = append(list, c.Append(r, m))
+		current.ids, current.requests = current.ids[:0], 0
+		list = append(list, chain.Append(record, now))
 	}
 	return list
 }
 
-// Has tells whether a record may hold a request, by its id's hash; known is false
-// where its ids are gone.
-func (r *Record) MayContain(mark uint64) (has, known bool) {
-	if r.Kind != KindRequests || len(r.IDs) == 0 {
-		return false, r.Kind != KindRequests && r.Kind != KindRollup
+// MayContain reports whether a record may contain a request, by the hash of its id; known is
+// false if its ids were dropped.
+func (record *Record) MayContain(hash uint64) (has, known bool) {
+	if record.Kind != KindRequests || len(record.IDs) == 0 {
+		return false, record.Kind != KindRequests && record.Kind != KindRollup
 	}
-	want := [idSize]byte{byte(mark >> 40), byte(mark >> 32), byte(mark >> 24), byte(mark >> 16), byte(mark >> 8), byte(mark)}
-	for i := 0; i+idSize <= len(r.IDs); i += idSize {
-		if [idSize]byte(r.IDs[i:i+idSize]) == want {
+	want := [idSize]byte{byte(hash >> 40), byte(hash >> 32), byte(hash >> 24), byte(hash >> 16), byte(hash >> 8), byte(hash)}
+	for i := 0; i+idSize <= len(record.IDs); i += idSize {
+		if [idSize]byte(record.IDs[i:i+idSize]) == want {
 			return true, true
 		}
 	}
 	return false, true
 }
 
-// Shrink makes a chain's records fewer bytes: the ids of the older half go, and the
-// records before that half become counts, so many to one where they are of one
-// version. Anchors and other events of those are lost but for their number.
+// Compact makes a chain's records smaller: the ids of the older half are dropped, and the older
+// half of those records becomes counts, up to maxRollup records to one where they are of one
+// version. Anchors and other events among them are lost except for their number.
 func Compact(records []Record) []Record {
 	half := len(records) / 2
 	var out []Record
 	for i := range records[:half] {
-		r := records[i]
-		r.IDs = nil
+		record := records[i]
+		record.IDs = nil
 		if i < half/2 && len(out) > 0 {
-			if o := &out[len(out)-1]; o.Kind == KindRollup && o.Version == r.Version && r.Seq-o.From < mostRoll {
-				o.merge(&r)
+			if rollup := &out[len(out)-1]; rollup.Kind == KindRollup && rollup.Version == record.Version && record.Seq-rollup.From < maxRollup {
+				rollup.merge(&record)
 				continue
 			}
 		}
-		if i < half/2 && r.Kind != KindRollup {
-			r = Record{Seq: r.Seq, From: r.Seq, Prev: r.Prev, Kind: KindRollup, At: r.At, Fleet: r.Fleet, Index: r.Index, To: r.To, Version: r.Version,
-				Counts: r.Counts, First: r.First, Last: r.Last, End: r.Digest()}
+		if i < half/2 && record.Kind != KindRollup {
+			record = Record{Seq: record.Seq, From: record.Seq, Prev: record.Prev, Kind: KindRollup, At: record.At, Fleet: record.Fleet, Index: record.Index, To: record.To, Version: record.Version,
+				Counts: record.Counts, First: record.First, Last: record.Last, End: record.Digest()}
 		}
-		out = append(out, r)
+		out = append(out, record)
 	}
 	return append(out, records[half:]...)
 }
 
-// merge adds the next record to one that is rolled up.
-func (r *Record) merge(o *Record) {
-	r.Seq, r.To, r.End, r.Last = o.Seq, o.To, o.Digest(), cmp.Or(o.Last, r.Last)
-	r.First = cmp.Or(r.First, o.First)
-	r.Counts = AddCounts(r.Counts, o.Counts)
+// merge adds the next record to a rollup.
+func (record *Record) merge(next *Record) {
+	record.Seq, record.To, record.End, record.Last = next.Seq, next.To, next.Digest(), cmp.Or(next.Last, record.Last)
+	record.First = cmp.Or(record.First, next.First)
+	record.Counts = AddCounts(record.Counts, next.Counts)
 }
 
-// Sum adds counts, class by class.
+// AddCounts returns the sum of two lists of counts, class by class.
 func AddCounts(a, b []Count) []Count {
 	a = slices.Clone(a)
 	for _, y := range b {
--- a/internal/decide/audit/audit_test.go
+++ b/internal/decide/audit/audit_test.go
@@ -13,120 +13,120 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// story is a chain of what happened, as records on a disk, and under which version
-// each request was decided.
-func story(t *rapid.T) (records [][]byte, under map[string]uint64, c *Chain) {
-	c, under = &Chain{}, map[string]uint64{}
+// randomChain returns the encoded records of a random chain, the version under which each
+// request was decided, and the chain.
+func randomChain(t *rapid.T) (records [][]byte, versions map[string]uint64, c *Chain) {
+	c, versions = &Chain{}, map[string]uint64{}
 	c.SetClasses([]string{"a", "b"})
 	index, version := uint64(1), uint64(0)
-	keep := func(r *Record) { records = append(records, r.Encode()) }
+	add := func(r *Record) { records = append(records, r.Encode()) }
 	now := func() Timestamp { return Timestamp{At: int64(len(records)), Fleet: int64(index), Index: index} }
-	keep(c.Append(Record{Kind: KindStarted, ID: 7, Start: 1}, now()))
+	add(c.Append(Record{Kind: KindStarted, ID: 7, Start: 1}, now()))
 	for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 		index++
 		switch rapid.IntRange(0, 5).Draw(t, "what") {
 		case 0:
 			for _, r := range c.Flush(now()) {
-				keep(r)
+				add(r)
 			}
 			version++
-			keep(c.Append(Record{Kind: KindActivated, Version: version}, now()))
+			add(c.Append(Record{Kind: KindActivated, Version: version}, now()))
 		case 1:
 			for _, r := range c.Flush(now()) {
-				keep(r)
+				add(r)
 			}
 		case 2:
-			keep(c.Append(Record{Kind: KindAnchor, Seen: c.Seq(), Entry: index}, now()))
+			add(c.Append(Record{Kind: KindAnchor, Seen: c.Seq(), Entry: index}, now()))
 		default:
 			id := fmt.Sprintf("request-%d", i)
 			v := version - uint64(rapid.IntRange(0, 1).Draw(t, "older"))&min(1, version)
 			c.Count(v, i%2, Outcome(i%3), id, index)
-			under[id] = v
+			versions[id] = v
 		}
 	}
 	for _, r := range c.Flush(now()) {
-		keep(r)
+		add(r)
 	}
-	return records, under, c
+	return records, versions, c
 }
 
-func ask(records [][]byte, q Question) Answer {
-	d := NewReader(q)
+func query(records [][]byte, question Question) Answer {
+	reader := NewReader(question)
 	for _, b := range records {
-		d.Add(b)
+		reader.Add(b)
 	}
-	return d.Answer("x")
+	return reader.Answer("x")
 }
 
-// Every request is found under exactly the version that it was decided under, and the
-// counts of all versions are the requests.
-func TestEveryRequestIsFound(t *testing.T) {
+// Every request is found under exactly the version that it was decided under, and the counts of
+// all versions add up to the number of requests.
+func TestRequestsAreFoundUnderTheirVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records, under, c := story(t)
-		for id, v := range under {
-			a := ask(records, Question{Request: id})
+		records, versions, c := randomChain(t)
+		for id, v := range versions {
+			a := query(records, Question{Request: id})
 			if len(a.Spans) != 1 || a.Spans[0].Version != v || a.Broken != "" {
 				t.Fatalf("%s was decided under %d: %+v", id, v, a)
 			}
 		}
-		if a := ask(records, Question{Request: "never"}); len(a.Spans) > 0 {
+		if a := query(records, Question{Request: "never"}); len(a.Spans) > 0 {
 			t.Fatalf("%+v", a)
 		}
-		a, n := ask(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
+		a, n := query(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
 		for _, s := range a.Spans {
 			for _, x := range s.Counts {
 				n += x.Served + x.Refused + x.Failed
 			}
 		}
-		if n != uint64(len(under)) || a.Proven == "" || a.Broken != "" {
-			t.Fatalf("%d of %d: %+v", n, len(under), a)
+		if n != uint64(len(versions)) || a.Proven == "" || a.Broken != "" {
+			t.Fatalf("%d of %d: %+v", n, len(versions), a)
 		}
 	})
 }
 
-// A chain that was changed, cut, doubled or put in another order is noticed by whoever
-// has its head.
-func TestChangesAreNoticed(t *testing.T) {
+// A chain that was changed, cut, duplicated or reordered is detected by a reader that has its
+// head.
+func TestTamperingIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records, _, c := story(t)
+		records, _, c := randomChain(t)
 		if len(records) < 4 {
 			return
 		}
 		q := Question{Verify: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}
-		if a := ask(records, q); a.Broken != "" || a.Proven == "" {
+		if a := query(records, q); a.Broken != "" || a.Proven == "" {
 			t.Fatalf("%+v", a)
 		}
 		i := rapid.IntRange(1, len(records)-2).Draw(t, "which")
-		var other [][]byte
+		var altered [][]byte
 		switch what := rapid.IntRange(0, 4).Draw(t, "what"); what {
-		case 0: // cut out
-			other = append(append(other, records[:i]...), records[i+1:]...)
-		case 1: // doubled
-			other = append(append(append(other, records[:i+1]...), records[i]), records[i+1:]...)
-		case 2: // its end is gone
-			other = records[:i]
-		case 3: // two change places
-			other = append(other, records...)
-			other[i], other[i+1] = other[i+1], other[i]
-		case 4: // one says another version
+		case 0: // one is removed
+			altered = append(append(altered, records[:i]...), records[i+1:]...)
+		case 1: // one is duplicated
+			altered = append(append(append(altered, records[:i+1]...), records[i]), records[i+1:]...)
+		case 2: // the end is missing
+			altered = records[:i]
+		case 3: // two are swapped
+			altered = append(altered, records...)
+			altered[i], altered[i+1] = altered[i+1], altered[i]
+		case 4: // one has another version
 			r, err := Decode(records[i])
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.Version += 5
-			other = append(other, records...)
-			other[i] = r.Encode()
+			altered = append(altered, records...)
+			altered[i] = r.Encode()
 		}
-		if a := ask(other, q); a.Broken == "" {
+		if a := query(altered, q); a.Broken == "" {
 			t.Fatalf("not noticed: %+v", a)
 		}
 	})
 }
 
-// A chain that was made smaller still follows, and keeps every count.
-func TestShrunkChainFollows(t *testing.T) {
+// A compacted chain still verifies and keeps every count.
+func TestCompactedChainVerifies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records, under, c := story(t)
+		records, versions, c := randomChain(t)
 		for range rapid.IntRange(1, 4).Draw(t, "times") {
 			var list []Record
 			for _, b := range records {
@@ -145,14 +145,14 @@
 				t.Fatalf("%d bytes became %d", len(before), len(after))
 			}
 		}
-		a, n := ask(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
+		a, n := query(records, Question{All: true, Seq: c.Seq(), Head: hex.EncodeToString(c.Head())}), uint64(0)
 		for _, s := range a.Spans {
 			for _, x := range s.Counts {
 				n += x.Served + x.Refused + x.Failed
 			}
 		}
-		if n != uint64(len(under)) || a.Broken != "" || a.Proven == "" {
-			t.Fatalf("%d of %d: %+v", n, len(under), a)
+		if n != uint64(len(versions)) || a.Broken != "" || a.Proven == "" {
+			t.Fatalf("%d of %d: %+v", n, len(versions), a)
 		}
 		if a.Records != c.Seq() {
 			t.Fatalf("%d records of %d", a.Records, c.Seq())
@@ -160,7 +160,7 @@
 	})
 }
 
-// What a request costs.
+// BenchmarkCount measures the cost of counting a request.
 func BenchmarkCount(b *testing.B) {
 	c := &Chain{}
 	b.ReportAllocs()
@@ -168,12 +168,12 @@
 	for b.Loop() {
 		c.Count(3, 1, Served, "0123456789abcdef", 9)
 		if n++; n%200 == 0 { // as often as a record is closed at 200 requests a second
-			c.buckets[0].ids, c.buckets[0].number = c.buckets[0].ids[:0], 0
+			c.buckets[0].ids, c.buckets[0].requests = c.buckets[0].ids[:0], 0
 		}
 	}
 }
 
-// Verifying a chain of a front with 200 requests a second.
+// BenchmarkVerify verifies the chain of a front with 200 requests a second.
 func BenchmarkVerify(b *testing.B) {
 	c := &Chain{}
 	var records [][]byte
@@ -191,7 +191,7 @@
 	b.SetBytes(int64(size))
 	b.ReportMetric(float64(size)*24, "B/day")
 	for b.Loop() {
-		if a := ask(records, q); a.Broken != "" {
+		if a := query(records, q); a.Broken != "" {
 			b.Fatal(a.Broken)
 		}
 	}
