--- a/internal/fleet/consensus/feed.go
+++ b/internal/fleet/consensus/feed.go
@@ -10,286 +10,288 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// attach has a front that takes no part in the agreement, or hears of no leader, ask
-// to be fed: by voters first, in an order of its own, and by those that they name.
-func (n *Node) attach() {
-	if n.led() {
-		n.detach()
+// attach requests to be fed if this front hears no leader as a member of the raft group: it
+// asks the voters first, in an order of its own, and then the fronts that they named.
+func (node *Node) attach() {
+	if node.followsLeader() {
+		node.detach()
 		return
 	}
-	if n.feeder != "" && n.now-n.fed > n.span(feederTicks) {
-		n.detach()
-		n.tried++
+	if node.feeder != "" && node.now-node.feederHeardAt > node.tickSpan(feederTimeoutTicks) {
+		node.detach()
+		node.feederAttempts++
 	}
-	to := n.feeder
+	to := node.feeder
 	if to == "" {
-		list := n.feeders()
+		list := node.feederCandidates()
 		if len(list) == 0 {
 			return
 		}
-		if n.asked != 0 { // the one before has not answered
-			n.tried++
+		if node.attachSentAt != 0 { // the last one has not replied
+			node.feederAttempts++
 		}
-		to = list[n.tried%len(list)]
-		n.asked = n.now
+		to = list[node.feederAttempts%len(list)]
+		node.attachSentAt = node.now
 	}
-	n.send(to, KindAttach, encode(AttachRequest{ID: n.id, Next: n.applied + 1, Address: n.cfg.Address, Lease: n.wants(), Start: n.cfg.Start}))
+	node.send(to, KindAttach, encode(AttachRequest{ID: node.id, Next: node.applied + 1, Address: node.cfg.Address, Lease: node.leaseRequest(), Start: node.cfg.Start}))
 }
 
-// led tells whether this front leads, or has a seat and hears the leader itself.
-func (n *Node) led() bool {
-	return n.leads || n.seat() && n.now-n.ledAt < n.span(feederTicks)
+// followsLeader reports whether this front leads, or has a seat and hears the leader itself.
+func (node *Node) followsLeader() bool {
+	return node.leading || node.hasSeat() && node.now-node.leaderHeardAt < node.tickSpan(feederTimeoutTicks)
 }
 
-func (n *Node) detach() { n.feeder, n.path, n.asked = "", nil, 0 }
+func (node *Node) detach() { node.feeder, node.feederPath, node.attachSentAt = "", nil, 0 }
 
-// feeders are those that may feed this front.
-func (n *Node) feeders() (list []string) {
-	s := n.rep.State()
-	for _, f := range s.Members.Fronts {
-		if s.Seats.Has(f.ID) && !f.Lost && f.Name != n.cfg.Name {
-			list = append(list, f.Name)
+// feederCandidates returns the fronts that may feed this one, in the order in which to ask.
+func (node *Node) feederCandidates() (list []string) {
+	state := node.replica.State()
+	for _, front := range state.Members.Fronts {
+		if state.Seats.Has(front.ID) && !front.Lost && front.Name != node.cfg.Name {
+			list = append(list, front.Name)
 		}
 	}
 	if len(list) == 0 {
-		for _, a := range n.cfg.FirstMembers {
-			if a.Name != n.cfg.Name {
-				list = append(list, a.Name)
+		for _, member := range node.cfg.FirstMembers {
+			if member.Name != node.cfg.Name {
+				list = append(list, member.Name)
 			}
 		}
 	}
-	byRank(n.cfg.Name, list)
-	for _, name := range n.referred {
-		if !slices.Contains(list, name) && name != n.cfg.Name {
+	sortByRank(node.cfg.Name, list)
+	for _, name := range node.alternatives {
+		if !slices.Contains(list, name) && name != node.cfg.Name {
 			list = append(list, name)
 		}
 	}
 	return list
 }
 
-// feeding takes the answer of one that was asked.
-func (n *Node) feeding(from string, f AttachReply) {
+// handleAttachReply handles the reply to an attach request.
+func (node *Node) handleAttachReply(from string, reply AttachReply) {
 	switch {
-	case f.Full || slices.Contains(f.Path, n.cfg.Name):
-		n.referred = f.Alternatives[:min(len(f.Alternatives), 16)]
-		if from == n.feeder {
-			n.detach()
+	case reply.Full || slices.Contains(reply.Path, node.cfg.Name):
+		node.alternatives = reply.Alternatives[:min(len(reply.Alternatives), 16)]
+		if from == node.feeder {
+			node.detach()
 		}
-		n.asked, n.tried = 0, n.tried+1
-	case n.feeder == "" || n.feeder == from:
-		n.feeder, n.path, n.fed, n.asked = from, f.Path, n.now, 0
+		node.attachSentAt, node.feederAttempts = 0, node.feederAttempts+1
+	case node.feeder == "" || node.feeder == from:
+		node.feeder, node.feederPath, node.feederHeardAt, node.attachSentAt = from, reply.Path, node.now, 0
 	}
 }
 
-// feed answers one that asks to be fed.
-func (n *Node) feed(from string, a AttachRequest) {
-	if len(n.addresses) >= membership.MaxFronts {
-		clear(n.addresses)
+// handleAttach replies to an attach request, and feeds its sender if there is room.
+func (node *Node) handleAttach(from string, request AttachRequest) {
+	if len(node.addresses) >= membership.MaxFronts {
+		clear(node.addresses)
 	}
-	if len(a.Address) <= membership.MaxNameSize {
-		n.addresses[from] = a.Address
+	if len(request.Address) <= membership.MaxNameSize {
+		node.addresses[from] = request.Address
 	}
-	i := slices.IndexFunc(n.children, func(c *child) bool { return c.name == from })
-	attached := n.feeder != "" && n.now-n.fed < n.span(feederTicks)
-	// One that lives by leases and holds none has none to pass on: whoever it fed would starve.
-	leaseless := n.LeaseSpan() > 0 && !n.leads && !n.leases.own.Valid(n.now)
-	if lead, _ := n.Leader(); lead == 0 || leaseless || !n.led() && !attached || len(n.path) >= mostPath || slices.Contains(n.path, from) || n.rep.State().Fleet == 0 {
+	i := slices.IndexFunc(node.children, func(c *child) bool { return c.name == from })
+	attached := node.feeder != "" && node.now-node.feederHeardAt < node.tickSpan(feederTimeoutTicks)
+	// A front whose lease is over can't delegate one: its children would get none.
+	leaseless := node.LeaseSpan() > 0 && !node.leading && !node.leases.own.Valid(node.now)
+	if lead, _ := node.Leader(); lead == 0 || leaseless || !node.followsLeader() && !attached || len(node.feederPath) >= maxPathLength || slices.Contains(node.feederPath, from) || node.replica.State().Fleet == 0 {
 		if i >= 0 {
-			n.children = slices.Delete(n.children, i, i+1)
+			node.children = slices.Delete(node.children, i, i+1)
 		}
-		n.send(from, KindAttachReply, encode(AttachReply{Full: true}))
+		node.send(from, KindAttachReply, encode(AttachReply{Full: true}))
 		return
 	}
 	if i < 0 {
-		n.children = slices.DeleteFunc(n.children, func(c *child) bool { return n.now-c.asked > n.span(feederTicks) })
-		if len(n.children) >= n.cfg.FanOut {
+		node.children = slices.DeleteFunc(node.children, func(c *child) bool { return node.now-c.askedAt > node.tickSpan(feederTimeoutTicks) })
+		if len(node.children) >= node.cfg.FanOut {
 			var names []string
-			for _, c := range n.children {
+			for _, c := range node.children {
 				names = append(names, c.name)
 			}
-			byRank(from, names)
-			n.send(from, KindAttachReply, encode(AttachReply{Full: true, Alternatives: names}))
+			sortByRank(from, names)
+			node.send(from, KindAttachReply, encode(AttachReply{Full: true, Alternatives: names}))
 			return
 		}
-		i = len(n.children)
-		n.children = append(n.children, &child{name: from})
+		i = len(node.children)
+		node.children = append(node.children, &child{name: from})
 	}
-	c := n.children[i]
-	c.id, c.next, c.asked = a.ID, a.Next, n.now
-	path := append([]string{n.cfg.Name}, n.path...)
-	n.send(from, KindAttachReply, encode(AttachReply{Path: path}))
-	n.give(c)
-	n.pass(from, a)
+	c := node.children[i]
+	c.id, c.next, c.askedAt = request.ID, request.Next, node.now
+	path := append([]string{node.cfg.Name}, node.feederPath...)
+	node.send(from, KindAttachReply, encode(AttachReply{Path: path}))
+	node.feedChild(c)
+	node.delegateLease(from, request)
 }
 
-// feedAll passes on what has just been applied.
-func (n *Node) feedAll() {
-	n.children = slices.DeleteFunc(n.children, func(c *child) bool { return n.now-c.asked > n.span(feederTicks) })
-	for _, c := range n.children {
-		n.give(c)
+// feedChildren passes on the entries that have just been applied.
+func (node *Node) feedChildren() {
+	node.children = slices.DeleteFunc(node.children, func(c *child) bool { return node.now-c.askedAt > node.tickSpan(feederTimeoutTicks) })
+	for _, c := range node.children {
+		node.feedChild(c)
 	}
 }
 
-// give sends a child what it lacks of the entries applied here: a message that the
-// leader of this term could have sent itself, since all in it is committed. One
-// whose entries are no longer kept gets a snapshot.
-func (n *Node) give(c *child) {
-	lead, term := n.Leader()
-	if seated(n.conf, c.id) && n.leads || lead == 0 || c.next > n.applied+1 {
+// feedChild sends a child the applied entries that it lacks, as a message that the leader of
+// this term could have sent itself, since all of them are committed. If the entries are no
+// longer kept, it sends a snapshot.
+func (node *Node) feedChild(c *child) {
+	lead, term := node.Leader()
+	if isSeated(node.confState, c.id) && node.leading || lead == 0 || c.next > node.applied+1 {
 		return
 	}
-	first, _ := n.store.FirstIndex()
-	m := &raftpb.Message{To: new(c.id), From: new(lead), Term: new(term)}
+	first, _ := node.store.FirstIndex()
+	message := &raftpb.Message{To: new(c.id), From: new(lead), Term: new(term)}
 	if c.next < first {
-		if n.stale != nil || n.conf == nil {
+		if node.staleErr != nil || node.confState == nil {
 			return
 		}
-		m.Type = raftpb.MsgSnap.Enum()
-		m.Snapshot = &raftpb.Snapshot{Data: n.rep.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: n.conf,
-			Index: new(n.applied), Term: new(n.EntryTerm(n.applied))}}
-		c.next = n.applied + 1
+		message.Type = raftpb.MsgSnap.Enum()
+		message.Snapshot = &raftpb.Snapshot{Data: node.replica.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: node.confState,
+			Index: new(node.applied), Term: new(node.EntryTerm(node.applied))}}
+		c.next = node.applied + 1
 	} else {
 		var entries []*raftpb.Entry
-		if c.next <= n.applied {
+		if c.next <= node.applied {
 			var err error
-			if entries, err = n.store.Entries(c.next, n.applied+1, mostFeed); err != nil {
+			if entries, err = node.store.Entries(c.next, node.applied+1, maxEntryBytes); err != nil {
 				return
 			}
 		}
-		m.Type = raftpb.MsgApp.Enum()
-		m.Index, m.LogTerm, m.Entries = new(c.next-1), new(n.EntryTerm(c.next-1)), entries
-		m.Commit = new(min(n.applied, c.next-1+uint64(len(entries))))
+		message.Type = raftpb.MsgApp.Enum()
+		message.Index, message.LogTerm, message.Entries = new(c.next-1), new(node.EntryTerm(c.next-1)), entries
+		message.Commit = new(min(node.applied, c.next-1+uint64(len(entries))))
 		c.next += uint64(len(entries))
 	}
-	b, err := proto.Marshal(m)
+	data, err := proto.Marshal(message)
 	if err != nil {
 		return
 	}
-	n.send(c.name, KindEntries, b)
+	node.send(c.name, KindEntries, data)
 }
 
-// lead is what a leader does at every tick: it hands over before its own turn,
-// tells time and contacts, and has the council's seats changed.
-func (n *Node) lead() {
-	if n.leads = n.IsLeader(); !n.leads {
+// leaderTick runs the leader's periodic tasks: it transfers the leadership before this front
+// goes out, proposes the elapsed time and changes of contact, starts lease rounds and proposes
+// changes of seats.
+func (node *Node) leaderTick() {
+	if node.leading = node.IsLeader(); !node.leading {
 		return
 	}
-	s := n.rep.State()
-	if n.stale != nil && n.now-n.handed > n.span(electionTicks) { // it can't lead: what it can't read it can't judge
-		n.handed = n.now
-		if to := n.successor(); to != 0 {
-			n.raw.TransferLeader(to)
+	state := node.replica.State()
+	if node.staleErr != nil && node.now-node.transferredAt > node.tickSpan(electionTicks) { // a leader that can't read the entries can't decide on them
+		node.transferredAt = node.now
+		if to := node.successor(); to != 0 {
+			node.raw.TransferLeader(to)
 		}
 	}
-	if n.ticks%beatTicks != 0 || s.Fleet == 0 || n.stale != nil {
+	if node.ticks%heartbeatTicks != 0 || state.Fleet == 0 || node.staleErr != nil {
 		return
 	}
-	n.heard[n.cfg.Name] = heard{id: n.id, start: n.cfg.Start, at: n.now, away: n.away, hurt: n.hurt, applied: n.applied, stand: n.stand}
+	node.fronts[node.cfg.Name] = frontInfo{id: node.id, start: node.cfg.Start, heardAt: node.now, notServing: node.notServing, unhealthy: node.unhealthy, applied: node.applied, status: node.status}
 	var contacts []statemachine.Contact
-	for _, f := range s.Members.Fronts {
-		h, ok := n.heard[f.Name]
-		if !f.Lost && (!ok || h.id != f.ID) { // it has only just come
-			h, ok = heard{id: f.ID, start: f.Start, at: n.now, away: f.NotServing, hurt: f.Unhealthy}, true
-			n.heard[f.Name] = h
+	for _, front := range state.Members.Fronts {
+		info, ok := node.fronts[front.Name]
+		if !front.Lost && (!ok || info.id != front.ID) { // it has only just joined
+			info, ok = frontInfo{id: front.ID, start: front.Start, heardAt: node.now, notServing: front.NotServing, unhealthy: front.Unhealthy}, true
+			node.fronts[front.Name] = info
 		}
-		lost := !ok || h.id != f.ID || n.now-h.at > n.cfg.LostAfter
-		away, hurt := f.NotServing, f.Unhealthy
-		if ok && h.id == f.ID && h.start == f.Start {
-			away, hurt = h.away, h.hurt
+		lost := !ok || info.id != front.ID || node.now-info.heardAt > node.cfg.LostAfter
+		notServing, unhealthy := front.NotServing, front.Unhealthy
+		if ok && info.id == front.ID && info.start == front.Start {
+			notServing, unhealthy = info.notServing, info.unhealthy
 		}
-		if lost != f.Lost || away != f.NotServing || hurt != f.Unhealthy {
-			contacts = append(contacts, statemachine.Contact{Name: f.Name, ID: f.ID, Lost: lost, NotServing: away, Unhealthy: hurt})
+		if lost != front.Lost || notServing != front.NotServing || unhealthy != front.Unhealthy {
+			contacts = append(contacts, statemachine.Contact{Name: front.Name, ID: front.ID, Lost: lost, NotServing: notServing, Unhealthy: unhealthy})
 		}
 	}
-	if len(contacts) > 0 || n.timeMatters() && n.now-n.facts >= n.span(beatTicks) {
-		if _, done := n.rep.Seen(n.factsID); done || n.factsID == (statemachine.ID{}) || n.now-n.facts > n.span(againTicks) {
-			n.number++
-			n.factsID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
-			c := statemachine.Command{ID: n.factsID, Facts: &statemachine.Facts{Span: n.now - n.facts, Contacts: contacts}}
-			if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
-				n.facts = n.now
-				n.factsLost = slices.ContainsFunc(contacts, func(x statemachine.Contact) bool { return x.Lost })
+	if len(contacts) > 0 || node.needsTime() && node.now-node.factsAt >= node.tickSpan(heartbeatTicks) {
+		if _, done := node.replica.Seen(node.factsID); done || node.factsID == (statemachine.ID{}) || node.now-node.factsAt > node.tickSpan(resendTicks) {
+			node.lastCommand++
+			node.factsID = statemachine.ID{Front: node.id, Start: node.cfg.Start, N: node.lastCommand}
+			command := statemachine.Command{ID: node.factsID, Facts: &statemachine.Facts{Span: node.now - node.factsAt, Contacts: contacts}}
+			if data, err := statemachine.Encode(command); err == nil && node.raw.Propose(data) == nil {
+				node.factsAt = node.now
+				node.factsReportLoss = slices.ContainsFunc(contacts, func(x statemachine.Contact) bool { return x.Lost })
 			}
 		}
 	}
-	n.gatherLeft()
-	n.gatherStands()
-	n.granting()
-	n.raise()
-	n.handOver()
-	n.seats()
+	node.proposeLeftBoxes()
+	node.proposeStatuses()
+	node.startLeaseRound()
+	node.raiseVersion()
+	node.transferLeadership()
+	node.proposeSeatChange()
 }
 
-// timeMatters tells whether anything in the state waits for time to pass.
-func (n *Node) timeMatters() bool {
-	s := n.rep.State()
-	return len(s.Maintenance.Operations) > 0 || s.Rollout.Waiting(s.Now) ||
-		slices.ContainsFunc(s.Members.Fronts, func(f membership.Front) bool { return f.Lost && s.Seats.Has(f.ID) })
+// needsTime reports whether anything in the state waits for time to pass.
+func (node *Node) needsTime() bool {
+	state := node.replica.State()
+	return len(state.Maintenance.Operations) > 0 || state.Rollout.Waiting(state.Now) ||
+		slices.ContainsFunc(state.Members.Fronts, func(front membership.Front) bool { return front.Lost && state.Seats.Has(front.ID) })
 }
 
-// handOver gives the lead to another voter before this front goes out.
-func (n *Node) handOver() {
-	own := n.rep.State().Members.Find(n.cfg.Name)
-	if own == nil || !n.rep.Avoid(own) && !own.Leaving || n.now-n.handed < n.span(electionTicks) {
+// transferLeadership transfers the leadership to another voter before this front goes out.
+func (node *Node) transferLeadership() {
+	own := node.replica.State().Members.Find(node.cfg.Name)
+	if own == nil || !node.replica.Avoid(own) && !own.Leaving || node.now-node.transferredAt < node.tickSpan(electionTicks) {
 		return
 	}
-	if to := n.successor(); to != 0 {
-		n.handed = n.now
-		n.tell("%s is handed the lead: this front goes out", n.nameOf(to))
-		n.raw.TransferLeader(to)
+	if to := node.successor(); to != 0 {
+		node.transferredAt = node.now
+		node.addEvent("%s is handed the lead: this front goes out", node.nameOf(to))
+		node.raw.TransferLeader(to)
 	}
 }
 
-// successor is the voter that should lead next: heard, staying, and with the most entries.
-func (n *Node) successor() (best uint64) {
-	s := n.rep.State()
-	most := uint64(0)
-	for id, p := range n.raw.Status().Progress {
-		f := s.Members.ByID(id)
-		if f == nil || id == n.id || p.IsLearner || f.Lost || f.Leaving || n.rep.Avoid(f) {
+// successor returns the voter that should lead next: in contact, staying, and with the most
+// entries; 0 if there is none.
+func (node *Node) successor() (best uint64) {
+	state := node.replica.State()
+	maxMatch := uint64(0)
+	for id, progress := range node.raw.Status().Progress {
+		front := state.Members.ByID(id)
+		if front == nil || id == node.id || progress.IsLearner || front.Lost || front.Leaving || node.replica.Avoid(front) {
 			continue
 		}
-		if best == 0 || p.Match > most || p.Match == most && id < best {
-			best, most = id, p.Match
+		if best == 0 || progress.Match > maxMatch || progress.Match == maxMatch && id < best {
+			best, maxMatch = id, progress.Match
 		}
 	}
 	return best
 }
 
-// seats has the council's next change proposed, one at a time.
-func (n *Node) seats() {
-	if n.conf2 > n.applied && n.now-n.confAt < n.span(feederTicks) || n.now-n.confAt < n.span(beatTicks) {
+// proposeSeatChange proposes the next change of seats, one at a time.
+func (node *Node) proposeSeatChange() {
+	if node.confChangeIndex > node.applied && node.now-node.confChangeAt < node.tickSpan(feederTimeoutTicks) || node.now-node.confChangeAt < node.tickSpan(heartbeatTicks) {
 		return
 	}
-	s := n.rep.State()
-	progress := n.raw.Status().Progress
-	m := s.Members.Next(s.Seats, membership.Config{Grace: n.cfg.SeatGrace}, membership.View{Now: s.Now, Leader: n.id,
-		CaughtUp: func(id uint64) bool { return progress[id].Match+16 >= n.last() }, Avoid: n.rep.Avoid,
-		KeepsUp: func(f *membership.Front) bool {
-			h := n.heard[f.Name]
-			return h.id == f.ID && h.applied+nearEntries >= n.applied
+	state := node.replica.State()
+	progress := node.raw.Status().Progress
+	next := state.Members.Next(state.Seats, membership.Config{Grace: node.cfg.SeatGrace}, membership.View{Now: state.Now, Leader: node.id,
+		CaughtUp: func(id uint64) bool { return progress[id].Match+16 >= node.lastIndex() }, Avoid: node.replica.Avoid,
+		KeepsUp: func(front *membership.Front) bool {
+			info := node.fronts[front.Name]
+			return info.id == front.ID && info.applied+maxLearnerLag >= node.applied
 		}})
-	n.changing = m.Reason
+	node.pendingChange = next.Reason
 	cc := &raftpb.ConfChangeV2{}
-	change := func(t raftpb.ConfChangeType, id uint64) {
+	addChange := func(t raftpb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: t.Enum(), NodeId: new(id)})
 	}
-	switch m.Kind {
+	switch next.Kind {
 	case membership.Stay:
 		return
 	case membership.AddLearner:
-		change(raftpb.ConfChangeAddLearnerNode, m.Add)
+		addChange(raftpb.ConfChangeAddLearnerNode, next.Add)
 	case membership.Promote:
-		change(raftpb.ConfChangeAddNode, m.Add)
-		if m.Remove != 0 {
-			change(raftpb.ConfChangeRemoveNode, m.Remove)
+		addChange(raftpb.ConfChangeAddNode, next.Add)
+		if next.Remove != 0 {
+			addChange(raftpb.ConfChangeRemoveNode, next.Remove)
 		}
 	case membership.Remove:
-		change(raftpb.ConfChangeRemoveNode, m.Remove)
+		addChange(raftpb.ConfChangeRemoveNode, next.Remove)
 	}
-	n.confAt = n.now
-	if err := n.raw.ProposeConfChange(cc); err == nil {
-		n.conf2 = n.last() + 1
-		n.tell("council: %s", m.Reason)
+	node.confChangeAt = node.now
+	if err := node.raw.ProposeConfChange(cc); err == nil {
+		node.confChangeIndex = node.lastIndex() + 1
+		node.addEvent("council: %s", next.Reason)
 	}
 }
--- a/internal/fleet/consensus/founding.go
+++ b/internal/fleet/consensus/founding.go
@@ -9,122 +9,125 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// probed is what a first member said last.
-type probed struct {
-	tell ProbeInfo
+// probeReply is the last reply of a first member.
+type probeReply struct {
+	info ProbeInfo
 	at   Micros
 }
 
-// founder tells whether this front is the one that founds.
-func (n *Node) founder() bool {
-	return len(n.cfg.FirstMembers) > 0 && n.cfg.FirstMembers[0].Name == n.cfg.Name
+// isFounder reports whether this front is the one that founds the fleet.
+func (node *Node) isFounder() bool {
+	return len(node.cfg.FirstMembers) > 0 && node.cfg.FirstMembers[0].Name == node.cfg.Name
 }
 
-func (n *Node) first() (names []string) {
-	for _, a := range n.cfg.FirstMembers {
-		names = append(names, a.Name)
+func (node *Node) firstMembers() (names []string) {
+	for _, member := range node.cfg.FirstMembers {
+		names = append(names, member.Name)
 	}
 	return names
 }
 
-// empty tells whether this front knows of no fleet and has nothing in its folder.
-func (n *Node) blank() bool { return n.rep.State().Fleet == 0 && n.last() == 0 && n.applied == 0 }
+// isBlank reports whether this front knows of no fleet and has nothing in its folder.
+func (node *Node) isBlank() bool {
+	return node.replica.State().Fleet == 0 && node.lastIndex() == 0 && node.applied == 0
+}
 
-// probe has the founder ask the other first members, and found once each of them
-// has said lately that it knows of no fleet either.
-func (n *Node) probe() {
-	if !n.founder() || !n.blank() || n.out {
+// probe has the founder ask the other first members, and found the fleet once each of them has
+// lately replied that it knows of no fleet either.
+func (node *Node) probe() {
+	if !node.isFounder() || !node.isBlank() || node.outputPending {
 		return
 	}
-	for _, a := range n.cfg.FirstMembers[1:] {
-		n.send(a.Name, KindProbe, encode(ProbeInfo{FirstMembers: n.first()}))
+	for _, member := range node.cfg.FirstMembers[1:] {
+		node.send(member.Name, KindProbe, encode(ProbeInfo{FirstMembers: node.firstMembers()}))
 	}
-	if n.FoundingStatus() == "" {
-		n.found()
+	if node.FoundingStatus() == "" {
+		node.foundFleet()
 	}
 }
 
-// Founding tells what the fleet's founding waits for; empty: for nothing.
-func (n *Node) FoundingStatus() string {
-	if !n.blank() {
+// FoundingStatus tells what the founding of the fleet waits for; empty: nothing.
+func (node *Node) FoundingStatus() string {
+	if !node.isBlank() {
 		return ""
 	}
-	if !n.founder() {
-		if len(n.cfg.FirstMembers) == 0 {
+	if !node.isFounder() {
+		if len(node.cfg.FirstMembers) == 0 {
 			return "no first members are named"
 		}
-		return "for " + n.cfg.FirstMembers[0].Name + ", the first of the first members"
+		return "for " + node.cfg.FirstMembers[0].Name + ", the first of the first members"
 	}
-	for _, a := range n.cfg.FirstMembers[1:] {
-		p, ok := n.probed[a.Name]
+	for _, member := range node.cfg.FirstMembers[1:] {
+		reply, ok := node.probeReplies[member.Name]
 		switch {
-		case !ok || n.now-p.at > n.span(feederTicks):
-			return "for word of " + a.Name
-		case p.tell.Fleet != 0:
-			return a.Name + " belongs to a fleet already, which this front joins"
-		case !slices.Equal(p.tell.FirstMembers, n.first()):
-			return a.Name + " names other first members"
+		case !ok || node.now-reply.at > node.tickSpan(feederTimeoutTicks):
+			return "for word of " + member.Name
+		case reply.info.Fleet != 0:
+			return member.Name + " belongs to a fleet already, which this front joins"
+		case !slices.Equal(reply.info.FirstMembers, node.firstMembers()):
+			return member.Name + " names other first members"
 		}
 	}
 	return ""
 }
 
-// found begins the fleet with this front alone; the others join it.
-func (n *Node) found() {
-	conf := &raftpb.ConfState{Voters: []uint64{n.id}}
-	n.rep.ApplySeats(membership.Seats{Voters: []uint64{n.id}})
-	s := &raftpb.Snapshot{Data: n.rep.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)), Term: new(uint64(1))}}
-	// The agreement takes it in as a snapshot of a leader of the first term.
-	err := n.raw.Step(&raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: new(n.id), From: new(n.id), Term: new(uint64(1)), Snapshot: s})
+// foundFleet starts the fleet with this front as its only voter; the others join it.
+func (node *Node) foundFleet() {
+	confState := &raftpb.ConfState{Voters: []uint64{node.id}}
+	node.replica.ApplySeats(membership.Seats{Voters: []uint64{node.id}})
+	snapshot := &raftpb.Snapshot{Data: node.replica.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: confState, Index: new(uint64(1)), Term: new(uint64(1))}}
+	// Raft takes this as a snapshot from a leader of the first term.
+	err := node.raw.Step(&raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: new(node.id), From: new(node.id), Term: new(uint64(1)), Snapshot: snapshot})
 	if err != nil {
-		n.tell("the founding failed: %v", err)
+		node.addEvent("the founding failed: %v", err)
 		return
 	}
-	n.tell("this front founds the fleet %s", n.cfg.Fleet)
-	front := n.self()
-	n.founding = func() {
-		n.Submit(statemachine.Command{Found: &statemachine.Found{Name: n.cfg.Fleet, Fleet: n.cfg.RandomID(), Rules: n.cfg.Rules}}, n.span(600), func(statemachine.Result, error) {})
-		n.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, n.span(600), func(statemachine.Result, error) {})
+	node.addEvent("this front founds the fleet %s", node.cfg.Fleet)
+	front := node.ownFront()
+	node.onFounded = func() {
+		node.Submit(statemachine.Command{Found: &statemachine.Found{Name: node.cfg.Fleet, Fleet: node.cfg.RandomID(), Rules: node.cfg.Rules}}, node.tickSpan(600), func(statemachine.Result, error) {})
+		node.Submit(statemachine.Command{Join: &statemachine.Join{Front: front}}, node.tickSpan(600), func(statemachine.Result, error) {})
 	}
 }
 
-func (n *Node) self() membership.Front {
-	return membership.Front{Name: n.cfg.Name, Zone: n.cfg.Zone, Machine: n.cfg.Machine, Address: n.cfg.Address, ID: n.id,
-		Build: n.cfg.Build, Start: n.cfg.Start, Lease: n.rep.State().Maintenance.Rules.LeaseSpan, OwnerLease: n.keepSpan()}
+func (node *Node) ownFront() membership.Front {
+	return membership.Front{Name: node.cfg.Name, Zone: node.cfg.Zone, Machine: node.cfg.Machine, Address: node.cfg.Address, ID: node.id,
+		Build: node.cfg.Build, Start: node.cfg.Start, Lease: node.replica.State().Maintenance.Rules.LeaseSpan, OwnerLease: node.ownerLeaseSpan()}
 }
 
-// keepSpan is the span that this front joins with as a keeper, once all fronts read it.
-func (n *Node) keepSpan() Micros {
-	if n.rep.State().Version < statemachine.VersionOwners {
+// ownerLeaseSpan returns the span with which this front joins as an owner of sites; 0 until all
+// fronts can read it.
+func (node *Node) ownerLeaseSpan() Micros {
+	if node.replica.State().Version < statemachine.VersionOwners {
 		return 0
 	}
-	return n.cfg.OwnerLease
+	return node.cfg.OwnerLease
 }
 
-// toldBy takes a question about the past, or its answer.
-func (n *Node) toldBy(from string, kind Kind, t ProbeInfo) {
+// handleProbe replies to a probe, or notes the reply to one.
+func (node *Node) handleProbe(from string, kind Kind, info ProbeInfo) {
 	if kind == KindProbe {
-		n.send(from, KindProbeReply, encode(ProbeInfo{Fleet: n.rep.State().Fleet, FirstMembers: n.first()}))
+		node.send(from, KindProbeReply, encode(ProbeInfo{Fleet: node.replica.State().Fleet, FirstMembers: node.firstMembers()}))
 		return
 	}
-	if slices.Contains(n.first(), from) {
-		n.probed[from] = probed{t, n.now}
+	if slices.Contains(node.firstMembers(), from) {
+		node.probeReplies[from] = probeReply{info, node.now}
 	}
 }
 
-// join asks to be taken in, as long as the fleet does not know this front as it is.
-func (n *Node) join() {
-	s := n.rep.State()
-	if f := s.Members.Find(n.cfg.Name); s.Fleet == 0 || n.joining ||
-		f != nil && f.ID == n.id && f.Start == n.cfg.Start && f.Address == n.cfg.Address && f.Zone == n.cfg.Zone && f.Machine == n.cfg.Machine &&
-			f.Lease == s.Maintenance.Rules.LeaseSpan && f.OwnerLease == n.keepSpan() {
+// join submits a join as long as the state doesn't know this front as it is.
+func (node *Node) join() {
+	state := node.replica.State()
+	if front := state.Members.Find(node.cfg.Name); state.Fleet == 0 || node.joining ||
+		front != nil && front.ID == node.id && front.Start == node.cfg.Start && front.Address == node.cfg.Address && front.Zone == node.cfg.Zone && front.Machine == node.cfg.Machine &&
+			front.Lease == state.Maintenance.Rules.LeaseSpan && front.OwnerLease == node.ownerLeaseSpan() {
 		return
 	}
-	n.joining = true
-	n.Submit(statemachine.Command{Join: &statemachine.Join{Front: n.self()}}, n.span(100), func(w statemachine.Result, err error) {
-		n.joining = false
-		if w.Err != "" {
-			n.tell("the fleet does not take this front in: %s", w.Err)
+	node.joining = true
+	node.Submit(statemachine.Command{Join: &statemachine.Join{Front: node.ownFront()}}, node.tickSpan(100), func(result statemachine.Result, err error) {
+		node.joining = false
+		if result.Err != "" {
+			node.addEvent("the fleet does not take this front in: %s", result.Err)
 		}
 	})
 }
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -8,184 +8,184 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// leases is what a front knows of its own lease, and what a leader grants to others.
-type leases struct {
-	own     lease.Lease
-	keep    lease.Lease  // as a keeper of sites
-	before  lease.Micros // the span that it lived by at the last look; 0: for ever
-	looked  bool
-	grantor lease.Grantor
-	began   Micros // the round under way
+// leaseState is the state of a front's own lease, and of the leases that a leader grants.
+type leaseState struct {
+	own            lease.Lease
+	owner          lease.Lease  // as an owner of sites
+	lastSpan       lease.Micros // span of the lease when last updated; 0: unlimited
+	spanKnown      bool
+	grantor        lease.Grantor
+	roundStartedAt Micros // start of the current round
 }
 
-// Clock moves this front's clock on without anything else, as must happen before a
-// message is received: what is passed on is measured from now.
-func (n *Node) AdvanceClock(now Micros) { n.now = max(n.now, now) }
+// AdvanceClock advances this front's clock without any other effect. It must be called before a
+// message is received: the leases passed on are measured from then.
+func (node *Node) AdvanceClock(now Micros) { node.now = max(node.now, now) }
 
-// Lives is the span that this front lives by without hearing the fleet; 0: for ever.
-func (n *Node) LeaseSpan() Micros {
-	s := n.rep.State()
-	rule, known := n.cfg.Rules.LeaseSpan, Micros(0)
-	if s.Fleet != 0 {
-		rule = s.Maintenance.Rules.LeaseSpan
+// LeaseSpan returns how long this front may act without hearing the fleet; 0: unlimited.
+func (node *Node) LeaseSpan() Micros {
+	state := node.replica.State()
+	rule, known := node.cfg.Rules.LeaseSpan, Micros(0)
+	if state.Fleet != 0 {
+		rule = state.Maintenance.Rules.LeaseSpan
 	}
-	if f := s.Members.Find(n.cfg.Name); f != nil && f.ID == n.id {
-		known = f.Lease
+	if front := state.Members.Find(node.cfg.Name); front != nil && front.ID == node.id {
+		known = front.Lease
 	}
 	return lease.EffectiveSpan(rule, known)
 }
 
-// Holds tells whether this front may act at a moment of its own clock. One that can't
-// read the fleet's entries any more can't know by what leave it would.
-func (n *Node) MayAct(now Micros) bool {
-	if n.stale != nil {
+// MayAct reports whether this front may act at a moment of its own clock. A front that can't
+// read the fleet's entries any more may not: it can't know its lease.
+func (node *Node) MayAct(now Micros) bool {
+	if node.staleErr != nil {
 		return false
 	}
-	span := n.leases.before // as of the last entry or tick: this is asked before each act
-	if !n.leases.looked {
-		span = n.LeaseSpan()
+	span := node.leases.lastSpan // as of the last entry or tick: MayAct is called before each act
+	if !node.leases.spanKnown {
+		span = node.LeaseSpan()
 	}
-	return span == 0 || n.leases.own.Valid(now) || n.rep.HasMutation(statemachine.DisableLeaseCheck)
+	return span == 0 || node.leases.own.Valid(now) || node.replica.HasMutation(statemachine.DisableLeaseCheck)
 }
 
-// Rep tells whether the replica leaves a rule out.
-func (n *Node) HasMutation(rule statemachine.Mutation) bool { return n.rep.HasMutation(rule) }
+// HasMutation reports whether a rule is disabled in the replica.
+func (node *Node) HasMutation(rule statemachine.Mutation) bool { return node.replica.HasMutation(rule) }
 
-// LeaseEnd is the moment up to which it may; 0: for ever, or not at all.
-func (n *Node) LeaseEnd() Micros { return n.leases.own.End() }
+// LeaseEnd returns the end of the lease by this front's clock; 0: unlimited, or no lease.
+func (node *Node) LeaseEnd() Micros { return node.leases.own.End() }
 
-// live keeps the lease within the span that the state has for this front. One that
-// may act for ever until now begins with a whole lease, since the others take it for
-// such until it joins with a span.
-func (n *Node) live() {
-	l := &n.leases
-	span := n.LeaseSpan()
-	l.own.Applied(n.applied)
-	l.keep.Applied(n.applied)
+// updateLease limits the lease to the span that the state has for this front. A front whose
+// lease was unlimited until now starts with a full span, since the others assume an unlimited
+// one until it joins with a span.
+func (node *Node) updateLease() {
+	leases := &node.leases
+	span := node.LeaseSpan()
+	leases.own.Applied(node.applied)
+	leases.owner.Applied(node.applied)
 	if span > 0 {
-		if l.looked && l.before == 0 {
-			l.own.Accept(lease.Grant{Stamp: max(1, n.now), Span: span, Index: n.applied}, span, n.applied)
+		if leases.spanKnown && leases.lastSpan == 0 {
+			leases.own.Accept(lease.Grant{Stamp: max(1, node.now), Span: span, Index: node.applied}, span, node.applied)
 		}
-		l.own.Shorten(n.now, span)
+		leases.own.Shorten(node.now, span)
 	}
-	l.before, l.looked = span, true
+	leases.lastSpan, leases.spanKnown = span, true
 }
 
-// wants is an ask for a lease, where this front lives by one.
-func (n *Node) wants() lease.Request {
-	if n.LeaseSpan() == 0 && n.cfg.OwnerLease == 0 {
+// leaseRequest returns the request for a lease; it is empty if this front needs none.
+func (node *Node) leaseRequest() lease.Request {
+	if node.LeaseSpan() == 0 && node.cfg.OwnerLease == 0 {
 		return lease.Request{}
 	}
-	return lease.Request{Stamp: max(1, n.now)}
+	return lease.Request{Stamp: max(1, node.now)}
 }
 
-// Keep is the moment of this front's clock up to which it may act as a keeper of sites,
-// and one before which a majority was asked whether that is so; 0: it may not.
-func (n *Node) OwnerLease() (end, asked Micros) {
-	if n.stale != nil {
+// OwnerLease returns the moment of this front's clock up to which it may act as an owner of
+// sites, and a moment before which a majority was asked to confirm it. An end of 0 means that it
+// may not act as an owner.
+func (node *Node) OwnerLease() (end, confirmedAt Micros) {
+	if node.staleErr != nil {
 		return 0, 0
 	}
-	return n.leases.keep.End(), n.leases.keep.End() - n.cfg.OwnerLease
+	return node.leases.owner.End(), node.leases.owner.End() - node.cfg.OwnerLease
 }
 
-// granting is what a leader does at every beat: it begins a round for those who have
-// asked, itself among them. While word that a front is lost is on its way nobody is
-// granted anything, so that no lease is asked for after its holder counts as lost.
-func (n *Node) granting() {
-	l := &n.leases
-	if l.grantor.InProgress() && n.now-l.began > n.span(feederTicks) { // no majority has answered
-		l.grantor.Reset()
+// startLeaseRound has the leader start a round for the fronts that have requested a lease,
+// itself among them. No round starts while the entry that reports a front as lost is on its
+// way, so that no lease is requested after its holder counts as lost.
+func (node *Node) startLeaseRound() {
+	leases := &node.leases
+	if leases.grantor.InProgress() && node.now-leases.roundStartedAt > node.tickSpan(feederTimeoutTicks) { // no majority has replied
+		leases.grantor.Reset()
 	}
-	if a := n.wants(); a.Stamp != 0 {
-		l.grantor.Add(lease.Requester{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, Request: a}, membership.MaxFronts)
+	if request := node.leaseRequest(); request.Stamp != 0 {
+		leases.grantor.Add(lease.Requester{Name: node.cfg.Name, ID: node.id, Start: node.cfg.Start, Request: request}, membership.MaxFronts)
 	}
-	if _, done := n.rep.Seen(n.factsID); !done && n.factsLost {
+	if _, done := node.replica.Seen(node.factsID); !done && node.factsReportLoss {
 		return
 	}
-	if number, ok := l.grantor.Begin(); ok {
-		l.began = n.now
-		n.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, number))
+	if number, ok := leases.grantor.Begin(); ok {
+		leases.roundStartedAt = node.now
+		node.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, number))
 	}
 }
 
-// confirmed takes the agreement's word that a majority still followed this leader
-// after a round began.
-func (n *Node) confirmed(context []byte, index uint64) {
+// confirmLeaseRound notes that a majority still followed this leader after a round began.
+func (node *Node) confirmLeaseRound(context []byte, index uint64) {
 	if len(context) == 8 {
-		n.leases.grantor.Confirmed(binary.BigEndian.Uint64(context), index)
+		node.leases.grantor.Confirmed(binary.BigEndian.Uint64(context), index)
 	}
 }
 
-// grant answers those whose round was confirmed and who are not lost in the state up
-// to there, under the process that the state knows: what an earlier process of a front
-// has said of boxes and versions counts until the state knows of the next, which
-// therefore may not act before that.
-func (n *Node) grant() {
-	list, index := n.leases.grantor.TakeConfirmed(n.applied)
-	s := n.rep.State()
-	for _, a := range list {
-		f := s.Members.Find(a.Name)
-		if f == nil || f.ID != a.ID || f.Start != a.Start || f.Lost || n.fenced(a.Name) {
+// answerLeaseRequests grants leases to the fronts whose round was confirmed and that are not
+// lost in the state up to there, if they run the process that the state knows. What an earlier
+// process of a front reported of boxes and versions counts until the state knows of the next
+// process, which therefore may not act before that.
+func (node *Node) answerLeaseRequests() {
+	list, index := node.leases.grantor.TakeConfirmed(node.applied)
+	state := node.replica.State()
+	for _, requester := range list {
+		front := state.Members.Find(requester.Name)
+		if front == nil || front.ID != requester.ID || front.Start != requester.Start || front.Lost || node.isFenced(requester.Name) {
 			continue
 		}
-		g := lease.Grant{Stamp: a.Request.Stamp, Span: s.Maintenance.Rules.LeaseSpan, Index: index}
-		if g.Span == 0 {
-			g.Span = f.Lease // until it has joined for ever
+		grant := lease.Grant{Stamp: requester.Request.Stamp, Span: state.Maintenance.Rules.LeaseSpan, Index: index}
+		if grant.Span == 0 {
+			grant.Span = front.Lease // until it has joined without a span
 		}
-		g.OwnerSpan = f.OwnerLease
-		if a.Name == n.cfg.Name {
-			n.granted(g)
+		grant.OwnerSpan = front.OwnerLease
+		if requester.Name == node.cfg.Name {
+			node.acceptGrant(grant)
 		} else {
-			n.send(a.Name, KindGrant, encode(g))
+			node.send(requester.Name, KindGrant, encode(grant))
 		}
 	}
 }
 
-// pass grants to a front that this one feeds what is left of its own lease, or has
-// it wait for a round where this one leads.
-func (n *Node) pass(from string, a AttachRequest) {
-	if a.Lease.Stamp == 0 || n.stale != nil {
+// delegateLease passes the rest of this front's own lease on to a child. A leader adds the
+// request to its next round instead.
+func (node *Node) delegateLease(from string, request AttachRequest) {
+	if request.Lease.Stamp == 0 || node.staleErr != nil {
 		return
 	}
-	if n.leads {
-		n.leases.grantor.Add(lease.Requester{Name: from, ID: a.ID, Start: a.Start, Request: a.Lease}, membership.MaxFronts)
+	if node.leading {
+		node.leases.grantor.Add(lease.Requester{Name: from, ID: request.ID, Start: request.Start, Request: request.Lease}, membership.MaxFronts)
 		return
 	}
-	f := n.rep.State().Members.Find(from)
-	if f == nil || f.ID != a.ID || f.Start != a.Start || f.Lost || n.fenced(from) {
+	front := node.replica.State().Members.Find(from)
+	if front == nil || front.ID != request.ID || front.Start != request.Start || front.Lost || node.isFenced(from) {
 		return
 	}
-	g, ok := lease.Grant{}, false
-	if n.LeaseSpan() > 0 {
-		g, ok = n.leases.own.Delegate(a.Lease, n.now)
+	grant, ok := lease.Grant{}, false
+	if node.LeaseSpan() > 0 {
+		grant, ok = node.leases.own.Delegate(request.Lease, node.now)
 	}
-	if k, held := n.leases.keep.Delegate(a.Lease, n.now); held && f.OwnerLease > 0 {
-		g.Stamp, g.OwnerSpan = k.Stamp, k.Span
-		if g.Index = max(g.Index, k.Index); !ok {
+	if owner, held := node.leases.owner.Delegate(request.Lease, node.now); held && front.OwnerLease > 0 {
+		grant.Stamp, grant.OwnerSpan = owner.Stamp, owner.Span
+		if grant.Index = max(grant.Index, owner.Index); !ok {
 			ok = true
 		}
 	}
 	if ok {
-		n.send(from, KindGrant, encode(g))
+		node.send(from, KindGrant, encode(grant))
 	}
 }
 
-// fenced tells whether a front is shut out for acting on an old version: it is granted
-// nothing until it has come up to what it is shut out below.
-func (n *Node) fenced(name string) bool {
-	x := n.rep.State().Rollout.Status(name)
-	return x != nil && x.Fenced > 0
+// isFenced reports whether a front is shut out for acting on an old version: it is granted no
+// lease until it acts on the version that is required.
+func (node *Node) isFenced(name string) bool {
+	status := node.replica.State().Rollout.Status(name)
+	return status != nil && status.Fenced > 0
 }
 
-// granted takes a grant in.
-func (n *Node) granted(g lease.Grant) {
-	if n.stale != nil {
+// acceptGrant accepts a grant.
+func (node *Node) acceptGrant(grant lease.Grant) {
+	if node.staleErr != nil {
 		return
 	}
-	if span := n.LeaseSpan(); span > 0 {
-		n.leases.own.Accept(g, span, n.applied)
+	if span := node.LeaseSpan(); span > 0 {
+		node.leases.own.Accept(grant, span, node.applied)
 	}
-	if n.cfg.OwnerLease > 0 {
-		n.leases.keep.Accept(lease.Grant{Stamp: g.Stamp, Span: g.OwnerSpan, Index: g.Index}, n.cfg.OwnerLease, n.applied)
+	if node.cfg.OwnerLease > 0 {
+		node.leases.owner.Accept(lease.Grant{Stamp: grant.Stamp, Span: grant.OwnerSpan, Index: grant.Index}, node.cfg.OwnerLease, node.applied)
 	}
 }
--- a/internal/fleet/consensus/maintenance.go
+++ b/internal/fleet/consensus/maintenance.go
@@ -7,135 +7,140 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// duty is what the fleet wants of this front for work on its own machine.
-type duty struct {
-	permit uint64 // that it is out under, or about to be; 0: none
-	out    bool   // it is to take no clients
-	sent   map[string]sent
+// maintenanceState is what the fleet wants of this front for maintenance of its machine.
+type maintenanceState struct {
+	permit       uint64 // under which it is out or about to be; 0: none
+	outOfService bool   // it has to take no clients
+	reports      map[string]sentReport
 }
 
-// sent is a report that was made, so that it is not made at every tick.
-type sent struct {
+// sentReport is the last report of its kind, so that it isn't repeated at every tick.
+type sentReport struct {
 	permit uint64
 	at     Micros
 }
 
-// Out tells whether this front is to take no clients, and under which permit.
-func (n *Node) OutOfService() (out bool, permit uint64) { return n.duty.out, n.duty.permit }
+// OutOfService reports whether this front has to take no clients, and under which permit.
+func (node *Node) OutOfService() (outOfService bool, permit uint64) {
+	return node.maintenance.outOfService, node.maintenance.permit
+}
 
-// Host tells what the front says of itself: that it takes no clients, that it holds
-// no request any more, and that it is in trouble.
-func (n *Node) SetHostState(away, empty, hurt bool) { n.away, n.empty, n.hurt = away, empty, hurt }
+// SetHostState sets what the host reports of itself: that it takes no clients, that it has no
+// request open, and that it is unhealthy.
+func (node *Node) SetHostState(notServing, idle, unhealthy bool) {
+	node.notServing, node.idle, node.unhealthy = notServing, idle, unhealthy
+}
 
-// Boxes gives the boxes that this front is to leave, by name.
-func (n *Node) BoxesToLeave() (list []string) {
-	for _, x := range n.rep.State().Maintenance.Operations {
-		if x.Kind == maintenance.Box && x.Phase != maintenance.Requested && !x.Phase.Ended() && x.Phase != maintenance.Returning {
-			list = append(list, x.Machine)
+// BoxesToLeave returns the names of the boxes that this front has to leave.
+func (node *Node) BoxesToLeave() (list []string) {
+	for _, op := range node.replica.State().Maintenance.Operations {
+		if op.Kind == maintenance.Box && op.Phase != maintenance.Requested && !op.Phase.Ended() && op.Phase != maintenance.Returning {
+			list = append(list, op.Machine)
 		}
 	}
 	return list
 }
 
-// LeftBox tells whether the front sends nothing new to a box and has nothing open there.
-func (n *Node) SetBoxLeft(box string, left bool) {
+// SetBoxLeft sets whether the front sends nothing new to a box and has nothing open there.
+func (node *Node) SetBoxLeft(box string, left bool) {
 	if left {
-		if _, known := n.boxes[box]; !known {
-			n.boxes[box] = n.now
+		if _, known := node.leftBoxes[box]; !known {
+			node.leftBoxes[box] = node.now
 		}
 	} else {
-		delete(n.boxes, box)
+		delete(node.leftBoxes, box)
 	}
 }
 
-// Rejoin tells that a person has the front take clients again: what it was out
-// for is given back.
-func (n *Node) Rejoin() {
-	if n.duty.permit != 0 && n.duty.out {
-		n.duty.out = false
-		n.report(statemachine.Returned, n.cfg.Name, n.duty.permit)
+// Rejoin has the front take clients again at an operator's request: the permit under which it
+// is out is returned.
+func (node *Node) Rejoin() {
+	if node.maintenance.permit != 0 && node.maintenance.outOfService {
+		node.maintenance.outOfService = false
+		node.report(statemachine.Returned, node.cfg.Name, node.maintenance.permit)
 	}
 }
 
-// dutyStep sees what the state wants of this front. Leave is only asked to be
+// updateMaintenance reads from the state what is wanted of this front. A permit is only
 // accepted here; the front goes out once its acceptance has been applied.
-func (n *Node) dutyStep() {
-	s := n.rep.State()
-	x := s.Maintenance.ForMachine(n.cfg.Name)
-	n.duty.out, n.duty.permit = false, 0
-	if !n.fresh && !n.leads { // what this front last knew may be long over
+func (node *Node) updateMaintenance() {
+	state := node.replica.State()
+	op := state.Maintenance.ForMachine(node.cfg.Name)
+	node.maintenance.outOfService, node.maintenance.permit = false, 0
+	if !node.caughtUp && !node.leading { // what this front last knew may be long outdated
 		return
 	}
-	if x != nil && x.Kind == maintenance.Front && n.stale == nil {
-		n.duty.permit = x.Permit
-		switch x.Phase {
+	if op != nil && op.Kind == maintenance.Front && node.staleErr == nil {
+		node.maintenance.permit = op.Permit
+		switch op.Phase {
 		case maintenance.Permitted:
-			// A leader hands over before its turn, where there is anybody to hand over to.
-			if !n.leads || n.successor() == 0 {
-				n.report(statemachine.Accepted, x.Machine, x.Permit)
+			// A leader first transfers the leadership, if there is another voter to take it.
+			if !node.leading || node.successor() == 0 {
+				node.report(statemachine.Accepted, op.Machine, op.Permit)
 			}
 		case maintenance.Draining:
-			n.duty.out = x.Holder == n.id
-			if n.duty.out && n.away && n.empty {
-				n.report(statemachine.Drained, x.Machine, x.Permit)
+			node.maintenance.outOfService = op.Holder == node.id
+			if node.maintenance.outOfService && node.notServing && node.idle {
+				node.report(statemachine.Drained, op.Machine, op.Permit)
 			}
 		case maintenance.Out:
-			n.duty.out = true
+			node.maintenance.outOfService = true
 		case maintenance.Returning:
-			if !n.away && (!x.Serving || x.Holder != n.id) {
-				n.report(statemachine.Returned, x.Machine, x.Permit)
+			if !node.notServing && (!op.Serving || op.Holder != node.id) {
+				node.report(statemachine.Returned, op.Machine, op.Permit)
 			}
 		}
 	}
-	for _, x := range s.Maintenance.Operations { // its beats have said so all the while; a leader of an older build does not hear that
-		if since, left := n.boxes[x.Machine]; left && x.Kind == maintenance.Box && x.Phase == maintenance.Permitted && n.now-since > n.span(leftTicks) {
-			if _, heard := slices.BinarySearch(x.LeftBy, n.cfg.Name); !heard {
-				n.report(statemachine.Left, x.Machine, x.Permit)
+	for _, op := range state.Maintenance.Operations { // its heartbeats already report this; a leader of an older build ignores that field
+		if since, left := node.leftBoxes[op.Machine]; left && op.Kind == maintenance.Box && op.Phase == maintenance.Permitted && node.now-since > node.tickSpan(leftReportTicks) {
+			if _, heard := slices.BinarySearch(op.LeftBy, node.cfg.Name); !heard {
+				node.report(statemachine.Left, op.Machine, op.Permit)
 			}
 		}
 	}
 }
 
-// leftTicks is after how long a front that has left a box says so by itself.
-const leftTicks = 50
+// leftReportTicks is the delay after which a front that has left a box reports it with a
+// command of its own.
+const leftReportTicks = 50
 
-// leftPermits are the permits of boxes that this front has left, as long as leave is
-// not whole.
-func (n *Node) leftPermits() (list []uint64) {
-	if !n.fresh && !n.leads {
+// leftPermits returns the permits of boxes that this front has left and that others may still
+// use.
+func (node *Node) leftPermits() (list []uint64) {
+	if !node.caughtUp && !node.leading {
 		return nil
 	}
-	for _, x := range n.rep.State().Maintenance.Operations {
-		if _, left := n.boxes[x.Machine]; left && x.Kind == maintenance.Box && x.Phase == maintenance.Permitted && len(list) < mostLeft {
-			list = append(list, x.Permit)
+	for _, op := range node.replica.State().Maintenance.Operations {
+		if _, left := node.leftBoxes[op.Machine]; left && op.Kind == maintenance.Box && op.Phase == maintenance.Permitted && len(list) < maxLeftPermits {
+			list = append(list, op.Permit)
 		}
 	}
 	return list
 }
 
-// gatherLeft has the leader report what beats have told of boxes that were left: one
-// entry for all fronts whose word is new.
-func (n *Node) gatherLeft() {
-	if _, done := n.rep.Seen(n.leftID); !done && n.leftID != (statemachine.ID{}) && n.now-n.leftAt < n.span(againTicks) {
+// proposeLeftBoxes has the leader propose what heartbeats report of boxes that were left: one
+// entry for all fronts with new reports.
+func (node *Node) proposeLeftBoxes() {
+	if _, done := node.replica.Seen(node.leftReportID); !done && node.leftReportID != (statemachine.ID{}) && node.now-node.leftReportAt < node.tickSpan(resendTicks) {
 		return
 	}
-	s := n.rep.State()
+	state := node.replica.State()
 	var reports []statemachine.Report
-	for _, x := range s.Maintenance.Operations {
-		if x.Kind != maintenance.Box || x.Phase != maintenance.Permitted {
+	for _, op := range state.Maintenance.Operations {
+		if op.Kind != maintenance.Box || op.Phase != maintenance.Permitted {
 			continue
 		}
-		for _, f := range s.Members.Fronts {
-			left := n.heard[f.Name].left
-			if f.Name == n.cfg.Name {
-				left = n.leftPermits()
+		for _, front := range state.Members.Fronts {
+			left := node.fronts[front.Name].leftPermits
+			if front.Name == node.cfg.Name {
+				left = node.leftPermits()
 			}
-			h := n.heard[f.Name]
-			if _, known := slices.BinarySearch(x.LeftBy, f.Name); known || h.id != f.ID || h.start != f.Start || !slices.Contains(left, x.Permit) {
+			info := node.fronts[front.Name]
+			if _, known := slices.BinarySearch(op.LeftBy, front.Name); known || info.id != front.ID || info.start != front.Start || !slices.Contains(left, op.Permit) {
 				continue
 			}
-			if reports = append(reports, statemachine.Report{Kind: statemachine.Left, Machine: x.Machine, Permit: x.Permit, Front: f.Name, ID: f.ID,
-				Start: f.Start}); len(reports) == mostReports {
+			if reports = append(reports, statemachine.Report{Kind: statemachine.Left, Machine: op.Machine, Permit: op.Permit, Front: front.Name, ID: front.ID,
+				Start: front.Start}); len(reports) == maxReports {
 				break
 			}
 		}
@@ -143,33 +148,33 @@
 	if len(reports) == 0 {
 		return
 	}
-	n.number++
-	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Reports: reports[:min(len(reports), mostReports)]}
-	if b, err := statemachine.Encode(c); err == nil && n.raw.Propose(b) == nil {
-		n.leftID, n.leftAt = c.ID, n.now
+	node.lastCommand++
+	command := statemachine.Command{ID: statemachine.ID{Front: node.id, Start: node.cfg.Start, N: node.lastCommand}, Reports: reports[:min(len(reports), maxReports)]}
+	if data, err := statemachine.Encode(command); err == nil && node.raw.Propose(data) == nil {
+		node.leftReportID, node.leftReportAt = command.ID, node.now
 	}
 }
 
-// mostReports bounds the words of one command: at most 160 bytes each.
-const mostReports = 96
+// maxReports limits the reports of one command, which have at most 160 bytes each.
+const maxReports = 96
 
-// report tells the fleet of a permit, and again while nothing has come of it.
-func (n *Node) report(what, machine string, permit uint64) {
-	if n.duty.sent == nil {
-		n.duty.sent = map[string]sent{}
+// report submits a report about a permit, and repeats it while it has had no effect.
+func (node *Node) report(kind, machine string, permit uint64) {
+	if node.maintenance.reports == nil {
+		node.maintenance.reports = map[string]sentReport{}
 	}
-	key := what + " " + machine
-	if last, ok := n.duty.sent[key]; ok && last.permit == permit && n.now-last.at < n.span(3*againTicks) {
+	key := kind + " " + machine
+	if last, ok := node.maintenance.reports[key]; ok && last.permit == permit && node.now-last.at < node.tickSpan(3*resendTicks) {
 		return
 	}
-	if len(n.duty.sent) > 1000 {
-		clear(n.duty.sent)
+	if len(node.maintenance.reports) > 1000 {
+		clear(node.maintenance.reports)
 	}
-	n.duty.sent[key] = sent{permit, n.now}
-	n.Submit(statemachine.Command{Reports: []statemachine.Report{{Kind: what, Machine: machine, Permit: permit, Front: n.cfg.Name, ID: n.id,
-		Start: n.cfg.Start}}}, n.span(3*againTicks), func(w statemachine.Result, err error) {
-		if w.Err != "" && what == statemachine.Accepted {
-			n.tell("the acceptance of permit %d came to nothing: %s", permit, w.Err)
+	node.maintenance.reports[key] = sentReport{permit, node.now}
+	node.Submit(statemachine.Command{Reports: []statemachine.Report{{Kind: kind, Machine: machine, Permit: permit, Front: node.cfg.Name, ID: node.id,
+		Start: node.cfg.Start}}}, node.tickSpan(3*resendTicks), func(result statemachine.Result, err error) {
+		if result.Err != "" && kind == statemachine.Accepted {
+			node.addEvent("the acceptance of permit %d came to nothing: %s", permit, result.Err)
 		}
 	})
 }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -15,66 +15,66 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// Kind is what a message between two fronts is.
+// Kind is the kind of a message between two fronts. The numbers are on the wire.
 type Kind uint8
 
-// The kinds.
+// Kinds of messages.
 const (
-	KindRaft          Kind = iota + 1 // the agreement library's own, as it marshals them
+	KindRaft          Kind = iota + 1 // a message of the raft library, as it marshals it
 	KindPropose                       // a command on its way to the leader
-	KindHeartbeat                     // a front is there, and those below it
-	KindAttach                        // feed me, from this entry on
-	KindEntries                       // entries that are committed, as the leader's own message
-	KindAttachReply                   // you are fed, from below this path; or ask another one
-	KindProbe                         // do you belong to a fleet?
-	KindProbeReply                    // the answer
-	KindGrant                         // a lease, for who asked for one with a beat or an ask
-	KindAuditQuestion                 // of a front's audit; not for the node
-	KindAuditAnswer                   // and what it says
+	KindHeartbeat                     // a Heartbeat
+	KindAttach                        // an AttachRequest
+	KindEntries                       // committed entries for a child, as a raft message of the leader
+	KindAttachReply                   // an AttachReply
+	KindProbe                         // a ProbeInfo that asks for the receiver's
+	KindProbeReply                    // the reply to a probe
+	KindGrant                         // a lease.Grant, for a request in a heartbeat or an attach request
+	KindAuditQuestion                 // a question about a front's audit; not handled by the node
+	KindAuditAnswer                   // the answer to it
 )
 
-// Beat tells that a front is there, and who is below it.
+// Heartbeat tells that a front, and those that heartbeat through it, are there.
 type Heartbeat struct {
 	Name       string      `cbor:"1,keyasint"`
 	ID         uint64      `cbor:"2,keyasint"`
 	Start      uint64      `cbor:"3,keyasint"`
 	NotServing bool        `cbor:"4,keyasint,omitempty"`
 	Applied    uint64      `cbor:"5,keyasint"`
-	Age        Micros      `cbor:"6,keyasint,omitempty"` // since it was heard by who tells
+	Age        Micros      `cbor:"6,keyasint,omitempty"` // since it was heard by the sender
 	Below      []Heartbeat `cbor:"7,keyasint,omitempty"`
 	Unhealthy  bool        `cbor:"8,keyasint,omitempty"`
 
-	Lease           lease.Request `cbor:"9,keyasint,omitzero"`   // of the sender itself, to the leader
+	Lease           lease.Request `cbor:"9,keyasint,omitzero"`   // request of the sender itself, to the leader
 	LeftPermits     []uint64      `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
-	MaxStateVersion int           `cbor:"11,keyasint,omitempty"` // the newest version of the state that its build reads
+	MaxStateVersion int           `cbor:"11,keyasint,omitempty"` // newest version of the state that its build can read
 
 	Stand *rollout.FrontStatus `cbor:"12,keyasint,omitempty"` // which version it acts on
 }
 
-// mostLeft bounds the boxes of one beat.
-const mostLeft = 64
+// maxLeftPermits limits the permits in one heartbeat.
+const maxLeftPermits = 64
 
-// Ask asks to be fed.
+// AttachRequest asks another front to feed this one with the committed entries.
 type AttachRequest struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Next    uint64 `cbor:"2,keyasint"`
-	Address string `cbor:"3,keyasint"` // where to answer: the fleet may not know this front yet
+	Address string `cbor:"3,keyasint"` // where to reply: the fleet may not know this front yet
 
 	Lease lease.Request `cbor:"4,keyasint,omitzero"`
 	Start uint64        `cbor:"5,keyasint,omitempty"` // of its process
 }
 
-// Fed is the answer.
+// AttachReply is the reply to an AttachRequest.
 type AttachReply struct {
-	Path         []string `cbor:"1,keyasint,omitempty"` // who feeds, and above it
-	Alternatives []string `cbor:"2,keyasint,omitempty"` // no place: ask these
+	Path         []string `cbor:"1,keyasint,omitempty"` // the feeder and the feeders above it, the nearest first
+	Alternatives []string `cbor:"2,keyasint,omitempty"` // no room: ask these instead
 	Full         bool     `cbor:"3,keyasint,omitempty"`
 }
 
-// Tell is what a front says of its past.
+// ProbeInfo is what a front knows of an existing fleet, for the founding.
 type ProbeInfo struct {
-	Fleet        uint64   `cbor:"1,keyasint"` // 0: it knows of none
-	FirstMembers []string `cbor:"2,keyasint"` // its named first members, in order
+	Fleet        uint64   `cbor:"1,keyasint"` // 0: none
+	FirstMembers []string `cbor:"2,keyasint"` // its configured first members, in order
 }
 
 var (
@@ -107,55 +107,55 @@
 	return cc, proto.Unmarshal(e.GetData(), cc)
 }
 
-// wrap puts the agreement's message on its way. What a front that is fed alone would
-// answer to the leader stays here: it asks its feeder instead. Once the leader
-// speaks to it, as to a learner that has not heard of its seat yet, it answers.
-func (n *Node) wrap(list []Message, m *raftpb.Message) []Message {
-	to := n.nameOf(m.GetTo())
-	if to == "" || to == n.cfg.Name || m.GetType() == raftpb.MsgAppResp && n.now-n.ledAt >= n.span(feederTicks) {
-		if m.GetType() == raftpb.MsgSnap {
-			n.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
+// appendRaftMessage appends a raft message to the list of those to send. The replies of a front
+// that only gets entries from a feeder are dropped: it asks the feeder instead. Once the leader
+// sends to it directly, as to a learner that does not know of its seat yet, it replies.
+func (node *Node) appendRaftMessage(list []Message, message *raftpb.Message) []Message {
+	to := node.nameOf(message.GetTo())
+	if to == "" || to == node.cfg.Name || message.GetType() == raftpb.MsgAppResp && node.now-node.leaderHeardAt >= node.tickSpan(feederTimeoutTicks) {
+		if message.GetType() == raftpb.MsgSnap {
+			node.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFailure)
 		}
 		return list
 	}
-	b, err := proto.Marshal(m)
+	data, err := proto.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("fleet: %v", err)) // its messages always encode
+		panic(fmt.Sprintf("fleet: %v", err)) // raft messages always encode
 	}
-	if m.GetType() == raftpb.MsgSnap { // whether it came, the next answers tell
-		n.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	if message.GetType() == raftpb.MsgSnap { // the next replies tell whether it arrived
+		node.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
-	return append(list, Message{To: to, Kind: KindRaft, Payload: b})
+	return append(list, Message{To: to, Kind: KindRaft, Payload: data})
 }
 
-// Receive takes a message in from another front, whose name its keys have proven.
-// The error tells of one that can't be read.
-func (n *Node) Receive(from string, kind Kind, payload []byte) error {
+// Receive handles a message from another front, whose name its certificate has proven. It
+// returns an error for a message that can't be read.
+func (node *Node) Receive(from string, kind Kind, payload []byte) error {
 	switch kind {
 	case KindRaft, KindEntries:
-		m := &raftpb.Message{}
-		if err := proto.Unmarshal(payload, m); err != nil {
+		message := &raftpb.Message{}
+		if err := proto.Unmarshal(payload, message); err != nil {
 			return fmt.Errorf("fleet: from %s: %w", from, err)
 		}
-		n.raft(from, kind, m)
+		node.stepRaft(from, kind, message)
 	case KindPropose:
-		c, err := statemachine.Decode(payload)
+		command, err := statemachine.Decode(payload)
 		if err != nil {
 			return fmt.Errorf("fleet: from %s: %w", from, err)
 		}
-		if _, ok := n.rep.Seen(c.ID); !ok { // whoever waits for it sees it in the log
-			n.forward(payload)
+		if _, ok := node.replica.Seen(command.ID); !ok { // the front that waits for it sees it in the log
+			node.forward(payload)
 		}
 	case KindHeartbeat:
-		return receive(payload, func(b Heartbeat) { n.beaten(from, b) })
+		return receive(payload, func(b Heartbeat) { node.handleHeartbeat(from, b) })
 	case KindAttach:
-		return receive(payload, func(a AttachRequest) { n.feed(from, a) })
+		return receive(payload, func(a AttachRequest) { node.handleAttach(from, a) })
 	case KindAttachReply:
-		return receive(payload, func(f AttachReply) { n.feeding(from, f) })
+		return receive(payload, func(f AttachReply) { node.handleAttachReply(from, f) })
 	case KindGrant:
-		return receive(payload, n.granted)
+		return receive(payload, node.acceptGrant)
 	case KindProbe, KindProbeReply:
-		return receive(payload, func(t ProbeInfo) { n.toldBy(from, kind, t) })
+		return receive(payload, func(t ProbeInfo) { node.handleProbe(from, kind, t) })
 	default:
 		return fmt.Errorf("fleet: from %s: message of kind %d", from, kind)
 	}
@@ -171,67 +171,68 @@
 	return nil
 }
 
-// raft steps the agreement. What is not for this incarnation is dropped: a front
-// that lost its disk must not answer for the one it was.
-func (n *Node) raft(from string, kind Kind, m *raftpb.Message) {
-	if m.GetTo() != n.id {
+// stepRaft passes a message to raft. Messages for another incarnation are dropped: a front that
+// lost its disk must not answer for its earlier incarnation.
+func (node *Node) stepRaft(from string, kind Kind, message *raftpb.Message) {
+	if message.GetTo() != node.id {
 		return
 	}
 	if kind == KindRaft {
-		n.names[m.GetFrom()] = from
-		if len(n.names) > 4096 {
-			clear(n.names)
+		node.namesByID[message.GetFrom()] = from
+		if len(node.namesByID) > 4096 {
+			clear(node.namesByID)
 		}
-	} else if from == n.feeder {
-		n.fed = n.now
+	} else if from == node.feeder {
+		node.feederHeardAt = node.now
 	}
-	switch m.GetType() {
+	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if kind == KindRaft {
-			n.ledAt = n.now
+			node.leaderHeardAt = node.now
 		}
-		// What was committed when this life first heard is applied before it acts.
-		n.fresh = n.fresh || n.applied > 0 && n.applied >= m.GetCommit() && m.GetType() != raftpb.MsgSnap
+		// What was committed when this process first heard the leader is applied before it
+		// acts.
+		node.caughtUp = node.caughtUp || node.applied > 0 && node.applied >= message.GetCommit() && message.GetType() != raftpb.MsgSnap
 	}
-	if c := m.GetSnapshot().GetMetadata().GetConfState(); kind == KindEntries && m.GetType() == raftpb.MsgSnap && !seated(c, n.id) {
-		n.fedSnapshot = m
+	if conf := message.GetSnapshot().GetMetadata().GetConfState(); kind == KindEntries && message.GetType() == raftpb.MsgSnap && !isSeated(conf, node.id) {
+		node.fedSnapshot = message
 		return
 	}
-	defer func() { // the library's word where what a disk had confirmed is not there any more
-		if p := recover(); p != nil {
-			n.broken = fmt.Errorf("%w: %v", ErrOutdatedDisk, p)
+	defer func() { // raft panics if entries that this disk had confirmed are missing
+		if cause := recover(); cause != nil {
+			node.failure = fmt.Errorf("%w: %v", ErrOutdatedDisk, cause)
 		}
 	}()
-	before := n.raw.BasicStatus()
-	_ = n.raw.Step(m) // what does not fit is dropped, as by a network
-	if after := n.raw.BasicStatus(); after.Lead != before.Lead && after.Lead != 0 && after.Lead != n.id {
-		n.tell("%s leads in term %d", n.nameOf(after.Lead), after.GetTerm())
+	before := node.raw.BasicStatus()
+	_ = node.raw.Step(message) // what raft rejects is dropped, as by a network
+	if after := node.raw.BasicStatus(); after.Lead != before.Lead && after.Lead != 0 && after.Lead != node.id {
+		node.addEvent("%s leads in term %d", node.nameOf(after.Lead), after.GetTerm())
 	}
 }
 
-// beat tells that this front is there: a voter to the leader, others to who feeds them.
-func (n *Node) beat() {
-	b := Heartbeat{Name: n.cfg.Name, ID: n.id, Start: n.cfg.Start, NotServing: n.away, Unhealthy: n.hurt, Applied: n.applied, LeftPermits: n.leftPermits(), MaxStateVersion: statemachine.Version, Stand: n.stand}
-	to := n.feeder
-	if lead, _ := n.Leader(); n.led() || to == "" {
-		to, b.Lease = n.nameOf(lead), n.wants()
+// sendHeartbeat sends a heartbeat: a voter to the leader, other fronts to their feeder.
+func (node *Node) sendHeartbeat() {
+	heartbeat := Heartbeat{Name: node.cfg.Name, ID: node.id, Start: node.cfg.Start, NotServing: node.notServing, Unhealthy: node.unhealthy, Applied: node.applied, LeftPermits: node.leftPermits(), MaxStateVersion: statemachine.Version, Stand: node.status}
+	to := node.feeder
+	if lead, _ := node.Leader(); node.followsLeader() || to == "" {
+		to, heartbeat.Lease = node.nameOf(lead), node.leaseRequest()
 	}
-	if n.leads || to == "" || to == n.cfg.Name || n.stale != nil { // one that can't read the entries counts as lost
+	if node.leading || to == "" || to == node.cfg.Name || node.staleErr != nil { // a front that can't read the entries counts as lost
 		return
 	}
-	for _, c := range n.children {
-		if h, ok := n.heard[c.name]; ok && n.now-h.at < n.cfg.LostAfter {
-			b.Below = append(b.Below, Heartbeat{Name: c.name, ID: h.id, Start: h.start, NotServing: h.away, Unhealthy: h.hurt, Applied: h.applied, Age: n.now - h.at, LeftPermits: h.left, MaxStateVersion: h.reads, Stand: h.stand})
+	for _, c := range node.children {
+		if info, ok := node.fronts[c.name]; ok && node.now-info.heardAt < node.cfg.LostAfter {
+			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: c.name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Stand: info.status})
 		}
 	}
-	// And those below them, as they told.
-	for name, h := range n.heard {
-		if n.now-h.at < n.cfg.LostAfter && !slices.ContainsFunc(n.children, func(c *child) bool { return c.name == name }) {
-			b.Below = append(b.Below, Heartbeat{Name: name, ID: h.id, Start: h.start, NotServing: h.away, Unhealthy: h.hurt, Applied: h.applied, Age: n.now - h.at, LeftPermits: h.left, MaxStateVersion: h.reads, Stand: h.stand})
+	// Those below them, as reported in their heartbeats.
+	for name, info := range node.fronts {
+		if node.now-info.heardAt < node.cfg.LostAfter && !slices.ContainsFunc(node.children, func(c *child) bool { return c.name == name }) {
+			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Stand: info.status})
 		}
 	}
-	slices.SortFunc(b.Below, func(x, y Heartbeat) int { return compare(x.Name, y.Name) })
-	n.send(to, KindHeartbeat, encode(b))
+	slices.SortFunc(heartbeat.Below, func(x, y Heartbeat) int { return compare(x.Name, y.Name) })
+	node.send(to, KindHeartbeat, encode(heartbeat))
 }
 
 func compare(a, b string) int {
@@ -244,29 +245,29 @@
 	return 0
 }
 
-// beaten takes a beat in.
-func (n *Node) beaten(from string, b Heartbeat) {
-	if b.Name != from {
+// handleHeartbeat notes a heartbeat, and those of the fronts below its sender.
+func (node *Node) handleHeartbeat(from string, heartbeat Heartbeat) {
+	if heartbeat.Name != from {
 		return
 	}
-	note := func(b Heartbeat) {
-		at := n.now - max(0, b.Age)
-		if old, ok := n.heard[b.Name]; !ok || old.at <= at {
-			n.heard[b.Name] = heard{id: b.ID, start: b.Start, at: at, away: b.NotServing, hurt: b.Unhealthy, applied: b.Applied, left: b.LeftPermits[:min(len(b.LeftPermits), mostLeft)], reads: b.MaxStateVersion, stand: b.Stand}
+	record := func(heartbeat Heartbeat) {
+		at := node.now - max(0, heartbeat.Age)
+		if old, ok := node.fronts[heartbeat.Name]; !ok || old.heardAt <= at {
+			node.fronts[heartbeat.Name] = frontInfo{id: heartbeat.ID, start: heartbeat.Start, heardAt: at, notServing: heartbeat.NotServing, unhealthy: heartbeat.Unhealthy, applied: heartbeat.Applied, leftPermits: heartbeat.LeftPermits[:min(len(heartbeat.LeftPermits), maxLeftPermits)], maxStateVersion: heartbeat.MaxStateVersion, status: heartbeat.Stand}
 		}
 	}
-	note(b)
-	if n.leads {
-		n.leases.grantor.Add(lease.Requester{Name: from, ID: b.ID, Start: b.Start, Request: b.Lease}, membership.MaxFronts)
+	record(heartbeat)
+	if node.leading {
+		node.leases.grantor.Add(lease.Requester{Name: from, ID: heartbeat.ID, Start: heartbeat.Start, Request: heartbeat.Lease}, membership.MaxFronts)
 	}
-	for _, x := range b.Below {
-		if x.Name != n.cfg.Name {
-			note(x)
+	for _, x := range heartbeat.Below {
+		if x.Name != node.cfg.Name {
+			record(x)
 		}
 	}
-	for name, h := range n.heard { // who has gone for long
-		if n.now-h.at > 10*n.cfg.LostAfter {
-			delete(n.heard, name)
+	for name, info := range node.fronts { // forget those that were not heard for long
+		if node.now-info.heardAt > 10*node.cfg.LostAfter {
+			delete(node.fronts, name)
 		}
 	}
 }
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -1,10 +1,13 @@
-// Package consensus is one front's part in a fleet's agreement: raft's RawNode round a
-// replica, the way in and out of the fleet, the feeding of fronts that do not
-// vote, and what the leader sees of the others. It has no socket, no disk and no
-// clock: moments and messages come in, and what is to be written, and then sent,
-// goes out (Ready), so that the same code runs in a process and in virtual time.
+// Package consensus is one front's part in the consensus of a fleet: raft's RawNode around a
+// replica, joining and leaving the fleet, the feeding of fronts that are not members of the
+// raft group, and the leader's view of the other fronts. It has no socket, no disk and no
+// clock: times and messages are passed in, and Ready returns what has to be written and then
+// sent, so that the same code runs in a process and in virtual time.
 //
-// It belongs to one goroutine.
+// Only a few fronts have a seat in the raft group. The others get the committed entries from
+// another front, their feeder; the fronts that a front feeds are its children.
+//
+// A Node must be used by one goroutine only.
 package consensus
 
 import (
@@ -27,10 +30,10 @@
 // Micros is a moment or a span of this front's own clock, in microseconds.
 type Micros = int64
 
-// Address is a front and where it is.
+// Address is the name of a front and its network address.
 type Address struct{ Name, Address string }
 
-// Config is one front's place in the fleet.
+// Config is the configuration of one front in the fleet.
 type Config struct {
 	Fleet        string
 	Name         string
@@ -38,690 +41,693 @@
 	Machine      string
 	Address      string
 	Build        string
-	Start        uint64 // of this process, drawn anew
+	Start        uint64 // random id of this process
 	FirstMembers []Address
 	Rules        maintenance.Rules
-	RandomID     func() uint64 // a random number that is not 0
+	RandomID     func() uint64 // returns a random number other than 0
 
-	Tick            Micros // of the agreement; an election takes ten to twenty without a leader
-	LostAfter       Micros // unheard for so long a front counts as lost
+	Tick            Micros // of raft; an election takes ten to twenty ticks without a leader
+	LostAfter       Micros // a front not heard for this long counts as lost
 	SeatGrace       Micros // fleet time for which a lost voter keeps its seat
-	OwnerLease      Micros // span of its lease as a keeper of a site; 0: it takes no part in what is exchanged
-	FanOut          int    // fronts that one feeds
-	SnapshotEntries uint64 // entries from which the log is begun anew
+	OwnerLease      Micros // span of its lease as an owner of sites; 0: it takes no part in the exchange
+	FanOut          int    // most children of a front
+	SnapshotEntries uint64 // the log is compacted after so many entries
 }
 
-// Spans of the protocol, in ticks.
+// Intervals and timeouts of the protocol, in ticks.
 const (
-	electionTicks = 10
-	beatTicks     = 5  // between two beats, asks for food, and looks at the others
-	againTicks    = 10 // after which a command is sent again
-	feederTicks   = 30 // without food from it, after which another feeder is asked
-	probeTicks    = 5
+	electionTicks      = 10
+	heartbeatTicks     = 5  // between heartbeats, attach requests, and leader checks
+	resendTicks        = 10 // after which a command is sent again
+	feederTimeoutTicks = 30 // without entries from the feeder, after which another one is asked
+	probeTicks         = 5
 )
 
-// Bounds.
+// Limits.
 const (
-	mostPending = 1024      // commands of this front that wait for their word
-	mostFeed    = 256 << 10 // bytes of entries of one message
-	mostPath    = 8         // feeders one above the other
-	nearEntries = 100       // behind which a front may be to become a learner
-	keepBehind  = 500       // entries kept behind a snapshot for those who are a little late
+	maxPending    = 1024      // commands of this front that wait for their results
+	maxEntryBytes = 256 << 10 // bytes of entries in one message
+	maxPathLength = 8         // feeders in a chain
+	maxLearnerLag = 100       // entries that a front may be behind to become a learner
+	keptEntries   = 500       // entries kept before a snapshot, for fronts that are a little late
 )
 
-// Errors.
+// Errors of a node.
 var (
 	ErrBusy           = errors.New("fleet: too many commands wait")
 	ErrOutdatedDisk   = errors.New("fleet: the disk is older than what the fleet has from it: empty the folder, and it comes back under a new incarnation")
 	ErrOutcomeUnknown = errors.New("fleet: no word in time: it may still be done")
 )
 
-// Send is a message to another front.
+// Message is a message to another front.
 type Message struct {
 	To      string
 	Kind    Kind
 	Payload []byte
 }
 
-// Output is what one Ready asks for: first the records on disk, then Done.
+// Output is the result of one Ready: first the records are written, then the messages sent,
+// then Advance is called.
 type Output struct {
-	Records  [][]byte  // to be appended to the journal
-	Rewrite  [][]byte  // or the journal begun anew with these; then Records is empty
-	Messages []Message // after the records are durable
+	Records  [][]byte  // to append to the journal
+	Rewrite  [][]byte  // or the journal is rewritten with these; then Records is empty
+	Messages []Message // to send once the records are durable
 	ready    *raft.Ready
 }
 
-// pending is a command that waits for its word.
-type pending struct {
-	id   statemachine.ID
-	data []byte
-	at   Micros // when it was last sent
-	end  Micros
-	done func(statemachine.Result, error)
+// pendingCommand is a command that waits for its result.
+type pendingCommand struct {
+	id       statemachine.ID
+	data     []byte
+	sentAt   Micros // when it was last sent
+	deadline Micros
+	done     func(statemachine.Result, error)
 }
 
-// child is a front that is fed.
+// child is a front that this one feeds.
 type child struct {
-	name  string
-	id    uint64
-	next  uint64 // entry that it is sent next
-	asked Micros
+	name    string
+	id      uint64
+	next    uint64 // next entry to send
+	askedAt Micros
 }
 
-// heard is what was last heard of a front.
-type heard struct {
-	id, start uint64
-	at        Micros
-	away      bool
-	hurt      bool
-	applied   uint64
-	left      []uint64 // permits of boxes that it has left
-	reads     int      // the newest version of the state that its build reads; 0: the first
-	stand     *rollout.FrontStatus
+// frontInfo is what was last heard of a front.
+type frontInfo struct {
+	id, start       uint64
+	heardAt         Micros
+	notServing      bool
+	unhealthy       bool
+	applied         uint64
+	leftPermits     []uint64 // permits of boxes that it has left
+	maxStateVersion int      // newest version of the state that its build can read; 0: the first
+	status          *rollout.FrontStatus
 }
 
-// Node is one front's part.
+// Node is one front's part in the consensus.
 type Node struct {
-	cfg     Config
-	id      uint64
-	now     Micros
-	raw     *raft.RawNode
-	store   *raft.MemoryStorage
-	rep     *statemachine.Replica
-	conf    *raftpb.ConfState
-	applied uint64
-	stale   error // why entries are no longer applied
-	broken  error // why this front must take no part
-	out     bool  // an output was given and is not done
-	sends   []Message
-	told    []string
-	rewrite bool
-
-	ticked  Micros
-	ticks   uint64
-	number  uint64 // of commands
-	waiting []*pending
-	names   map[uint64]string // of incarnations, as heard from their messages
+	cfg            Config
+	id             uint64
+	now            Micros
+	raw            *raft.RawNode
+	store          *raft.MemoryStorage
+	replica        *statemachine.Replica
+	confState      *raftpb.ConfState
+	applied        uint64
+	staleErr       error // why entries are no longer applied
+	failure        error // why this front must take no part
+	outputPending  bool  // an Output was returned and Advance was not called yet
+	sends          []Message
+	events         []string
+	rewriteJournal bool
+
+	tickedAt    Micros
+	ticks       uint64
+	lastCommand uint64 // number of the last command
+	pending     []*pendingCommand
+	namesByID   map[uint64]string // names of incarnations, from their messages
 
 	// Of a follower.
-	feeder   string
-	fed      Micros // when its feeder was last heard
-	ledAt    Micros // when the leader itself was
-	fresh    bool   // in this life it has applied all that was committed when it first heard
-	asked    Micros
-	path     []string // above us, the nearest first
-	tried    int
-	referred []string
-
-	// Of all.
-	addresses   map[string]string // of fronts that asked, which the fleet may not know yet
+	feeder         string
+	feederHeardAt  Micros // when the feeder was last heard
+	leaderHeardAt  Micros // when the leader itself was last heard
+	caughtUp       bool   // this process has applied all that was committed when it first heard the leader
+	attachSentAt   Micros
+	feederPath     []string // feeders above this front, the nearest first
+	feederAttempts int
+	alternatives   []string
+
+	// Of every front.
+	addresses   map[string]string // of fronts that asked to attach, which the fleet may not know yet
 	children    []*child
 	fedSnapshot *raftpb.Message // to be installed
-	heard       map[string]heard
+	fronts      map[string]frontInfo
 
 	// Of the leader.
-	leads     bool
-	facts     Micros // when time was last told
-	factsID   statemachine.ID
-	factsLost bool            // they told of a front that it is lost
-	leftID    statemachine.ID // of the last report for others that they have left boxes
-	leftAt    Micros
-	raisedAt  Micros
-	conf2     uint64 // index of the last change of seats that was proposed
-	confAt    Micros
-	handed    Micros
-	changing  string // what the council waits for
+	leading         bool
+	factsAt         Micros // when time was last proposed
+	factsID         statemachine.ID
+	factsReportLoss bool            // they report a front as lost
+	leftReportID    statemachine.ID // last command with reports of other fronts that left boxes
+	leftReportAt    Micros
+	raisedAt        Micros
+	confChangeIndex uint64 // index of the last proposed change of seats
+	confChangeAt    Micros
+	transferredAt   Micros
+	pendingChange   string // what the next change of seats waits for
 
 	// Of the founding, and of joining.
-	probed   map[string]probed
-	founding func() // once the fleet's first state is durable
-	joining  bool
-
-	// What the host says of itself.
-	away   bool
-	empty  bool
-	hurt   bool
-	boxes  map[string]Micros    // boxes in work that it has left, since when
-	stand  *rollout.FrontStatus // which version it acts on; nil: it takes none up
-	stood  map[string]stood     // of the leader: what it has proposed of fronts' stands
-	heads  Micros               // when heads of audits were last proposed
-	duty   duty
-	leases leases
-}
-
-// New makes a front's part from what its folder held, whose identity must be set.
-func New(cfg Config, r *Recovered, now Micros) (*Node, error) {
-	if r.Identity.Name != cfg.Name {
-		return nil, fmt.Errorf("%w: it is %s's, and this is %s", ErrForeignFolder, r.Identity.Name, cfg.Name)
-	}
-	if len(r.parts) > 0 {
+	probeReplies map[string]probeReply
+	onFounded    func() // called once the fleet's first state is durable
+	joining      bool
+
+	// State of the host.
+	notServing       bool
+	idle             bool
+	unhealthy        bool
+	leftBoxes        map[string]Micros         // boxes under maintenance that it has left, and since when
+	status           *rollout.FrontStatus      // version that it acts on; nil: it takes none up
+	proposedStatuses map[string]proposedStatus // of the leader: statuses of fronts that it has proposed
+	headsProposedAt  Micros                    // when audit heads were last proposed
+	maintenance      maintenanceState
+	leases           leaseState
+}
+
+// New returns a node with the content of its folder, whose identity must be set. It returns
+// ErrForeignFolder, ErrUnreadableRecord or ErrMissingEntries for a folder that can't be used.
+func New(cfg Config, recovered *Recovered, now Micros) (*Node, error) {
+	if recovered.Identity.Name != cfg.Name {
+		return nil, fmt.Errorf("%w: it is %s's, and this is %s", ErrForeignFolder, recovered.Identity.Name, cfg.Name)
+	}
+	if len(recovered.snapshotChunks) > 0 {
 		return nil, fmt.Errorf("%w: a snapshot without its end", ErrUnreadableRecord)
 	}
-	n := &Node{cfg: cfg, id: r.Identity.ID, now: now, ticked: now, fed: now, ledAt: now, facts: now, store: raft.NewMemoryStorage(),
-		rep: statemachine.New(), names: map[uint64]string{}, heard: map[string]heard{}, probed: map[string]probed{}, addresses: map[string]string{},
-		boxes: map[string]Micros{}}
-	if s := r.snapshot; s != nil {
-		if err := errors.Join(n.store.ApplySnapshot(s), n.restore(s)); err != nil {
+	node := &Node{cfg: cfg, id: recovered.Identity.ID, now: now, tickedAt: now, feederHeardAt: now, leaderHeardAt: now, factsAt: now, store: raft.NewMemoryStorage(),
+		replica: statemachine.New(), namesByID: map[uint64]string{}, fronts: map[string]frontInfo{}, probeReplies: map[string]probeReply{}, addresses: map[string]string{},
+		leftBoxes: map[string]Micros{}}
+	if snapshot := recovered.snapshot; snapshot != nil {
+		if err := errors.Join(node.store.ApplySnapshot(snapshot), node.restoreSnapshot(snapshot)); err != nil {
 			return nil, err
 		}
 	}
-	if r.hard != nil {
-		if r.hard.GetCommit() > r.snapshot.GetMetadata().GetIndex()+uint64(len(r.entries)) {
-			return nil, fmt.Errorf("%w: %d is committed", ErrMissingEntries, r.hard.GetCommit())
+	if recovered.hard != nil {
+		if recovered.hard.GetCommit() > recovered.snapshot.GetMetadata().GetIndex()+uint64(len(recovered.entries)) {
+			return nil, fmt.Errorf("%w: %d is committed", ErrMissingEntries, recovered.hard.GetCommit())
 		}
-		if err := n.store.SetHardState(r.hard); err != nil {
+		if err := node.store.SetHardState(recovered.hard); err != nil {
 			return nil, err
 		}
 	}
-	if err := n.store.Append(r.entries); err != nil {
+	if err := node.store.Append(recovered.entries); err != nil {
 		return nil, err
 	}
-	return n, n.wake()
+	return node, node.startRaft()
 }
 
-// wake begins the agreement on what is stored.
-func (n *Node) wake() error {
-	raw, err := raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: n.store,
-		Applied: n.applied, MaxSizePerMsg: mostFeed, MaxUncommittedEntriesSize: 4 << 20, MaxInflightMsgs: 64,
-		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{}})
+// startRaft starts raft on what is stored.
+func (node *Node) startRaft() error {
+	raw, err := raft.NewRawNode(&raft.Config{ID: node.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: node.store,
+		Applied: node.applied, MaxSizePerMsg: maxEntryBytes, MaxUncommittedEntriesSize: 4 << 20, MaxInflightMsgs: 64,
+		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: discardLogger{}})
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	n.raw = raw
+	node.raw = raw
 	return nil
 }
 
-// install takes a snapshot over that this front has no seat in: the agreement
-// library only takes those of its own members. What it had promised stays; entries
-// behind the snapshot that it may have confirmed as a voter once do not count, since
-// its seat went before them.
-func (n *Node) install(s *raftpb.Snapshot, term uint64) error {
-	hard, _, err := n.store.InitialState()
+// installSnapshot installs a snapshot in which this front has no seat: raft itself only accepts
+// those of its own members. Its term and vote are kept. Entries after the snapshot that it may
+// have confirmed as a voter do not count, since it lost its seat before them.
+func (node *Node) installSnapshot(snapshot *raftpb.Snapshot, term uint64) error {
+	hard, _, err := node.store.InitialState()
 	if err != nil {
 		return err
 	}
-	next := &raftpb.HardState{Term: new(max(hard.GetTerm(), term)), Commit: new(s.GetMetadata().GetIndex())}
+	next := &raftpb.HardState{Term: new(max(hard.GetTerm(), term)), Commit: new(snapshot.GetMetadata().GetIndex())}
 	if next.GetTerm() == hard.GetTerm() {
 		next.Vote = new(hard.GetVote())
 	}
-	n.store = raft.NewMemoryStorage()
-	if err := errors.Join(n.store.ApplySnapshot(s), n.store.SetHardState(next), n.restore(s)); err != nil {
+	node.store = raft.NewMemoryStorage()
+	if err := errors.Join(node.store.ApplySnapshot(snapshot), node.store.SetHardState(next), node.restoreSnapshot(snapshot)); err != nil {
 		return err
 	}
-	return n.wake()
+	return node.startRaft()
 }
 
-// ID is the front's incarnation.
-func (n *Node) ID() uint64 { return n.id }
+// ID returns the front's incarnation.
+func (node *Node) ID() uint64 { return node.id }
 
-// Replica is what this front has applied.
-func (n *Node) Replica() *statemachine.Replica { return n.rep }
+// Replica returns the state that this front has applied.
+func (node *Node) Replica() *statemachine.Replica { return node.replica }
 
-// Applied is the index of the last entry applied.
-func (n *Node) Applied() uint64 { return n.applied }
+// Applied returns the index of the last entry applied.
+func (node *Node) Applied() uint64 { return node.applied }
 
-// Leader is the incarnation that leads, as far as this front knows, and the term; 0: none.
-func (n *Node) Leader() (id, term uint64) {
-	s := n.raw.BasicStatus()
+// Leader returns the incarnation of the leader as far as this front knows, 0 if it knows none,
+// and the term.
+func (node *Node) Leader() (id, term uint64) {
+	s := node.raw.BasicStatus()
 	return s.Lead, s.GetTerm()
 }
 
-// LeaderName is the leader's name; empty: not known.
-func (n *Node) LeaderName() string {
-	id, _ := n.Leader()
-	return n.nameOf(id)
+// LeaderName returns the leader's name; empty: not known.
+func (node *Node) LeaderName() string {
+	id, _ := node.Leader()
+	return node.nameOf(id)
 }
 
-// Leads tells whether this front leads.
-func (n *Node) IsLeader() bool { return n.leads && n.raw.BasicStatus().RaftState == raft.StateLeader }
+// IsLeader reports whether this front leads.
+func (node *Node) IsLeader() bool {
+	return node.leading && node.raw.BasicStatus().RaftState == raft.StateLeader
+}
 
-// Broken tells why this front must take no part any more; nil: it may.
-func (n *Node) Broken() error { return n.broken }
+// Broken returns why this front must take no part any more; nil: it may.
+func (node *Node) Broken() error { return node.failure }
 
-// Fresh tells whether, since this process started, it has applied all that had been
-// committed when it first heard the fleet.
-func (n *Node) CaughtUp() bool { return n.fresh || n.leads }
+// CaughtUp reports whether, since this process started, it has applied all that had been
+// committed when it first heard the leader.
+func (node *Node) CaughtUp() bool { return node.caughtUp || node.leading }
 
-// InContact tells whether the fleet's leader is heard, directly or by who feeds this front.
-func (n *Node) InContact() bool {
-	return n.leads || n.led() || n.feeder != "" && n.now-n.fed < n.span(feederTicks)
+// InContact reports whether the leader is heard, directly or through the feeder.
+func (node *Node) InContact() bool {
+	return node.leading || node.followsLeader() || node.feeder != "" && node.now-node.feederHeardAt < node.tickSpan(feederTimeoutTicks)
 }
 
-// Stale tells why this front applies no more entries; nil: it does.
-func (n *Node) Stale() error { return n.stale }
+// Stale returns why this front applies no more entries; nil: it does.
+func (node *Node) Stale() error { return node.staleErr }
 
-// Feeder is who feeds this front; empty: nobody, it votes or knows of none.
-func (n *Node) Feeder() string { return n.feeder }
+// Feeder returns the front that feeds this one; empty: none, it votes or knows of none.
+func (node *Node) Feeder() string { return node.feeder }
 
-// Children counts the fronts that this one feeds.
-func (n *Node) Children() int { return len(n.children) }
+// Children returns the number of fronts that this one feeds.
+func (node *Node) Children() int { return len(node.children) }
 
-// Older gives the fronts that are not known to read a newer version of the state than
-// the fleet's, at the leader; none: there is no newer one, or all do.
-func (n *Node) OutdatedFronts() (names []string) {
-	s := n.rep.State()
-	if s.Version >= statemachine.Version {
+// OutdatedFronts returns, at the leader, the fronts that are not known to read the newest
+// version of the state; none if the state has that version already, or all can read it.
+func (node *Node) OutdatedFronts() (names []string) {
+	state := node.replica.State()
+	if state.Version >= statemachine.Version {
 		return nil
 	}
-	for _, f := range s.Members.Fronts {
-		if h := n.heard[f.Name]; f.Name != n.cfg.Name && (h.id != f.ID || h.start != f.Start || h.reads < statemachine.Version) {
-			names = append(names, f.Name)
+	for _, front := range state.Members.Fronts {
+		if info := node.fronts[front.Name]; front.Name != node.cfg.Name && (info.id != front.ID || info.start != front.Start || info.maxStateVersion < statemachine.Version) {
+			names = append(names, front.Name)
 		}
 	}
 	return names
 }
 
-// raise has the state's version raised once all fronts are known to read it.
-func (n *Node) raise() {
-	if s := n.rep.State(); s.Version >= statemachine.Version || n.now-n.raisedAt < n.span(againTicks) || len(n.OutdatedFronts()) > 0 {
+// raiseVersion proposes the newest version of the state once all fronts are known to read it.
+func (node *Node) raiseVersion() {
+	if state := node.replica.State(); state.Version >= statemachine.Version || node.now-node.raisedAt < node.tickSpan(resendTicks) || len(node.OutdatedFronts()) > 0 {
 		return
 	}
-	n.raisedAt = n.now
-	n.number++
-	c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, RaiseVersion: statemachine.Version}
-	if b, err := statemachine.Encode(c); err == nil {
-		_ = n.raw.Propose(b) // or the next time
+	node.raisedAt = node.now
+	node.lastCommand++
+	command := statemachine.Command{ID: statemachine.ID{Front: node.id, Start: node.cfg.Start, N: node.lastCommand}, RaiseVersion: statemachine.Version}
+	if data, err := statemachine.Encode(command); err == nil {
+		_ = node.raw.Propose(data) // tried again later
 	}
 }
 
-// Changing tells what the council's next change waits for, at the leader.
-func (n *Node) PendingChange() string { return n.changing }
+// PendingChange returns, at the leader, what the next change of seats waits for.
+func (node *Node) PendingChange() string { return node.pendingChange }
 
-// Term is the term of an applied or kept entry; 0: not known any more.
-func (n *Node) EntryTerm(index uint64) uint64 {
-	t, err := n.store.Term(index)
+// EntryTerm returns the term of an applied or kept entry; 0: not known any more.
+func (node *Node) EntryTerm(index uint64) uint64 {
+	t, err := node.store.Term(index)
 	if err != nil {
 		return 0
 	}
 	return t
 }
 
-// Told gives what has happened since it was last asked, a line each.
-func (n *Node) Events() (lines []string) {
-	lines, n.told = n.told, nil
+// Events returns the events since the last call, one line each.
+func (node *Node) Events() (lines []string) {
+	lines, node.events = node.events, nil
 	return lines
 }
 
-func (n *Node) tell(format string, args ...any) {
-	if len(n.told) < 256 {
-		n.told = append(n.told, fmt.Sprintf(format, args...))
+func (node *Node) addEvent(format string, args ...any) {
+	if len(node.events) < 256 {
+		node.events = append(node.events, fmt.Sprintf(format, args...))
 	}
 }
 
-// seat tells whether this front takes part in the agreement itself.
-func (n *Node) seat() bool { return seated(n.conf, n.id) }
+// hasSeat reports whether this front is a member of the raft group.
+func (node *Node) hasSeat() bool { return isSeated(node.confState, node.id) }
 
-// seated tells whether an incarnation votes or learns.
-func seated(c *raftpb.ConfState, id uint64) bool {
+// isSeated reports whether an incarnation is a voter or a learner.
+func isSeated(c *raftpb.ConfState, id uint64) bool {
 	return slices.Contains(c.GetVoters(), id) || slices.Contains(c.GetLearners(), id) || slices.Contains(c.GetVotersOutgoing(), id)
 }
 
-func (n *Node) nameOf(id uint64) string {
-	if f := n.rep.State().Members.ByID(id); f != nil {
+func (node *Node) nameOf(id uint64) string {
+	if f := node.replica.State().Members.ByID(id); f != nil {
 		return f.Name
 	}
-	return n.names[id]
+	return node.namesByID[id]
 }
 
-// AddressOf is where a front is reached; empty: not known.
-func (n *Node) AddressOf(name string) string {
-	if f := n.rep.State().Members.Find(name); f != nil {
+// AddressOf returns the address of a front; empty: not known.
+func (node *Node) AddressOf(name string) string {
+	if f := node.replica.State().Members.Find(name); f != nil {
 		return f.Address
 	}
-	for _, a := range n.cfg.FirstMembers {
+	for _, a := range node.cfg.FirstMembers {
 		if a.Name == name {
 			return a.Address
 		}
 	}
-	return n.addresses[name]
+	return node.addresses[name]
 }
 
-// Tick moves this front's clock on.
-func (n *Node) Tick(now Micros) {
-	n.now = max(n.now, now)
-	// After a pause time has passed and nothing was heard: a few ticks will do.
-	for i := 0; n.now-n.ticked >= n.cfg.Tick; i++ {
+// Tick advances this front's clock.
+func (node *Node) Tick(now Micros) {
+	node.now = max(node.now, now)
+	// After a pause, time has passed in which nothing was heard: a few ticks are enough.
+	for i := 0; node.now-node.tickedAt >= node.cfg.Tick; i++ {
 		if i == 3 {
-			n.ticked = n.now
+			node.tickedAt = node.now
 			break
 		}
-		n.ticked += n.cfg.Tick
-		n.ticks++
-		n.raw.Tick()
-		n.chores()
+		node.tickedAt += node.cfg.Tick
+		node.ticks++
+		node.raw.Tick()
+		node.runTick()
 	}
 }
 
-// chores are what is done at every tick.
-func (n *Node) chores() {
-	n.live()
-	n.lead()
-	if n.ticks%beatTicks == 0 {
-		n.beat()
-		n.attach()
-		n.join()
+// runTick runs the tasks of a tick.
+func (node *Node) runTick() {
+	node.updateLease()
+	node.leaderTick()
+	if node.ticks%heartbeatTicks == 0 {
+		node.sendHeartbeat()
+		node.attach()
+		node.join()
 	}
-	if n.ticks%probeTicks == 0 {
-		n.probe()
+	if node.ticks%probeTicks == 0 {
+		node.probe()
 	}
-	n.again()
-	n.dutyStep()
+	node.resendPending()
+	node.updateMaintenance()
 }
 
-// span is so many ticks.
-func (n *Node) span(ticks int) Micros { return Micros(ticks) * n.cfg.Tick }
+// tickSpan returns the span of a number of ticks.
+func (node *Node) tickSpan(ticks int) Micros { return Micros(ticks) * node.cfg.Tick }
 
-// Submit has a command applied, once; done is told its word, or that none came
-// within a span.
-func (n *Node) Submit(c statemachine.Command, within Micros, done func(statemachine.Result, error)) {
-	if len(n.waiting) >= mostPending {
+// Submit has a command applied once. done is called with its result, with ErrBusy if too many
+// commands wait, or with ErrOutcomeUnknown if there is no result within the timeout.
+func (node *Node) Submit(command statemachine.Command, timeout Micros, done func(statemachine.Result, error)) {
+	if len(node.pending) >= maxPending {
 		done(statemachine.Result{}, ErrBusy)
 		return
 	}
-	if err := n.rep.CheckSupported(&c); err != nil {
+	if err := node.replica.CheckSupported(&command); err != nil {
 		done(statemachine.Result{Err: err.Error()}, nil)
 		return
 	}
-	n.number++
-	c.ID = statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}
-	data, err := statemachine.Encode(c)
+	node.lastCommand++
+	command.ID = statemachine.ID{Front: node.id, Start: node.cfg.Start, N: node.lastCommand}
+	data, err := statemachine.Encode(command)
 	if err != nil {
 		done(statemachine.Result{}, err)
 		return
 	}
-	p := &pending{id: c.ID, data: data, end: n.now + within, done: done}
-	n.waiting = append(n.waiting, p)
-	n.propose(p)
+	p := &pendingCommand{id: command.ID, data: data, deadline: node.now + timeout, done: done}
+	node.pending = append(node.pending, p)
+	node.propose(p)
 }
 
-// propose sends a command to the leader, or the way that leads there.
-func (n *Node) propose(p *pending) {
-	p.at = n.now
-	n.forward(p.data)
+// propose sends a command to the leader, or towards it.
+func (node *Node) propose(command *pendingCommand) {
+	command.sentAt = node.now
+	node.forward(command.data)
 }
 
-func (n *Node) forward(data []byte) {
-	lead, _ := n.Leader()
-	switch name := n.nameOf(lead); {
-	case lead == n.id && n.seat():
-		_ = n.raw.Propose(data) // dropped ones are sent again
-	case n.led() && name != "":
-		n.send(name, KindPropose, data)
-	case n.feeder != "":
-		n.send(n.feeder, KindPropose, data)
+func (node *Node) forward(data []byte) {
+	lead, _ := node.Leader()
+	switch name := node.nameOf(lead); {
+	case lead == node.id && node.hasSeat():
+		_ = node.raw.Propose(data) // dropped ones are sent again
+	case node.followsLeader() && name != "":
+		node.send(name, KindPropose, data)
+	case node.feeder != "":
+		node.send(node.feeder, KindPropose, data)
 	case name != "":
-		n.send(name, KindPropose, data)
+		node.send(name, KindPropose, data)
 	}
 }
 
-// again sends commands anew whose word has not come, and gives up those whose time
-// is over.
-func (n *Node) again() {
-	waiting := n.waiting
-	n.waiting = n.waiting[:0:0]
-	for _, p := range waiting {
+// resendPending sends commands without a result again, and gives up those past their deadline.
+func (node *Node) resendPending() {
+	waiting := node.pending
+	node.pending = node.pending[:0:0]
+	for _, command := range waiting {
 		switch {
-		case n.now >= p.end:
-			p.done(statemachine.Result{}, ErrOutcomeUnknown)
-		case n.now-p.at >= n.span(againTicks):
-			n.waiting = append(n.waiting, p)
-			n.propose(p)
+		case node.now >= command.deadline:
+			command.done(statemachine.Result{}, ErrOutcomeUnknown)
+		case node.now-command.sentAt >= node.tickSpan(resendTicks):
+			node.pending = append(node.pending, command)
+			node.propose(command)
 		default:
-			n.waiting = append(n.waiting, p)
+			node.pending = append(node.pending, command)
 		}
 	}
 }
 
-// word tells a waiting command what became of it.
-func (n *Node) word(id statemachine.ID, w statemachine.Result) {
-	i := slices.IndexFunc(n.waiting, func(p *pending) bool { return p.id == id })
+// completeCommand passes its result to a waiting command.
+func (node *Node) completeCommand(id statemachine.ID, result statemachine.Result) {
+	i := slices.IndexFunc(node.pending, func(command *pendingCommand) bool { return command.id == id })
 	if i < 0 {
 		return
 	}
-	p := n.waiting[i]
-	n.waiting = slices.Delete(n.waiting, i, i+1)
-	p.done(w, nil)
+	command := node.pending[i]
+	node.pending = slices.Delete(node.pending, i, i+1)
+	command.done(result, nil)
 }
 
-func (n *Node) send(to string, kind Kind, payload []byte) {
-	if to != n.cfg.Name && to != "" {
-		n.sends = append(n.sends, Message{To: to, Kind: kind, Payload: payload})
+func (node *Node) send(to string, kind Kind, payload []byte) {
+	if to != node.cfg.Name && to != "" {
+		node.sends = append(node.sends, Message{To: to, Kind: kind, Payload: payload})
 	}
 }
 
-// Ready gives what is to be written and then sent, if anything; it is not asked
-// again before Done.
-func (n *Node) Ready() (out Output, ok bool) {
-	if n.out {
+// Ready returns what has to be written and then sent, if anything. After an Output with records
+// it returns nothing until Advance is called.
+func (node *Node) Ready() (out Output, ok bool) {
+	if node.outputPending {
 		return out, false
 	}
-	if n.rewrite {
-		n.rewrite, n.out = false, true
-		return Output{Rewrite: n.image()}, true
+	if node.rewriteJournal {
+		node.rewriteJournal, node.outputPending = false, true
+		return Output{Rewrite: node.journalImage()}, true
 	}
-	if f := n.fedSnapshot; f != nil {
-		n.fedSnapshot = nil
-		if i := f.Snapshot.GetMetadata().GetIndex(); i > n.applied {
-			if err := n.install(f.Snapshot, f.GetTerm()); err != nil {
-				n.stale = err
-				n.tell("%v: this build takes no further part", err)
+	if message := node.fedSnapshot; message != nil {
+		node.fedSnapshot = nil
+		if i := message.Snapshot.GetMetadata().GetIndex(); i > node.applied {
+			if err := node.installSnapshot(message.Snapshot, message.GetTerm()); err != nil {
+				node.staleErr = err
+				node.addEvent("%v: this build takes no further part", err)
 			} else {
-				n.out = true
-				return Output{Rewrite: n.image()}, true
+				node.outputPending = true
+				return Output{Rewrite: node.journalImage()}, true
 			}
 		}
 	}
-	out.Messages, n.sends = n.sends, nil
-	if n.raw.HasReady() {
-		rd := n.raw.Ready()
+	out.Messages, node.sends = node.sends, nil
+	if node.raw.HasReady() {
+		rd := node.raw.Ready()
 		out.ready = &rd
-		for _, e := range rd.Entries {
-			out.Records = append(out.Records, record(recEntry, e))
+		for _, entry := range rd.Entries {
+			out.Records = append(out.Records, record(recEntry, entry))
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
 			out.Records = append(out.Records, record(recHard, rd.HardState))
 		}
-		if !raft.IsEmptySnap(rd.Snapshot) { // whole or not at all
-			out.Rewrite = append([][]byte{IdentityRecord(Identity{Name: n.cfg.Name, ID: n.id})}, snapshotRecords(rd.Snapshot)...)
+		if !raft.IsEmptySnap(rd.Snapshot) { // all of it or nothing
+			out.Rewrite = append([][]byte{IdentityRecord(Identity{Name: node.cfg.Name, ID: node.id})}, snapshotRecords(rd.Snapshot)...)
 			out.Rewrite, out.Records = append(out.Rewrite, out.Records...), nil
 		}
 		for _, r := range rd.ReadStates {
-			n.confirmed(r.RequestCtx, r.Index)
+			node.confirmLeaseRound(r.RequestCtx, r.Index)
 		}
-		for _, m := range rd.Messages {
-			out.Messages = n.wrap(out.Messages, m)
+		for _, raftMessage := range rd.Messages {
+			out.Messages = node.appendRaftMessage(out.Messages, raftMessage)
 		}
 	}
-	n.out = out.ready != nil
-	return out, n.out || len(out.Messages) > 0
+	node.outputPending = out.ready != nil
+	return out, node.outputPending || len(out.Messages) > 0
 }
 
-// Done takes an output's records as durable, and applies what it commits.
-func (n *Node) Advance(out Output) error {
+// Advance takes the records of an Output as durable, and applies what it commits.
+func (node *Node) Advance(out Output) error {
 	if out.ready == nil && out.Rewrite == nil {
 		return nil
 	}
-	n.out = false
+	node.outputPending = false
 	if out.ready == nil {
 		return nil
 	}
 	rd := out.ready
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := n.store.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+		if err := node.store.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 			return fmt.Errorf("fleet: %w", err)
 		}
-		if err := n.restore(rd.Snapshot); err != nil {
-			n.stale = err
+		if err := node.restoreSnapshot(rd.Snapshot); err != nil {
+			node.staleErr = err
 		}
 	}
-	if err := n.store.Append(rd.Entries); err != nil {
+	if err := node.store.Append(rd.Entries); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		if err := n.store.SetHardState(rd.HardState); err != nil {
+		if err := node.store.SetHardState(rd.HardState); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
 	}
-	for _, e := range rd.CommittedEntries {
-		n.apply(e)
+	for _, entry := range rd.CommittedEntries {
+		node.applyEntry(entry)
 	}
-	n.raw.Advance(*rd)
-	if n.founding != nil && n.applied > 0 {
-		do := n.founding
-		n.founding = nil
-		_ = n.raw.Campaign() // alone, it leads at once
+	node.raw.Advance(*rd)
+	if node.onFounded != nil && node.applied > 0 {
+		do := node.onFounded
+		node.onFounded = nil
+		_ = node.raw.Campaign() // as the only voter, it leads at once
 		do()
 	}
-	n.leads = n.raw.BasicStatus().RaftState == raft.StateLeader && n.begin()
+	node.leading = node.raw.BasicStatus().RaftState == raft.StateLeader && node.startLeading()
 	if len(rd.CommittedEntries) > 0 {
-		n.feedAll()
-		n.dutyStep()
+		node.feedChildren()
+		node.updateMaintenance()
 	}
-	n.live()
-	if n.leads {
-		n.grant()
+	node.updateLease()
+	if node.leading {
+		node.answerLeaseRequests()
 	}
-	n.compact()
+	node.compact()
 	return nil
 }
 
-// begin notes that leading has begun, from which moment on time is told.
-func (n *Node) begin() bool {
-	if !n.leads {
-		n.facts, n.confAt, n.handed, n.conf2 = n.now, n.now, n.now, 0
-		n.factsLost = false
-		n.leases.grantor.Reset()
-		n.heard = map[string]heard{}
-		for _, f := range n.rep.State().Members.Fronts { // nobody is lost for not having been heard by another
+// startLeading resets the leader's state when leading begins; time is proposed from then on.
+func (node *Node) startLeading() bool {
+	if !node.leading {
+		node.factsAt, node.confChangeAt, node.transferredAt, node.confChangeIndex = node.now, node.now, node.now, 0
+		node.factsReportLoss = false
+		node.leases.grantor.Reset()
+		node.fronts = map[string]frontInfo{}
+		for _, f := range node.replica.State().Members.Fronts { // a front that only the last leader has heard is not lost
 			if !f.Lost {
-				n.heard[f.Name] = heard{id: f.ID, start: f.Start, at: n.now, away: f.NotServing, hurt: f.Unhealthy}
+				node.fronts[f.Name] = frontInfo{id: f.ID, start: f.Start, heardAt: node.now, notServing: f.NotServing, unhealthy: f.Unhealthy}
 			}
 		}
-		n.tell("this front leads")
+		node.addEvent("this front leads")
 	}
 	return true
 }
 
-// apply applies one committed entry.
-func (n *Node) apply(e *raftpb.Entry) {
-	index := e.GetIndex()
-	if index <= n.applied {
+// applyEntry applies one committed entry.
+func (node *Node) applyEntry(entry *raftpb.Entry) {
+	index := entry.GetIndex()
+	if index <= node.applied {
 		return
 	}
-	switch e.GetType() {
+	switch entry.GetType() {
 	case raftpb.EntryConfChangeV2, raftpb.EntryConfChange:
-		cc, err := decodeChange(e)
-		if err != nil { // raft would not have let it in
+		cc, err := decodeChange(entry)
+		if err != nil { // raft would not have accepted it
 			panic(fmt.Sprintf("fleet: entry %d: %v", index, err))
 		}
-		n.conf = n.raw.ApplyConfChange(cc)
-		if n.stale == nil {
-			n.told = append(n.told, n.rep.ApplySeats(seats(n.conf))...)
+		node.confState = node.raw.ApplyConfChange(cc)
+		if node.staleErr == nil {
+			node.events = append(node.events, node.replica.ApplySeats(seatsOf(node.confState))...)
 		}
 	default:
-		if len(e.GetData()) > 0 && n.stale == nil {
-			c, err := statemachine.Decode(e.GetData())
+		if len(entry.GetData()) > 0 && node.staleErr == nil {
+			command, err := statemachine.Decode(entry.GetData())
 			if err != nil {
-				n.stale = fmt.Errorf("entry %d: %w", index, err)
-				n.tell("%v: this build takes no further part", n.stale)
+				node.staleErr = fmt.Errorf("entry %d: %w", index, err)
+				node.addEvent("%v: this build takes no further part", node.staleErr)
 				break
 			}
-			w, told := n.rep.Apply(c)
-			n.told = append(n.told, told...)
-			n.word(c.ID, w)
+			result, events := node.replica.Apply(command)
+			node.events = append(node.events, events...)
+			node.completeCommand(command.ID, result)
 		}
 	}
-	n.applied = index
+	node.applied = index
 }
 
-// restore takes a snapshot's state over.
-func (n *Node) restore(s *raftpb.Snapshot) error {
-	if err := n.rep.Restore(s.GetData()); err != nil {
+// restoreSnapshot replaces the state by that of a snapshot.
+func (node *Node) restoreSnapshot(snapshot *raftpb.Snapshot) error {
+	if err := node.replica.Restore(snapshot.GetData()); err != nil {
 		return err
 	}
-	n.conf, n.applied = s.GetMetadata().GetConfState(), s.GetMetadata().GetIndex()
-	for _, p := range slices.Clone(n.waiting) {
-		if w, ok := n.rep.Seen(p.id); ok {
-			n.word(p.id, w)
+	node.confState, node.applied = snapshot.GetMetadata().GetConfState(), snapshot.GetMetadata().GetIndex()
+	for _, p := range slices.Clone(node.pending) {
+		if result, ok := node.replica.Seen(p.id); ok {
+			node.completeCommand(p.id, result)
 		}
 	}
 	return nil
 }
 
-func seats(c *raftpb.ConfState) membership.Seats {
+func seatsOf(c *raftpb.ConfState) membership.Seats {
 	return membership.Seats{Voters: slices.Clone(c.GetVoters()), Learners: slices.Clone(c.GetLearners()),
 		Joint: len(c.GetVotersOutgoing()) > 0}
 }
 
-// compact begins the log anew once it has grown. Who is further behind than what is
-// kept gets a snapshot, so that nobody holds the log.
-func (n *Node) compact() {
-	first, err := n.store.FirstIndex()
-	if err != nil || n.stale != nil || n.applied < first+n.cfg.SnapshotEntries {
+// compact compacts the log once it has grown. A front that is further behind than what is kept
+// gets a snapshot, so that no front blocks the compaction.
+func (node *Node) compact() {
+	first, err := node.store.FirstIndex()
+	if err != nil || node.staleErr != nil || node.applied < first+node.cfg.SnapshotEntries {
 		return
 	}
-	if _, err := n.store.CreateSnapshot(n.applied, n.conf, n.rep.Snapshot()); err != nil {
+	if _, err := node.store.CreateSnapshot(node.applied, node.confState, node.replica.Snapshot()); err != nil {
 		return
 	}
-	if err := n.store.Compact(n.applied - min(keepBehind, n.cfg.SnapshotEntries/2)); err == nil {
-		n.rewrite = true
+	if err := node.store.Compact(node.applied - min(keptEntries, node.cfg.SnapshotEntries/2)); err == nil {
+		node.rewriteJournal = true
 	}
 }
 
-// image is the journal's records from here on.
-func (n *Node) image() [][]byte {
-	list := [][]byte{IdentityRecord(Identity{Name: n.cfg.Name, ID: n.id})}
-	s, err := n.store.Snapshot()
-	if err == nil && !raft.IsEmptySnap(s) {
-		list = append(list, snapshotRecords(s)...)
+// journalImage returns the records with which the journal is rewritten.
+func (node *Node) journalImage() [][]byte {
+	list := [][]byte{IdentityRecord(Identity{Name: node.cfg.Name, ID: node.id})}
+	snapshot, err := node.store.Snapshot()
+	if err == nil && !raft.IsEmptySnap(snapshot) {
+		list = append(list, snapshotRecords(snapshot)...)
 	}
-	first, last := s.GetMetadata().GetIndex()+1, n.last()
+	first, last := snapshot.GetMetadata().GetIndex()+1, node.lastIndex()
 	if last >= first {
-		entries, err := n.store.Entries(first, last+1, math.MaxUint64)
+		entries, err := node.store.Entries(first, last+1, math.MaxUint64)
 		if err != nil {
-			panic(fmt.Sprintf("fleet: %v", err)) // they were just there
+			panic(fmt.Sprintf("fleet: %v", err)) // they are within the stored range
 		}
 		for _, e := range entries {
 			list = append(list, record(recEntry, e))
 		}
 	}
-	if hard, _, err := n.store.InitialState(); err == nil && !raft.IsEmptyHardState(hard) {
+	if hard, _, err := node.store.InitialState(); err == nil && !raft.IsEmptyHardState(hard) {
 		list = append(list, record(recHard, hard))
 	}
 	return list
 }
 
-func (n *Node) last() uint64 {
-	i, _ := n.store.LastIndex() // the memory storage has no errors
+func (node *Node) lastIndex() uint64 {
+	i, _ := node.store.LastIndex() // the memory storage returns no errors
 	return i
 }
 
-// rank orders feeders for a front, differently for each, so that they share the load.
+// rank ranks a feeder for a front, differently for each front, so that feeders share the load.
 func rank(front, feeder string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(front + "\x00" + feeder))
 	return h.Sum64()
 }
 
-// byRank orders names for a front.
-func byRank(front string, names []string) {
+// sortByRank sorts names by their rank for a front.
+func sortByRank(front string, names []string) {
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank(front, a), rank(front, b)), cmp.Compare(a, b))
 	})
 }
 
-// quiet drops the agreement library's log; what matters is told by Told.
-type quiet struct{}
-
-func (quiet) Debug(...any)                   {}
-func (quiet) Debugf(string, ...any)          {}
-func (quiet) Error(...any)                   {}
-func (quiet) Errorf(string, ...any)          {}
-func (quiet) Info(...any)                    {}
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Warning(...any)                 {}
-func (quiet) Warningf(string, ...any)        {}
-func (quiet) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (quiet) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+// discardLogger drops the raft library's log; what matters is in Events.
+type discardLogger struct{}
+
+func (discardLogger) Debug(...any)                   {}
+func (discardLogger) Debugf(string, ...any)          {}
+func (discardLogger) Error(...any)                   {}
+func (discardLogger) Errorf(string, ...any)          {}
+func (discardLogger) Info(...any)                    {}
+func (discardLogger) Infof(string, ...any)           {}
+func (discardLogger) Warning(...any)                 {}
+func (discardLogger) Warningf(string, ...any)        {}
+func (discardLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (discardLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/fleet/consensus/records.go
+++ b/internal/fleet/consensus/records.go
@@ -9,31 +9,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What a journal's record is, by its first byte.
+// Kinds of journal records, in the first byte.
 const (
-	recIdentity byte = iota + 1 // whose folder it is; always the first
-	recHard                     // the agreement's hard state
-	recEntry                    // one entry; it takes the place of all from its index on
-	recSnapshot                 // a part of a snapshot; the last part is marked
+	recIdentity      byte = iota + 1 // Identity of the folder; always the first record
+	recHard                          // raft's hard state
+	recEntry                         // one entry; it replaces all from its index on
+	recSnapshotChunk                 // a chunk of a snapshot; the last one is marked
 	recSnapshotEnd
 )
 
-// snapshotPart bounds the bytes of one record of a snapshot.
-const snapshotPart = 512 << 10
+// maxSnapshotChunk is the largest chunk of a snapshot in one record, in bytes.
+const maxSnapshotChunk = 512 << 10
 
-// Identity is whose folder it is.
+// Identity is the front whose folder it is.
 type Identity struct {
 	Name string `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"` // the incarnation
 }
 
-// Recovered is what a folder's journal held.
+// Recovered is what the journal of a folder held.
 type Recovered struct {
-	Identity Identity // its ID is 0: the folder is empty
-	hard     *raftpb.HardState
-	snapshot *raftpb.Snapshot
-	entries  []*raftpb.Entry
-	parts    []byte
+	Identity       Identity // its ID is 0: the folder is empty
+	hard           *raftpb.HardState
+	snapshot       *raftpb.Snapshot
+	entries        []*raftpb.Entry
+	snapshotChunks []byte
 }
 
 // Errors of a folder that can't be used.
@@ -43,36 +43,37 @@
 	ErrMissingEntries   = errors.New("fleet: entries are missing in the journal")
 )
 
-// Take takes in the journal's next record.
-func (r *Recovered) Add(record []byte) error {
+// Add adds the journal's next record. It returns ErrUnreadableRecord for one that this build
+// can't read.
+func (recovered *Recovered) Add(record []byte) error {
 	if len(record) == 0 {
 		return ErrUnreadableRecord
 	}
 	kind, body := record[0], record[1:]
-	if r.Identity.ID == 0 && kind != recIdentity {
+	if recovered.Identity.ID == 0 && kind != recIdentity {
 		return fmt.Errorf("%w: the first is not the identity", ErrUnreadableRecord)
 	}
 	var err error
 	switch kind {
 	case recIdentity:
-		err = cbor.Unmarshal(body, &r.Identity)
-		if err == nil && r.Identity.ID == 0 {
+		err = cbor.Unmarshal(body, &recovered.Identity)
+		if err == nil && recovered.Identity.ID == 0 {
 			err = errors.New("an identity without incarnation")
 		}
 	case recHard:
-		r.hard = &raftpb.HardState{}
-		err = proto.Unmarshal(body, r.hard)
+		recovered.hard = &raftpb.HardState{}
+		err = proto.Unmarshal(body, recovered.hard)
 	case recEntry:
-		e := &raftpb.Entry{}
-		if err = proto.Unmarshal(body, e); err == nil {
-			r.entry(e)
+		entry := &raftpb.Entry{}
+		if err = proto.Unmarshal(body, entry); err == nil {
+			recovered.addEntry(entry)
 		}
-	case recSnapshot:
-		r.parts = append(r.parts, body...)
+	case recSnapshotChunk:
+		recovered.snapshotChunks = append(recovered.snapshotChunks, body...)
 	case recSnapshotEnd:
-		s := &raftpb.Snapshot{}
-		err = proto.Unmarshal(append(r.parts, body...), s)
-		r.parts, r.snapshot, r.entries = nil, s, nil
+		snapshot := &raftpb.Snapshot{}
+		err = proto.Unmarshal(append(recovered.snapshotChunks, body...), snapshot)
+		recovered.snapshotChunks, recovered.snapshot, recovered.entries = nil, snapshot, nil
 	default:
 		err = fmt.Errorf("kind %d", kind)
 	}
@@ -82,26 +83,26 @@
 	return nil
 }
 
-// entry puts an entry behind those before it, and drops what stood there. One whose
-// predecessor is missing is of a batch whose write failed in part: nobody was told
-// that it is kept, and it stands once more behind, if the write ever succeeded. That
-// nothing committed is missing, New checks.
-func (r *Recovered) entry(e *raftpb.Entry) {
-	first, at := r.snapshot.GetMetadata().GetIndex()+1, e.GetIndex()
-	if at >= first && at <= first+uint64(len(r.entries)) {
-		r.entries = append(r.entries[:at-first], e)
+// addEntry appends an entry, and drops the entries from its index on. An entry whose
+// predecessor is missing belongs to a batch whose write failed in part: nobody was told that it
+// is durable, and it was written again later if the write ever succeeded. New checks that no
+// committed entry is missing.
+func (recovered *Recovered) addEntry(entry *raftpb.Entry) {
+	first, index := recovered.snapshot.GetMetadata().GetIndex()+1, entry.GetIndex()
+	if index >= first && index <= first+uint64(len(recovered.entries)) {
+		recovered.entries = append(recovered.entries[:index-first], entry)
 	}
 }
 
 func record(kind byte, m proto.Message) []byte {
 	b, err := proto.MarshalOptions{}.MarshalAppend([]byte{kind}, m)
-	if err != nil { // its messages always encode
+	if err != nil { // raft messages always encode
 		panic(fmt.Sprintf("fleet: %v", err))
 	}
 	return b
 }
 
-// IdentityRecord is the first record of a folder's journal.
+// IdentityRecord returns the first record of a folder's journal.
 func IdentityRecord(id Identity) []byte {
 	b, err := cbor.Marshal(id)
 	if err != nil {
@@ -110,15 +111,15 @@
 	return append([]byte{recIdentity}, b...)
 }
 
-// snapshotRecords cuts a snapshot into records.
-func snapshotRecords(s *raftpb.Snapshot) (list [][]byte) {
-	b, err := proto.Marshal(s)
+// snapshotRecords splits a snapshot into records.
+func snapshotRecords(snapshot *raftpb.Snapshot) (list [][]byte) {
+	data, err := proto.Marshal(snapshot)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err))
 	}
-	for len(b) > snapshotPart {
-		list = append(list, append([]byte{recSnapshot}, b[:snapshotPart]...))
-		b = b[snapshotPart:]
+	for len(data) > maxSnapshotChunk {
+		list = append(list, append([]byte{recSnapshotChunk}, data[:maxSnapshotChunk]...))
+		data = data[maxSnapshotChunk:]
 	}
-	return append(list, append([]byte{recSnapshotEnd}, b...))
+	return append(list, append([]byte{recSnapshotEnd}, data...))
 }
--- a/internal/fleet/consensus/statuses.go
+++ b/internal/fleet/consensus/statuses.go
@@ -5,72 +5,73 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// stood is what the leader has proposed of a front's stand and the log may not have yet.
-type stood struct {
-	x  rollout.FrontStatus
-	at Micros
+// proposedStatus is the status of a front that the leader has proposed and that the log may not
+// have yet.
+type proposedStatus struct {
+	status rollout.FrontStatus
+	at     Micros
 }
 
 const (
-	headTicks    = 50 // between two proposals of heads of audits that have grown
-	mostStands   = 32 // of one command: at most 480 bytes each
-	mostCommands = 16 // at a beat
+	headIntervalTicks = 50 // between two proposals of audit heads that have grown
+	maxStatuses       = 32 // of one command, with at most 480 bytes each
+	maxStatusCommands = 16 // at a heartbeat
 )
 
-// SetStand tells which version this front acts on, in its own words.
-func (n *Node) SetReport(x rollout.FrontStatus) {
-	x.Name, x.ID, x.Start = n.cfg.Name, n.id, n.cfg.Start
-	n.stand = &x
+// SetReport sets the version that this front acts on, as it reports it.
+func (node *Node) SetReport(status rollout.FrontStatus) {
+	status.Name, status.ID, status.Start = node.cfg.Name, node.id, node.cfg.Start
+	node.status = &status
 }
 
-// gatherStands has the leader propose what beats have told of versions, of those whose
-// word is new: heads of audits alone every few seconds.
-func (n *Node) gatherStands() {
-	s := n.rep.State()
-	if s.Version < statemachine.VersionStatuses {
+// proposeStatuses has the leader propose the versions that heartbeats report, for the fronts
+// whose status has changed. Audit heads alone are proposed only every headIntervalTicks.
+func (node *Node) proposeStatuses() {
+	state := node.replica.State()
+	if state.Version < statemachine.VersionStatuses {
 		return
 	}
-	if n.stood == nil || len(n.stood) > 2*len(s.Members.Fronts)+16 {
-		n.stood = map[string]stood{}
+	if node.proposedStatuses == nil || len(node.proposedStatuses) > 2*len(state.Members.Fronts)+16 {
+		node.proposedStatuses = map[string]proposedStatus{}
 	}
-	heads := n.now-n.heads >= n.span(headTicks)
-	if heads {
-		n.heads = n.now
+	headsDue := node.now-node.headsProposedAt >= node.tickSpan(headIntervalTicks)
+	if headsDue {
+		node.headsProposedAt = node.now
 	}
 	var list []rollout.FrontStatus
-	for _, f := range s.Members.Fronts {
-		h := n.heard[f.Name]
-		if h.stand == nil || h.id != f.ID || h.start != f.Start || n.now-h.at > n.cfg.LostAfter {
+	for _, front := range state.Members.Fronts {
+		info := node.fronts[front.Name]
+		if info.status == nil || info.id != front.ID || info.start != front.Start || node.now-info.heardAt > node.cfg.LostAfter {
 			continue
 		}
-		x := *h.stand
-		x.Name, x.ID, x.Start = f.Name, f.ID, f.Start
+		status := *info.status
+		status.Name, status.ID, status.Start = front.Name, front.ID, front.Start
 		known := rollout.FrontStatus{}
-		if y := s.Rollout.Status(f.Name); y != nil {
-			known = y.OwnReport()
+		if reported := state.Rollout.Status(front.Name); reported != nil {
+			known = reported.OwnReport()
 		}
-		if x == known || !heads && x.WithoutAuditHead() == known.WithoutAuditHead() {
+		if status == known || !headsDue && status.WithoutAuditHead() == known.WithoutAuditHead() {
 			continue
 		}
-		if p, ok := n.stood[f.Name]; ok && n.now-p.at < n.span(againTicks) && (p.x == x || !heads && p.x.WithoutAuditHead() == x.WithoutAuditHead()) {
+		if p, ok := node.proposedStatuses[front.Name]; ok && node.now-p.at < node.tickSpan(resendTicks) && (p.status == status || !headsDue && p.status.WithoutAuditHead() == status.WithoutAuditHead()) {
 			continue
 		}
-		n.stood[f.Name] = stood{x, n.now}
-		list = append(list, x)
+		node.proposedStatuses[front.Name] = proposedStatus{status, node.now}
+		list = append(list, status)
 	}
-	for range mostCommands {
+	for range maxStatusCommands {
 		if len(list) == 0 {
 			return
 		}
-		part := list[:min(len(list), mostStands)]
-		list = list[len(part):]
-		n.number++
-		c := statemachine.Command{ID: statemachine.ID{Front: n.id, Start: n.cfg.Start, N: n.number}, Statuses: part}
-		if b, err := statemachine.Encode(c); err == nil {
-			_ = n.raw.Propose(b) // again after a while, where it is dropped
+		batch := list[:min(len(list), maxStatuses)]
+		list = list[len(batch):]
+		node.lastCommand++
+		command := statemachine.Command{ID: statemachine.ID{Front: node.id, Start: node.cfg.Start, N: node.lastCommand}, Statuses: batch}
+		if data, err := statemachine.Encode(command); err == nil {
+			_ = node.raw.Propose(data) // dropped ones are proposed again after a while
 		}
 	}
-	for _, x := range list { // the next beat
-		delete(n.stood, x.Name)
+	for _, status := range list { // at the next heartbeat
+		delete(node.proposedStatuses, status.Name)
 	}
 }
