--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -25,26 +25,26 @@
 	Term            uint64   `json:"term"`
 	Applied         uint64   `json:"applied"`
 	Seat            string   `json:"seat"`             // leader, voter, learner, follower
-	Feeder          string   `json:"feeder,omitempty"` // who passes the log on to it
-	Feeds           int      `json:"feeds"`            // fronts that it passes the log on to
+	Feeder          string   `json:"feeder,omitempty"` // the front that passes the log on to it
+	Feeds           int      `json:"feeds"`            // number of fronts that it passes the log on to
 	Fronts          int      `json:"fronts"`
 	Version         int      `json:"version"`         // of the state
-	OutdatedFronts  []string `json:"older,omitempty"` // at the leader: fronts whose build is not known to read a newer one that this build reads
+	OutdatedFronts  []string `json:"older,omitempty"` // at the leader: fronts whose build is not known to read the newer version that this build reads
 	Lost            []string `json:"lost,omitempty"`
-	NotServing      []string `json:"away,omitempty"` // heard, and taking no clients
-	Unhealthy       []string `json:"hurt,omitempty"` // heard, and in trouble
+	NotServing      []string `json:"away,omitempty"` // in contact, and taking no clients
+	Unhealthy       []string `json:"hurt,omitempty"` // in contact, and unhealthy
 	Voters          []string `json:"voters,omitempty"`
-	TargetVoters    int      `json:"wanted"` // voters that there should be
+	TargetVoters    int      `json:"wanted"` // intended number of voters
 	TolerableLosses int      `json:"bears"`  // further losses of voters that leave a majority; below 0: there is none
 	Out             []string `json:"out,omitempty"`
 	OutByPermit     uint64   `json:"out_by_permit,omitempty"` // under which this front takes no clients now
 	Hold            string   `json:"hold,omitempty"`
 	ActiveVersion   uint64   `json:"acts_on"`         // version that this front acts on
-	MayAct          bool     `json:"may"`             // it may act now: by its lease, and by its version
-	WaitsFor        string   `json:"waits,omitempty"` // what the founding, or the council's next change, waits for
+	MayAct          bool     `json:"may"`             // whether its lease and its version allow it to act now
+	WaitsFor        string   `json:"waits,omitempty"` // what the founding, or the next change of seats, waits for
 	FleetTime       float64  `json:"fleet_time_s"`
-	AloneS          float64  `json:"alone_s,omitempty"` // span that this front lives by without hearing the fleet; 0: for ever
-	LeaseS          float64  `json:"lease_s,omitempty"` // what is left of it; 0: it refuses requests
+	AloneS          float64  `json:"alone_s,omitempty"` // how long this front may act without hearing the fleet; 0: unlimited
+	LeaseS          float64  `json:"lease_s,omitempty"` // what is left of its lease; 0: it refuses requests
 	Sent            uint64   `json:"sent"`
 	SentBytes       uint64   `json:"sent_bytes"`
 	Received        uint64   `json:"received"`
@@ -61,10 +61,10 @@
 	Build       string  `json:"build"`
 	Seat        string  `json:"seat"`
 	State       string  `json:"state"` // in, away, lost, leaving
-	StateS      float64 `json:"for_s"` // since it came, was lost or was found
+	StateS      float64 `json:"for_s"` // since it joined, was lost or was found again
 }
 
-// Work is one work as a person reads it.
+// Operation is a maintenance operation as the admin endpoint shows it.
 type Operation struct {
 	ID            uint64   `json:"id"`
 	Machine       string   `json:"machine"`
@@ -85,7 +85,7 @@
 	ConflictsWith []string `json:"apart,omitempty"`
 }
 
-// Rules are the rules of works as a person reads and changes them.
+// Rules are the maintenance rules as the admin endpoint shows and changes them.
 type Rules struct {
 	Out              int     `json:"out"`
 	Zone             int     `json:"zone"`
@@ -102,7 +102,7 @@
 	LagPercent       int     `json:"lag_percent"`
 }
 
-// Ask is what a person asks for.
+// OperationRequest is an operator's request for a maintenance operation.
 type OperationRequest struct {
 	Machine       string   `json:"machine"`
 	Box           bool     `json:"box,omitempty"`
@@ -120,18 +120,18 @@
 
 // Errors of calls.
 var (
-	errCall   = errors.New("unknown call; FLEET takes STATUS, MEMBERS, INIT, LEAVE NAME, and RULES, TREE, LIMITS, VERDICTS, STEER REGION, PURGE with ASK, LIST, WHY, VERSIONS with LIST, WHY, LAG, STAGE, PROPOSE, STOP, AUDIT, and WORK with ASK, LIST, PLAN, WHY, CANCEL, HOLD, RESUME, LOST, DONE")
-	errNumber = errors.New("the work's number is wanted")
-	errWait   = errors.New("another process has the folder; this one waits for it to end")
-	errName   = errors.New("a name is wanted")
-	errBox    = errors.New("no box of that name is on this front's list")
+	errUnknownCall     = errors.New("unknown call; FLEET takes STATUS, MEMBERS, INIT, LEAVE NAME, and RULES, TREE, LIMITS, VERDICTS, STEER REGION, PURGE with ASK, LIST, WHY, VERSIONS with LIST, WHY, LAG, STAGE, PROPOSE, STOP, AUDIT, and WORK with ASK, LIST, PLAN, WHY, CANCEL, HOLD, RESUME, LOST, DONE")
+	errOperationNumber = errors.New("the work's number is wanted")
+	errFolderLocked    = errors.New("another process has the folder; this one waits for it to end")
+	errNameMissing     = errors.New("a name is wanted")
+	errUnknownBox      = errors.New("no box of that name is on this front's list")
 )
 
-// Call carries out a call of the operators' door, without its first word; answer is
-// told one line, now or when the fleet has agreed.
-func (f *Fleet) Call(call string, answer func(line string)) {
+// Call handles a call of the admin endpoint, without its first word. answer is called once with
+// a line, immediately or when the fleet has agreed.
+func (fleet *Fleet) Call(call string, answer func(line string)) {
 	fail := func(err error) { answer("fail " + strings.ReplaceAll(err.Error(), "\n", "; ")) }
-	give := func(x any) {
+	reply := func(x any) {
 		b, err := json.Marshal(x)
 		if err != nil {
 			fail(err)
@@ -140,112 +140,112 @@
 		answer("ok " + string(b))
 	}
 	switch {
-	case f.broken != nil:
-		fail(fmt.Errorf("this front takes no part in the fleet: %w", f.broken))
+	case fleet.failure != nil:
+		fail(fmt.Errorf("this front takes no part in the fleet: %w", fleet.failure))
 		return
-	case f.node == nil:
-		fail(errWait)
+	case fleet.node == nil:
+		fail(errFolderLocked)
 		return
 	}
-	word, rest, _ := strings.Cut(strings.TrimSpace(call), " ")
-	switch rest = strings.TrimSpace(rest); word {
+	verb, rest, _ := strings.Cut(strings.TrimSpace(call), " ")
+	switch rest = strings.TrimSpace(rest); verb {
 	case "STATUS":
-		give(f.status())
+		reply(fleet.status())
 	case "MEMBERS":
-		give(f.members())
+		reply(fleet.members())
 	case "INIT":
-		if s := f.node.Replica().State(); s.Fleet != 0 {
-			give(map[string]string{"fleet": s.Name, "id": fmt.Sprintf("%016x", s.Fleet)})
+		if state := fleet.node.Replica().State(); state.Fleet != 0 {
+			reply(map[string]string{"fleet": state.Name, "id": fmt.Sprintf("%016x", state.Fleet)})
 		} else {
-			fail(fmt.Errorf("not founded; it waits %s", cmp.Or(f.node.FoundingStatus(), "for the fleet's first entries")))
+			fail(fmt.Errorf("not founded; it waits %s", cmp.Or(fleet.node.FoundingStatus(), "for the fleet's first entries")))
 		}
 	case "LEAVE":
 		if rest == "" {
-			fail(errName)
+			fail(errNameMissing)
 			return
 		}
-		f.submit(statemachine.Command{Leave: &statemachine.Leave{Name: rest}}, give, fail)
+		fleet.submit(statemachine.Command{Leave: &statemachine.Leave{Name: rest}}, reply, fail)
 	case "RULES":
-		f.rules(rest, give, fail)
+		fleet.rulesCall(rest, reply, fail)
 	case "VERSIONS":
-		f.versionsCall(rest, give, fail)
+		fleet.versionsCall(rest, reply, fail)
 	case "AUDIT":
-		f.auditCall(rest, give, fail)
+		fleet.auditCall(rest, reply, fail)
 	case "WORK":
-		f.work(rest, give, fail)
+		fleet.operationsCall(rest, reply, fail)
 	case "LIMITS", "PURGE", "TREE", "VERDICTS", "STEER":
-		f.exchangeCall(word, rest, give, fail)
+		fleet.exchangeCall(verb, rest, reply, fail)
 	default:
-		fail(errCall)
+		fail(errUnknownCall)
 	}
 }
 
-// strict reads what follows a call's word, and names a key that it does not know.
-func strict(word, text string, into any) error {
+// decodeStrict decodes the JSON argument of a call; an unknown key is an error.
+func decodeStrict(verb, text string, into any) error {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("%s: %w", word, err)
+		return fmt.Errorf("%s: %w", verb, err)
 	}
 	return nil
 }
 
-// submit has a command agreed on, and answers with its word.
-func (f *Fleet) submit(c statemachine.Command, give func(any), fail func(error)) {
-	f.node.Submit(c, mostWithin, func(w statemachine.Result, err error) {
+// submit submits a command and replies with its result.
+func (fleet *Fleet) submit(command statemachine.Command, reply func(any), fail func(error)) {
+	fleet.node.Submit(command, callTimeout, func(result statemachine.Result, err error) {
 		switch {
 		case err != nil:
 			fail(err)
-		case w.Err != "":
-			fail(errors.New(w.Err))
+		case result.Err != "":
+			fail(errors.New(result.Err))
 		default:
-			give(map[string]uint64{"work": w.Number})
+			reply(map[string]uint64{"work": result.Number})
 		}
 	})
-	f.pump()
+	fleet.processOutput()
 }
 
-// rules gives the rules of works, or has those changed that are named.
-func (f *Fleet) rules(change string, give func(any), fail func(error)) {
-	r := f.node.Replica().State().Maintenance.Rules
-	x := Rules{Out: r.MaxOut, Zone: r.MaxZoneOut, Percent: r.MaxFrontsPercent, UnhealthyPercent: r.UnhealthyPercent, AcceptS: seconds(r.AcceptTimeout), EmptyS: seconds(r.DrainTimeout), BackS: seconds(r.ReturnTimeout),
-		ColdS: seconds(r.WarmUp), AgeStepS: seconds(r.AgeStep), PatienceS: seconds(r.Patience), AloneS: seconds(r.LeaseSpan), PacePercent: r.MaxPacePercent, LagPercent: r.MaxFencedPercent}
+// rulesCall returns the maintenance rules, or changes those that are named.
+func (fleet *Fleet) rulesCall(change string, reply func(any), fail func(error)) {
+	rules := fleet.node.Replica().State().Maintenance.Rules
+	x := Rules{Out: rules.MaxOut, Zone: rules.MaxZoneOut, Percent: rules.MaxFrontsPercent, UnhealthyPercent: rules.UnhealthyPercent, AcceptS: seconds(rules.AcceptTimeout), EmptyS: seconds(rules.DrainTimeout), BackS: seconds(rules.ReturnTimeout),
+		ColdS: seconds(rules.WarmUp), AgeStepS: seconds(rules.AgeStep), PatienceS: seconds(rules.Patience), AloneS: seconds(rules.LeaseSpan), PacePercent: rules.MaxPacePercent, LagPercent: rules.MaxFencedPercent}
 	if change == "" {
-		give(x)
+		reply(x)
 		return
 	}
-	if err := strict("RULES", change, &x); err != nil {
+	if err := decodeStrict("RULES", change, &x); err != nil {
 		fail(err)
 		return
 	}
 	micros := func(s float64) int64 { return int64(max(-1, min(s, 1e9)) * 1e6) }
-	r = maintenance.Rules{MaxOut: x.Out, MaxZoneOut: x.Zone, MaxFrontsPercent: x.Percent, UnhealthyPercent: x.UnhealthyPercent, AcceptTimeout: micros(x.AcceptS), DrainTimeout: micros(x.EmptyS), ReturnTimeout: micros(x.BackS),
+	rules = maintenance.Rules{MaxOut: x.Out, MaxZoneOut: x.Zone, MaxFrontsPercent: x.Percent, UnhealthyPercent: x.UnhealthyPercent, AcceptTimeout: micros(x.AcceptS), DrainTimeout: micros(x.EmptyS), ReturnTimeout: micros(x.BackS),
 		WarmUp: micros(x.ColdS), AgeStep: micros(x.AgeStepS), Patience: micros(x.PatienceS), LeaseSpan: micros(x.AloneS), MaxPacePercent: x.PacePercent, MaxFencedPercent: x.LagPercent}
-	if err := r.Validate(); err != nil {
+	if err := rules.Validate(); err != nil {
 		fail(err)
 		return
 	}
-	f.submit(statemachine.Command{Rules: &r}, func(any) { give(x) }, fail)
+	fleet.submit(statemachine.Command{Rules: &rules}, func(any) { reply(x) }, fail)
 }
 
-func (f *Fleet) work(call string, give func(any), fail func(error)) {
-	r := f.node.Replica()
-	s, fleet := r.State(), r.Fleet()
-	word, rest, _ := strings.Cut(call, " ")
+func (fleet *Fleet) operationsCall(call string, reply func(any), fail func(error)) {
+	replica := fleet.node.Replica()
+	state, machines := replica.State(), replica.Fleet()
+	verb, rest, _ := strings.Cut(call, " ")
 	rest = strings.TrimSpace(rest)
-	order := func(what string) {
+	orderOperation := func(action string) {
 		number, why, _ := strings.Cut(rest, " ")
 		id, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
-			fail(errNumber)
+			fail(errOperationNumber)
 			return
 		}
-		f.submit(statemachine.Command{Order: &statemachine.Order{Action: what, Operation: id, Reason: strings.TrimSpace(why)}}, give, fail)
+		fleet.submit(statemachine.Command{Order: &statemachine.Order{Action: action, Operation: id, Reason: strings.TrimSpace(why)}}, reply, fail)
 	}
-	switch word {
+	switch verb {
 	case "ASK":
 		var a OperationRequest
-		if err := strict("ASK", rest, &a); err != nil {
+		if err := decodeStrict("ASK", rest, &a); err != nil {
 			fail(err)
 			return
 		}
@@ -256,142 +256,142 @@
 		x := maintenance.Operation{Machine: a.Machine, Zone: a.Zone, Reason: a.Reason, Duration: int64(a.SpanS * 1e6), StartWithin: int64(a.LatestS * 1e6),
 			Importance: max(-1000, min(a.Importance, 1000)), ConflictsWith: a.ConflictsWith, SingleZone: a.SingleZone, Urgent: a.Urgent, EndsOnRestart: a.EndsOnRestart}
 		if a.Box {
-			zone, pace, known := f.host.BoxShare(a.Machine)
+			zone, pace, known := fleet.host.BoxShare(a.Machine)
 			if !known {
-				fail(errBox)
+				fail(errUnknownBox)
 				return
 			}
 			x.Kind, x.Zone = maintenance.Box, cmp.Or(a.Zone, zone)
-			if s.Maintenance.Rules.MaxPacePercent > 0 {
+			if state.Maintenance.Rules.MaxPacePercent > 0 {
 				x.Pace = pace
 			}
 		}
-		f.submit(statemachine.Command{Request: &statemachine.Request{Operation: x, RequestedBy: a.RequestedBy}}, give, fail)
+		fleet.submit(statemachine.Command{Request: &statemachine.Request{Operation: x, RequestedBy: a.RequestedBy}}, reply, fail)
 	case "LIST":
-		list := f.plan()
-		for _, x := range slices.Backward(s.Maintenance.Ended) {
+		list := fleet.plan()
+		for _, x := range slices.Backward(state.Maintenance.Ended) {
 			if len(list) >= 100 {
 				break
 			}
-			list = append(list, tellWork(maintenance.PlanEntry{Operation: x}, s.Now))
+			list = append(list, newOperation(maintenance.PlanEntry{Operation: x}, state.Now))
 		}
-		give(list)
+		reply(list)
 	case "PLAN":
-		give(f.plan())
+		reply(fleet.plan())
 	case "WHY":
 		if rest == "" {
-			fail(errName)
+			fail(errNameMissing)
 			return
 		}
-		give(map[string]string{"why": s.Maintenance.Explain(rest, fleet, s.Now)})
+		reply(map[string]string{"why": state.Maintenance.Explain(rest, machines, state.Now)})
 	case "HOLD", "RESUME":
-		f.submit(statemachine.Command{Order: &statemachine.Order{Action: strings.ToLower(word), Reason: rest}}, give, fail)
+		fleet.submit(statemachine.Command{Order: &statemachine.Order{Action: strings.ToLower(verb), Reason: rest}}, reply, fail)
 	case "CANCEL", "LOST", "DONE":
-		order(strings.ToLower(word))
+		orderOperation(strings.ToLower(verb))
 	default:
-		fail(errCall)
+		fail(errUnknownCall)
 	}
 }
 
-func (f *Fleet) plan() []Operation {
-	r := f.node.Replica()
-	s := r.State()
+func (fleet *Fleet) plan() []Operation {
+	replica := fleet.node.Replica()
+	state := replica.State()
 	list := []Operation{}
-	for _, l := range s.Maintenance.Plan(r.Fleet(), s.Now) {
-		list = append(list, tellWork(l, s.Now))
+	for _, entry := range state.Maintenance.Plan(replica.Fleet(), state.Now) {
+		list = append(list, newOperation(entry, state.Now))
 	}
 	return list
 }
 
-func tellWork(l maintenance.PlanEntry, now int64) Operation {
-	w := Operation{ID: l.ID, Machine: l.Machine, Kind: "front", Zone: l.Zone, Phase: l.Phase.String(), Position: l.Position, Permit: l.Permit, Reason: l.Operation.Reason,
-		SpanS: seconds(l.Duration), Importance: l.Importance, Urgent: l.Urgent, EndsOnRestart: l.EndsOnRestart, PhaseS: seconds(now - l.Since), WaitsFor: l.WaitsFor,
-		Note: l.Note, Overdue: l.Overdue, ConflictsWith: l.ConflictsWith}
-	if l.Kind == maintenance.Box {
-		w.Kind = "box"
+func newOperation(entry maintenance.PlanEntry, now int64) Operation {
+	op := Operation{ID: entry.ID, Machine: entry.Machine, Kind: "front", Zone: entry.Zone, Phase: entry.Phase.String(), Position: entry.Position, Permit: entry.Permit, Reason: entry.Operation.Reason,
+		SpanS: seconds(entry.Duration), Importance: entry.Importance, Urgent: entry.Urgent, EndsOnRestart: entry.EndsOnRestart, PhaseS: seconds(now - entry.Since), WaitsFor: entry.WaitsFor,
+		Note: entry.Note, Overdue: entry.Overdue, ConflictsWith: entry.ConflictsWith}
+	if entry.Kind == maintenance.Box {
+		op.Kind = "box"
 	}
-	return w
+	return op
 }
 
 func seconds(us int64) float64 { return float64(us/1000) / 1000 }
 
-func (f *Fleet) seat(id uint64) string {
-	s := f.node.Replica().State()
-	lead, _ := f.node.Leader()
+func (fleet *Fleet) seatOf(id uint64) string {
+	state := fleet.node.Replica().State()
+	lead, _ := fleet.node.Leader()
 	switch {
 	case id == lead:
 		return "leader"
-	case s.Seats.Has(id):
+	case state.Seats.Has(id):
 		return "voter"
-	case slices.Contains(s.Seats.Learners, id):
+	case slices.Contains(state.Seats.Learners, id):
 		return "learner"
 	}
 	return "follower"
 }
 
-func (f *Fleet) status() Status {
-	n := f.node
-	s := n.Replica().State()
-	_, term := n.Leader()
-	x := Status{Fleet: f.cfg.Fleet, Front: f.cfg.Name, Incarnation: fmt.Sprintf("%016x", n.ID()), Build: f.cfg.Build, Leader: n.LeaderName(),
-		Term: term, Applied: n.Applied(), Seat: f.seat(n.ID()), Feeder: n.Feeder(), Feeds: n.Children(), Fronts: len(s.Members.Fronts), Version: s.Version,
-		TargetVoters: s.Members.TargetVoters(), TolerableLosses: s.Members.TolerableLosses(s.Seats), Hold: s.Maintenance.HoldReason, WaitsFor: cmp.Or(n.FoundingStatus(), n.PendingChange()), FleetTime: seconds(s.Now),
-		Sent: f.counts.Sent, SentBytes: f.counts.Bytes, Received: f.counts.Received, Dropped: f.counts.Dropped}
-	x.ActiveVersion = f.ver.taker.Active()
-	x.MayAct, _ = f.MayAct()
-	if n.IsLeader() {
-		x.OutdatedFronts = n.OutdatedFronts()
+func (fleet *Fleet) status() Status {
+	node := fleet.node
+	state := node.Replica().State()
+	_, term := node.Leader()
+	status := Status{Fleet: fleet.cfg.Fleet, Front: fleet.cfg.Name, Incarnation: fmt.Sprintf("%016x", node.ID()), Build: fleet.cfg.Build, Leader: node.LeaderName(),
+		Term: term, Applied: node.Applied(), Seat: fleet.seatOf(node.ID()), Feeder: node.Feeder(), Feeds: node.Children(), Fronts: len(state.Members.Fronts), Version: state.Version,
+		TargetVoters: state.Members.TargetVoters(), TolerableLosses: state.Members.TolerableLosses(state.Seats), Hold: state.Maintenance.HoldReason, WaitsFor: cmp.Or(node.FoundingStatus(), node.PendingChange()), FleetTime: seconds(state.Now),
+		Sent: fleet.counts.Sent, SentBytes: fleet.counts.Bytes, Received: fleet.counts.Received, Dropped: fleet.counts.Dropped}
+	status.ActiveVersion = fleet.version.applier.Active()
+	status.MayAct, _ = fleet.MayAct()
+	if node.IsLeader() {
+		status.OutdatedFronts = node.OutdatedFronts()
 	}
-	if x.AloneS = seconds(n.LeaseSpan()); x.AloneS > 0 {
-		x.LeaseS = seconds(max(0, n.LeaseEnd()-f.now()))
+	if status.AloneS = seconds(node.LeaseSpan()); status.AloneS > 0 {
+		status.LeaseS = seconds(max(0, node.LeaseEnd()-fleet.now()))
 	}
-	if out, permit := n.OutOfService(); out && f.out {
-		x.OutByPermit = permit
+	if out, permit := node.OutOfService(); out && fleet.outOfService {
+		status.OutByPermit = permit
 	}
-	if s.Fleet != 0 {
-		x.ID = fmt.Sprintf("%016x", s.Fleet)
+	if state.Fleet != 0 {
+		status.ID = fmt.Sprintf("%016x", state.Fleet)
 	}
-	if err := n.Stale(); err != nil {
-		x.WaitsFor = err.Error()
+	if err := node.Stale(); err != nil {
+		status.WaitsFor = err.Error()
 	}
-	for _, m := range s.Members.Fronts {
-		if m.Lost {
-			x.Lost = append(x.Lost, m.Name)
-		} else if m.NotServing {
-			x.NotServing = append(x.NotServing, m.Name)
+	for _, front := range state.Members.Fronts {
+		if front.Lost {
+			status.Lost = append(status.Lost, front.Name)
+		} else if front.NotServing {
+			status.NotServing = append(status.NotServing, front.Name)
 		}
-		if m.Unhealthy && !m.Lost {
-			x.Unhealthy = append(x.Unhealthy, m.Name)
+		if front.Unhealthy && !front.Lost {
+			status.Unhealthy = append(status.Unhealthy, front.Name)
 		}
-		if s.Seats.Has(m.ID) {
-			x.Voters = append(x.Voters, m.Name)
+		if state.Seats.Has(front.ID) {
+			status.Voters = append(status.Voters, front.Name)
 		}
 	}
-	for _, i := range s.Maintenance.Operations {
-		if i.Phase.IsOut() {
-			x.Out = append(x.Out, i.Machine)
+	for _, op := range state.Maintenance.Operations {
+		if op.Phase.IsOut() {
+			status.Out = append(status.Out, op.Machine)
 		}
 	}
-	return x
+	return status
 }
 
-func (f *Fleet) members() []Member {
-	s := f.node.Replica().State()
+func (fleet *Fleet) members() []Member {
+	state := fleet.node.Replica().State()
 	list := []Member{}
-	for _, m := range s.Members.Fronts {
-		list = append(list, Member{Name: m.Name, Zone: m.Zone, Machine: m.Machine, Address: m.Address, Incarnation: fmt.Sprintf("%016x", m.ID),
-			Build: m.Build, Seat: f.seat(m.ID), State: state(m), StateS: seconds(s.Now - m.Since)})
+	for _, front := range state.Members.Fronts {
+		list = append(list, Member{Name: front.Name, Zone: front.Zone, Machine: front.Machine, Address: front.Address, Incarnation: fmt.Sprintf("%016x", front.ID),
+			Build: front.Build, Seat: fleet.seatOf(front.ID), State: memberState(front), StateS: seconds(state.Now - front.Since)})
 	}
 	return list
 }
 
-func state(m membership.Front) string {
+func memberState(front membership.Front) string {
 	switch {
-	case m.Lost:
+	case front.Lost:
 		return "lost"
-	case m.Leaving:
+	case front.Leaving:
 		return "leaving"
-	case m.NotServing:
+	case front.NotServing:
 		return "away"
 	}
 	return "in"
--- a/internal/fleet/auditlog.go
+++ b/internal/fleet/auditlog.go
@@ -17,173 +17,174 @@
 	"cherryramp/internal/journal"
 )
 
-// book is this front's audit: its chain, on disk.
-type book struct {
-	chain    audit.Chain
-	disk     *journal.Journal
-	path     string
-	notes    rollout.ActivationRecord
-	seq      uint64 // of the last record that is durable
-	head     string
-	closed   int64  // when records were last closed
-	anchored uint64 // records up to here are known to the log
-	events   bool   // there are records since the last anchor that are none
-	contact  bool
-	out      bool
-	shrinks  bool
-	failed   bool
-	held     [][]byte // records that came while the file is made smaller
-	heldNext []func(error)
-	began    string // why the chain begins anew; empty: it goes on
+// auditLog is this front's audit: a chain of records on disk.
+type auditLog struct {
+	chain         audit.Chain
+	journal       *journal.Journal
+	path          string
+	activation    rollout.ActivationRecord
+	durableSeq    uint64 // of the last durable record
+	durableHead   string
+	flushedAt     int64  // when requests were last flushed into records
+	anchoredSeq   uint64 // records up to here are known to the log
+	unanchored    bool   // there are records other than anchors since the last anchor
+	contact       bool
+	outOfService  bool
+	compacting    bool
+	writeFailed   bool
+	heldRecords   [][]byte // records that came during compaction
+	heldCallbacks []func(error)
+	restartReason string // why the chain starts anew; empty: it continues
 }
 
-// What a record of the audit's journal is, by its first byte.
+// Kinds of records of the audit's journal, in the first byte.
 const (
-	bookRecord byte = iota + 1
-	bookNotes
+	auditLogRecord byte = iota + 1
+	auditLogActivation
 )
 
 const (
-	closeEvery = 1_000_000 // us between records of requests
-	mostBook   = 8 << 20   // bytes of the audit, from which on it is made smaller
-	mostHeld   = 1 << 20
-	gatherFor  = 3 * time.Second // for the answers of other fronts
-	mostAnswer = 512 << 10
-	mostAsks   = 8
+	flushInterval    = 1_000_000 // us between records of requests
+	maxAuditLogBytes = 8 << 20   // bytes after which the audit is compacted
+	maxHeldBytes     = 1 << 20
+	auditTimeout     = 3 * time.Second // for the answers of other fronts
+	maxAnswerBytes   = 512 << 10
+	maxAuditQueries  = 8
 )
 
-// openBook reads the audit back. One that is damaged is put aside, and told: the
-// chain begins anew, which the fleet sees as a hole.
-func (f *Fleet) openBook() error {
-	b := &f.book
-	b.path = filepath.Join(f.cfg.Folder, "audit")
+// openAuditLog reads the audit from disk. A damaged one is renamed, with a log message, and the
+// chain starts anew, which the fleet sees as a gap.
+func (fleet *Fleet) openAuditLog() error {
+	auditLog := &fleet.auditLog
+	auditLog.path = filepath.Join(fleet.cfg.Folder, "audit")
 	read := func() error {
-		b.chain, b.notes = audit.Chain{}, rollout.ActivationRecord{}
+		auditLog.chain, auditLog.activation = audit.Chain{}, rollout.ActivationRecord{}
 		var torn int64
 		var err error
-		b.disk, torn, err = journal.Open(b.path, mostWrites, f.loop.Post, func(record []byte) error {
+		auditLog.journal, torn, err = journal.Open(auditLog.path, maxPendingWrites, fleet.loop.Post, func(record []byte) error {
 			if len(record) == 0 {
 				return errors.New("an empty record")
 			}
 			switch record[0] {
-			case bookRecord:
+			case auditLogRecord:
 				r, err := audit.Decode(record[1:])
 				if err != nil {
 					return err
 				}
 				if r.Kind == audit.KindAnchor {
-					b.anchored = r.Seen
+					auditLog.anchoredSeq = r.Seen
 				}
-				return b.chain.Replay(&r)
-			case bookNotes:
-				return cbor.Unmarshal(record[1:], &b.notes)
+				return auditLog.chain.Replay(&r)
+			case auditLogActivation:
+				return cbor.Unmarshal(record[1:], &auditLog.activation)
 			}
 			return fmt.Errorf("a record of kind %d", record[0])
 		})
 		if torn > 0 {
-			f.log.Warn("fleet: the audit had a torn end, which is cut off", "bytes", torn)
+			fleet.log.Warn("fleet: the audit had a torn end, which is cut off", "bytes", torn)
 		}
 		return err
 	}
 	err := read()
 	if err != nil {
-		aside := fmt.Sprintf("%s.damaged-%d", b.path, time.Now().Unix())
-		f.log.Error("fleet: the audit is damaged; it is put aside and begins anew", "error", err, "aside", aside)
-		b.began = "the one before is damaged: " + err.Error()
-		if err := os.Rename(b.path, aside); err != nil {
+		aside := fmt.Sprintf("%s.damaged-%d", auditLog.path, time.Now().Unix())
+		fleet.log.Error("fleet: the audit is damaged; it is put aside and begins anew", "error", err, "aside", aside)
+		auditLog.restartReason = "the one before is damaged: " + err.Error()
+		if err := os.Rename(auditLog.path, aside); err != nil {
 			return fmt.Errorf("audit: %w", err)
 		}
 		if err := read(); err != nil {
 			return err
 		}
 	}
-	b.seq, b.head = b.chain.Seq(), headOf(b.chain.Head())
-	f.ver.taker = rollout.NewApplier(b.notes)
+	auditLog.durableSeq, auditLog.durableHead = auditLog.chain.Seq(), hexDigest(auditLog.chain.Head())
+	fleet.version.applier = rollout.NewApplier(auditLog.activation)
 	return nil
 }
 
-// beginBook notes that this process begins.
-func (f *Fleet) beginBook() {
-	f.book.chain.SetClasses(f.host.Classes())
-	f.write1(audit.Record{Kind: audit.KindStarted, ID: f.node.ID(), Start: f.cfg.Start, Text: f.book.began})
-	f.versions()
+// startAuditLog records the start of this process.
+func (fleet *Fleet) startAuditLog() {
+	fleet.auditLog.chain.SetClasses(fleet.host.Classes())
+	fleet.appendAuditEvent(audit.Record{Kind: audit.KindStarted, ID: fleet.node.ID(), Start: fleet.cfg.Start, Text: fleet.auditLog.restartReason})
+	fleet.updateVersion()
 }
 
-func (f *Fleet) moment() audit.Timestamp {
-	return audit.Timestamp{At: f.loop.Now(), Fleet: f.node.Replica().State().Now, Index: f.node.Applied()}
+func (fleet *Fleet) timestamp() audit.Timestamp {
+	return audit.Timestamp{At: fleet.loop.Now(), Fleet: fleet.node.Replica().State().Now, Index: fleet.node.Applied()}
 }
 
-// write1 adds a record, those of the requests before it first.
-func (f *Fleet) write1(r audit.Record) {
-	if f.book.disk == nil || f.node == nil {
+// appendAuditEvent adds a record, after those of the requests before it.
+func (fleet *Fleet) appendAuditEvent(record audit.Record) {
+	if fleet.auditLog.journal == nil || fleet.node == nil {
 		return
 	}
-	f.closeRecords()
-	f.record(f.book.chain.Append(r, f.moment()))
+	fleet.flushRequests()
+	fleet.persistRecord(fleet.auditLog.chain.Append(record, fleet.timestamp()))
 }
 
-// closeRecords puts the requests counted into records.
-func (f *Fleet) closeRecords() {
-	f.book.closed = f.loop.Now()
-	for _, r := range f.book.chain.Flush(f.moment()) {
-		f.record(r)
+// flushRequests turns the counted requests into records.
+func (fleet *Fleet) flushRequests() {
+	fleet.auditLog.flushedAt = fleet.loop.Now()
+	for _, r := range fleet.auditLog.chain.Flush(fleet.timestamp()) {
+		fleet.persistRecord(r)
 	}
 }
 
-// record keeps a record. Its place in the chain is told to the fleet once it is durable.
-func (f *Fleet) record(r *audit.Record) {
-	b := &f.book
-	b.events = b.events || r.Kind != audit.KindAnchor
-	seq, head := r.Seq, headOf(r.Digest())
-	f.keep(append([]byte{bookRecord}, r.Encode()...), func(err error) {
+// persistRecord writes a record. Its place in the chain is reported to the fleet once it is
+// durable.
+func (fleet *Fleet) persistRecord(record *audit.Record) {
+	auditLog := &fleet.auditLog
+	auditLog.unanchored = auditLog.unanchored || record.Kind != audit.KindAnchor
+	seq, head := record.Seq, hexDigest(record.Digest())
+	fleet.appendAuditLog(append([]byte{auditLogRecord}, record.Encode()...), func(err error) {
 		if err != nil {
-			if !b.failed {
-				b.failed = true
-				f.log.Error("fleet: the audit is not kept: what is lost shows as a hole", "record", seq, "error", err)
+			if !auditLog.writeFailed {
+				auditLog.writeFailed = true
+				fleet.log.Error("fleet: the audit is not kept: what is lost shows as a hole", "record", seq, "error", err)
 			}
 			return
 		}
-		b.failed = false
-		if seq > b.seq {
-			b.seq, b.head = seq, head
+		auditLog.writeFailed = false
+		if seq > auditLog.durableSeq {
+			auditLog.durableSeq, auditLog.durableHead = seq, head
 		}
 	})
 }
 
-// note keeps a note of the version that is taken up.
-func (f *Fleet) note(n rollout.ActivationRecord, kept func(error)) {
-	b, err := cbor.Marshal(n)
+// recordActivation writes the activation record of the version that is being activated.
+func (fleet *Fleet) recordActivation(activation rollout.ActivationRecord, onDurable func(error)) {
+	data, err := cbor.Marshal(activation)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err)) // plain values always encode
 	}
-	f.book.notes = n
-	f.keep(append([]byte{bookNotes}, b...), kept)
+	fleet.auditLog.activation = activation
+	fleet.appendAuditLog(append([]byte{auditLogActivation}, data...), onDurable)
 }
 
-// keep appends to the audit's journal; while that is made smaller it waits.
-func (f *Fleet) keep(record []byte, kept func(error)) {
-	b := &f.book
-	if b.shrinks {
-		b.held, b.heldNext = append(b.held, record), append(b.heldNext, kept)
+// appendAuditLog appends to the audit's journal; during compaction the record is held back.
+func (fleet *Fleet) appendAuditLog(record []byte, onDurable func(error)) {
+	auditLog := &fleet.auditLog
+	if auditLog.compacting {
+		auditLog.heldRecords, auditLog.heldCallbacks = append(auditLog.heldRecords, record), append(auditLog.heldCallbacks, onDurable)
 		return
 	}
-	b.disk.Append(record, kept)
-	if b.disk.Size() > mostBook {
-		f.shrink()
+	auditLog.journal.Append(record, onDurable)
+	if auditLog.journal.Size() > maxAuditLogBytes {
+		fleet.compactAuditLog()
 	}
 }
 
-// shrink makes the audit smaller, beside the loop: the file is read, and begun anew
-// with fewer bytes for the older half.
-func (f *Fleet) shrink() {
-	b := &f.book
-	b.shrinks = true
-	upTo, notes := b.chain.Seq(), b.notes
-	b.disk.Append(append([]byte{bookNotes}, encodeNotes(notes)...), func(error) { // all before it is durable now
+// compactAuditLog compacts the audit outside the loop: it reads the file and rewrites it with
+// fewer bytes for the older half.
+func (fleet *Fleet) compactAuditLog() {
+	auditLog := &fleet.auditLog
+	auditLog.compacting = true
+	upTo, notes := auditLog.chain.Seq(), auditLog.activation
+	auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(notes)...), func(error) { // all before it is durable now
 		go func() {
 			var records []audit.Record
-			err := journal.Scan(b.path, func(raw []byte) error {
-				if raw[0] != bookRecord {
+			err := journal.Scan(auditLog.path, func(raw []byte) error {
+				if raw[0] != auditLogRecord {
 					return nil
 				}
 				r, err := audit.Decode(raw[1:])
@@ -192,27 +193,27 @@
 			})
 			var image [][]byte
 			for _, r := range audit.Compact(records) {
-				image = append(image, append([]byte{bookRecord}, r.Encode()...))
+				image = append(image, append([]byte{auditLogRecord}, r.Encode()...))
 			}
-			image = append(image, append([]byte{bookNotes}, encodeNotes(notes)...))
-			f.loop.Post(func() {
+			image = append(image, append([]byte{auditLogActivation}, encodeActivation(notes)...))
+			fleet.loop.Post(func() {
 				if err != nil || len(records) == 0 || records[len(records)-1].Seq != upTo {
-					f.log.Error("fleet: the audit is not made smaller", "error", err)
-					f.resume()
+					fleet.log.Error("fleet: the audit is not made smaller", "error", err)
+					fleet.resumeAuditLog()
 					return
 				}
-				b.disk.Rewrite(image, func(err error) {
+				auditLog.journal.Rewrite(image, func(err error) {
 					if err != nil {
-						f.log.Error("fleet: the audit is not made smaller", "error", err)
+						fleet.log.Error("fleet: the audit is not made smaller", "error", err)
 					}
 				})
-				f.resume()
+				fleet.resumeAuditLog()
 			})
 		}()
 	})
 }
 
-func encodeNotes(n rollout.ActivationRecord) []byte {
+func encodeActivation(n rollout.ActivationRecord) []byte {
 	b, err := cbor.Marshal(n)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err))
@@ -220,180 +221,180 @@
 	return b
 }
 
-// resume appends what came while the audit was made smaller.
-func (f *Fleet) resume() {
-	b := &f.book
-	b.shrinks = false
-	held, next := b.held, b.heldNext
-	b.held, b.heldNext = nil, nil
+// resumeAuditLog appends the records that came during compaction.
+func (fleet *Fleet) resumeAuditLog() {
+	auditLog := &fleet.auditLog
+	auditLog.compacting = false
+	held, next := auditLog.heldRecords, auditLog.heldCallbacks
+	auditLog.heldRecords, auditLog.heldCallbacks = nil, nil
 	for i, r := range held {
-		b.disk.Append(r, next[i])
+		auditLog.journal.Append(r, next[i])
 	}
 }
 
-// keepBook closes records once a second, and notes what happens beside requests.
-func (f *Fleet) keepBook() {
-	b := &f.book
-	if f.loop.Now()-b.closed >= closeEvery {
-		f.closeRecords()
+// updateAuditLog flushes requests once a second, and records events other than requests.
+func (fleet *Fleet) updateAuditLog() {
+	auditLog := &fleet.auditLog
+	if fleet.loop.Now()-auditLog.flushedAt >= flushInterval {
+		fleet.flushRequests()
 	}
-	if c := f.node.InContact(); c != b.contact {
-		b.contact = c
-		f.write1(audit.Record{Kind: audit.KindContact, Text: map[bool]string{true: "found", false: "lost"}[c]})
+	if c := fleet.node.InContact(); c != auditLog.contact {
+		auditLog.contact = c
+		fleet.appendAuditEvent(audit.Record{Kind: audit.KindContact, Text: map[bool]string{true: "found", false: "lost"}[c]})
 	}
-	if f.out != b.out {
-		b.out = f.out
-		_, permit := f.node.OutOfService()
+	if fleet.outOfService != auditLog.outOfService {
+		auditLog.outOfService = fleet.outOfService
+		_, permit := fleet.node.OutOfService()
 		text := "back"
-		if f.out {
+		if fleet.outOfService {
 			text = fmt.Sprintf("out under permit %d", permit)
 		}
-		f.write1(audit.Record{Kind: audit.KindPermit, Text: text})
+		fleet.appendAuditEvent(audit.Record{Kind: audit.KindPermit, Text: text})
 	}
-	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.chain.Seq() {
-		f.breaks(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOutdatedDisk, b.chain.Seq(), x.AuditSeq))
+	if status := fleet.node.Replica().State().Rollout.Status(fleet.cfg.Name); status != nil && status.ID == fleet.node.ID() && status.AuditSeq > auditLog.chain.Seq() {
+		fleet.fail(fmt.Errorf("%w: its audit ends at record %d, and the log knows record %d", consensus.ErrOutdatedDisk, auditLog.chain.Seq(), status.AuditSeq))
 		return
 	}
-	// Records that the log knows the head of happened before that entry.
-	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() && x.AuditSeq > b.anchored && b.events {
-		b.anchored, b.events = x.AuditSeq, false
-		f.write1(audit.Record{Kind: audit.KindAnchor, Seen: x.AuditSeq, Entry: f.node.Applied()})
+	// Records whose head is in the log were made before that entry.
+	if status := fleet.node.Replica().State().Rollout.Status(fleet.cfg.Name); status != nil && status.ID == fleet.node.ID() && status.AuditSeq > auditLog.anchoredSeq && auditLog.unanchored {
+		auditLog.anchoredSeq, auditLog.unanchored = status.AuditSeq, false
+		fleet.appendAuditEvent(audit.Record{Kind: audit.KindAnchor, Seen: status.AuditSeq, Entry: fleet.node.Applied()})
 	}
 }
 
-// closeBook writes the last word of a process that ends in order.
-func (f *Fleet) closeBook() error {
-	if f.book.disk == nil {
+// closeAuditLog writes the last records of a process that ends in order.
+func (fleet *Fleet) closeAuditLog() error {
+	if fleet.auditLog.journal == nil {
 		return nil
 	}
-	if f.node != nil {
-		for _, r := range f.book.chain.Flush(f.moment()) {
-			f.book.disk.Append(append([]byte{bookRecord}, r.Encode()...), func(error) {})
+	if fleet.node != nil {
+		for _, r := range fleet.auditLog.chain.Flush(fleet.timestamp()) {
+			fleet.auditLog.journal.Append(append([]byte{auditLogRecord}, r.Encode()...), func(error) {})
 		}
-		r := f.book.chain.Append(audit.Record{Kind: audit.KindLease, Text: audit.CleanExit}, f.moment())
-		f.book.disk.Append(append([]byte{bookRecord}, r.Encode()...), func(error) {})
-		notes := f.book.notes
-		notes.Survived = true // it was told to end, and did not end of the version
-		f.book.disk.Append(append([]byte{bookNotes}, encodeNotes(notes)...), func(error) {})
+		r := fleet.auditLog.chain.Append(audit.Record{Kind: audit.KindLease, Text: audit.CleanExit}, fleet.timestamp())
+		fleet.auditLog.journal.Append(append([]byte{auditLogRecord}, r.Encode()...), func(error) {})
+		notes := fleet.auditLog.activation
+		notes.Survived = true // it was told to end, and did not crash because of the version
+		fleet.auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(notes)...), func(error) {})
 	}
-	return f.book.disk.Close()
+	return fleet.auditLog.journal.Close()
 }
 
-// answerAudit answers a question from this front's own audit, beside the loop.
-func (f *Fleet) answerAudit(q audit.Question, done func(audit.Answer)) {
-	if x := f.node.Replica().State().Rollout.Status(f.cfg.Name); x != nil && x.ID == f.node.ID() {
-		q.Seq, q.Head = x.AuditSeq, x.AuditHead
+// answerAudit answers a question from this front's own audit, outside the loop.
+func (fleet *Fleet) answerAudit(question audit.Question, done func(audit.Answer)) {
+	if status := fleet.node.Replica().State().Rollout.Status(fleet.cfg.Name); status != nil && status.ID == fleet.node.ID() {
+		question.Seq, question.Head = status.AuditSeq, status.AuditHead
 	}
-	path, name := f.book.path, f.cfg.Name
+	path, name := fleet.auditLog.path, fleet.cfg.Name
 	go func() {
-		d := audit.NewReader(q)
+		reader := audit.NewReader(question)
 		err := journal.Scan(path, func(raw []byte) error {
-			if raw[0] == bookRecord {
-				d.Add(raw[1:])
+			if raw[0] == auditLogRecord {
+				reader.Add(raw[1:])
 			}
 			return nil
 		})
-		a := d.Answer(name)
+		answer := reader.Answer(name)
 		if err != nil {
-			a.Error = err.Error()
+			answer.Error = err.Error()
 		}
-		f.loop.Post(func() { done(a) })
+		fleet.loop.Post(func() { done(answer) })
 	}()
 }
 
-// gathering is answers of fronts that are on their way.
-type gathering struct {
+// auditQuery is a query whose answers are being collected.
+type auditQuery struct {
 	missing map[string]bool
 	answers []audit.Answer
 	done    func([]audit.Answer, []string)
 }
 
-// message is a question, or an answer, between fronts.
-type message struct {
-	N        uint64          `json:"n"`
+// auditMessage is a question or an answer between fronts.
+type auditMessage struct {
+	ID       uint64          `json:"n"`
 	Question *audit.Question `json:"question,omitempty"`
 	Answer   *audit.Answer   `json:"answer,omitempty"`
 }
 
-// askAll asks fronts for their audits, and tells what came in time, and who did not
-// answer.
-func (f *Fleet) askAll(q audit.Question, names []string, done func(answers []audit.Answer, missing []string)) error {
-	if len(f.gather) >= mostAsks {
+// queryAudits asks fronts about their audits. It calls done with the answers that came within
+// auditTimeout, and the fronts that did not answer.
+func (fleet *Fleet) queryAudits(question audit.Question, names []string, done func(answers []audit.Answer, missing []string)) error {
+	if len(fleet.auditQueries) >= maxAuditQueries {
 		return errors.New("too many questions are being answered")
 	}
-	f.asks++
-	n := f.asks
-	g := &gathering{missing: map[string]bool{}, done: done}
-	if f.gather == nil {
-		f.gather = map[uint64]*gathering{}
+	fleet.lastAuditQuery++
+	id := fleet.lastAuditQuery
+	query := &auditQuery{missing: map[string]bool{}, done: done}
+	if fleet.auditQueries == nil {
+		fleet.auditQueries = map[uint64]*auditQuery{}
 	}
-	f.gather[n] = g
+	fleet.auditQueries[id] = query
 	for _, name := range names {
-		g.missing[name] = true
+		query.missing[name] = true
 	}
-	b, err := json.Marshal(message{N: n, Question: &q})
+	data, err := json.Marshal(auditMessage{ID: id, Question: &question})
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if name == f.cfg.Name {
-			f.answerAudit(q, func(a audit.Answer) { f.answered(n, a) })
+		if name == fleet.cfg.Name {
+			fleet.answerAudit(question, func(a audit.Answer) { fleet.auditAnswered(id, a) })
 		} else {
-			f.send(consensus.Message{To: name, Kind: consensus.KindAuditQuestion, Payload: b})
+			fleet.send(consensus.Message{To: name, Kind: consensus.KindAuditQuestion, Payload: data})
 		}
 	}
-	f.loop.At(f.loop.Now()+gatherFor.Microseconds(), func() { f.gathered(n) })
+	fleet.loop.At(fleet.loop.Now()+auditTimeout.Microseconds(), func() { fleet.finishAuditQuery(id) })
 	return nil
 }
 
-func (f *Fleet) answered(n uint64, a audit.Answer) {
-	g := f.gather[n]
-	if g == nil || !g.missing[a.Front] {
+func (fleet *Fleet) auditAnswered(id uint64, answer audit.Answer) {
+	query := fleet.auditQueries[id]
+	if query == nil || !query.missing[answer.Front] {
 		return
 	}
-	delete(g.missing, a.Front)
-	if g.answers = append(g.answers, a); len(g.missing) == 0 {
-		f.gathered(n)
+	delete(query.missing, answer.Front)
+	if query.answers = append(query.answers, answer); len(query.missing) == 0 {
+		fleet.finishAuditQuery(id)
 	}
 }
 
-func (f *Fleet) gathered(n uint64) {
-	g := f.gather[n]
-	if g == nil {
+func (fleet *Fleet) finishAuditQuery(id uint64) {
+	query := fleet.auditQueries[id]
+	if query == nil {
 		return
 	}
-	delete(f.gather, n)
+	delete(fleet.auditQueries, id)
 	var missing []string
-	for name := range g.missing {
+	for name := range query.missing {
 		missing = append(missing, name)
 	}
 	slices.Sort(missing)
-	slices.SortFunc(g.answers, func(a, b audit.Answer) int {
+	slices.SortFunc(query.answers, func(a, b audit.Answer) int {
 		if a.Front < b.Front {
 			return -1
 		}
 		return 1
 	})
-	g.done(g.answers, missing)
+	query.done(query.answers, missing)
 }
 
-// heardOfAudit takes a question or an answer of another front.
-func (f *Fleet) heardOfAudit(from string, kind consensus.Kind, payload []byte) {
-	var m message
-	if err := json.Unmarshal(payload, &m); err != nil {
-		f.log.Warn("fleet: a question or answer of an audit can't be read", "from", from, "error", err)
+// handleAuditMessage handles a question or an answer of another front.
+func (fleet *Fleet) handleAuditMessage(from string, kind consensus.Kind, payload []byte) {
+	var message auditMessage
+	if err := json.Unmarshal(payload, &message); err != nil {
+		fleet.log.Warn("fleet: a question or answer of an audit can't be read", "from", from, "error", err)
 		return
 	}
 	switch {
-	case kind == consensus.KindAuditQuestion && m.Question != nil && f.node != nil:
-		f.answerAudit(*m.Question, func(a audit.Answer) {
-			b, err := json.Marshal(message{N: m.N, Answer: &a})
-			if err != nil || len(b) > mostAnswer {
-				b, _ = json.Marshal(message{N: m.N, Answer: &audit.Answer{Front: f.cfg.Name, Error: "the answer is too long"}})
+	case kind == consensus.KindAuditQuestion && message.Question != nil && fleet.node != nil:
+		fleet.answerAudit(*message.Question, func(a audit.Answer) {
+			data, err := json.Marshal(auditMessage{ID: message.ID, Answer: &a})
+			if err != nil || len(data) > maxAnswerBytes {
+				data, _ = json.Marshal(auditMessage{ID: message.ID, Answer: &audit.Answer{Front: fleet.cfg.Name, Error: "the answer is too long"}})
 			}
-			f.send(consensus.Message{To: from, Kind: consensus.KindAuditAnswer, Payload: b})
+			fleet.send(consensus.Message{To: from, Kind: consensus.KindAuditAnswer, Payload: data})
 		})
-	case kind == consensus.KindAuditAnswer && m.Answer != nil && m.Answer.Front == from:
-		f.answered(m.N, *m.Answer)
+	case kind == consensus.KindAuditAnswer && message.Answer != nil && message.Answer.Front == from:
+		fleet.auditAnswered(message.ID, *message.Answer)
 	}
 }
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -15,7 +15,7 @@
 	"cherryramp/internal/exchange"
 )
 
-// Sharer is a host that goes by what the fleet shares.
+// ExchangeHost is a host that takes part in the exchange between fronts.
 type ExchangeHost interface {
 	Mono() int64
 	exchange.Limiter
@@ -24,28 +24,28 @@
 	exchange.LatencySource
 }
 
-// changed is what the exchange was last told of the fleet's fronts.
-type changed struct {
-	sum   uint64
-	index uint64
-	view  *topology.View
-	tree  uint64 // entry
+// publishedView is the view of the fleet that the exchange was last given.
+type publishedView struct {
+	frontsHash   uint64
+	changedIndex uint64
+	view         *topology.View
+	appliedIndex uint64 // entry at which it was made
 }
 
-// startExchange starts this front's part in what is exchanged, where it has one.
-func (f *Fleet) startExchange() error {
-	host, ok := f.host.(ExchangeHost)
-	if f.cfg.Exchange == nil || !ok {
+// startExchange starts this front's part in the exchange, if it has one.
+func (fleet *Fleet) startExchange() error {
+	host, ok := fleet.host.(ExchangeHost)
+	if fleet.cfg.Exchange == nil || !ok {
 		return nil
 	}
-	reach := f.cfg.Reach
+	reach := fleet.cfg.Reach
 	address := map[string]string{}
-	for _, a := range f.cfg.FirstMembers {
+	for _, a := range fleet.cfg.FirstMembers {
 		address[a.Name] = a.Address
 	}
 	var err error
-	f.ex, err = exchange.Start(exchange.Config{Name: f.cfg.Name, Folder: filepath.Clean(f.cfg.Folder), Keys: f.keys, Section: f.cfg.Exchange, Now: host.Mono,
-		Loop: f.loop, Limiter: host, Invalidator: host, Observer: host, LatencySource: host, Address: func(v *topology.View, name string) string {
+	fleet.exchange, err = exchange.Start(exchange.Config{Name: fleet.cfg.Name, Folder: filepath.Clean(fleet.cfg.Folder), Keys: fleet.keys, Section: fleet.cfg.Exchange, Now: host.Mono,
+		Loop: fleet.loop, Limiter: host, Invalidator: host, Observer: host, LatencySource: host, Address: func(v *topology.View, name string) string {
 			if a := reach[name]; a != "" {
 				return a
 			}
@@ -53,46 +53,46 @@
 				return x.Address
 			}
 			return address[name]
-		}}, f.log)
+		}}, fleet.log)
 	if err == nil {
-		f.publish()
+		fleet.publishView()
 	}
 	return err
 }
 
-// publish tells the exchange what the log says now.
-func (f *Fleet) publish() {
-	if f.ex == nil {
+// publishView passes the current view of the log to the exchange.
+func (fleet *Fleet) publishView() {
+	if fleet.exchange == nil {
 		return
 	}
-	host := f.host.(ExchangeHost)
-	s, r := f.node.Replica().State(), f.node.Replica()
-	c := &f.changed
-	if at := f.node.Applied(); c.view == nil || at != c.tree {
-		c.tree = at
-		v := &topology.View{Index: at, FleetID: s.Fleet, Owners: append([]topology.Owner(nil), s.Topology.Owners...),
-			Self: topology.Front{Name: f.cfg.Name, Site: f.cfg.Zone, ID: f.node.ID(), Start: f.cfg.Start}}
-		v.Fronts = r.TopologyFronts(r.Fleet())
-		sum := fnv.New64a()
-		for i, x := range v.Fronts {
-			v.Fronts[i].Address = s.Members.Fronts[i].Address
-			if x.Name == f.cfg.Name && x.ID == v.Self.ID && x.Start == v.Self.Start && x.OwnerLease > 0 {
-				v.Registered = true
+	host := fleet.host.(ExchangeHost)
+	state, replica := fleet.node.Replica().State(), fleet.node.Replica()
+	published := &fleet.published
+	if at := fleet.node.Applied(); published.view == nil || at != published.appliedIndex {
+		published.appliedIndex = at
+		view := &topology.View{Index: at, FleetID: state.Fleet, Owners: append([]topology.Owner(nil), state.Topology.Owners...),
+			Self: topology.Front{Name: fleet.cfg.Name, Site: fleet.cfg.Zone, ID: fleet.node.ID(), Start: fleet.cfg.Start}}
+		view.Fronts = replica.TopologyFronts(replica.Fleet())
+		hash := fnv.New64a()
+		for i, x := range view.Fronts {
+			view.Fronts[i].Address = state.Members.Fronts[i].Address
+			if x.Name == fleet.cfg.Name && x.ID == view.Self.ID && x.Start == view.Self.Start && x.OwnerLease > 0 {
+				view.Registered = true
 			}
-			_, _ = sum.Write([]byte(x.Name + "\x00" + x.Site + "\x00"))
-			_, _ = sum.Write(num(x.ID, x.Start))
+			_, _ = hash.Write([]byte(x.Name + "\x00" + x.Site + "\x00"))
+			_, _ = hash.Write(encodeUint64s(x.ID, x.Start))
 		}
-		if c.view == nil || c.sum != sum.Sum64() {
-			c.sum, c.index = sum.Sum64(), at
+		if published.view == nil || published.frontsHash != hash.Sum64() {
+			published.frontsHash, published.changedIndex = hash.Sum64(), at
 		}
-		c.view = v
+		published.view = view
 	}
-	end, asked := f.node.OwnerLease()
-	now, mono := f.now(), host.Mono()
-	f.ex.SetFleetState(&exchange.FleetState{View: c.view, FrontsChanged: c.index, OwnerUntil: mono + end - now, MajorityAsked: mono + asked - now})
+	end, confirmedAt := fleet.node.OwnerLease()
+	now, mono := fleet.now(), host.Mono()
+	fleet.exchange.SetFleetState(&exchange.FleetState{View: published.view, FrontsChanged: published.changedIndex, OwnerUntil: mono + end - now, MajorityAsked: mono + confirmedAt - now})
 }
 
-func num(list ...uint64) (b []byte) {
+func encodeUint64s(list ...uint64) (b []byte) {
 	for _, x := range list {
 		for i := range 8 {
 			b = append(b, byte(x>>(8*i)))
@@ -102,51 +102,51 @@
 }
 
 // Took is part of program.ExchangePart.
-func (f *Fleet) Took(b *quotalease.Bucket, ok bool) {
-	if f.ex != nil {
-		f.ex.RecordTake(b, ok)
+func (fleet *Fleet) Took(b *quotalease.Bucket, ok bool) {
+	if fleet.exchange != nil {
+		fleet.exchange.RecordTake(b, ok)
 	}
 }
 
 // NewName is part of program.ExchangePart.
-func (f *Fleet) NewName() {
-	if f.ex != nil {
-		f.ex.NewName()
+func (fleet *Fleet) NewName() {
+	if fleet.exchange != nil {
+		fleet.exchange.NewName()
 	}
 }
 
 // Acted is part of program.ExchangePart.
-func (f *Fleet) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
-	if f.ex != nil {
-		f.ex.RecordVerdict(v, on, boxes, ready)
+func (fleet *Fleet) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
+	if fleet.exchange != nil {
+		fleet.exchange.RecordVerdict(v, on, boxes, ready)
 	}
 }
 
-// RenewExchange takes a new section over.
-func (f *Fleet) UpdateExchange(x *config.Exchange) {
-	if f.ex != nil {
-		f.ex.Reconfigure(x)
+// UpdateExchange applies a new section of the configuration.
+func (fleet *Fleet) UpdateExchange(x *config.Exchange) {
+	if fleet.exchange != nil {
+		fleet.exchange.Reconfigure(x)
 	}
 }
 
 // Errors of calls.
 var (
-	errOff    = errors.New("nothing is exchanged here: the operator's file has no section exchange")
-	errPurge  = errors.New("PURGE takes ASK, LIST, WHY ID")
-	errNoName = errors.New("asked: a name of 1 to 128 bytes is wanted, so that what is asked again is the same purge")
+	errExchangeOff = errors.New("nothing is exchanged here: the operator's file has no section exchange")
+	errPurgeCall   = errors.New("PURGE takes ASK, LIST, WHY ID")
+	errPurgeName   = errors.New("asked: a name of 1 to 128 bytes is wanted, so that what is asked again is the same purge")
 )
 
-// AskedPurge is what a person asks for.
+// PurgeRequest is an operator's request for a purge.
 type PurgeRequest struct {
 	Kind   string `json:"kind"` // object, group, prefix, tag, all
 	Name   string `json:"name,omitempty"`
-	Asked  string `json:"asked"` // names the asking
+	Asked  string `json:"asked"` // idempotency key of the request
 	Reason string `json:"why,omitempty"`
 }
 
-func (f *Fleet) exchangeCall(word, rest string, give func(any), fail func(error)) {
-	if f.ex == nil {
-		fail(errOff)
+func (fleet *Fleet) exchangeCall(verb, rest string, reply func(any), fail func(error)) {
+	if fleet.exchange == nil {
+		fail(errExchangeOff)
 		return
 	}
 	answer := func(v any, err error) {
@@ -154,26 +154,26 @@
 			fail(err)
 			return
 		}
-		give(v)
+		reply(v)
 	}
-	switch word {
+	switch verb {
 	case "TREE":
-		give(f.ex.TreeStatus())
+		reply(fleet.exchange.TreeStatus())
 	case "VERDICTS":
-		if !f.ex.QueryVerdicts(give) {
-			fail(errOff)
+		if !fleet.exchange.QueryVerdicts(reply) {
+			fail(errExchangeOff)
 		}
 	case "STEER":
 		if rest == "" {
-			fail(errName)
-		} else if !f.ex.QueryRegion(rest, answer) {
-			fail(errOff)
+			fail(errNameMissing)
+		} else if !fleet.exchange.QueryRegion(rest, answer) {
+			fail(errExchangeOff)
 		}
 	case "LIMITS":
-		f.ex.QueryLimits(func(t exchange.LimitsStatus) { give(t) })
+		fleet.exchange.QueryLimits(func(t exchange.LimitsStatus) { reply(t) })
 	case "PURGE":
-		what, rest, _ := strings.Cut(rest, " ")
-		switch rest = strings.TrimSpace(rest); what {
+		verb, rest, _ := strings.Cut(rest, " ")
+		switch rest = strings.TrimSpace(rest); verb {
 		case "ASK":
 			var a PurgeRequest
 			d := json.NewDecoder(strings.NewReader(rest))
@@ -184,27 +184,27 @@
 			}
 			scope, err := invalidation.ParseScope(a.Kind, a.Name)
 			if err == nil && (a.Asked == "" || len(a.Asked) > 128) {
-				err = errNoName
+				err = errPurgeName
 			}
 			if err != nil {
 				fail(err)
 				return
 			}
-			f.ex.RequestPurge(scope, a.Asked, a.Reason, func(p invalidation.Purge, err error) {
+			fleet.exchange.RequestPurge(scope, a.Asked, a.Reason, func(p invalidation.Purge, err error) {
 				answer(map[string]string{"id": p.ID(), "asked": p.RequestKey}, err)
 			})
 		case "LIST":
-			f.ex.QueryPurges("", answer)
+			fleet.exchange.QueryPurges("", answer)
 		case "WHY":
 			if rest == "" {
-				fail(errPurge)
+				fail(errPurgeCall)
 				return
 			}
-			f.ex.QueryPurges(rest, answer)
+			fleet.exchange.QueryPurges(rest, answer)
 		default:
-			fail(errPurge)
+			fail(errPurgeCall)
 		}
 	default:
-		fail(errOff)
+		fail(errExchangeOff)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet drives one front's part in a fleet: it gives the agreement node its
-// moments and messages, keeps its records in a journal before anything that hangs
-// on them leaves, and carries messages over links of their own. It decides nothing;
-// what fronts agree on and conclude is in agree and under internal/decide.
+// Package fleet runs one front's part in a fleet: it passes times and messages to the consensus
+// node, writes the node's records to a journal before the messages that depend on them are
+// sent, and carries messages over links of their own. It decides nothing; decisions are made in
+// package consensus and under internal/decide.
 //
-// It runs on the front's event loop. Disks and handshakes are beside it.
+// It runs on the front's event loop; disk writes and handshakes run outside it.
 package fleet
 
 import (
@@ -29,55 +29,56 @@
 	"cherryramp/internal/loop"
 )
 
-// Config is one front's place in the fleet.
+// Config is the configuration of one front in the fleet.
 type Config struct {
 	consensus.Config
 	Listen   string
 	Folder   string
 	Keys     peers.Files
-	Reach    map[string]string // where a front is reached from here, if not at its own address
-	Exchange *config.Exchange  // what fronts tell each other without agreeing first; nil: nothing
+	Reach    map[string]string // address of a front as reached from here, if not its own
+	Exchange *config.Exchange  // what fronts exchange without consensus; nil: nothing
 }
 
-// Host is the front round its part in the fleet.
+// Host is the front that runs this part of the fleet.
 type Host interface {
-	// Takes tells whether it takes clients, whether it holds no request, and whether it
-	// is in trouble.
-	ServiceState() (clients, empty, hurt bool)
-	// GoOut has it take no clients and empty itself, or take them again.
+	// ServiceState reports whether the front takes clients, whether it has no request open, and
+	// whether it is unhealthy.
+	ServiceState() (clients, idle, unhealthy bool)
+	// SetOutOfService has the front take no clients and drain, or take them again.
 	SetOutOfService(out bool, permit uint64)
-	// Leave has it send nothing new to boxes; it tells of each whether anything is
-	// still open there.
+	// LeaveBoxes has the front send nothing new to the boxes. It returns for each whether
+	// anything is still open there.
 	LeaveBoxes(boxes []string) (open map[string]bool)
-	// Share tells where a box stands and which part of its hub's pace it has, in
-	// percent; known is false where the front has a list and the box is not on it.
+	// BoxShare returns the zone of a box and its share of its hub's pace in percent; known is
+	// false if the front has a list and the box is not on it.
 	BoxShare(box string) (zone string, percent int, known bool)
-	// Check looks through a version's file whole, with this front's own files beneath
-	// it, and tells later whether it can act on it.
+	// CheckVersion checks the whole file of a version, on top of this front's own files, and
+	// calls done later with an error if the front can't act on it.
 	CheckVersion(content []byte, done func(error))
-	// TakeUp has it act on a version that was checked; nil: on its own files alone.
+	// ActivateVersion has the front act on a version that was checked; with nil content, on its
+	// own files alone.
 	ActivateVersion(n uint64, content []byte) error
-	// Fares is how many percent of its requests were refused or failed lately; seen is
-	// false where they are too few to tell.
+	// FailurePercent returns the percentage of its requests that were refused or failed lately;
+	// seen is false if they were too few to tell.
 	FailurePercent() (bad int, seen bool)
-	// Classes names the classes of requests by their places.
+	// Classes returns the names of the request classes by index.
 	Classes() []string
 }
 
-// Counts are what has gone over the links.
+// LinkCounts counts messages, and the bytes sent, over the links.
 type LinkCounts struct{ Sent, Received, Bytes, Dropped uint64 }
 
 const (
-	mostWrites = 4096      // records that wait for the disk
-	retryDisk  = 1_000_000 // us after a write that failed
-	retryLock  = 500_000   // us between looks at a folder that another process holds
-	sweepEvery = 10_000_000
-	mostWithin = 10_000_000 // us that a person's call waits for its word
+	maxPendingWrites = 4096      // records that wait for the disk
+	diskRetryDelay   = 1_000_000 // us after a failed write
+	lockRetryDelay   = 500_000   // us between attempts to lock a folder that another process holds
+	sweepInterval    = 10_000_000
+	callTimeout      = 10_000_000 // us that an admin call waits for its result
 
-	awayUnknown = 1_000_000 // us after which to come back to a front whose lease is over: nobody knows when the fleet is heard again
+	leaseRetryDelay = 1_000_000 // us after which to come back to a front whose lease is over: it is not known when the fleet will be heard again
 )
 
-// Fleet is one front's part.
+// Fleet is one front's part in the fleet.
 type Fleet struct {
 	cfg  Config
 	loop *loop.Loop
@@ -85,59 +86,59 @@
 	log  *slog.Logger
 	keys *peers.Keys
 
-	node     *consensus.Node // nil until the folder is this process's
-	disk     *journal.Journal
-	lock     *os.File
-	listener net.Listener
-	broken   error // why this front takes no part
-	closed   bool
-	out      bool // the host was told to go out
-	writing  bool
-	pumping  bool
-	peers    map[string]*peer
-	guests   map[*guest]bool
-	incoming atomic.Int64
-	counts   LinkCounts
-	tick     loop.Deadline
-	swept    loop.Micros
-	began    time.Time // the node's clock counts from here on, and only goes forward
-	opened   bool      // since its lease holds, all that the state wants has been carried out
-	told     bool      // that its lease holds, by the log
-	ver      acting    // which version it acts on
-	book     book      // its audit
-	gather   map[uint64]*gathering
-	asks     uint64
-	staged   map[string]*staged
+	node           *consensus.Node // nil until this process holds the folder
+	journal        *journal.Journal
+	lock           *os.File
+	listener       net.Listener
+	failure        error // why this front takes no part
+	closed         bool
+	outOfService   bool // the host was told to go out of service
+	writing        bool
+	pumping        bool
+	peers          map[string]*peer
+	inbound        map[*inboundPeer]bool
+	inboundCount   atomic.Int64
+	counts         LinkCounts
+	tickTimer      loop.Deadline
+	sweptAt        loop.Micros
+	startedAt      time.Time    // start of the node's clock, which is monotonic
+	leaseApplied   bool         // since the lease is held, everything that the state wants has been carried out
+	leaseLogged    bool         // the log says that the lease is held
+	version        versionState // the version that it acts on
+	auditLog       auditLog     // the audit of this front
+	auditQueries   map[uint64]*auditQuery
+	lastAuditQuery uint64
+	uploads        map[string]*upload
 
-	ex      *exchange.Exchange // nil: off
-	changed changed            // of the fleet's fronts, as the exchange was last told
+	exchange  *exchange.Exchange // nil: off
+	published publishedView      // what the exchange was last told of the fleet's fronts
 
-	toldForeign, toldRefused loop.Micros
+	foreignLoggedAt, refusedLoggedAt loop.Micros
 }
 
-// Start takes part in a fleet. What is wrong with keys or the address is an error;
-// a folder that can't be used leaves the front serving without the fleet, and every
-// call says why.
+// Start starts a front's part in a fleet. It returns an error for invalid keys or an invalid
+// folder path. If the folder can't be used later on, the front serves without the fleet, and
+// every call returns the reason.
 func Start(cfg Config, l *loop.Loop, host Host, log *slog.Logger) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, loop: l, host: host, log: log, peers: map[string]*peer{}, guests: map[*guest]bool{}, began: time.Now()}
-	f.cfg.RandomID, f.cfg.Start = draw, draw()
+	fleet := &Fleet{cfg: cfg, loop: l, host: host, log: log, peers: map[string]*peer{}, inbound: map[*inboundPeer]bool{}, startedAt: time.Now()}
+	fleet.cfg.RandomID, fleet.cfg.Start = randomID, randomID()
 	var err error
-	if f.keys, err = peers.Load(cfg.Keys, time.Now); err != nil {
+	if fleet.keys, err = peers.Load(cfg.Keys, time.Now); err != nil {
 		return nil, fmt.Errorf("fleet: keys: %w", err)
 	}
 	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("fleet: folder: %w", err)
 	}
-	f.tick.Init(f.ticked)
+	fleet.tickTimer.Init(fleet.onTick)
 	if len(cfg.FirstMembers) == 2 {
 		log.Warn("fleet: of two first members any loss stops permits until it is back")
 	}
-	f.take()
-	return f, nil
+	fleet.lockFolder()
+	return fleet, nil
 }
 
-// draw gives a random number that is not 0.
-func draw() uint64 {
+// randomID returns a random number other than 0.
+func randomID() uint64 {
 	var b [8]byte
 	for {
 		if _, err := rand.Read(b[:]); err != nil {
@@ -149,310 +150,309 @@
 	}
 }
 
-// take takes the folder, once no other process has it: in an upgrade the one before
-// holds it until it ends.
-func (f *Fleet) take() {
-	if f.closed {
+// lockFolder locks and opens the folder, once no other process holds it: during an upgrade the
+// old process holds it until it ends.
+func (fleet *Fleet) lockFolder() {
+	if fleet.closed {
 		return
 	}
-	lock, err := os.OpenFile(filepath.Join(f.cfg.Folder, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	lock, err := os.OpenFile(filepath.Join(fleet.cfg.Folder, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err == nil {
 		if err = unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 			_ = lock.Close()
 			if errors.Is(err, unix.EWOULDBLOCK) {
-				f.loop.At(f.loop.Now()+retryLock, f.take)
+				fleet.loop.At(fleet.loop.Now()+lockRetryDelay, fleet.lockFolder)
 				return
 			}
 		}
 	}
 	if err != nil {
-		f.breaks(fmt.Errorf("folder: %w", err))
+		fleet.fail(fmt.Errorf("folder: %w", err))
 		return
 	}
-	f.lock = lock
-	r := &consensus.Recovered{}
-	disk, torn, err := journal.Open(filepath.Join(f.cfg.Folder, "journal"), mostWrites, f.loop.Post, r.Add)
+	fleet.lock = lock
+	recovered := &consensus.Recovered{}
+	disk, torn, err := journal.Open(filepath.Join(fleet.cfg.Folder, "journal"), maxPendingWrites, fleet.loop.Post, recovered.Add)
 	if err != nil {
-		f.breaks(err)
+		fleet.fail(err)
 		return
 	}
-	f.disk = disk
-	if err := f.openBook(); err != nil {
-		f.breaks(err)
+	fleet.journal = disk
+	if err := fleet.openAuditLog(); err != nil {
+		fleet.fail(err)
 		return
 	}
 	if torn > 0 {
-		f.log.Warn("fleet: the journal had a torn end, which is cut off", "bytes", torn)
+		fleet.log.Warn("fleet: the journal had a torn end, which is cut off", "bytes", torn)
 	}
-	if r.Identity.ID != 0 {
-		f.begin(r)
+	if recovered.Identity.ID != 0 {
+		fleet.startNode(recovered)
 		return
 	}
-	r.Identity = consensus.Identity{Name: f.cfg.Name, ID: draw()}
-	disk.Append(consensus.IdentityRecord(r.Identity), func(err error) {
+	recovered.Identity = consensus.Identity{Name: fleet.cfg.Name, ID: randomID()}
+	disk.Append(consensus.IdentityRecord(recovered.Identity), func(err error) {
 		if err != nil {
-			f.breaks(err)
+			fleet.fail(err)
 			return
 		}
-		f.begin(r)
+		fleet.startNode(recovered)
 	})
 }
 
-// breaks ends this front's part; it goes on serving.
-func (f *Fleet) breaks(err error) {
-	f.broken = err
-	f.log.Error("fleet: this front takes no part until it is restarted", "error", err)
+// fail ends this front's part in the fleet; the front goes on serving.
+func (fleet *Fleet) fail(err error) {
+	fleet.failure = err
+	fleet.log.Error("fleet: this front takes no part until it is restarted", "error", err)
 }
 
-// begin starts the agreement on what the folder held.
-func (f *Fleet) begin(r *consensus.Recovered) {
-	if f.closed {
+// startNode starts the consensus node with the content of the folder.
+func (fleet *Fleet) startNode(recovered *consensus.Recovered) {
+	if fleet.closed {
 		return
 	}
-	node, err := consensus.New(f.cfg.Config, r, f.now())
+	node, err := consensus.New(fleet.cfg.Config, recovered, fleet.now())
 	if err != nil {
-		f.breaks(err)
+		fleet.fail(err)
 		return
 	}
-	f.node = node
-	f.beginBook()
-	if f.listener, err = net.Listen("tcp", f.cfg.Listen); err != nil {
-		f.breaks(fmt.Errorf("listen: %w", err))
+	fleet.node = node
+	fleet.startAuditLog()
+	if fleet.listener, err = net.Listen("tcp", fleet.cfg.Listen); err != nil {
+		fleet.fail(fmt.Errorf("listen: %w", err))
 		return
 	}
-	if err := f.startExchange(); err != nil {
-		f.breaks(err)
+	if err := fleet.startExchange(); err != nil {
+		fleet.fail(err)
 		return
 	}
-	go f.accept(f.listener)
-	f.log.Info("fleet: this front takes part", "front", f.cfg.Name, "incarnation", fmt.Sprintf("%016x", node.ID()), "applied", node.Applied())
-	f.ticked()
+	go fleet.accept(fleet.listener)
+	fleet.log.Info("fleet: this front takes part", "front", fleet.cfg.Name, "incarnation", fmt.Sprintf("%016x", node.ID()), "applied", node.Applied())
+	fleet.onTick()
 }
 
-// ticked moves the node on, and carries out what the state wants of this front.
-func (f *Fleet) ticked() {
-	if f.closed || f.broken != nil {
+// onTick advances the node and carries out what the state wants of this front.
+func (fleet *Fleet) onTick() {
+	if fleet.closed || fleet.failure != nil {
 		return
 	}
-	now := f.loop.Now()
-	f.loop.Set(&f.tick, now+f.cfg.Tick/2)
-	f.serve()
-	f.versions()
-	f.keepBook()
-	if f.broken != nil {
+	now := fleet.loop.Now()
+	fleet.loop.Set(&fleet.tickTimer, now+fleet.cfg.Tick/2)
+	fleet.updateHost()
+	fleet.updateVersion()
+	fleet.updateAuditLog()
+	if fleet.failure != nil {
 		return
 	}
-	f.node.Tick(f.now())
-	f.publish()
-	if now-f.swept > sweepEvery {
-		f.swept = now
-		f.sweep()
+	fleet.node.Tick(fleet.now())
+	fleet.publishView()
+	if now-fleet.sweptAt > sweepInterval {
+		fleet.sweptAt = now
+		fleet.sweep()
 	}
-	f.pump()
+	fleet.processOutput()
 }
 
-// serve has the host do what the state wants, and tells the node of the host.
-func (f *Fleet) serve() {
-	if out, permit := f.node.OutOfService(); out != f.out {
-		f.out = out
-		f.host.SetOutOfService(out, permit)
-	}
-	clients, empty, hurt := f.host.ServiceState()
-	f.node.SetHostState(!clients, empty, hurt)
-	boxes := f.node.BoxesToLeave()
-	open := f.host.LeaveBoxes(boxes)
+// updateHost has the host do what the state wants, and passes the host's state to the node.
+func (fleet *Fleet) updateHost() {
+	if out, permit := fleet.node.OutOfService(); out != fleet.outOfService {
+		fleet.outOfService = out
+		fleet.host.SetOutOfService(out, permit)
+	}
+	clients, idle, unhealthy := fleet.host.ServiceState()
+	fleet.node.SetHostState(!clients, idle, unhealthy)
+	boxes := fleet.node.BoxesToLeave()
+	open := fleet.host.LeaveBoxes(boxes)
 	for _, b := range boxes {
-		f.node.SetBoxLeft(b, !open[b])
+		fleet.node.SetBoxLeft(b, !open[b])
 	}
-	f.look()
+	fleet.updateLease()
 }
 
-// now is the node's clock, in microseconds.
-func (f *Fleet) now() int64 { return 1 + time.Since(f.began).Microseconds() }
+// now returns the node's clock, in microseconds.
+func (fleet *Fleet) now() int64 { return 1 + time.Since(fleet.startedAt).Microseconds() }
 
-// look sees whether the front may act, after all that the state wants of it was
+// updateLease checks whether the front may act, once everything that the state wants of it was
 // carried out.
-func (f *Fleet) look() {
-	holds := f.node.MayAct(f.now())
-	f.opened = holds
-	if holds == f.told {
+func (fleet *Fleet) updateLease() {
+	mayAct := fleet.node.MayAct(fleet.now())
+	fleet.leaseApplied = mayAct
+	if mayAct == fleet.leaseLogged {
 		return
 	}
-	f.told = holds
-	if f.node.LeaseSpan() > 0 || !holds {
-		f.write1(audit.Record{Kind: audit.KindLease, Text: map[bool]string{true: "held", false: "over"}[holds]})
+	fleet.leaseLogged = mayAct
+	if fleet.node.LeaseSpan() > 0 || !mayAct {
+		fleet.appendAuditEvent(audit.Record{Kind: audit.KindLease, Text: map[bool]string{true: "held", false: "over"}[mayAct]})
 	}
-	if holds {
-		f.log.Info("fleet: the front acts on its lease", "alone_s", seconds(f.node.LeaseSpan()))
+	if mayAct {
+		fleet.log.Info("fleet: the front acts on its lease", "alone_s", seconds(fleet.node.LeaseSpan()))
 	} else {
-		f.log.Warn("fleet: the front's lease is over: it refuses requests until the fleet is heard", "applied", f.node.Applied())
+		fleet.log.Warn("fleet: the front's lease is over: it refuses requests until the fleet is heard", "applied", fleet.node.Applied())
 	}
 }
 
-// Warm tells whether the front is a full machine: one that was shut out and has come
-// back is not for a while, and longer each time.
-func (f *Fleet) WarmedUp() bool {
-	if f.node == nil || f.broken != nil {
+// WarmedUp reports whether the front counts as a full machine. After it was shut out, it
+// doesn't for a while, and longer each time.
+func (fleet *Fleet) WarmedUp() bool {
+	if fleet.node == nil || fleet.failure != nil {
 		return true
 	}
-	s := f.node.Replica().State()
-	x := s.Rollout.Status(f.cfg.Name)
+	s := fleet.node.Replica().State()
+	x := s.Rollout.Status(fleet.cfg.Name)
 	return x == nil || s.Now >= x.WarmAt
 }
 
-// Holds tells whether the front may act now, and if not, after how long to come back,
-// in us. It must be asked before each act: a process that was stopped goes on in the
-// middle of things.
-func (f *Fleet) MayAct() (ok bool, away int64) {
+// MayAct reports whether the front may act now, and if not, after how many us to come back. It
+// must be called before each act: a process that was stopped may resume at any point.
+func (fleet *Fleet) MayAct() (ok bool, retryAfter int64) {
 	switch {
-	case f.node == nil:
-		return f.cfg.Rules.LeaseSpan == 0 && (f.cfg.Exchange == nil || f.cfg.Exchange.Purges == nil), awayUnknown
-	case f.broken != nil:
-		ok = f.node.LeaseSpan() == 0
-	case f.opened:
-		now := f.now()
-		if ok = f.node.MayAct(now); !ok {
-			f.opened = false
+	case fleet.node == nil:
+		return fleet.cfg.Rules.LeaseSpan == 0 && (fleet.cfg.Exchange == nil || fleet.cfg.Exchange.Purges == nil), leaseRetryDelay
+	case fleet.failure != nil:
+		ok = fleet.node.LeaseSpan() == 0
+	case fleet.leaseApplied:
+		now := fleet.now()
+		if ok = fleet.node.MayAct(now); !ok {
+			fleet.leaseApplied = false
 		}
-		ok = ok && f.ver.taker.MayAct(now)
+		ok = ok && fleet.version.applier.MayAct(now)
 	default:
-		ok = f.node.LeaseSpan() == 0 && f.node.Stale() == nil && f.ver.taker.MayAct(f.now())
+		ok = fleet.node.LeaseSpan() == 0 && fleet.node.Stale() == nil && fleet.version.applier.MayAct(fleet.now())
 	}
-	if ok && f.cfg.Exchange != nil && f.cfg.Exchange.Purges != nil { // what it missed comes first
-		ok = f.ex != nil && f.ex.CaughtUp()
+	if ok && fleet.cfg.Exchange != nil && fleet.cfg.Exchange.Purges != nil { // missed purges come first
+		ok = fleet.exchange != nil && fleet.exchange.CaughtUp()
 	}
-	return ok, awayUnknown
+	return ok, leaseRetryDelay
 }
 
-// pump writes and sends what the node has, until it has nothing more.
-func (f *Fleet) pump() {
-	if f.broken == nil && f.node.Broken() != nil {
-		f.breaks(f.node.Broken())
+// processOutput writes and sends the output of the node until there is no more.
+func (fleet *Fleet) processOutput() {
+	if fleet.failure == nil && fleet.node.Broken() != nil {
+		fleet.fail(fleet.node.Broken())
 	}
-	if f.pumping || f.writing || f.broken != nil || f.closed {
-		f.tellAll()
+	if fleet.pumping || fleet.writing || fleet.failure != nil || fleet.closed {
+		fleet.logEvents()
 		return
 	}
-	f.pumping = true
-	defer func() { f.pumping = false; f.tellAll() }()
+	fleet.pumping = true
+	defer func() { fleet.pumping = false; fleet.logEvents() }()
 	for {
-		out, ok := f.node.Ready()
+		out, ok := fleet.node.Ready()
 		if !ok {
 			break
 		}
 		if len(out.Records) > 0 || out.Rewrite != nil {
-			f.writing = true
-			f.write(out)
+			fleet.writing = true
+			fleet.persistOutput(out)
 			return
 		}
-		if !f.done(out) {
+		if !fleet.finishOutput(out) {
 			return
 		}
 	}
-	if out, _ := f.node.OutOfService(); out != f.out {
-		f.serve()
+	if out, _ := fleet.node.OutOfService(); out != fleet.outOfService {
+		fleet.updateHost()
 	}
 }
 
-func (f *Fleet) done(out consensus.Output) bool {
+func (fleet *Fleet) finishOutput(out consensus.Output) bool {
 	for _, s := range out.Messages {
-		f.send(s)
+		fleet.send(s)
 	}
-	if err := f.node.Advance(out); err != nil {
-		f.breaks(err)
+	if err := fleet.node.Advance(out); err != nil {
+		fleet.fail(err)
 		return false
 	}
 	return true
 }
 
-// write keeps an output's records, and sends once they are durable. A disk that
-// takes nothing is tried again; one that can't be trusted any more ends this part.
-func (f *Fleet) write(out consensus.Output) {
-	kept := func(err error) {
-		if f.closed || f.broken != nil {
+// persistOutput writes the records of an Output, and sends its messages once they are durable.
+// A failed write is retried; a journal that is closed ends this front's part.
+func (fleet *Fleet) persistOutput(out consensus.Output) {
+	onDurable := func(err error) {
+		if fleet.closed || fleet.failure != nil {
 			return
 		}
 		if errors.Is(err, journal.ErrClosed) {
-			f.breaks(err)
+			fleet.fail(err)
 			return
 		}
 		if err != nil {
-			f.log.Error("fleet: the disk takes nothing; this front waits", "error", err)
-			f.loop.At(f.loop.Now()+retryDisk, func() { f.write(out) })
+			fleet.log.Error("fleet: the disk takes nothing; this front waits", "error", err)
+			fleet.loop.At(fleet.loop.Now()+diskRetryDelay, func() { fleet.persistOutput(out) })
 			return
 		}
-		f.writing = false
-		if f.done(out) {
-			f.pump()
+		fleet.writing = false
+		if fleet.finishOutput(out) {
+			fleet.processOutput()
 		}
 	}
-	if f.closed {
+	if fleet.closed {
 		return
 	}
 	if out.Rewrite != nil {
-		f.disk.Rewrite(out.Rewrite, kept)
+		fleet.journal.Rewrite(out.Rewrite, onDurable)
 		return
 	}
-	// All come before the last, or none counts: what was kept of a batch that failed
-	// is written once more and takes its own place.
+	// All callbacks come before the last one. If one write fails, the whole batch is written
+	// again; records that were kept then replace themselves.
 	var failed error
 	for i, r := range out.Records {
 		last := i == len(out.Records)-1
-		f.disk.Append(r, func(err error) {
+		fleet.journal.Append(r, func(err error) {
 			failed = errors.Join(failed, err)
 			if last {
-				kept(failed)
+				onDurable(failed)
 			}
 		})
 	}
 }
 
-// tellAll writes what has happened to the log.
-func (f *Fleet) tellAll() {
-	if f.node == nil {
+// logEvents writes the node's events to the log.
+func (fleet *Fleet) logEvents() {
+	if fleet.node == nil {
 		return
 	}
-	for _, line := range f.node.Events() {
-		f.log.Info("fleet: " + line)
+	for _, line := range fleet.node.Events() {
+		fleet.log.Info("fleet: " + line)
 	}
 }
 
-// Rejoin tells that a person has the front take clients again.
-func (f *Fleet) Rejoin() {
-	if f.node != nil && f.broken == nil && f.out {
-		f.out = false
-		f.node.Rejoin()
-		f.pump()
+// Rejoin has the front take clients again at an operator's request.
+func (fleet *Fleet) Rejoin() {
+	if fleet.node != nil && fleet.failure == nil && fleet.outOfService {
+		fleet.outOfService = false
+		fleet.node.Rejoin()
+		fleet.processOutput()
 	}
 }
 
-// Close ends this front's part; what is on its way to the disk is still written.
-func (f *Fleet) Close() error {
-	if f.closed {
+// Close ends this front's part; pending writes are completed.
+func (fleet *Fleet) Close() error {
+	if fleet.closed {
 		return nil
 	}
-	f.closed = true
-	f.loop.Stop(&f.tick)
+	fleet.closed = true
+	fleet.loop.Stop(&fleet.tickTimer)
 	var err error
-	if f.listener != nil {
-		err = f.listener.Close()
+	if fleet.listener != nil {
+		err = fleet.listener.Close()
 	}
-	if f.ex != nil {
-		err = errors.Join(err, f.ex.Close())
+	if fleet.exchange != nil {
+		err = errors.Join(err, fleet.exchange.Close())
 	}
-	for _, p := range f.peers {
-		if p.conn != nil {
-			p.conn.Close()
+	for _, peer := range fleet.peers {
+		if peer.conn != nil {
+			peer.conn.Close()
 		}
 	}
-	for g := range f.guests {
-		g.conn.Close()
+	for inbound := range fleet.inbound {
+		inbound.conn.Close()
 	}
-	if f.disk != nil {
-		err = errors.Join(err, f.closeBook(), f.disk.Close())
+	if fleet.journal != nil {
+		err = errors.Join(err, fleet.closeAuditLog(), fleet.journal.Close())
 	}
-	if f.lock != nil {
-		err = errors.Join(err, f.lock.Close())
+	if fleet.lock != nil {
+		err = errors.Join(err, fleet.lock.Close())
 	}
 	return err
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -16,93 +16,93 @@
 	"cherryramp/internal/loop"
 )
 
-// Spans and bounds of connections.
+// Timeouts and limits of connections.
 const (
-	handshakeMost = 5 * time.Second
-	redialLeast   = 100_000    // us before a front is dialled again; doubles to the most
-	redialMost    = 2_000_000  // us
-	unusedMost    = 60_000_000 // us without a message, after which a connection is given up
-	pingEvery     = 500_000    // us
-	deadAfter     = 3_000_000  // us
-	window        = 4 << 20    // bytes that may be on their way to a front
-	mostQueued    = 8 << 20    // bytes that may wait for it; what comes then is dropped, and sent again by who needs it
-	mostIncoming  = 2048       // connections from others
-	fleetStream   = 1
-	fleetClass    = "fleet"
+	handshakeTimeout = 5 * time.Second
+	minRedialDelay   = 100_000    // us before a front is dialled again; doubles up to maxRedialDelay
+	maxRedialDelay   = 2_000_000  // us
+	idleTimeout      = 60_000_000 // us without a message, after which a connection is closed
+	pingInterval     = 500_000    // us
+	deadTimeout      = 3_000_000  // us
+	streamWindow     = 4 << 20    // bytes in flight to a front
+	maxQueuedBytes   = 8 << 20    // bytes that may wait for a front; more is dropped, and sent again by the protocol that needs it
+	maxInbound       = 2048       // connections from other fronts
+	fleetStream      = 1
+	fleetClass       = "fleet"
 )
 
-// peer is another front, as this one sends to it. What it sends comes on a
-// connection of its own, so that each way can fail alone.
+// peer is another front as this one sends to it. What it sends comes on a connection of its
+// own, so that each direction can fail alone.
 type peer struct {
-	f       *Fleet
-	name    string
-	conn    *link.Conn
-	up      bool
-	dialing bool
-	queue   []byte // until the connection is up
-	wait    loop.Micros
-	next    loop.Micros // when it may be dialled again
-	used    loop.Micros
-	failed  string // why the last one ended
+	fleet       *Fleet
+	name        string
+	conn        *link.Conn
+	up          bool
+	dialing     bool
+	queue       []byte // until the connection is up
+	redialDelay loop.Micros
+	nextDial    loop.Micros // when it may be dialled again
+	lastUsed    loop.Micros
+	lastError   string // why the last connection ended
 }
 
-// hello is what this front says first.
-func (f *Fleet) hello() link.Config {
-	return link.Config{Hello: frame.Hello{Site: f.cfg.Name, Epoch: f.node.Replica().State().Fleet, Window: window, Total: 2 * window, Streams: 4},
-		Weights: []int{1}, Ping: pingEvery, Dead: deadAfter}
+// linkConfig returns the configuration of a link, with this front's hello.
+func (fleet *Fleet) linkConfig() link.Config {
+	return link.Config{Hello: frame.Hello{Site: fleet.cfg.Name, Epoch: fleet.node.Replica().State().Fleet, Window: streamWindow, Total: 2 * streamWindow, Streams: 4},
+		Weights: []int{1}, Ping: pingInterval, Dead: deadTimeout}
 }
 
-// send sends a message, or drops it where too much waits.
-func (f *Fleet) send(s consensus.Message) {
-	p := f.peers[s.To]
-	if p == nil {
-		p = &peer{f: f, name: s.To}
-		f.peers[s.To] = p
+// send sends a message, or drops it if too much is waiting.
+func (fleet *Fleet) send(message consensus.Message) {
+	target := fleet.peers[message.To]
+	if target == nil {
+		target = &peer{fleet: fleet, name: message.To}
+		fleet.peers[message.To] = target
 	}
-	p.used = f.loop.Now()
-	f.counts.Sent++
-	f.counts.Bytes += uint64(wireHead + len(s.Payload))
-	if p.up {
-		if p.conn.Waits(fleetStream)+len(s.Payload) > mostQueued {
-			f.counts.Dropped++
+	target.lastUsed = fleet.loop.Now()
+	fleet.counts.Sent++
+	fleet.counts.Bytes += uint64(messageHeader + len(message.Payload))
+	if target.up {
+		if target.conn.Waits(fleetStream)+len(message.Payload) > maxQueuedBytes {
+			fleet.counts.Dropped++
 			return
 		}
-		p.conn.Write(fleetStream, appendMessage(nil, s.Kind, s.Payload))
+		target.conn.Write(fleetStream, appendMessage(nil, message.Kind, message.Payload))
 		return
 	}
-	if len(p.queue)+len(s.Payload) > mostQueued/8 {
-		f.counts.Dropped++
+	if len(target.queue)+len(message.Payload) > maxQueuedBytes/8 {
+		fleet.counts.Dropped++
 	} else {
-		p.queue = appendMessage(p.queue, s.Kind, s.Payload)
+		target.queue = appendMessage(target.queue, message.Kind, message.Payload)
 	}
-	p.dial()
+	target.dial()
 }
 
-// dial connects beside the loop, not more often than it should.
-func (p *peer) dial() {
-	f := p.f
-	address := f.cfg.Reach[p.name]
+// dial connects outside the loop, if there is no connection and the redial delay is over.
+func (peer *peer) dial() {
+	fleet := peer.fleet
+	address := fleet.cfg.Reach[peer.name]
 	if address == "" {
-		address = f.node.AddressOf(p.name)
+		address = fleet.node.AddressOf(peer.name)
 	}
-	if p.dialing || p.conn != nil || f.closed || address == "" || f.loop.Now() < p.next {
+	if peer.dialing || peer.conn != nil || fleet.closed || address == "" || fleet.loop.Now() < peer.nextDial {
 		return
 	}
-	p.dialing = true
+	peer.dialing = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), handshakeMost)
+		ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 		defer cancel()
-		d := tls.Dialer{Config: f.keys.Client()}
+		d := tls.Dialer{Config: fleet.keys.Client()}
 		conn, err := d.DialContext(ctx, "tcp", address)
-		if err == nil && !slices.Contains(names(conn), p.name) {
-			err = errors.Join(fmt.Errorf("fleet: at %s is %q, not %s", address, names(conn), p.name), conn.Close())
+		if err == nil && !slices.Contains(provenNames(conn), peer.name) {
+			err = errors.Join(fmt.Errorf("fleet: at %s is %q, not %s", address, provenNames(conn), peer.name), conn.Close())
 		}
-		f.loop.Post(func() { p.dialled(conn, err) })
+		fleet.loop.Post(func() { peer.onDialed(conn, err) })
 	}()
 }
 
-// names are those that a connection's other side has proven.
-func names(c net.Conn) []string {
+// provenNames returns the names in the certificate of a connection's other side.
+func provenNames(c net.Conn) []string {
 	t, ok := c.(*tls.Conn)
 	if !ok {
 		return nil
@@ -113,33 +113,33 @@
 	return nil
 }
 
-func (p *peer) dialled(conn net.Conn, err error) {
-	p.dialing = false
-	if err != nil || p.f.closed {
+func (peer *peer) onDialed(conn net.Conn, err error) {
+	peer.dialing = false
+	if err != nil || peer.fleet.closed {
 		if err == nil {
 			_ = conn.Close()
 		}
-		p.later(err)
+		peer.scheduleRedial(err)
 		return
 	}
-	p.conn = link.New(p.f.loop, conn, p.f.hello(), p)
+	peer.conn = link.New(peer.fleet.loop, conn, peer.fleet.linkConfig(), peer)
 }
 
-// later puts the next dial off, and drops what waits: it is out of date by then.
-func (p *peer) later(err error) {
-	p.queue = nil
-	p.wait = min(max(2*p.wait, redialLeast), redialMost)
-	p.next = p.f.loop.Now() + p.wait
-	if err != nil && p.failed == "" {
-		p.failed = err.Error()
-		p.f.log.Info("fleet: a front is not reached", "front", p.name, "error", err)
+// scheduleRedial delays the next dial and drops the queue, which will be outdated by then.
+func (peer *peer) scheduleRedial(err error) {
+	peer.queue = nil
+	peer.redialDelay = min(max(2*peer.redialDelay, minRedialDelay), maxRedialDelay)
+	peer.nextDial = peer.fleet.loop.Now() + peer.redialDelay
+	if err != nil && peer.lastError == "" {
+		peer.lastError = err.Error()
+		peer.fleet.log.Info("fleet: a front is not reached", "front", peer.name, "error", err)
 	}
 }
 
 // Up is part of link.Handler.
-func (p *peer) Up(c *link.Conn, agreed frame.Hello) {
-	if own := p.f.node.Replica().State().Fleet; own != 0 && agreed.Epoch != 0 && own != agreed.Epoch {
-		p.f.foreign(p.name, agreed.Epoch)
+func (peer *peer) Up(c *link.Conn, agreed frame.Hello) {
+	if own := peer.fleet.node.Replica().State().Fleet; own != 0 && agreed.Epoch != 0 && own != agreed.Epoch {
+		peer.fleet.logForeign(peer.name, agreed.Epoch)
 		c.Close()
 		return
 	}
@@ -147,174 +147,174 @@
 		c.Close()
 		return
 	}
-	if p.failed != "" {
-		p.f.log.Info("fleet: a front is reached again", "front", p.name)
+	if peer.lastError != "" {
+		peer.fleet.log.Info("fleet: a front is reached again", "front", peer.name)
 	}
-	p.up, p.wait, p.failed = true, 0, ""
-	c.Write(fleetStream, p.queue)
-	p.queue = nil
+	peer.up, peer.redialDelay, peer.lastError = true, 0, ""
+	c.Write(fleetStream, peer.queue)
+	peer.queue = nil
 }
 
 // Frame is part of link.Handler.
-func (p *peer) Frame(*link.Conn, frame.Frame, link.Micros) {}
+func (peer *peer) Frame(*link.Conn, frame.Frame, link.Micros) {}
 
-// Data is part of link.Handler: nothing comes back on a connection of ours.
-func (p *peer) Data(c *link.Conn, _ uint32, _ []byte) { c.Close() }
+// Data is part of link.Handler: nothing is received on an outgoing connection.
+func (peer *peer) Data(c *link.Conn, _ uint32, _ []byte) { c.Close() }
 
 // Down is part of link.Handler.
-func (p *peer) Down(_ *link.Conn, err error) {
-	p.conn, p.up = nil, false
+func (peer *peer) Down(_ *link.Conn, err error) {
+	peer.conn, peer.up = nil, false
 	if errors.Is(err, link.ErrClosed) {
 		err = nil
 	}
-	p.later(err)
+	peer.scheduleRedial(err)
 }
 
-// sweep gives up connections that nothing goes on.
-func (f *Fleet) sweep() {
-	for name, p := range f.peers {
-		if f.loop.Now()-p.used < unusedMost {
+// sweep closes connections that have been unused for long.
+func (fleet *Fleet) sweep() {
+	for name, peer := range fleet.peers {
+		if fleet.loop.Now()-peer.lastUsed < idleTimeout {
 			continue
 		}
-		if p.conn != nil {
-			p.conn.Close()
-		} else if !p.dialing {
-			delete(f.peers, name)
+		if peer.conn != nil {
+			peer.conn.Close()
+		} else if !peer.dialing {
+			delete(fleet.peers, name)
 		}
 	}
 }
 
-// foreign tells, once a minute at most, of a front of another fleet.
-func (f *Fleet) foreign(name string, fleet uint64) {
-	if now := f.loop.Now(); now-f.toldForeign > unusedMost {
-		f.toldForeign = now
-		f.log.Error("fleet: a front belongs to another fleet and is not spoken to", "front", name, "fleet", fmt.Sprintf("%016x", fleet),
-			"own", fmt.Sprintf("%016x", f.node.Replica().State().Fleet))
+// logForeign logs, at most once a minute, a front of another fleet.
+func (fleet *Fleet) logForeign(name string, fleetID uint64) {
+	if now := fleet.loop.Now(); now-fleet.foreignLoggedAt > idleTimeout {
+		fleet.foreignLoggedAt = now
+		fleet.log.Error("fleet: a front belongs to another fleet and is not spoken to", "front", name, "fleet", fmt.Sprintf("%016x", fleetID),
+			"own", fmt.Sprintf("%016x", fleet.node.Replica().State().Fleet))
 	}
 }
 
-// guest is another front, as it sends to this one.
-type guest struct {
-	f     *Fleet
+// inboundPeer is another front as it sends to this one.
+type inboundPeer struct {
+	fleet *Fleet
 	tls   *tls.Conn
 	conn  *link.Conn
 	name  string
 	input []byte
 }
 
-// accept takes connections in, beside the loop.
-func (f *Fleet) accept(ln net.Listener) {
+// accept accepts connections, outside the loop.
+func (fleet *Fleet) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // descriptors have run out, or such
+		if err != nil { // such as running out of descriptors
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		if f.incoming.Add(1) > mostIncoming {
-			f.incoming.Add(-1)
+		if fleet.inboundCount.Add(1) > maxInbound {
+			fleet.inboundCount.Add(-1)
 			_ = c.Close()
 			continue
 		}
-		go func() { // one a connection, for its handshake alone
-			cfg := f.keys.Server()
-			if f.ex != nil {
+		go func() { // one goroutine per connection, only for its handshake
+			cfg := fleet.keys.Server()
+			if fleet.exchange != nil {
 				cfg.NextProtos = []string{exchange.Protocol}
 			}
 			t := tls.Server(c, cfg)
-			ctx, cancel := context.WithTimeout(context.Background(), handshakeMost)
+			ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 			defer cancel()
 			if err := t.HandshakeContext(ctx); err != nil {
-				f.incoming.Add(-1)
+				fleet.inboundCount.Add(-1)
 				_ = c.Close()
-				f.loop.Post(func() { f.refused(c.RemoteAddr(), err) })
+				fleet.loop.Post(func() { fleet.logRefused(c.RemoteAddr(), err) })
 				return
 			}
 			if t.ConnectionState().NegotiatedProtocol == exchange.Protocol {
-				f.ex.Accept(t, func() { f.incoming.Add(-1) })
+				fleet.exchange.Accept(t, func() { fleet.inboundCount.Add(-1) })
 				return
 			}
-			f.loop.Post(func() {
-				if f.closed {
-					f.incoming.Add(-1)
+			fleet.loop.Post(func() {
+				if fleet.closed {
+					fleet.inboundCount.Add(-1)
 					_ = t.Close()
 					return
 				}
-				g := &guest{f: f, tls: t}
-				f.guests[g] = true
-				g.conn = link.New(f.loop, t, f.hello(), g)
+				inbound := &inboundPeer{fleet: fleet, tls: t}
+				fleet.inbound[inbound] = true
+				inbound.conn = link.New(fleet.loop, t, fleet.linkConfig(), inbound)
 			})
 		}()
 	}
 }
 
-// refused tells, now and then, of who was not let in.
-func (f *Fleet) refused(from net.Addr, err error) {
-	if now := f.loop.Now(); now-f.toldRefused > unusedMost/6 {
-		f.toldRefused = now
-		f.log.Warn("fleet: a connection was not let in", "from", from, "error", err)
+// logRefused logs, at most every ten seconds, a connection that was refused.
+func (fleet *Fleet) logRefused(from net.Addr, err error) {
+	if now := fleet.loop.Now(); now-fleet.refusedLoggedAt > idleTimeout/6 {
+		fleet.refusedLoggedAt = now
+		fleet.log.Warn("fleet: a connection was not let in", "from", from, "error", err)
 	}
 }
 
 // Up is part of link.Handler.
-func (g *guest) Up(c *link.Conn, agreed frame.Hello) {
-	if !slices.Contains(names(g.tls), agreed.Site) || agreed.Site == g.f.cfg.Name {
-		g.f.refused(g.tls.RemoteAddr(), fmt.Errorf("it calls itself %q, and its certificate is for %q", agreed.Site, names(g.tls)))
+func (inbound *inboundPeer) Up(c *link.Conn, agreed frame.Hello) {
+	if !slices.Contains(provenNames(inbound.tls), agreed.Site) || agreed.Site == inbound.fleet.cfg.Name {
+		inbound.fleet.logRefused(inbound.tls.RemoteAddr(), fmt.Errorf("it calls itself %q, and its certificate is for %q", agreed.Site, provenNames(inbound.tls)))
 		c.Close()
 		return
 	}
-	if own := g.f.node.Replica().State().Fleet; own != 0 && agreed.Epoch != 0 && own != agreed.Epoch {
-		g.f.foreign(agreed.Site, agreed.Epoch)
+	if own := inbound.fleet.node.Replica().State().Fleet; own != 0 && agreed.Epoch != 0 && own != agreed.Epoch {
+		inbound.fleet.logForeign(agreed.Site, agreed.Epoch)
 		c.Close()
 		return
 	}
-	g.name = agreed.Site
+	inbound.name = agreed.Site
 }
 
 // Frame is part of link.Handler.
-func (g *guest) Frame(c *link.Conn, x frame.Frame, _ link.Micros) {
-	if x.Kind != frame.KindOpen || x.Stream != fleetStream || c.Accept(fleetStream, 0) != nil {
+func (inbound *inboundPeer) Frame(c *link.Conn, received frame.Frame, _ link.Micros) {
+	if received.Kind != frame.KindOpen || received.Stream != fleetStream || c.Accept(fleetStream, 0) != nil {
 		c.Close()
 	}
 }
 
 // Data is part of link.Handler.
-func (g *guest) Data(c *link.Conn, stream uint32, b []byte) {
-	c.Consumed(stream, len(b))
-	if g.name == "" || g.f.closed {
+func (inbound *inboundPeer) Data(c *link.Conn, stream uint32, data []byte) {
+	c.Consumed(stream, len(data))
+	if inbound.name == "" || inbound.fleet.closed {
 		return
 	}
-	g.input = append(g.input, b...)
+	inbound.input = append(inbound.input, data...)
 	used := 0
 	for {
-		kind, payload, n, err := parseMessage(g.input[used:])
+		kind, payload, n, err := parseMessage(inbound.input[used:])
 		if err == nil && n == 0 {
 			break
 		}
 		if err == nil {
-			g.f.counts.Received++
-			g.f.node.AdvanceClock(g.f.now())
+			inbound.fleet.counts.Received++
+			inbound.fleet.node.AdvanceClock(inbound.fleet.now())
 			if kind == consensus.KindAuditQuestion || kind == consensus.KindAuditAnswer {
-				g.f.heardOfAudit(g.name, kind, slices.Clone(payload))
+				inbound.fleet.handleAuditMessage(inbound.name, kind, slices.Clone(payload))
 			} else {
-				err = g.f.node.Receive(g.name, kind, slices.Clone(payload))
+				err = inbound.fleet.node.Receive(inbound.name, kind, slices.Clone(payload))
 			}
 			used += n
 		}
 		if err != nil {
-			g.f.log.Warn("fleet: a message can't be read", "from", g.name, "error", err)
+			inbound.fleet.log.Warn("fleet: a message can't be read", "from", inbound.name, "error", err)
 			c.Close()
 			return
 		}
 	}
-	g.input = slices.Clone(g.input[used:])
-	g.f.pump()
+	inbound.input = slices.Clone(inbound.input[used:])
+	inbound.fleet.processOutput()
 }
 
 // Down is part of link.Handler.
-func (g *guest) Down(*link.Conn, error) {
-	delete(g.f.guests, g)
-	g.f.incoming.Add(-1)
+func (inbound *inboundPeer) Down(*link.Conn, error) {
+	delete(inbound.fleet.inbound, inbound)
+	inbound.fleet.inboundCount.Add(-1)
 }
--- a/internal/fleet/versionadmin.go
+++ b/internal/fleet/versionadmin.go
@@ -14,7 +14,7 @@
 	"cherryramp/internal/decide/statemachine"
 )
 
-// Version is one as a person reads it.
+// Version is a version as the admin endpoint shows it.
 type Version struct {
 	N            uint64   `json:"version"`
 	Digest       string   `json:"digest"`
@@ -28,11 +28,11 @@
 	Fronts       int      `json:"fronts"`
 	PhaseS       float64  `json:"for_s"`
 	Note         string   `json:"note,omitempty"`
-	WaitsFor     string   `json:"waits,omitempty"` // the whole sentence
+	WaitsFor     string   `json:"waits,omitempty"` // a whole sentence
 	Exempt       []string `json:"spared,omitempty"`
 }
 
-// Lag is where a front stands.
+// FrontLag is how far a front is behind the version wanted of it.
 type FrontLag struct {
 	Front         string `json:"front"`
 	Zone          string `json:"zone"`
@@ -42,12 +42,12 @@
 	Cause         string `json:"cause,omitempty"`
 	Fenced        bool   `json:"shut_out,omitempty"`
 	Warming       bool   `json:"warming,omitempty"`
-	OldestInUse   uint64 `json:"oldest_open,omitempty"` // version, and one, under which it has requests open
+	OldestInUse   uint64 `json:"oldest_open,omitempty"` // oldest version with open requests, plus one
 	Build         string `json:"build"`
-	AuditRecord   uint64 `json:"audit_record"` // of its audit, that the log knows the head of
+	AuditRecord   uint64 `json:"audit_record"` // of its audit, the last one whose head the log knows
 }
 
-// Propose is what a person proposes; the file was staged before.
+// Proposal is a proposal of an operator; the file was uploaded with STAGE before.
 type Proposal struct {
 	Upload     string  `json:"upload"`
 	Reason     string  `json:"why,omitempty"`
@@ -56,158 +56,159 @@
 	GateS      float64 `json:"bar_s,omitempty"`
 	WatchS     float64 `json:"watch_s"`
 	Steps      []int   `json:"steps,omitempty"`
-	Base       *uint64 `json:"base,omitempty"` // what it was made on; what stands by default
+	Base       *uint64 `json:"base,omitempty"` // version that it was made on; the stable one by default
 }
 
-// staged is a file on its way to this front.
-type staged struct {
-	data []byte
-	at   int64
+// upload is a file that is being uploaded to this front.
+type upload struct {
+	data      []byte
+	updatedAt int64
 }
 
 const (
-	mostStaged = 8
-	stagedFor  = 60_000_000 // us
+	maxUploads     = 8
+	uploadLifetime = 60_000_000 // us
 )
 
 // Errors of calls about versions.
 var (
-	errStage   = errors.New("STAGE takes a name for the upload and the next bytes in base64")
-	errVersion = errors.New("the version's number is wanted")
-	errUpload  = errors.New("no file of that name was staged here lately")
-	errBig     = fmt.Errorf("a version of 1 to %d bytes is wanted", rollout.MaxVersionSize)
+	errStageCall     = errors.New("STAGE takes a name for the upload and the next bytes in base64")
+	errVersionNumber = errors.New("the version's number is wanted")
+	errUnknownUpload = errors.New("no file of that name was staged here lately")
+	errVersionSize   = fmt.Errorf("a version of 1 to %d bytes is wanted", rollout.MaxVersionSize)
 )
 
-func (f *Fleet) versionsCall(call string, give func(any), fail func(error)) {
-	r := f.node.Replica()
-	s, fleet := r.State(), statemachine.RolloutMachines(r.Fleet())
-	word, rest, _ := strings.Cut(call, " ")
+func (fleet *Fleet) versionsCall(call string, reply func(any), fail func(error)) {
+	replica := fleet.node.Replica()
+	state, machines := replica.State(), statemachine.RolloutMachines(replica.Fleet())
+	verb, rest, _ := strings.Cut(call, " ")
 	rest = strings.TrimSpace(rest)
-	switch word {
+	switch verb {
 	case "LIST":
 		list := []Version{}
-		for i := range slices.Backward(s.Rollout.Versions) {
-			v := &s.Rollout.Versions[i]
+		for i := range slices.Backward(state.Rollout.Versions) {
+			v := &state.Rollout.Versions[i]
 			x := Version{N: v.Number, Digest: v.Digest[:min(16, len(v.Digest))], Phase: v.Phase.String(), Reason: v.Reason, ProposedBy: v.ProposedBy, Urgent: v.Urgent,
-				GateS: seconds(v.Gate), GatePassed: v.GatePassedAt > 0, Fronts: len(fleet), PhaseS: seconds(s.Now - v.Since), Note: v.Note,
-				WaitsFor: s.Rollout.Explain(v.Number, fleet, r.RolloutRules(), s.Now), Exempt: v.Exempt}
-			for _, y := range s.Rollout.Statuses {
+				GateS: seconds(v.Gate), GatePassed: v.GatePassedAt > 0, Fronts: len(machines), PhaseS: seconds(state.Now - v.Since), Note: v.Note,
+				WaitsFor: state.Rollout.Explain(v.Number, machines, replica.RolloutRules(), state.Now), Exempt: v.Exempt}
+			for _, y := range state.Rollout.Statuses {
 				if y.Active == v.Number {
 					x.ActiveFronts++
 				}
 			}
 			list = append(list, x)
 		}
-		give(list)
+		reply(list)
 	case "LAG":
 		list := []FrontLag{}
-		for _, l := range s.Rollout.Lags(fleet, s.Now) {
-			c := s.Members.Find(l.Name)
+		for _, l := range state.Rollout.Lags(machines, state.Now) {
+			c := state.Members.Find(l.Name)
 			x := FrontLag{Front: l.Name, Zone: c.Zone, ActiveVersion: l.Active, Target: l.Target, Behind: l.Behind, Cause: l.Cause, Fenced: l.Fenced, Warming: l.WarmingUp,
 				OldestInUse: l.OldestInUse, Build: c.Build}
-			if y := s.Rollout.Status(l.Name); y != nil {
+			if y := state.Rollout.Status(l.Name); y != nil {
 				x.AuditRecord = y.AuditSeq
 			}
 			list = append(list, x)
 		}
-		give(list)
+		reply(list)
 	case "WHY":
 		n, err := strconv.ParseUint(rest, 10, 64)
 		if err != nil {
-			fail(errVersion)
+			fail(errVersionNumber)
 			return
 		}
-		give(map[string]string{"why": s.Rollout.Explain(n, fleet, r.RolloutRules(), s.Now)})
+		reply(map[string]string{"why": state.Rollout.Explain(n, machines, replica.RolloutRules(), state.Now)})
 	case "STAGE":
 		name, text, _ := strings.Cut(rest, " ")
 		b, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 		if err != nil || name == "" {
-			fail(errStage)
+			fail(errStageCall)
 			return
 		}
-		f.stage(name, b, give, fail)
+		fleet.stage(name, b, reply, fail)
 	case "PROPOSE":
 		var p Proposal
-		if err := strict("PROPOSE", rest, &p); err != nil {
+		if err := decodeStrict("PROPOSE", rest, &p); err != nil {
 			fail(err)
 			return
 		}
-		f.propose(p, give, fail)
+		fleet.propose(p, reply, fail)
 	case "STOP":
 		if rest == "" {
 			rest = "stopped by a person"
 		}
-		f.submit(statemachine.Command{Stop: rest}, give, fail)
+		fleet.submit(statemachine.Command{Stop: rest}, reply, fail)
 	default:
-		fail(errCall)
+		fail(errUnknownCall)
 	}
 }
 
-// stage keeps the next bytes of a file until it is proposed, or for a minute.
-func (f *Fleet) stage(name string, b []byte, give func(any), fail func(error)) {
-	now := f.loop.Now()
-	if f.staged == nil {
-		f.staged = map[string]*staged{}
+// stage adds the next bytes to an upload. It is kept until it is proposed, or for
+// uploadLifetime after its last bytes.
+func (fleet *Fleet) stage(name string, data []byte, reply func(any), fail func(error)) {
+	now := fleet.loop.Now()
+	if fleet.uploads == nil {
+		fleet.uploads = map[string]*upload{}
 	}
-	for n, x := range f.staged {
-		if now-x.at > stagedFor {
-			delete(f.staged, n)
+	for n, staged := range fleet.uploads {
+		if now-staged.updatedAt > uploadLifetime {
+			delete(fleet.uploads, n)
 		}
 	}
-	x := f.staged[name]
-	if x == nil {
-		if len(f.staged) >= mostStaged {
+	staged := fleet.uploads[name]
+	if staged == nil {
+		if len(fleet.uploads) >= maxUploads {
 			fail(ErrTooManyUploads)
 			return
 		}
-		x = &staged{}
-		f.staged[name] = x
+		staged = &upload{}
+		fleet.uploads[name] = staged
 	}
-	if len(x.data)+len(b) > rollout.MaxVersionSize {
-		delete(f.staged, name)
-		fail(errBig)
+	if len(staged.data)+len(data) > rollout.MaxVersionSize {
+		delete(fleet.uploads, name)
+		fail(errVersionSize)
 		return
 	}
-	x.data, x.at = append(x.data, b...), now
-	give(map[string]int{"bytes": len(x.data)})
+	staged.data, staged.updatedAt = append(staged.data, data...), now
+	reply(map[string]int{"bytes": len(staged.data)})
 }
 
-// ErrMany tells that too many files are on their way to a front.
-var ErrTooManyUploads = fmt.Errorf("%d files are staged here, which is the most", mostStaged)
+// ErrTooManyUploads is returned if there is no room for another upload.
+var ErrTooManyUploads = fmt.Errorf("%d files are staged here, which is the most", maxUploads)
 
-// propose has a staged file checked here, its pieces agreed on, and then the version
-// itself: whoever vanishes before that leaves pieces that nobody names.
-func (f *Fleet) propose(p Proposal, give func(any), fail func(error)) {
-	x := f.staged[p.Upload]
-	delete(f.staged, p.Upload)
+// propose checks an uploaded file on this front, has its pieces committed, and then the version
+// itself: if the front fails before that, it leaves pieces that no version names.
+func (fleet *Fleet) propose(proposal Proposal, reply func(any), fail func(error)) {
+	x := fleet.uploads[proposal.Upload]
+	delete(fleet.uploads, proposal.Upload)
 	switch {
 	case x == nil:
-		fail(errUpload)
+		fail(errUnknownUpload)
 		return
 	case len(x.data) == 0:
-		fail(errBig)
+		fail(errVersionSize)
 		return
-	case !(p.GateS >= 0 && p.GateS < 1e6 && p.WatchS >= 0 && p.WatchS < 1e6):
+	case !(proposal.GateS >= 0 && proposal.GateS < 1e6 && proposal.WatchS >= 0 && proposal.WatchS < 1e6):
 		fail(rollout.ErrSpanRange)
 		return
 	}
-	base := f.node.Replica().State().Rollout.Stable
-	if p.Base != nil {
-		base = *p.Base
+	base := fleet.node.Replica().State().Rollout.Stable
+	if proposal.Base != nil {
+		base = *proposal.Base
 	}
-	f.host.CheckVersion(x.data, func(err error) {
+	fleet.host.CheckVersion(x.data, func(err error) {
 		if err != nil {
 			fail(fmt.Errorf("this front can't act on it: %w", err))
 			return
 		}
-		v := rollout.Version{Digest: rollout.Hash(x.data), Reason: p.Reason, ProposedBy: p.ProposedBy, Urgent: p.Urgent, Gate: int64(p.GateS * 1e6), Watch: int64(p.WatchS * 1e6),
-			Steps: p.Steps, Base: base}
+		v := rollout.Version{Digest: rollout.Hash(x.data), Reason: proposal.Reason, ProposedBy: proposal.ProposedBy, Urgent: proposal.Urgent, Gate: int64(proposal.GateS * 1e6), Watch: int64(proposal.WatchS * 1e6),
+			Steps: proposal.Steps, Base: base}
 		pieces := slices.Collect(slices.Chunk(x.data, rollout.MaxPieceSize))
 		left, failed := len(pieces), error(nil)
 		for _, piece := range pieces {
 			v.Pieces = append(v.Pieces, rollout.Hash(piece))
 		}
-		one := func(err error) {
+		onPiece := func(err error) {
 			if failed == nil {
 				failed = err
 			}
@@ -218,75 +219,75 @@
 				fail(failed)
 				return
 			}
-			f.loop.Post(func() { // not from within the word on a piece
-				f.submit(statemachine.Command{Propose: &v}, func(x any) {
-					give(map[string]uint64{"version": x.(map[string]uint64)["work"]})
+			fleet.loop.Post(func() { // not from within the callback of a piece
+				fleet.submit(statemachine.Command{Propose: &v}, func(x any) {
+					reply(map[string]uint64{"version": x.(map[string]uint64)["work"]})
 				}, fail)
 			})
 		}
 		for _, piece := range pieces {
-			f.submit(statemachine.Command{Piece: piece}, func(any) { one(nil) }, one)
+			fleet.submit(statemachine.Command{Piece: piece}, func(any) { onPiece(nil) }, onPiece)
 		}
 	})
 }
 
-// Report is an answer about audits, put together from those that were reached.
+// AuditReport is the result of a query of all audits, from the fronts that were reached.
 type AuditReport struct {
 	Question audit.Question `json:"question"`
 	FleetS   float64        `json:"fleet_time_s"`
 	Answers  []audit.Answer `json:"answers"`
 	Missing  []string       `json:"missing,omitempty"` // fronts that did not answer
-	Lost     []LostAudit    `json:"lost,omitempty"`    // audits that are gone with their disks
+	Lost     []LostAudit    `json:"lost,omitempty"`    // audits that were lost with their disks
 }
 
-// Lost is an audit that is gone: its front came back under another incarnation.
+// LostAudit is an audit that is gone: its front came back under another incarnation.
 type LostAudit struct {
 	Front       string  `json:"front"`
 	Incarnation string  `json:"incarnation"`
-	Records     uint64  `json:"records"` // at least: as far as the log knew of them
+	Records     uint64  `json:"records"` // at least: as many as the log knew of
 	Head        string  `json:"head"`
 	FoundAtS    float64 `json:"before_fleet_s"`
 }
 
-// auditCall asks the fronts for their audits.
-func (f *Fleet) auditCall(call string, give func(any), fail func(error)) {
-	var ask struct {
+// auditCall queries the audits of the fronts.
+func (fleet *Fleet) auditCall(call string, reply func(any), fail func(error)) {
+	var query struct {
 		audit.Question
 		Name string `json:"name,omitempty"` // one front; empty: all
 	}
-	if err := strict("AUDIT", call, &ask); err != nil {
+	if err := decodeStrict("AUDIT", call, &query); err != nil {
 		fail(err)
 		return
 	}
-	s := f.node.Replica().State()
+	state := fleet.node.Replica().State()
 	var names []string
-	for _, x := range s.Members.Fronts {
-		if ask.Name == "" || ask.Name == x.Name {
+	for _, x := range state.Members.Fronts {
+		if query.Name == "" || query.Name == x.Name {
 			names = append(names, x.Name)
 		}
 	}
 	if len(names) == 0 {
-		fail(fmt.Errorf("no front %q", ask.Name))
+		fail(fmt.Errorf("no front %q", query.Name))
 		return
 	}
-	err := f.askAll(ask.Question, names, func(answers []audit.Answer, missing []string) {
-		r := AuditReport{Question: ask.Question, FleetS: seconds(s.Now), Answers: answers, Missing: missing}
-		for _, h := range s.Rollout.LostAudits {
-			if ask.Name == "" || ask.Name == h.Name {
-				r.Lost = append(r.Lost, LostAudit{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, FoundAtS: seconds(h.FoundAt)})
+	err := fleet.queryAudits(query.Question, names, func(answers []audit.Answer, missing []string) {
+		report := AuditReport{Question: query.Question, FleetS: seconds(state.Now), Answers: answers, Missing: missing}
+		for _, h := range state.Rollout.LostAudits {
+			if query.Name == "" || query.Name == h.Name {
+				report.Lost = append(report.Lost, LostAudit{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, FoundAtS: seconds(h.FoundAt)})
 			}
 		}
-		if ask.Request != "" { // whoever surely did not decide it has nothing to say
-			r.Answers = slices.DeleteFunc(r.Answers, func(a audit.Answer) bool {
+		if query.Request != "" { // omit fronts that certainly did not decide it
+			report.Answers = slices.DeleteFunc(report.Answers, func(a audit.Answer) bool {
 				return len(a.Spans) == 0 && a.Error == "" && a.Broken == "" && len(a.Gaps) == 0
 			})
 		}
-		give(r)
+		reply(report)
 	})
 	if err != nil {
 		fail(err)
 	}
 }
 
-// headOf is a chain's head as it is told.
-func headOf(b []byte) string { return hex.EncodeToString(b) }
+// hexDigest returns a digest in the form in which it is reported.
+func hexDigest(b []byte) string { return hex.EncodeToString(b) }
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -8,144 +8,144 @@
 	"cherryramp/internal/decide/rollout"
 )
 
-// acting is the version that this front acts on.
-type acting struct {
-	taker   *rollout.Applier
-	applied uint64
-	target  uint64
-	next    uint64
-	open    []openUnder
-	told    bool // by the log, that it may not
+// versionState is the state of the version that this front acts on.
+type versionState struct {
+	applier       *rollout.Applier
+	appliedIndex  uint64
+	target        uint64
+	candidate     uint64
+	openRequests  []openCount
+	refusalLogged bool // the refusal was logged
 }
 
-// openUnder counts the requests that came under a version and are not ended.
-type openUnder struct {
-	version uint64
-	n       int
+// openCount counts the open requests that started under a version.
+type openCount struct {
+	version  uint64
+	requests int
 }
 
-// errGone tells of a version whose bytes are not kept any more.
-var errGone = errors.New("its pieces are not in the fleet's state")
+// errPiecesGone is the error of a version whose pieces are not kept any more.
+var errPiecesGone = errors.New("its pieces are not in the fleet's state")
 
-// versions has the front check, and act on, what the state wants of it, and tells the
-// fleet where it stands.
-func (f *Fleet) versions() {
-	v := &f.ver
-	s := &f.node.Replica().State().Rollout
-	if f.node.Stale() != nil {
+// updateVersion has the front check and activate the version that the state wants of it, and
+// reports its status to the fleet.
+func (fleet *Fleet) updateVersion() {
+	version := &fleet.version
+	state := &fleet.node.Replica().State().Rollout
+	if fleet.node.Stale() != nil {
 		return
 	}
-	if at := f.node.Applied(); at != v.applied {
-		v.applied, v.target, v.next = at, s.Stable, 0
-		if c := s.Candidate(); c != nil {
-			v.next = c.Number
-			v.target = s.Target(f.cfg.Name)
+	if at := fleet.node.Applied(); at != version.appliedIndex {
+		version.appliedIndex, version.target, version.candidate = at, state.Stable, 0
+		if c := state.Candidate(); c != nil {
+			version.candidate = c.Number
+			version.target = state.Target(fleet.cfg.Name)
 		}
 	}
-	f.measure(s)
-	switch do, n := v.taker.Next(v.next, v.target, f.now()); do {
+	fleet.evaluateVersion(state)
+	switch action, n := version.applier.Next(version.candidate, version.target, fleet.now()); action {
 	case rollout.Check:
-		content := s.Content(n)
+		content := state.Content(n)
 		if content == nil {
-			v.taker.Checked(n, errGone)
+			version.applier.Checked(n, errPiecesGone)
 			break
 		}
-		f.host.CheckVersion(content, func(err error) {
-			v.taker.Checked(n, err)
+		fleet.host.CheckVersion(content, func(err error) {
+			version.applier.Checked(n, err)
 			if err != nil {
-				f.log.Warn("fleet: a version is turned down", "version", n, "error", err)
+				fleet.log.Warn("fleet: a version is turned down", "version", n, "error", err)
 			}
 		})
 	case rollout.RecordActivation, rollout.RecordSurvival:
-		notes := v.taker.Record(do, n)
-		f.note(notes, func(err error) {
+		activation := version.applier.Record(action, n)
+		fleet.recordActivation(activation, func(err error) {
 			if err != nil {
-				f.log.Error("fleet: the disk takes no note, and no version without one is taken up", "error", err)
+				fleet.log.Error("fleet: the disk takes no note, and no version without one is taken up", "error", err)
 			}
-			v.taker.Recorded(notes, err == nil, f.now())
+			version.applier.Recorded(activation, err == nil, fleet.now())
 		})
 	case rollout.Activate:
-		f.closeRecords()
+		fleet.flushRequests()
 		var content []byte
 		if n > 0 {
-			content = s.Content(n)
+			content = state.Content(n)
 		}
-		err := f.host.ActivateVersion(n, content)
-		v.taker.Activated(n, err, s.Watch(n), f.now())
+		err := fleet.host.ActivateVersion(n, content)
+		version.applier.Activated(n, err, state.Watch(n), fleet.now())
 		if err != nil {
-			f.log.Error("fleet: a version is not taken up", "version", n, "error", err)
+			fleet.log.Error("fleet: a version is not taken up", "version", n, "error", err)
 			break
 		}
-		f.book.chain.SetClasses(f.host.Classes())
-		f.write1(audit.Record{Kind: audit.KindActivated, Version: n})
-		f.serve()
+		fleet.auditLog.chain.SetClasses(fleet.host.Classes())
+		fleet.appendAuditEvent(audit.Record{Kind: audit.KindActivated, Version: n})
+		fleet.updateHost()
 	}
-	f.measure(s)
-	f.stand()
+	fleet.evaluateVersion(state)
+	fleet.reportStatus()
 }
 
-// measure sees whether the front may act on the version that it acts on.
-func (f *Fleet) measure(s *rollout.State) {
-	v, now := &f.ver, f.now()
-	v.taker.Evaluate(s, f.cfg.Name, now)
-	told := !v.taker.MayAct(now)
-	if told == v.told {
+// evaluateVersion checks whether the front may act on its active version, and logs a change.
+func (fleet *Fleet) evaluateVersion(state *rollout.State) {
+	version, now := &fleet.version, fleet.now()
+	version.applier.Evaluate(state, fleet.cfg.Name, now)
+	refused := !version.applier.MayAct(now)
+	if refused == version.refusalLogged {
 		return
 	}
-	v.told = told
+	version.refusalLogged = refused
 	text := "no more"
-	if told {
-		text = fmt.Sprintf("below version %d", v.taker.MinVersion())
-		f.log.Warn("fleet: the front acts on a version that is too old, and refuses requests", "version", v.taker.Active(), "wanted", v.taker.MinVersion())
+	if refused {
+		text = fmt.Sprintf("below version %d", version.applier.MinVersion())
+		fleet.log.Warn("fleet: the front acts on a version that is too old, and refuses requests", "version", version.applier.Active(), "wanted", version.applier.MinVersion())
 	} else {
-		f.log.Info("fleet: the front may act on its version", "version", v.taker.Active())
+		fleet.log.Info("fleet: the front may act on its version", "version", version.applier.Active())
 	}
-	f.write1(audit.Record{Kind: audit.KindOutdated, Text: text})
+	fleet.appendAuditEvent(audit.Record{Kind: audit.KindOutdated, Text: text})
 }
 
-// stand tells the fleet which version this front acts on.
-func (f *Fleet) stand() {
-	x := f.ver.taker.Report()
-	for _, o := range f.ver.open {
-		if o.n > 0 && o.version < x.Active && (x.OldestInUse == 0 || o.version+1 < x.OldestInUse) {
-			x.OldestInUse = o.version + 1
+// reportStatus reports to the fleet which version this front acts on.
+func (fleet *Fleet) reportStatus() {
+	status := fleet.version.applier.Report()
+	for _, open := range fleet.version.openRequests {
+		if open.requests > 0 && open.version < status.Active && (status.OldestInUse == 0 || open.version+1 < status.OldestInUse) {
+			status.OldestInUse = open.version + 1
 		}
 	}
-	x.FailedPercent, x.HasSample = f.host.FailurePercent()
-	x.AuditSeq, x.AuditHead = f.book.seq, f.book.head
-	f.node.SetReport(x)
+	status.FailedPercent, status.HasSample = fleet.host.FailurePercent()
+	status.AuditSeq, status.AuditHead = fleet.auditLog.durableSeq, fleet.auditLog.durableHead
+	fleet.node.SetReport(status)
 }
 
-// Came tells of a request that came, and gives the version that it is under.
-func (f *Fleet) RequestStarted() uint64 {
-	if f.ver.taker == nil {
+// RequestStarted counts a request as open and returns the version that it runs under.
+func (fleet *Fleet) RequestStarted() uint64 {
+	if fleet.version.applier == nil {
 		return 0
 	}
-	n := f.ver.taker.Active()
-	for i := range f.ver.open {
-		if o := &f.ver.open[i]; o.version == n {
-			o.n++
+	n := fleet.version.applier.Active()
+	for i := range fleet.version.openRequests {
+		if open := &fleet.version.openRequests[i]; open.version == n {
+			open.requests++
 			return n
 		}
 	}
-	f.ver.open = append(f.ver.open, openUnder{n, 1})
+	fleet.version.openRequests = append(fleet.version.openRequests, openCount{n, 1})
 	return n
 }
 
-// Answered tells how a request was ended that came under a version.
-func (f *Fleet) RequestAnswered(version uint64, class int, o audit.Outcome, id string) {
-	f.RequestAbandoned(version)
-	if f.node != nil && f.book.chain.Count(version, class, o, id, f.node.Applied()) {
-		f.closeRecords()
+// RequestAnswered records how a request ended that started under a version.
+func (fleet *Fleet) RequestAnswered(version uint64, class int, outcome audit.Outcome, id string) {
+	fleet.RequestAbandoned(version)
+	if fleet.node != nil && fleet.auditLog.chain.Count(version, class, outcome, id, fleet.node.Applied()) {
+		fleet.flushRequests()
 	}
 }
 
-// Left tells that a request's client has gone: it gets no answer.
-func (f *Fleet) RequestAbandoned(version uint64) {
-	for i := range f.ver.open {
-		if o := &f.ver.open[i]; o.version == version {
-			if o.n--; o.n == 0 && len(f.ver.open) > 1 {
-				f.ver.open = append(f.ver.open[:i], f.ver.open[i+1:]...)
+// RequestAbandoned ends a request without an answer: its client has gone.
+func (fleet *Fleet) RequestAbandoned(version uint64) {
+	for i := range fleet.version.openRequests {
+		if open := &fleet.version.openRequests[i]; open.version == version {
+			if open.requests--; open.requests == 0 && len(fleet.version.openRequests) > 1 {
+				fleet.version.openRequests = append(fleet.version.openRequests[:i], fleet.version.openRequests[i+1:]...)
 			}
 			return
 		}
