--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -1,18 +1,18 @@
-// Package ledger keeps what ran of the requests that one site carries to another,
-// on both sides, so that what must not run twice does not: neither when an answer is
-// lost on its way back, nor when a front dies with what it knew.
+// Package ledger records, at both sites, the requests that one site forwards to another, so
+// that a request that must not run twice does not: neither when a response is lost on its way
+// back, nor when a front dies with its state.
 //
-// Three words hold for every try on the near side: unsent, sent, proven not to have
-// run. Only the first and the last allow another. Proof is the far side's word, and
-// it is worth something because the far side keeps it: when it says that a try never
-// came, it bars that try, and a copy of it that still comes late is turned away. A
-// far side that has lost its memory has another epoch, under which nothing that was
-// sent before can run and nothing can be proven about it.
+// On the sending side an attempt is unsent, sent, or proven not to have run. Only in the first
+// and the last state may another attempt be sent. The receiving side gives the proof, and can
+// because it remembers it: when it reports that an attempt never arrived, it blocks that
+// attempt, and a copy that still arrives later is rejected. A receiver that has lost its state
+// starts a new epoch, under which nothing that was sent before can run and nothing can be
+// proven about it.
 //
-// Nothing here does I/O or asks a clock. Each change comes with a Record; who keeps
-// the records before acting on a change can build the ledger again from them. The
-// two sites' clocks are never compared: only spans cross, and the link tells for how
-// long it held something back.
+// The package does no I/O and reads no clock. Each change comes with a Record; a caller that
+// persists the records before acting on a change can rebuild the ledger from them. The two
+// sites' clocks are never compared: only spans are exchanged, and the link reports for how long
+// it held a message back.
 package ledger
 
 import "fmt"
@@ -23,56 +23,58 @@
 // ID is a request's id as its client gave it: 16 hex digits.
 type ID uint64
 
-// End is what became of a request at a node.
+// Outcome is what became of a request at a node.
 type Outcome uint8
 
-// The ends.
+// Outcomes.
 const (
 	NoOutcome Outcome = iota
-	Served            // with its bytes
+	Served            // with its body
 	Failed            // it may have run
-	NotRun            // surely not: refused, missed, stale, or never written whole
+	NotRun            // certainly not run: refused, missed, stale, or never written whole
 )
 
-// Op is what a record tells.
+// Op is the operation that a record describes.
 type Op uint8
 
-// The records' operations. Those of the near side come first.
+// Operations of records, the sender's first.
 const (
-	OpOpen   Op = iota + 1 // near: a request is to be carried
-	OpSend                 // near: a try is about to leave
-	OpNotRun               // near: the try did not run
-	OpClose                // near: its end is known, or its client has gone without one
-	OpRun                  // far: a try is about to run
-	OpBlock                // far: a try must never run
-	OpDone                 // far: a try's end
-	OpDrop                 // either: it is forgotten
+	OpOpen   Op = iota + 1 // sender: a request was accepted for forwarding
+	OpSend                 // sender: an attempt is about to be sent
+	OpNotRun               // sender: the attempt did not run
+	OpClose                // sender: the outcome is known, or the client has gone without one
+	OpRun                  // receiver: an attempt is about to run
+	OpBlock                // receiver: an attempt must never run
+	OpDone                 // receiver: the outcome of an attempt
+	OpDrop                 // both: the id is forgotten
 )
 
-// Record is a change. Kept in order, records build a ledger again.
+// Record is one change of a ledger. Replaying all records in order rebuilds it. The tags keep
+// the names under which the fields were first encoded.
 type Record struct {
 	Op       Op
 	ID       ID
-	Attempt  uint32 `cbor:"Try"` // from 1 on
-	Epoch    uint64 // of the far side
+	Attempt  uint32 `cbor:"Try"` // counts from 1
+	Epoch    uint64 // of the receiver
 	At       Micros
-	Deadline Micros  `cbor:"Until"` // near: until when the client waits
-	Once     bool    // near: it must not run twice
+	Deadline Micros  `cbor:"Until"` // sender: until when the client waits
+	Once     bool    // sender: it must not run twice
 	Outcome  Outcome `cbor:"End"`
-	Body     []byte  // far: of an answer whose bytes are
+	Body     []byte  // receiver: of a response whose body is kept
 	BodyKept bool    `cbor:"Kept"`
 }
 
-// Config bounds a ledger.
+// Config holds the limits of a ledger.
 type Config struct {
-	MaxIDs       int    // ids remembered; when they are, nothing more is taken
-	MaxBodyBytes int    // of answers, on the far side; the oldest lose theirs first
-	Retention    Micros // for which an id is remembered after it last changed
-	MaxDelay     Micros // by which a link may be late; what it held for longer does not count as come
+	MaxIDs       int    // ids remembered; at this limit no more requests are accepted
+	MaxBodyBytes int    // of kept responses, at the receiver; the oldest bodies are dropped first
+	Retention    Micros // how long an id is remembered after its last change
+	MaxDelay     Micros // longest delay of the link; what it held for longer is treated as not arrived
 }
 
-// Check names what no ledger can have. A client's longest patience belongs to Keep:
-// an id must outlive all that may still be asked or come.
+// Check returns an error for limits that no ledger can work with. Retention has to cover the
+// longest deadline of a client: an id must outlive everything that may still be asked about or
+// arrive.
 func (c Config) Check() error {
 	switch {
 	case c.MaxIDs < 1 || c.MaxBodyBytes < 0:
@@ -83,21 +85,21 @@
 	return nil
 }
 
-// entry is one id. Near and far use their own parts of it.
+// entry is one id. Sender and Receiver each use their own fields of it.
 type entry struct {
 	id         ID
-	try        uint32
+	attempt    uint32
 	state      state
-	end        Outcome
+	outcome    Outcome
 	once       bool
-	at         Micros // when it last changed
+	changedAt  Micros // last change
 	epoch      uint64
-	sent       Micros // near: when the try left
-	until      Micros
+	sentAt     Micros // sender: when the attempt was sent
+	deadline   Micros
 	body       []byte
-	prev, next *entry // by when they changed, the longest ago first
+	prev, next *entry // by last change, the oldest first
 
-	older, newer *entry // far: of those whose bytes are kept
+	older, newer *entry // receiver: list of the entries whose bodies are kept
 }
 
 type state uint8
@@ -105,57 +107,57 @@
 const (
 	unsent state = iota
 	sent
-	proven
+	notRun
 	closed
 	running
-	barred
+	blocked
 	answered
-	uncertain // it ran, or not; what knew is lost
+	uncertain // it may have run; the process that knew is gone
 )
 
-// table is entries by id and by when they last changed. Those that may not be
-// forgotten stand apart, in no list.
+// table holds entries by id and by last change. Entries that must not be forgotten are in no
+// list.
 type table struct {
 	cfg  Config
-	by   map[ID]*entry
-	head entry // of the ring
+	byID map[ID]*entry
+	head entry // of the circular list
 }
 
-func newTable(cfg Config) table { return table{cfg: cfg, by: map[ID]*entry{}} }
+func newTable(cfg Config) table { return table{cfg: cfg, byID: map[ID]*entry{}} }
 
-func (t *table) link(e *entry) {
-	if t.head.next == nil {
-		t.head.next, t.head.prev = &t.head, &t.head
+func (table *table) link(e *entry) {
+	if table.head.next == nil {
+		table.head.next, table.head.prev = &table.head, &table.head
 	}
-	e.prev, e.next = t.head.prev, &t.head
+	e.prev, e.next = table.head.prev, &table.head
 	e.prev.next, e.next.prev = e, e
 }
 
-func (t *table) unlink(e *entry) {
+func (table *table) unlink(e *entry) {
 	if e.next != nil {
 		e.prev.next, e.next.prev = e.next, e.prev
 		e.prev, e.next = nil, nil
 	}
 }
 
-// touch notes a change of an entry; one that lasts is not forgotten by time.
-func (t *table) touch(e *entry, now Micros, lasts bool) {
-	t.unlink(e)
-	e.at = now
-	if !lasts {
-		t.link(e)
+// touch notes a change of an entry; a pinned entry does not expire.
+func (table *table) touch(e *entry, now Micros, pinned bool) {
+	table.unlink(e)
+	e.changedAt = now
+	if !pinned {
+		table.link(e)
 	}
 }
 
-// due gives the entry that has been there longest since it changed, if it may go.
-func (t *table) due(now Micros) *entry {
-	if e := t.head.next; e != nil && e != &t.head && now-e.at > t.cfg.Retention {
+// expired returns the entry with the oldest change if its retention is over, else nil.
+func (table *table) expired(now Micros) *entry {
+	if e := table.head.next; e != nil && e != &table.head && now-e.changedAt > table.cfg.Retention {
 		return e
 	}
 	return nil
 }
 
-func (t *table) drop(e *entry) {
-	t.unlink(e)
-	delete(t.by, e.id)
+func (table *table) drop(e *entry) {
+	table.unlink(e)
+	delete(table.byID, e.id)
 }
--- a/internal/decide/ledger/receiver.go
+++ b/internal/decide/ledger/receiver.go
@@ -1,264 +1,265 @@
 package ledger
 
-// Arrival is what the far side does with a try that has come.
+// Arrival is the receiver's decision on an attempt that has arrived.
 type Arrival uint8
 
-// What may become of one.
+// Decisions on an attempt.
 const (
-	Run         Arrival = iota // it is to run, once the record is kept
-	Repeated                   // it has ended: the same end again
-	InProgress                 // it runs; who asks will be told
-	OutcomeLost                // it came before, and its end is lost
+	Run         Arrival = iota // run it, once the record is persisted
+	Repeated                   // it has ended: the same outcome again
+	InProgress                 // it is running; the sender may query it
+	OutcomeLost                // it arrived before, and its outcome is lost
 	TooLate                    // the link held it for too long: this copy will not run
-	OldEpoch                   // it was sent to a memory that is gone: this copy will not run
-	NoRoom                     // there is none to remember even that it must not run
-	Blocked                    // it was told of as never come, or did not run: no copy will run
-	Full                       // there is no room to run it: no copy will run
+	OldEpoch                   // it was sent under an earlier epoch: this copy will not run
+	NoRoom                     // no room to remember even that it must not run
+	Blocked                    // reported as never arrived, or it did not run: no copy will run
+	Full                       // no room to run it: no copy will run
 )
 
-// Surely tells whether no copy of a try that got this has run or will, which is
-// proof for the near side. A copy that is turned away because it is late or of
-// another epoch proves nothing: another may have come before it.
+// NeverRuns reports whether no copy of an attempt with this decision has run or will, which is
+// proof for the sender. A copy that is rejected as late or for its epoch proves nothing:
+// another copy may have arrived before it.
 func (a Arrival) NeverRuns() bool { return a >= Blocked }
 
-// Kind is what the far side tells of a try that it is asked for.
+// StatusKind is what the receiver reports about an attempt that it is asked about.
 type StatusKind uint8
 
-// What it may tell.
+// Kinds of status.
 const (
 	Unknown StatusKind = iota // nothing can be said: it may have run
 	Running
-	Answered // Kept says whether the bytes are still there
+	Answered // BodyKept tells whether the body is still there
 	NeverArrived
 )
 
-// Tell is the far side's word.
+// Status is the receiver's reply to a query.
 type Status struct {
 	Kind     StatusKind
 	Outcome  Outcome
 	BodyKept bool
 	Body     []byte
-	Epoch    uint64 // under which it was said
+	Epoch    uint64 // of the receiver when it replied
 }
 
-// Far is the side to which requests are carried.
+// Receiver is the ledger of the site to which requests are forwarded.
 type Receiver struct {
 	table
-	epoch  uint64
-	bodies entry // of the ring of those with bytes, the oldest first
-	bytes  int
-	note   func(Record)
+	epoch     uint64
+	bodies    entry // circular list of the entries with bodies, the oldest first
+	bodyBytes int
+	record    func(Record)
 }
 
-// NewFar makes a far side that remembers nothing, under an epoch that no earlier one
-// had. Each change is told to note before the call that makes it returns; the caller
-// acts on what was returned only once the record is kept, where it keeps any.
-func NewReceiver(cfg Config, epoch uint64, note func(Record)) *Receiver {
-	return &Receiver{table: newTable(cfg), epoch: epoch, note: note}
+// NewReceiver returns an empty receiver under an epoch that no earlier one had. Each change is
+// passed to record before the call that makes it returns; a caller that persists records acts
+// on the result only once the record is durable.
+func NewReceiver(cfg Config, epoch uint64, record func(Record)) *Receiver {
+	return &Receiver{table: newTable(cfg), epoch: epoch, record: record}
 }
 
-// Epoch names this side's memory; the near side sends it with every try.
-func (f *Receiver) Epoch() uint64 { return f.epoch }
+// Epoch identifies this receiver's state; the sender sends it with every attempt.
+func (receiver *Receiver) Epoch() uint64 { return receiver.epoch }
 
-// Len counts the ids that are remembered.
-func (f *Receiver) Len() int { return len(f.by) }
+// Len returns the number of ids that are remembered.
+func (receiver *Receiver) Len() int { return len(receiver.byID) }
 
-// Arrive decides on a try that has come under an epoch, after the link held it for
-// some time more than its quickest.
-func (f *Receiver) Arrive(now Micros, id ID, try uint32, epoch uint64, held Micros) (Arrival, Status) {
-	f.expire(now)
-	e := f.by[id]
-	late := held > f.cfg.MaxDelay || held < 0
+// Arrive decides on an attempt that has arrived under an epoch. held is how much longer the
+// link held it than its quickest transfer takes.
+func (receiver *Receiver) Arrive(now Micros, id ID, attempt uint32, epoch uint64, held Micros) (Arrival, Status) {
+	receiver.expire(now)
+	e := receiver.byID[id]
+	tooLate := held > receiver.cfg.MaxDelay || held < 0
 	switch {
-	case epoch != f.epoch:
+	case epoch != receiver.epoch:
 		return OldEpoch, Status{}
-	case e == nil && late:
+	case e == nil && tooLate:
 		return TooLate, Status{}
-	case e == nil && len(f.by) >= f.cfg.MaxIDs:
-		if !f.bar(now, id, try) {
+	case e == nil && len(receiver.byID) >= receiver.cfg.MaxIDs:
+		if !receiver.block(now, id, attempt) {
 			return NoRoom, Status{}
 		}
 		return Full, Status{}
 	case e == nil:
 		e = &entry{id: id}
-		f.by[id] = e
+		receiver.byID[id] = e
 	case e.state == answered:
-		return Repeated, f.told(e)
+		return Repeated, receiver.status(e)
 	case e.state == running:
 		return InProgress, Status{}
 	case e.state == uncertain:
 		return OutcomeLost, Status{}
-	case try <= e.try: // barred
+	case attempt <= e.attempt: // blocked
 		return Blocked, Status{}
-	case late:
+	case tooLate:
 		return TooLate, Status{}
 	}
-	e.state, e.try = running, try
-	f.touch(e, now, true)
-	f.note(Record{Op: OpRun, ID: id, Attempt: try, Epoch: f.epoch, At: now})
+	e.state, e.attempt = running, attempt
+	receiver.touch(e, now, true)
+	receiver.record(Record{Op: OpRun, ID: id, Attempt: attempt, Epoch: receiver.epoch, At: now})
 	return Run, Status{}
 }
 
-// Done notes a run's end. A try that did not run is barred, so that no copy of it
-// does later.
-func (f *Receiver) Done(now Micros, id ID, end Outcome, body []byte) {
-	e := f.by[id]
+// Done records the outcome of a run. An attempt that did not run is blocked, so that no copy of
+// it runs later.
+func (receiver *Receiver) Done(now Micros, id ID, outcome Outcome, body []byte) {
+	e := receiver.byID[id]
 	if e == nil || e.state != running {
 		return
 	}
-	kept := end == Served && len(body) <= f.cfg.MaxBodyBytes
-	if !kept {
+	bodyKept := outcome == Served && len(body) <= receiver.cfg.MaxBodyBytes
+	if !bodyKept {
 		body = nil
 	}
-	f.done(e, now, end, body, kept)
-	f.note(Record{Op: OpDone, ID: id, Attempt: e.try, Epoch: f.epoch, At: now, Outcome: end, Body: body, BodyKept: kept})
+	receiver.finish(e, now, outcome, body, bodyKept)
+	receiver.record(Record{Op: OpDone, ID: id, Attempt: e.attempt, Epoch: receiver.epoch, At: now, Outcome: outcome, Body: body, BodyKept: bodyKept})
 }
 
-func (f *Receiver) done(e *entry, now Micros, end Outcome, body []byte, kept bool) {
-	e.state, e.end = answered, end
-	if end == NotRun {
-		e.state, e.end = barred, NoOutcome
+func (receiver *Receiver) finish(e *entry, now Micros, outcome Outcome, body []byte, bodyKept bool) {
+	e.state, e.outcome = answered, outcome
+	if outcome == NotRun {
+		e.state, e.outcome = blocked, NoOutcome
 	}
-	if kept {
+	if bodyKept {
 		e.body = body
-		f.bytes += len(body)
-		ring := &f.bodies
+		receiver.bodyBytes += len(body)
+		ring := &receiver.bodies
 		if ring.older == nil {
 			ring.older, ring.newer = ring, ring
 		}
 		e.older, e.newer = ring.older, ring
 		e.older.newer, ring.older = e, e
-		for f.bytes > f.cfg.MaxBodyBytes {
-			f.strip(ring.newer)
+		for receiver.bodyBytes > receiver.cfg.MaxBodyBytes {
+			receiver.dropBody(ring.newer)
 		}
 	}
-	f.touch(e, now, false)
+	receiver.touch(e, now, false)
 }
 
-// strip takes an entry's bytes away, if it has any.
-func (f *Receiver) strip(e *entry) {
+// dropBody drops the body of an entry, if it has one.
+func (receiver *Receiver) dropBody(e *entry) {
 	if e.newer == nil {
 		return
 	}
 	e.older.newer, e.newer.older = e.newer, e.older
 	e.older, e.newer = nil, nil
-	f.bytes -= len(e.body)
+	receiver.bodyBytes -= len(e.body)
 	e.body = nil
 }
 
-// Ask tells what became of a try that was sent under an epoch, some time before the
-// question was, by the near side's clock; the link held the question for some time
-// more than its quickest. A try that never came is barred by being asked for.
-func (f *Receiver) Query(now Micros, id ID, try uint32, epoch uint64, age, held Micros) Status {
-	f.expire(now)
-	e := f.by[id]
+// Query reports what became of an attempt that was sent under an epoch. age is the time from
+// the attempt to the query by the sender's clock; held is how much longer the link held the
+// query than its quickest transfer takes. Querying an attempt that never arrived blocks it.
+func (receiver *Receiver) Query(now Micros, id ID, attempt uint32, epoch uint64, age, held Micros) Status {
+	receiver.expire(now)
+	e := receiver.byID[id]
 	switch {
-	case epoch != f.epoch || age < 0 || held < 0 || held > f.cfg.MaxDelay:
-		return Status{Epoch: f.epoch}
-	case e == nil && age+2*f.cfg.MaxDelay > f.cfg.Retention:
-		return Status{Epoch: f.epoch} // it may have been forgotten
-	case e != nil && e.state != barred:
-		return f.told(e)
+	case epoch != receiver.epoch || age < 0 || held < 0 || held > receiver.cfg.MaxDelay:
+		return Status{Epoch: receiver.epoch}
+	case e == nil && age+2*receiver.cfg.MaxDelay > receiver.cfg.Retention:
+		return Status{Epoch: receiver.epoch} // it may have been forgotten
+	case e != nil && e.state != blocked:
+		return receiver.status(e)
 	}
-	if !f.bar(now, id, try) {
-		return Status{Epoch: f.epoch}
+	if !receiver.block(now, id, attempt) {
+		return Status{Epoch: receiver.epoch}
 	}
-	return Status{Kind: NeverArrived, Epoch: f.epoch}
+	return Status{Kind: NeverArrived, Epoch: receiver.epoch}
 }
 
-// barsEach is the ids for each of which one more may be remembered as barred, when
-// nothing more may run.
-const barsEach = 4
+// blockedDivisor allows one more blocked id to be remembered for each so many ids, once nothing
+// more may run.
+const blockedDivisor = 4
 
-// bar has a try, and those before it, never run. It tells whether there is room to
-// remember that.
-func (f *Receiver) bar(now Micros, id ID, try uint32) bool {
-	e := f.by[id]
+// block prevents an attempt, and those before it, from ever running. It returns false if there
+// is no room to remember that.
+func (receiver *Receiver) block(now Micros, id ID, attempt uint32) bool {
+	e := receiver.byID[id]
 	if e == nil {
-		if len(f.by) > f.cfg.MaxIDs+f.cfg.MaxIDs/barsEach {
+		if len(receiver.byID) > receiver.cfg.MaxIDs+receiver.cfg.MaxIDs/blockedDivisor {
 			return false
 		}
-		e = &entry{id: id, state: barred}
-		f.by[id] = e
+		e = &entry{id: id, state: blocked}
+		receiver.byID[id] = e
 	}
-	e.try = max(e.try, try)
-	f.touch(e, now, false)
-	f.note(Record{Op: OpBlock, ID: id, Attempt: e.try, Epoch: f.epoch, At: now})
+	e.attempt = max(e.attempt, attempt)
+	receiver.touch(e, now, false)
+	receiver.record(Record{Op: OpBlock, ID: id, Attempt: e.attempt, Epoch: receiver.epoch, At: now})
 	return true
 }
 
-func (f *Receiver) told(e *entry) Status {
-	t := Status{Epoch: f.epoch}
+func (receiver *Receiver) status(e *entry) Status {
+	status := Status{Epoch: receiver.epoch}
 	switch e.state {
 	case running:
-		t.Kind = Running
+		status.Kind = Running
 	case answered:
-		t.Kind, t.Outcome, t.Body, t.BodyKept = Answered, e.end, e.body, e.end != Served || e.newer != nil
+		status.Kind, status.Outcome, status.Body, status.BodyKept = Answered, e.outcome, e.body, e.outcome != Served || e.newer != nil
 	}
-	return t
+	return status
 }
 
-// expire forgets ids that nobody can ask for any more.
-func (f *Receiver) expire(now Micros) {
-	for e := f.due(now); e != nil; e = f.due(now) {
-		f.forget(e)
-		f.note(Record{Op: OpDrop, ID: e.id, At: now})
+// expire forgets ids that nobody can ask about any more.
+func (receiver *Receiver) expire(now Micros) {
+	for e := receiver.expired(now); e != nil; e = receiver.expired(now) {
+		receiver.forget(e)
+		receiver.record(Record{Op: OpDrop, ID: e.id, At: now})
 	}
 }
 
-func (f *Receiver) forget(e *entry) {
-	f.strip(e)
-	f.drop(e)
+func (receiver *Receiver) forget(e *entry) {
+	receiver.dropBody(e)
+	receiver.drop(e)
 }
 
-// Apply takes in a record of an earlier life under the same epoch, in order.
-func (f *Receiver) Apply(r Record) {
-	if r.Epoch != f.epoch && r.Op != OpDrop {
-		return // of a memory that was lost
+// Apply replays a record of an earlier process under the same epoch. Records are applied in
+// order.
+func (receiver *Receiver) Apply(r Record) {
+	if r.Epoch != receiver.epoch && r.Op != OpDrop {
+		return // of a state that was lost
 	}
-	e := f.by[r.ID]
+	e := receiver.byID[r.ID]
 	if r.Op == OpDrop {
 		if e != nil {
-			f.forget(e)
+			receiver.forget(e)
 		}
 		return
 	}
 	if e == nil {
 		e = &entry{id: r.ID}
-		f.by[r.ID] = e
+		receiver.byID[r.ID] = e
 	}
-	e.try = r.Attempt
+	e.attempt = r.Attempt
 	switch r.Op {
 	case OpRun:
 		e.state = running
-		f.touch(e, r.At, true)
+		receiver.touch(e, r.At, true)
 	case OpBlock:
-		e.state = barred
-		f.touch(e, r.At, false)
+		e.state = blocked
+		receiver.touch(e, r.At, false)
 	case OpDone:
-		f.done(e, r.At, r.Outcome, r.Body, r.BodyKept)
+		receiver.finish(e, r.At, r.Outcome, r.Body, r.BodyKept)
 	}
 }
 
-// Restored ends the taking in of records: what ran then has no end that is known.
-func (f *Receiver) FinishRestore(now Micros) {
-	for _, e := range f.by {
+// FinishRestore ends the replay of records: what was running then has no known outcome.
+func (receiver *Receiver) FinishRestore(now Micros) {
+	for _, e := range receiver.byID {
 		if e.state == running {
 			e.state = uncertain
-			f.touch(e, now, false)
+			receiver.touch(e, now, false)
 		}
 	}
 }
 
-// Snapshot gives records that build this side again, in the order of their moments.
-func (f *Receiver) Snapshot() (list []Record) {
-	for _, e := range f.by {
-		r := Record{Op: OpRun, ID: e.id, Attempt: e.try, Epoch: f.epoch, At: e.at}
+// Snapshot returns records that rebuild this receiver, in the order of their moments.
+func (receiver *Receiver) Snapshot() (list []Record) {
+	for _, e := range receiver.byID {
+		r := Record{Op: OpRun, ID: e.id, Attempt: e.attempt, Epoch: receiver.epoch, At: e.changedAt}
 		switch e.state {
-		case barred:
+		case blocked:
 			r.Op = OpBlock
 		case answered:
-			r.Op, r.Outcome, r.Body, r.BodyKept = OpDone, e.end, e.body, e.newer != nil
+			r.Op, r.Outcome, r.Body, r.BodyKept = OpDone, e.outcome, e.body, e.newer != nil
 		}
 		list = append(list, r)
 	}
--- a/internal/decide/ledger/sender.go
+++ b/internal/decide/ledger/sender.go
@@ -5,229 +5,230 @@
 	"slices"
 )
 
-// Do is what the near side does next with a request.
+// Action is what the sender does next with a request.
 type Action uint8
 
-// What it may do.
+// Actions of the sender.
 const (
-	Nothing       Action = iota // it waits, or what came is not for it
-	Send                        // another try may go, here or elsewhere
-	QueryReceiver               // the far side is to be asked for the try, with the age
-	Pass                        // the answer is to be passed on
+	Nothing       Action = iota // wait, or the event is not for this attempt
+	Send                        // another attempt may be sent, here or elsewhere
+	QueryReceiver               // query the receiver about the attempt, with its age
+	Pass                        // pass the response on
 	Fail                        // what became of it can't be known in time
-	Refuse                      // it surely did not run, and no time is left
-	Duplicate                   // an id that is known already: nothing is sent for it
+	Refuse                      // it certainly did not run, and no time is left
+	Duplicate                   // the id is known already: nothing is sent for it
 )
 
-// Step is what is to be done, and with what.
+// Step is an action and its parameters.
 type Step struct {
 	Action  Action
 	Attempt uint32
 	Epoch   uint64
-	Age     Micros // since the try left
+	Age     Micros // since the attempt was sent
 	Outcome Outcome
 	Body    []byte
-	At      Micros // with AskFar: when
+	At      Micros // with QueryReceiver: when to ask
 }
 
-// askPause is how long the near side waits before it asks again for what runs.
-const askPause = 50_000 // us
+// queryInterval is the pause before the sender asks again about an attempt that is running.
+const queryInterval = 50_000 // us
 
-// Near is the side that carries requests away.
+// Sender is the ledger of the site that forwards requests.
 type Sender struct {
 	table
-	note   func(Record)
-	strays int
+	record     func(Record)
+	unexpected int
 }
 
-// NewNear makes a near side that remembers nothing; note is as for NewFar.
-func NewSender(cfg Config, note func(Record)) *Sender {
-	return &Sender{table: newTable(cfg), note: note}
+// NewSender returns an empty sender; record is as for NewReceiver.
+func NewSender(cfg Config, record func(Record)) *Sender {
+	return &Sender{table: newTable(cfg), record: record}
 }
 
-// Len counts the ids that are remembered.
-func (n *Sender) Len() int { return len(n.by) }
+// Len returns the number of ids that are remembered.
+func (sender *Sender) Len() int { return len(sender.byID) }
 
-// Strays counts what came that no try waits for, or that can't be true.
-func (n *Sender) Unexpected() int { return n.strays }
+// Unexpected counts events that no attempt waits for, or that can't be true.
+func (sender *Sender) Unexpected() int { return sender.unexpected }
 
-// Open takes in a request whose client waits until a moment. Where there is no room
-// it is refused; an id that is known already is not carried again.
-func (n *Sender) Open(now Micros, id ID, once bool, until Micros) Step {
-	n.expire(now)
+// Open accepts a request whose client waits until the deadline. Without room for it the request
+// is refused; an id that is known already is not forwarded again.
+func (sender *Sender) Open(now Micros, id ID, once bool, deadline Micros) Step {
+	sender.expire(now)
 	switch {
-	case n.by[id] != nil:
+	case sender.byID[id] != nil:
 		return Step{Action: Duplicate}
-	case len(n.by) >= n.cfg.MaxIDs || until <= now:
+	case len(sender.byID) >= sender.cfg.MaxIDs || deadline <= now:
 		return Step{Action: Refuse}
 	}
-	e := &entry{id: id, once: once, until: until}
-	n.by[id] = e
-	n.touch(e, now, true)
-	n.note(Record{Op: OpOpen, ID: id, At: now, Deadline: until, Once: once})
+	e := &entry{id: id, once: once, deadline: deadline}
+	sender.byID[id] = e
+	sender.touch(e, now, true)
+	sender.record(Record{Op: OpOpen, ID: id, At: now, Deadline: deadline, Once: once})
 	return Step{Action: Send, Attempt: 1}
 }
 
-// Leave notes that a try is about to leave for a far side under an epoch. It must be
-// kept before the first byte goes.
-func (n *Sender) Dispatch(now Micros, id ID, epoch uint64) (try uint32, ok bool) {
-	e := n.by[id]
-	if e == nil || e.state != unsent && e.state != proven || now >= e.until {
+// Dispatch notes that an attempt is about to be sent to a receiver under an epoch. Its record
+// must be durable before the first byte is sent.
+func (sender *Sender) Dispatch(now Micros, id ID, epoch uint64) (attempt uint32, ok bool) {
+	e := sender.byID[id]
+	if e == nil || e.state != unsent && e.state != notRun || now >= e.deadline {
 		return 0, false
 	}
-	e.state, e.try, e.epoch, e.sent = sent, e.try+1, epoch, now
-	n.touch(e, now, true)
-	n.note(Record{Op: OpSend, ID: id, Attempt: e.try, Epoch: epoch, At: now})
-	return e.try, true
+	e.state, e.attempt, e.epoch, e.sentAt = sent, e.attempt+1, epoch, now
+	sender.touch(e, now, true)
+	sender.record(Record{Op: OpSend, ID: id, Attempt: e.attempt, Epoch: epoch, At: now})
+	return e.attempt, true
 }
 
-// out gives the try that is out, if this is it.
-func (n *Sender) out(id ID, try uint32) *entry {
-	if e := n.by[id]; e != nil && e.state == sent && e.try == try {
+// sentAttempt returns the entry if this attempt is the one that is out, else nil.
+func (sender *Sender) sentAttempt(id ID, attempt uint32) *entry {
+	if e := sender.byID[id]; e != nil && e.state == sent && e.attempt == attempt {
 		return e
 	}
-	n.strays++
+	sender.unexpected++
 	return nil
 }
 
-// Answer takes in a try's end; where the far side could not tell one, it is asked.
-func (n *Sender) Answer(now Micros, id ID, try uint32, end Outcome, body []byte) Step {
-	e := n.out(id, try)
+// Answer handles the outcome of an attempt; if the receiver could not tell it, the receiver is
+// queried.
+func (sender *Sender) Answer(now Micros, id ID, attempt uint32, outcome Outcome, body []byte) Step {
+	e := sender.sentAttempt(id, attempt)
 	if e == nil {
 		return Step{}
 	}
-	switch end {
+	switch outcome {
 	case NotRun:
-		return n.prove(e, now)
+		return sender.markNotRun(e, now)
 	case NoOutcome:
-		return n.AttemptLost(now, id, try)
+		return sender.AttemptLost(now, id, attempt)
 	}
-	n.close(e, now, end)
-	if end == Served {
-		return Step{Action: Pass, Attempt: try, Outcome: end, Body: body}
+	sender.close(e, now, outcome)
+	if outcome == Served {
+		return Step{Action: Pass, Attempt: attempt, Outcome: outcome, Body: body}
 	}
-	return Step{Action: Fail, Attempt: try, Outcome: end}
+	return Step{Action: Fail, Attempt: attempt, Outcome: outcome}
 }
 
-// prove notes that a try did not run.
-func (n *Sender) prove(e *entry, now Micros) Step {
-	e.state = proven
-	n.touch(e, now, true)
-	n.note(Record{Op: OpNotRun, ID: e.id, Attempt: e.try, At: now})
-	if now >= e.until {
-		return Step{Action: Refuse, Attempt: e.try}
+// markNotRun notes that an attempt did not run.
+func (sender *Sender) markNotRun(e *entry, now Micros) Step {
+	e.state = notRun
+	sender.touch(e, now, true)
+	sender.record(Record{Op: OpNotRun, ID: e.id, Attempt: e.attempt, At: now})
+	if now >= e.deadline {
+		return Step{Action: Refuse, Attempt: e.attempt}
 	}
-	return Step{Action: Send, Attempt: e.try + 1}
+	return Step{Action: Send, Attempt: e.attempt + 1}
 }
 
-// Lost says what to do about a try whose connection has ended without its end. What
+// AttemptLost decides on an attempt whose connection ended without an outcome. A request that
 // may run twice is simply sent again.
-func (n *Sender) AttemptLost(now Micros, id ID, try uint32) Step {
-	e := n.out(id, try)
+func (sender *Sender) AttemptLost(now Micros, id ID, attempt uint32) Step {
+	e := sender.sentAttempt(id, attempt)
 	switch {
 	case e == nil:
 		return Step{}
-	case now >= e.until:
-		return n.GiveUp(now, id)
+	case now >= e.deadline:
+		return sender.GiveUp(now, id)
 	case !e.once:
-		return n.prove(e, now)
+		return sender.markNotRun(e, now)
 	}
-	return Step{Action: QueryReceiver, Attempt: try, Epoch: e.epoch, Age: now - e.sent, At: now}
+	return Step{Action: QueryReceiver, Attempt: attempt, Epoch: e.epoch, Age: now - e.sentAt, At: now}
 }
 
-// Told takes in the far side's word on a try that was asked for.
-func (n *Sender) ReceiverStatus(now Micros, id ID, try uint32, t Status) Step {
-	e := n.out(id, try)
+// ReceiverStatus handles the receiver's reply to a query about an attempt.
+func (sender *Sender) ReceiverStatus(now Micros, id ID, attempt uint32, status Status) Step {
+	e := sender.sentAttempt(id, attempt)
 	if e == nil {
 		return Step{}
 	}
 	switch {
-	case t.Kind == Answered && t.Epoch == e.epoch && t.Outcome == Served && t.BodyKept:
-		n.close(e, now, Served)
-		return Step{Action: Pass, Attempt: try, Outcome: Served, Body: t.Body}
-	case t.Kind == Answered && t.Epoch == e.epoch: // it ran, and its bytes are gone
-		n.close(e, now, Failed)
-		return Step{Action: Fail, Attempt: try, Outcome: Failed}
-	case t.Kind == NeverArrived && t.Epoch == e.epoch:
-		return n.prove(e, now)
-	case t.Kind == Running && t.Epoch == e.epoch:
-		if now+askPause >= e.until {
+	case status.Kind == Answered && status.Epoch == e.epoch && status.Outcome == Served && status.BodyKept:
+		sender.close(e, now, Served)
+		return Step{Action: Pass, Attempt: attempt, Outcome: Served, Body: status.Body}
+	case status.Kind == Answered && status.Epoch == e.epoch: // it ran, and its body is gone
+		sender.close(e, now, Failed)
+		return Step{Action: Fail, Attempt: attempt, Outcome: Failed}
+	case status.Kind == NeverArrived && status.Epoch == e.epoch:
+		return sender.markNotRun(e, now)
+	case status.Kind == Running && status.Epoch == e.epoch:
+		if now+queryInterval >= e.deadline {
 			return Step{}
 		}
-		return Step{Action: QueryReceiver, Attempt: try, Epoch: e.epoch, Age: now + askPause - e.sent, At: now + askPause}
-	case t.Kind == NeverArrived || t.Kind == Answered: // under an epoch in which it was not sent
-		n.strays++
+		return Step{Action: QueryReceiver, Attempt: attempt, Epoch: e.epoch, Age: now + queryInterval - e.sentAt, At: now + queryInterval}
+	case status.Kind == NeverArrived || status.Kind == Answered: // under an epoch in which it was not sent
+		sender.unexpected++
 	}
-	return n.GiveUp(now, id)
+	return sender.GiveUp(now, id)
 }
 
-// GiveUp ends a request that nothing more will be known of in time: refused where no
-// try can have run, else failed.
-func (n *Sender) GiveUp(now Micros, id ID) Step {
-	e := n.by[id]
+// GiveUp ends a request about which nothing more will be known in time: refused if no attempt
+// can have run, else failed.
+func (sender *Sender) GiveUp(now Micros, id ID) Step {
+	e := sender.byID[id]
 	if e == nil || e.state == closed {
 		return Step{}
 	}
-	if e.state == unsent || e.state == proven {
-		n.close(e, now, NotRun)
+	if e.state == unsent || e.state == notRun {
+		sender.close(e, now, NotRun)
 		return Step{Action: Refuse}
 	}
-	n.close(e, now, Failed)
+	sender.close(e, now, Failed)
 	return Step{Action: Fail, Outcome: Failed}
 }
 
-// close ends a request; its id stays for a while, so that it is not carried again.
-func (n *Sender) close(e *entry, now Micros, end Outcome) {
-	e.state, e.end = closed, end
-	n.touch(e, now, false)
-	n.note(Record{Op: OpClose, ID: e.id, Attempt: e.try, At: now, Outcome: end})
+// close ends a request; its id stays for a while, so that it is not forwarded again.
+func (sender *Sender) close(e *entry, now Micros, outcome Outcome) {
+	e.state, e.outcome = closed, outcome
+	sender.touch(e, now, false)
+	sender.record(Record{Op: OpClose, ID: e.id, Attempt: e.attempt, At: now, Outcome: outcome})
 }
 
-func (n *Sender) expire(now Micros) {
-	for e := n.due(now); e != nil; e = n.due(now) {
-		n.drop(e)
-		n.note(Record{Op: OpDrop, ID: e.id, At: now})
+func (sender *Sender) expire(now Micros) {
+	for e := sender.expired(now); e != nil; e = sender.expired(now) {
+		sender.drop(e)
+		sender.record(Record{Op: OpDrop, ID: e.id, At: now})
 	}
 }
 
-// Apply takes in a record of an earlier life, in order.
-func (n *Sender) Apply(r Record) {
-	e := n.by[r.ID]
+// Apply replays a record of an earlier process. Records are applied in order.
+func (sender *Sender) Apply(r Record) {
+	e := sender.byID[r.ID]
 	switch {
 	case r.Op == OpOpen:
-		e = &entry{id: r.ID, once: r.Once, until: r.Deadline}
-		n.by[r.ID] = e
-		n.touch(e, r.At, true)
+		e = &entry{id: r.ID, once: r.Once, deadline: r.Deadline}
+		sender.byID[r.ID] = e
+		sender.touch(e, r.At, true)
 	case e == nil:
 	case r.Op == OpDrop:
-		n.drop(e)
+		sender.drop(e)
 	case r.Op == OpSend:
-		e.state, e.try, e.epoch, e.sent = sent, r.Attempt, r.Epoch, r.At
-		n.touch(e, r.At, true)
+		e.state, e.attempt, e.epoch, e.sentAt = sent, r.Attempt, r.Epoch, r.At
+		sender.touch(e, r.At, true)
 	case r.Op == OpNotRun:
-		e.state, e.try = proven, r.Attempt
-		n.touch(e, r.At, true)
+		e.state, e.attempt = notRun, r.Attempt
+		sender.touch(e, r.At, true)
 	case r.Op == OpClose:
-		e.state, e.try, e.end = closed, r.Attempt, r.Outcome
-		n.touch(e, r.At, false)
+		e.state, e.attempt, e.outcome = closed, r.Attempt, r.Outcome
+		sender.touch(e, r.At, false)
 	}
 }
 
-// Restored ends the taking in of records. The clients of then are gone, so nothing
-// is sent for what was open; it is given up, and its ids stay known. It tells how
-// many may have run.
-func (n *Sender) FinishRestore(now Micros) (unclear int) {
-	for _, id := range n.open() {
-		if n.GiveUp(now, id).Action == Fail {
+// FinishRestore ends the replay of records. The clients of that time are gone, so nothing is
+// sent for open requests; they are given up, and their ids stay known. It returns how many may
+// have run.
+func (sender *Sender) FinishRestore(now Micros) (unclear int) {
+	for _, id := range sender.openIDs() {
+		if sender.GiveUp(now, id).Action == Fail {
 			unclear++
 		}
 	}
 	return unclear
 }
 
-// open are the ids that have no end, in order.
-func (n *Sender) open() (ids []ID) {
-	for id, e := range n.by {
+// openIDs returns the ids without an outcome, sorted.
+func (sender *Sender) openIDs() (ids []ID) {
+	for id, e := range sender.byID {
 		if e.state != closed {
 			ids = append(ids, id)
 		}
@@ -236,26 +237,26 @@
 	return ids
 }
 
-// Snapshot gives records that build this side again.
-func (n *Sender) Snapshot() (list []Record) {
-	for _, e := range n.by {
-		list = append(list, Record{Op: OpOpen, ID: e.id, At: e.at, Deadline: e.until, Once: e.once})
-		if e.try > 0 {
-			list = append(list, Record{Op: OpSend, ID: e.id, Attempt: e.try, Epoch: e.epoch, At: e.sent})
+// Snapshot returns records that rebuild this sender.
+func (sender *Sender) Snapshot() (list []Record) {
+	for _, e := range sender.byID {
+		list = append(list, Record{Op: OpOpen, ID: e.id, At: e.changedAt, Deadline: e.deadline, Once: e.once})
+		if e.attempt > 0 {
+			list = append(list, Record{Op: OpSend, ID: e.id, Attempt: e.attempt, Epoch: e.epoch, At: e.sentAt})
 		}
 		switch e.state {
-		case proven:
-			list = append(list, Record{Op: OpNotRun, ID: e.id, Attempt: e.try, At: e.at})
+		case notRun:
+			list = append(list, Record{Op: OpNotRun, ID: e.id, Attempt: e.attempt, At: e.changedAt})
 		case closed:
-			list = append(list, Record{Op: OpClose, ID: e.id, Attempt: e.try, At: e.at, Outcome: e.end})
+			list = append(list, Record{Op: OpClose, ID: e.id, Attempt: e.attempt, At: e.changedAt, Outcome: e.outcome})
 		}
 	}
 	sortRecords(list)
 	return list
 }
 
-// sortRecords orders a snapshot: by id what belongs together, ids by the moment of
-// their last change, as lists are built in that order.
+// sortRecords sorts a snapshot: records of one id stay together, ids are ordered by their last
+// change, the order in which the lists are built.
 func sortRecords(list []Record) {
 	last := map[ID]Micros{}
 	for _, r := range list {
