--- a/rules/rules.go
+++ b/rules/rules.go
@@ -13,8 +13,8 @@
 const (
 	warmupInterval      = 30 * second // at most one warm-up fill per object via its runner-up in this time
 	warmupMinHits       = 2           // hits at the first parent within the interval that earn a warm-up
-	hotShare            = 1.0         // an object is hot above this share of one cache's part of the bytes
-	bytesHalfLife       = 10 * second // half-life of the byte counts that decide what is hot
+	hotShare            = 1.0         // an object is hot above this share of one cache's recent work
+	recentWorkHalfLife  = 10 * second // half-life of the recent work that decides what is hot
 	errorGain           = 0.15        // weight of one outcome in an error rate: about the last ten count
 	ejectThreshold      = 0.6         // error rate that ejects; below, a retry is cheaper than ejecting
 	minEjection         = 1 * second  // first ejection; doubles with each failed trial
@@ -128,11 +128,11 @@
 
 // object is what is known of an object across its parts.
 type object struct {
-	hits      int // hits at the first parent
-	hitsSince Micros
-	warmedAt  Micros
-	bytes     float64
-	bytesAt   Micros
+	hits         int // hits at the first parent
+	hitsSince    Micros
+	warmedAt     Micros
+	recentWork   float64 // decaying sum of the work of its requests, us
+	recentWorkAt Micros
 }
 
 // part is what is known of one part of an object.
@@ -160,8 +160,8 @@
 	hasPurgeFloor bool
 	meanWork      []float64 // by class, mean transfer time, us
 	workSamples   []int     // by class, number of answers in that mean
-	bytes         float64
-	bytesAt       Micros
+	recentWork    float64   // decaying sum of the work of all requests, us
+	recentWorkAt  Micros
 	retryTokens   float64
 	lostShare     float64 // share of likely hits that never answered
 	subscribed    bool
@@ -352,8 +352,8 @@
 	r.requests[e.ID] = q
 	r.retryTokens = min(retryBurst, r.retryTokens+retryRatio)
 	o := r.object(q.Object)
-	o.bytes, o.bytesAt = o.bytes*decay(r.now-o.bytesAt, bytesHalfLife)+q.work, r.now
-	r.bytes, r.bytesAt = r.bytes*decay(r.now-r.bytesAt, bytesHalfLife)+q.work, r.now
+	o.recentWork, o.recentWorkAt = o.recentWork*decay(r.now-o.recentWorkAt, recentWorkHalfLife)+q.work, r.now
+	r.recentWork, r.recentWorkAt = r.recentWork*decay(r.now-r.recentWorkAt, recentWorkHalfLife)+q.work, r.now
 	q.ageBucket = len(r.hitRate) - 1
 	if p := r.parts.get(q.part); p != nil {
 		q.ageBucket = min(bits.Len64(uint64(max(0, r.now-p.askedAt))>>18), len(r.hitRate)-2)
@@ -559,7 +559,7 @@
 		return first
 	}
 	o := r.object(q.Object)
-	if len(r.caches) > 1 && o.bytes > hotShare*r.bytes/float64(len(r.caches)) && r.bytes > 0 {
+	if len(r.caches) > 1 && o.recentWork > hotShare*r.recentWork/float64(len(r.caches)) && r.recentWork > 0 {
 		second := r.best(r.caches, q.part, q, first)
 		if second != nil &&
 			float64(second.inFlight)/second.capacity() < float64(first.inFlight)/first.capacity() {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -99,11 +99,11 @@
 		a, b := g.r.topParents(object)
 		before[object] = [2]*member{a, b}
 	}
-	sick := g.r.members[101]
+	failing := g.r.members[101]
 	for range 20 {
-		g.r.recordHealth(sick, false, 1)
+		g.r.recordHealth(failing, false, 1)
 	}
-	if sick.ejectedUntil == 0 {
+	if failing.ejectedUntil == 0 {
 		t.Fatal("twenty failures did not eject")
 	}
 	for object := uint64(1); object < 200; object++ {
@@ -113,7 +113,7 @@
 		}
 		get, _ := g.ask(Request{Object: object})
 		want := a
-		if a == sick {
+		if a == failing {
 			want = b
 		}
 		if get.Source != want.ID {
