--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -99,7 +99,7 @@
 	switch {
 	case err == nil:
 		go s.accept(listener)
-	case errors.Is(err, syscall.EADDRINUSE), transport.LacksRoom(err):
+	case errors.Is(err, syscall.EADDRINUSE), transport.IsResourceShortage(err):
 		s.log.Warn("the operators' address can't be opened yet", "address", address, "error", err)
 		go s.listenLater(address)
 	default:
@@ -197,7 +197,7 @@
 		_ = x.conn.SetWriteDeadline(time.Now().Add(writeTry)) // it fails for a connection that has ended
 		n, err := x.conn.Write(answer)
 		answer = answer[n:]
-		again := transport.LacksRoom(err) || errors.Is(err, os.ErrDeadlineExceeded)
+		again := transport.IsResourceShortage(err) || errors.Is(err, os.ErrDeadlineExceeded)
 		if err == nil || !again || time.Now().After(end) {
 			return err
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -246,7 +246,7 @@
 		return used
 	})
 	if err == nil && r == nil {
-		if !c.Flooded() { // it is coming: long ones take their time
+		if !c.Overflowed() { // it is coming: long ones take their time
 			b.loop.Set(k.dead, min(k.asked+answerMost, max(k.asked+b.times.silent, b.loop.Now()+b.times.stall)))
 			return
 		}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -50,14 +50,14 @@
 func (f *Front) Reload(classes []Class) { f.classes = classes }
 
 // Take answers a health check or an invalid request, and turns any other request into a call.
-func (f *Front) Take(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
+func (f *Front) HandleRequest(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
 	if r.Target == healthPath && r.Method == "GET" {
 		if ok, reason := f.ready(); !ok {
 			return nil, &httpwire.Response{Status: 503, Body: []byte(reason + "\n")}
 		}
 		return nil, &httpwire.Response{Status: 200}
 	}
-	call, invalid := f.read(r, x.Came())
+	call, invalid := f.read(r, x.ReceivedAt())
 	if invalid != nil {
 		f.log.Info("request rejected", "status", invalid.Status, "reason", invalid.Reason)
 		return nil, &httpwire.Response{Status: invalid.Status, Body: []byte(invalid.Reason + "\n"), Close: true}
@@ -110,7 +110,7 @@
 			return nil, badRequest("Req-Kb is no size in KB")
 		}
 	}
-	if fault := session.ReadCopy(c, query, r.Header.Get("X-Bucket")); fault != "" {
+	if fault := session.ParseTarget(c, query, r.Header.Get("X-Bucket")); fault != "" {
 		return nil, badRequest(fault)
 	}
 	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); gateway.IsName(tag) {
@@ -130,7 +130,7 @@
 }
 
 // Reply returns the response for the final answer to a call.
-func (f *Front) Reply(_ *session.Exchange, a gateway.Answer) *httpwire.Response {
+func (f *Front) BuildResponse(_ *session.Exchange, a gateway.Answer) *httpwire.Response {
 	r := &httpwire.Response{Status: 502}
 	if a.Tag != "" {
 		r.Header = append(r.Header, httpwire.Field{Name: "ETag", Value: `"` + a.Tag + `"`})
@@ -141,7 +141,7 @@
 	case a.Kind == gateway.NotModified:
 		r.Status = 304
 	case a.Kind == gateway.Refused:
-		return f.Full(a.RetryAfter)
+		return f.OverloadResponse(a.RetryAfter)
 	case a.TimedOut:
 		r.Status = 504
 	}
@@ -149,10 +149,10 @@
 }
 
 // Full returns the response for a refusal, with the time after which to come back.
-func (f *Front) Full(away loop.Micros) *httpwire.Response {
+func (f *Front) OverloadResponse(away loop.Micros) *httpwire.Response {
 	return &httpwire.Response{Status: 503,
 		Header: httpwire.Header{{Name: "Srv-Wait-Ms", Value: strconv.FormatInt((away+999)/1000, 10)}}}
 }
 
 // Left does nothing: the front keeps no state of a request.
-func (f *Front) Left(*session.Exchange) {}
+func (f *Front) ClientGone(*session.Exchange) {}
--- a/internal/front/session/crossings_test.go
+++ b/internal/front/session/crossings_test.go
@@ -32,20 +32,22 @@
 	refused atomic.Int64 // answers that refuse
 }
 
-func (d *desk) Take(*httpwire.Request, *Exchange) (*gateway.Call, *httpwire.Response) {
+func (d *desk) HandleRequest(*httpwire.Request, *Exchange) (*gateway.Call, *httpwire.Response) {
 	return &gateway.Call{}, nil
 }
 
-func (d *desk) Reply(_ *Exchange, a gateway.Answer) *httpwire.Response {
+func (d *desk) BuildResponse(_ *Exchange, a gateway.Answer) *httpwire.Response {
 	if a.Kind == gateway.Refused {
 		d.refused.Add(1)
 	}
 	return &httpwire.Response{Status: 200, Body: []byte(d.body)}
 }
 
-func (d *desk) Full(loop.Micros) *httpwire.Response { return &httpwire.Response{Status: 503} }
+func (d *desk) OverloadResponse(loop.Micros) *httpwire.Response {
+	return &httpwire.Response{Status: 503}
+}
 
-func (d *desk) Left(*Exchange) {}
+func (d *desk) ClientGone(*Exchange) {}
 func (d *desk) Submit(c *gateway.Call) {
 	if d.atOnce {
 		c.Caller.Answer(gateway.Answer{Kind: gateway.Served})
@@ -75,8 +77,8 @@
 		t.Fatal(err)
 	}
 	cfg.Listen = free
-	if cfg.Connections == 0 {
-		cfg.Connections = 100
+	if cfg.MaxConns == 0 {
+		cfg.MaxConns = 100
 	}
 	cfg.Limits = httpwire.Limits{Head: 8 << 10, Body: 48_000}
 	h := &hall{t: t, loop: loop.New(func() {}), addr: cfg.Listen,
@@ -128,9 +130,9 @@
 // crosses sends a request and waits until the poller has read it from the guest's
 // connection, while the loop is held: it stands there unlooked at.
 func (g *guest) crosses(c *conn) {
-	before := c.tc.Came()
+	before := c.tc.BytesReceived()
 	g.send(request)
-	for until := time.Now().Add(patience); c.tc.Came() == before; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); c.tc.BytesReceived() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			g.t.Error("the bytes did not come")
 			return
@@ -213,10 +215,10 @@
 		t.Fatal(err)
 	}
 	c := h.only(idle)
-	before := c.tc.Came()
+	before := c.tc.BytesReceived()
 	h.on(h.server.Drain)
 	g.send(request)
-	for until := time.Now().Add(patience); c.tc.Came() == before; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); c.tc.BytesReceived() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the bytes were not read, so that the close would reset the connection")
 		}
@@ -314,7 +316,7 @@
 	h.on(func() { // all of this is one turn of the loop
 		g.send(request)
 		_ = g.c.Close()
-		for until := time.Now().Add(patience); c.tc.Came() == 0 || !c.tc.Gone(); time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(patience); c.tc.BytesReceived() == 0 || !c.tc.PeerClosed(); time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Error("the request and the end did not come")
 				return
@@ -370,7 +372,7 @@
 // Guards against newcomers that are reset where all places are held by clients whose requests
 // are open: a few more get a refusal, and the request of none of them is submitted.
 func TestWithoutAPlaceThereIsARefusal(t *testing.T) {
-	h := newHall(t, Config{Connections: 16})
+	h := newHall(t, Config{MaxConns: 16})
 	for range 16 {
 		h.enter().send(request)
 	}
--- a/internal/front/session/drain.go
+++ b/internal/front/session/drain.go
@@ -50,7 +50,7 @@
 			if c.brings(now) {
 				return
 			}
-			if _, left := c.tc.Taken(); left == 0 && !c.tc.Blocked() {
+			if _, left := c.tc.Acknowledged(); left == 0 && !c.tc.Blocked() {
 				c.quitBy(now + lingerShort)
 				return
 			}
@@ -61,7 +61,7 @@
 }
 
 // Rejoin takes back a Drain: answers keep their connections again.
-func (s *Server) Rejoin() { s.closing = false }
+func (s *Server) CancelDrain() { s.closing = false }
 
 // Ending counts connections that are being ended: their last answer may be on its way,
 // and the program's end would reset it away where anything more has come from the client.
@@ -94,7 +94,7 @@
 
 // Coming counts connections that are bringing a request, and those that came
 // within arriving and may be; their time bounds them.
-func (s *Server) Coming() int {
+func (s *Server) Receiving() int {
 	n, now := s.lists[reading].count+s.unheard(), s.loop.Now()
 	s.lists[silent].each(func(c *conn) {
 		if c.brings(now) {
@@ -139,7 +139,7 @@
 	c.enter(ending)
 	c.tc.HalfClose(now + lateOut)
 	c.server.loop.At(now+linger, func() {
-		if _, left := c.tc.Taken(); left == 0 {
+		if _, left := c.tc.Acknowledged(); left == 0 {
 			c.tc.Close()
 		}
 	})
--- a/internal/front/session/queue.go
+++ b/internal/front/session/queue.go
@@ -25,7 +25,7 @@
 }
 
 // Renew takes the worth of further classes; those known so far keep their places.
-func (q *Queue) Renew(worth []float64) { q.limiter.UpdateClasses(worth) }
+func (q *Queue) UpdateClasses(worth []float64) { q.limiter.UpdateClasses(worth) }
 
 // ask has a connection's open call taken, or waits with it, or refuses it.
 func (q *Queue) ask(c *conn) {
@@ -91,7 +91,7 @@
 }
 
 // Abandon refuses all that wait, for a program that has to end.
-func (q *Queue) Abandon() {
+func (q *Queue) RefuseAll() {
 	for t := q.limiter.Drop(); t != nil; t = q.limiter.Drop() {
 		t.Value.(*conn).turnDown(0)
 	}
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -54,49 +54,49 @@
 // Audit follows calls from where they came to their one answer.
 type Audit interface {
 	// Came notes in the call what it came under.
-	Came(c *gateway.Call)
+	Received(c *gateway.Call)
 	// Answered tells that it was answered.
 	Answered(c *gateway.Call, o counters.Outcome)
 	// Left tells that its client has gone: it gets no answer.
-	Left(c *gateway.Call)
+	ClientGone(c *gateway.Call)
 }
 
 // Config bounds the connections.
 type Config struct {
-	Name        string // of the front, for the log
-	Listen      string
-	Limits      httpwire.Limits
-	Buffer      int                  // bytes that may wait, of requests sent behind each other; 0: as one request
-	Connections int                  // held at most
-	Away        loop.Micros          // that a client refused for want of a place is told to stay away; 0: no advice
-	Prefix      int                  // held of one prefix of addresses at most; 0: any number
-	Idle        loop.Micros          // that a connection may have no open request; 0: 4.5 s
-	Request     loop.Micros          // that a whole request may take to come; 0: 2.3 s
-	Shrink      bool                 // idle times shrink as places fill, and clients are told
-	Park        bool                 // connections long idle hold as little as can be
-	Pace        *slowclient.Detector // of requests that come and answers that go; nil: only whole times are bounded
-	Bytes       *resources.Budget    // of all parts of the program; nil: none is kept
-	Descriptors int                  // of the process; 0: only the connections are bounded
-	Spare       int                  // of them that stay free
-	Admission   *Queue               // of requests, for all fronts that share it; nil: none
-	Figures     *counters.Counters   // where the answers to calls are counted, by class; nil: nowhere
-	Audit       Audit                // is told of each call; nil: nobody is
+	Name             string // of the front, for the log
+	Listen           string
+	Limits           httpwire.Limits
+	InputBuffer      int                  // bytes that may wait, of requests sent behind each other; 0: as one request
+	MaxConns         int                  // held at most
+	RetryAfter       loop.Micros          // that a client refused for want of a place is told to stay away; 0: no advice
+	MaxPerPrefix     int                  // held of one prefix of addresses at most; 0: any number
+	IdleTimeout      loop.Micros          // that a connection may have no open request; 0: 4.5 s
+	RequestTimeout   loop.Micros          // that a whole request may take to come; 0: 2.3 s
+	AdaptiveIdle     bool                 // idle times shrink as places fill, and clients are told
+	Park             bool                 // connections long idle hold as little as can be
+	Pace             *slowclient.Detector // of requests that come and answers that go; nil: only whole times are bounded
+	Memory           *resources.Budget    // of all parts of the program; nil: none is kept
+	MaxDescriptors   int                  // of the process; 0: only the connections are bounded
+	SpareDescriptors int                  // of them that stay free
+	Admission        *Queue               // of requests, for all fronts that share it; nil: none
+	Counters         *counters.Counters   // where the answers to calls are counted, by class; nil: nowhere
+	Audit            Audit                // is told of each call; nil: nobody is
 }
 
 // App gives requests and outcomes their meaning.
 type App interface {
 	// Take turns a request into a call, or answers it at once. Where both are
 	// nil it keeps the request, and later calls the exchange's Submit or Reply.
-	Take(r *httpwire.Request, x *Exchange) (*gateway.Call, *httpwire.Response)
+	HandleRequest(r *httpwire.Request, x *Exchange) (*gateway.Call, *httpwire.Response)
 	// Reply words the final answer to a call. Where it is nil, the exchange's
 	// Reply follows.
-	Reply(x *Exchange, a gateway.Answer) *httpwire.Response
+	BuildResponse(x *Exchange, a gateway.Answer) *httpwire.Response
 	// Full words the refusal of whoever finds no place, with the time to stay away;
 	// 0: no advice.
-	Full(away loop.Micros) *httpwire.Response
+	OverloadResponse(away loop.Micros) *httpwire.Response
 	// Left tells that the client of an exchange has gone; nobody waits for its
 	// answer.
-	Left(x *Exchange)
+	ClientGone(x *Exchange)
 }
 
 // Exchange is one request, from its last byte until its answer is written. It
@@ -115,7 +115,9 @@
 // Came is when the request's last byte was read. Where requests come faster than
 // they can be looked at, that is long before the App sees them, and their clients
 // wait since then.
-func (x *Exchange) Came() gateway.Micros { return min(x.conn.tc.Last(), x.conn.server.loop.Now()) }
+func (x *Exchange) ReceivedAt() gateway.Micros {
+	return min(x.conn.tc.LastReceived(), x.conn.server.loop.Now())
+}
 
 // Submit hands over the call that a kept request has become.
 func (x *Exchange) Submit(call *gateway.Call) {
@@ -132,7 +134,7 @@
 }
 
 // Desk serves calls.
-type Desk interface {
+type CallHandler interface {
 	Submit(c *gateway.Call)
 	Leave(c *gateway.Call)
 }
@@ -143,7 +145,7 @@
 	loop     *loop.Loop
 	app      App
 	full     []byte // what whoever finds no place is told
-	desk     Desk
+	desk     CallHandler
 	log      *slog.Logger
 	lists    [states]list
 	gauge    transport.Gauge
@@ -181,11 +183,11 @@
 }
 
 // New makes a server that hands its calls to the desk.
-func New(cfg Config, l *loop.Loop, app App, desk Desk, log *slog.Logger) *Server {
-	cfg.Idle, cfg.Request = cmp.Or(cfg.Idle, idleMost), cmp.Or(cfg.Request, requestMost)
+func New(cfg Config, l *loop.Loop, app App, desk CallHandler, log *slog.Logger) *Server {
+	cfg.IdleTimeout, cfg.RequestTimeout = cmp.Or(cfg.IdleTimeout, idleMost), cmp.Or(cfg.RequestTimeout, requestMost)
 	s := &Server{cfg: cfg, loop: l, app: app, desk: desk, log: log.With("front", cfg.Name)}
-	s.account = resources.New(s.limits(), cfg.Bytes)
-	s.places.Store(int64(cfg.Connections))
+	s.account = resources.New(s.limits(), cfg.Memory)
+	s.places.Store(int64(cfg.MaxConns))
 	for i := range s.lists {
 		s.lists[i].init(s)
 	}
@@ -195,10 +197,10 @@
 
 // Start begins to accept clients.
 func (s *Server) Start() (err error) {
-	full := s.app.Full(s.cfg.Away)
+	full := s.app.OverloadResponse(s.cfg.RetryAfter)
 	full.Close = true
 	s.full = httpwire.AppendResponse(nil, full, false)
-	s.listener, err = transport.Listen(s.loop, s.cfg.Listen, max(s.cfg.Buffer, s.cfg.Limits.Head+s.cfg.Limits.Body),
+	s.listener, err = transport.Listen(s.loop, s.cfg.Listen, max(s.cfg.InputBuffer, s.cfg.Limits.Head+s.cfg.Limits.Body),
 		&s.gauge, s.log, s.admit)
 	return err
 }
@@ -207,7 +209,7 @@
 // that stand idle has to make room.
 func (s *Server) admit(tc *transport.Conn) transport.Handler {
 	places := s.places.Load()
-	arrival, room := resources.DecideConn(s.held.Add(1), places, tc.Gone)
+	arrival, room := resources.DecideConn(s.held.Add(1), places, tc.PeerClosed)
 	if arrival == resources.RefuseConn || arrival == resources.CloseConn {
 		s.turnAway("client turned away: too many connections", "limit", places)
 	}
@@ -215,7 +217,7 @@
 		s.loop.Post(s.evictIdle)
 	}
 	if arrival == resources.CloseConn {
-		tc.Dismiss(s.full)
+		tc.Reject(s.full)
 	}
 	if arrival == resources.ClientGone || arrival == resources.CloseConn {
 		s.held.Add(-1)
@@ -243,7 +245,7 @@
 		}
 		c.counted = true
 		c.enter(silent)
-		if s.cfg.Shrink {
+		if s.cfg.AdaptiveIdle {
 			s.lists[idle].watch()
 			s.lists[parked].watch()
 		}
@@ -291,7 +293,7 @@
 			c.begun = len(b) > 0 && r == nil
 			return used
 		})
-		if r == nil && err == nil && tc.Flooded() {
+		if r == nil && err == nil && tc.Overflowed() {
 			err = &httpwire.Error{Status: 400, Reason: "too much at once"}
 		}
 		var wrong *httpwire.Error
@@ -323,7 +325,7 @@
 	}
 	c.enter(reading)
 	if paced {
-		c.measure(c.tc.Came(), 0)
+		c.measure(c.tc.BytesReceived(), 0)
 	}
 }
 
@@ -341,12 +343,12 @@
 // lookReading ends a connection whose request comes too slowly, or not in its time.
 func (c *conn) lookReading() {
 	now := c.server.loop.Now()
-	if now-c.began >= c.server.cfg.Request {
+	if now-c.began >= c.server.cfg.RequestTimeout {
 		c.quit()
 		return
 	}
 	if c.meter != nil {
-		if _, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), c.tc.Came(), 0, now); over {
+		if _, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), c.tc.BytesReceived(), 0, now); over {
 			c.server.slow(c, "request")
 			c.quit()
 			return
@@ -357,7 +359,7 @@
 
 // lookSending ends a connection that takes its answer too slowly.
 func (c *conn) lookSending() {
-	taken, left := c.tc.Taken()
+	taken, left := c.tc.Acknowledged()
 	if left == 0 || c.meter == nil {
 		c.enter(idle)
 		return
@@ -391,7 +393,7 @@
 		l, next := &s.lists[i], (*conn)(nil)
 		for c, seen := l.head.next, 0; c != &l.head && out > 0 && seen < mostShed; c, seen = next, seen+1 {
 			next = c.next
-			if _, n := c.tc.Taken(); n > 0 && c != but {
+			if _, n := c.tc.Acknowledged(); n > 0 && c != but {
 				counted := s.cfg.Pace.PendingBytes()
 				c.tc.Abort()
 				c.enter(ending)
@@ -399,14 +401,14 @@
 				freed := max(int64(n), counted-s.cfg.Pace.PendingBytes())
 				out -= freed
 				ended++
-				if b := s.cfg.Bytes; b != nil {
+				if b := s.cfg.Memory; b != nil {
 					b.Release(resources.PendingOutput, freed)
 				}
 			}
 		}
 	}
 	for c := s.lists[reading].head.next; in > 0 && c != &s.lists[reading].head; c = s.lists[reading].head.next {
-		in -= c.tc.Came()
+		in -= c.tc.BytesReceived()
 		ended++
 		c.quit()
 	}
@@ -420,22 +422,22 @@
 
 // Held is the bytes that clients' connections hold in the program, and how many
 // there are. What the kernel holds for them the pacer knows.
-func (s *Server) Held() (in, out int64, records int) {
+func (s *Server) Usage() (in, out int64, records int) {
 	return s.gauge.In.Load(), s.gauge.Out.Load(), s.account.Held()
 }
 
 // Bounds is what may change while a server runs.
 type Bounds struct {
-	Connections, Prefix int
-	Idle, Request       loop.Micros
+	MaxConns, MaxPerPrefix      int
+	IdleTimeout, RequestTimeout loop.Micros
 }
 
 // Rebound sets the bounds anew. Where more is held than there may be now, the least
 // missed are ended, little by little.
-func (s *Server) Rebound(b Bounds) {
-	s.cfg.Connections, s.cfg.Prefix = b.Connections, b.Prefix
-	s.cfg.Idle, s.cfg.Request = cmp.Or(b.Idle, idleMost), cmp.Or(b.Request, requestMost)
-	s.places.Store(int64(b.Connections))
+func (s *Server) UpdateBounds(b Bounds) {
+	s.cfg.MaxConns, s.cfg.MaxPerPrefix = b.MaxConns, b.MaxPerPrefix
+	s.cfg.IdleTimeout, s.cfg.RequestTimeout = cmp.Or(b.IdleTimeout, idleMost), cmp.Or(b.RequestTimeout, requestMost)
+	s.places.Store(int64(b.MaxConns))
 	s.account.SetLimits(s.limits())
 	s.bound()
 	for i := range s.lists {
@@ -450,21 +452,21 @@
 	for i := range s.lists {
 		s.lists[i].most, s.lists[i].ended = 0, (*conn).quit
 	}
-	s.lists[silent].most, s.lists[idle].most, s.lists[reading].most = s.cfg.Request, s.cfg.Idle, s.cfg.Request
-	s.lists[parked].most = max(1, s.cfg.Idle-parkAfter)
+	s.lists[silent].most, s.lists[idle].most, s.lists[reading].most = s.cfg.RequestTimeout, s.cfg.IdleTimeout, s.cfg.RequestTimeout
+	s.lists[parked].most = max(1, s.cfg.IdleTimeout-parkAfter)
 	if p := s.cfg.Pace; p != nil {
-		s.lists[reading].most, s.lists[reading].ended = min(s.cfg.Request, p.Window()), (*conn).lookReading
+		s.lists[reading].most, s.lists[reading].ended = min(s.cfg.RequestTimeout, p.Window()), (*conn).lookReading
 		for i := sending; i < states; i++ {
 			s.lists[i].most, s.lists[i].ended = p.Window(), (*conn).lookSending
 		}
 	}
-	if s.cfg.Park && s.cfg.Idle > 2*parkAfter {
+	if s.cfg.Park && s.cfg.IdleTimeout > 2*parkAfter {
 		s.lists[idle].most, s.lists[idle].ended = parkAfter, (*conn).park
 	}
 }
 
 func (s *Server) limits() resources.Limits {
-	return resources.Limits{MaxConns: s.cfg.Connections, MaxPerPrefix: s.cfg.Prefix, MaxDescriptors: s.cfg.Descriptors, SpareDescriptors: s.cfg.Spare}
+	return resources.Limits{MaxConns: s.cfg.MaxConns, MaxPerPrefix: s.cfg.MaxPerPrefix, MaxDescriptors: s.cfg.MaxDescriptors, SpareDescriptors: s.cfg.SpareDescriptors}
 }
 
 const (
@@ -473,7 +475,7 @@
 )
 
 func (s *Server) trim() {
-	over := s.account.Held() - s.lists[ending].count - s.cfg.Connections
+	over := s.account.Held() - s.lists[ending].count - s.cfg.MaxConns
 	for range min(over, trimMost) {
 		s.evictIdle()
 	}
@@ -483,7 +485,7 @@
 }
 
 // Others takes over how many descriptors are held by others than clients.
-func (s *Server) Others(n int) { s.account.SetOtherDescriptors(n) }
+func (s *Server) SetOtherDescriptors(n int) { s.account.SetOtherDescriptors(n) }
 
 // park has as little as can be held for an idle connection.
 func (c *conn) park() {
@@ -498,12 +500,12 @@
 		c.tc.Close()
 		return
 	}
-	c.head, c.last = r.Method == "HEAD", r.Close || c.refuse || c.tc.Flooded()
+	c.head, c.last = r.Method == "HEAD", r.Close || c.refuse || c.tc.Overflowed()
 	c.began = 0
 	c.enter(busy)
 	x := &Exchange{conn: c, open: true}
 	c.x = x
-	switch call, answer := c.server.app.Take(r, x); {
+	switch call, answer := c.server.app.HandleRequest(r, x); {
 	case answer != nil:
 		c.x, x.open = nil, false
 		c.write(answer)
@@ -517,10 +519,10 @@
 	c.call = call
 	if a := c.server.cfg.Audit; a != nil {
 		call.Peer = c.address()
-		a.Came(call)
+		a.Received(call)
 	}
 	if c.refuse {
-		c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: c.server.cfg.Away})
+		c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: c.server.cfg.RetryAfter})
 		return
 	}
 	if q := c.server.cfg.Admission; q != nil {
@@ -531,7 +533,7 @@
 }
 
 // Gone tells whether the client has ended its side, heard of or not.
-func (c *conn) Gone() bool { return c.over || c.tc.Gone() }
+func (c *conn) Gone() bool { return c.over || c.tc.PeerClosed() }
 
 // Answer words and writes the final answer of the open call.
 func (c *conn) Answer(a gateway.Answer) {
@@ -544,14 +546,14 @@
 // answer is where every answer to a call passes, the gateway's and the queue's:
 // it is counted here, once.
 func (c *conn) answer(a gateway.Answer) {
-	if f := c.server.cfg.Figures; f != nil {
+	if f := c.server.cfg.Counters; f != nil {
 		f.CountOutcome(c.call.Class, outcome(a.Kind))
 	}
 	if x := c.server.cfg.Audit; x != nil {
 		x.Answered(c.call, outcome(a.Kind))
 	}
 	c.call = nil
-	if r := c.server.app.Reply(c.x, a); r != nil {
+	if r := c.server.app.BuildResponse(c.x, a); r != nil {
 		c.reply(r)
 	}
 }
@@ -568,11 +570,11 @@
 
 func (c *conn) write(r *httpwire.Response) {
 	s := c.server
-	c.last = c.last || r.Close || s.closing || c.tc.Flooded()
+	c.last = c.last || r.Close || s.closing || c.tc.Overflowed()
 	r.Close = c.last
-	if s.cfg.Shrink && !c.last {
+	if s.cfg.AdaptiveIdle && !c.last {
 		// Under a second there is nothing that whole seconds could promise.
-		if left := s.account.IdleTimeout(s.cfg.Idle) / 1_000_000; left > 0 {
+		if left := s.account.IdleTimeout(s.cfg.IdleTimeout) / 1_000_000; left > 0 {
 			r.Header = append(r.Header, httpwire.Field{Name: "Keep-Alive", Value: "timeout=" + strconv.FormatInt(left, 10)})
 		}
 	}
@@ -583,10 +585,10 @@
 		return
 	}
 	if s.cfg.Pace != nil && !c.last && len(s.buf) >= pacedFrom {
-		if taken, left := c.tc.Taken(); left > 0 {
+		if taken, left := c.tc.Acknowledged(); left > 0 {
 			c.enter(sending + state(slowclient.Fast))
 			c.measure(taken, int64(left))
-			if b := s.cfg.Bytes; b != nil && !b.TryReserve(resources.PendingOutput, int64(left)) {
+			if b := s.cfg.Memory; b != nil && !b.TryReserve(resources.PendingOutput, int64(left)) {
 				s.shed(int64(left), 0, 0, c)
 				b.TryReserve(resources.PendingOutput, int64(left))
 			}
@@ -628,13 +630,13 @@
 			c.server.desk.Leave(c.call)
 		}
 		if a := c.server.cfg.Audit; a != nil {
-			a.Left(c.call)
+			a.ClientGone(c.call)
 		}
 		c.call = nil
 	}
 	if c.x != nil {
 		c.x.open = false
-		c.server.app.Left(c.x)
+		c.server.app.ClientGone(c.x)
 		c.x = nil
 	}
 }
--- a/internal/front/session/states.go
+++ b/internal/front/session/states.go
@@ -70,7 +70,7 @@
 // limit is how long one may stay now.
 func (l *list) limit() loop.Micros {
 	s := l.server
-	if s.cfg.Shrink && (l == &s.lists[idle] || l == &s.lists[parked]) {
+	if s.cfg.AdaptiveIdle && (l == &s.lists[idle] || l == &s.lists[parked]) {
 		return s.account.IdleTimeout(l.most)
 	}
 	return l.most
@@ -85,7 +85,7 @@
 		return
 	}
 	at := l.head.next.since + l.limit()
-	if !l.due.Pending() || l.server.cfg.Shrink && at < l.at-l.most/8 {
+	if !l.due.Pending() || l.server.cfg.AdaptiveIdle && at < l.at-l.most/8 {
 		l.at = at
 		l.server.loop.SetCoarse(&l.due, at)
 	}
--- a/internal/front/session/states_test.go
+++ b/internal/front/session/states_test.go
@@ -16,7 +16,7 @@
 
 // fixture is a server without sockets; its connections are records alone.
 func fixture() *Server {
-	s := New(Config{Connections: 1 << 21, Idle: 3_600_000_000, Park: true}, loop.NewOn(loop.NewVirtual(1e15), func() {}), nil, nil, slog.Default())
+	s := New(Config{MaxConns: 1 << 21, IdleTimeout: 3_600_000_000, Park: true}, loop.NewOn(loop.NewVirtual(1e15), func() {}), nil, nil, slog.Default())
 	for i := range s.lists {
 		s.lists[i].ended = func(*conn) {}
 	}
--- a/internal/front/session/target.go
+++ b/internal/front/session/target.go
@@ -10,7 +10,7 @@
 // ReadCopy reads what both fronts say alike of the copy that is wanted: the
 // part, as the query seg=N, and the group, a number below 256. It names what
 // can't be used.
-func ReadCopy(c *gateway.Call, query, group string) (fault string) {
+func ParseTarget(c *gateway.Call, query, group string) (fault string) {
 	number, err := strconv.ParseUint(group, 10, 8)
 	if err != nil {
 		return "group is not 0 to 255"
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -27,12 +27,12 @@
 }
 
 // Reply words the final answer to a call; nil where more work is in the pool.
-func (f *Front) Reply(x *session.Exchange, a gateway.Answer) *httpwire.Response {
+func (f *Front) BuildResponse(x *session.Exchange, a gateway.Answer) *httpwire.Response {
 	v := x.State.(*visit)
 	f.release(v, a.Kind == gateway.Refused)
 	switch {
 	case a.Kind == gateway.Refused:
-		return f.worded(v, f.Full(a.RetryAfter))
+		return f.worded(v, f.OverloadResponse(a.RetryAfter))
 	case a.Kind == gateway.Failed && a.TimedOut:
 		return f.worded(v, &httpwire.Response{Status: 504})
 	case a.Kind == gateway.Failed:
@@ -42,7 +42,7 @@
 }
 
 // Full words a refusal.
-func (f *Front) Full(away loop.Micros) *httpwire.Response {
+func (f *Front) OverloadResponse(away loop.Micros) *httpwire.Response {
 	return &httpwire.Response{Status: 503, Header: httpwire.Header{{Name: "Retry-After", Value: seconds(away)}}}
 }
 
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -159,7 +159,7 @@
 }
 
 // Take lets a request in, refuses it, or keeps it until its signature is checked.
-func (f *Front) Take(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
+func (f *Front) HandleRequest(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
 	v := &visit{x: x, r: r}
 	x.State = v
 	v.origin = f.policy.CORS.origin(r.Header)
@@ -239,7 +239,7 @@
 		return nil, nil
 	}
 	c := &gateway.Call{Class: class.Place, Object: object, Deadline: f.now() + class.GiveUp}
-	if session.ReadCopy(c, v.grant.Query, group) != "" {
+	if session.ParseTarget(c, v.grant.Query, group) != "" {
 		return nil, nil
 	}
 	if tag := v.ask.KnownTag(); gateway.IsName(tag) {
@@ -335,7 +335,7 @@
 }
 
 // Left ends a visit whose client has gone.
-func (f *Front) Left(x *session.Exchange) {
+func (f *Front) ClientGone(x *session.Exchange) {
 	if v, ok := x.State.(*visit); ok {
 		f.leave(v)
 		f.release(v, false)
--- a/internal/program/balance.go
+++ b/internal/program/balance.go
@@ -57,7 +57,7 @@
 // apply has a front's connections keep to the account.
 func (b *balance) apply(s *session.Config, sockets int) {
 	if b != nil {
-		s.Pace, s.Bytes, s.Descriptors, s.Spare = b.pace, b.budget, sockets, spareFiles
+		s.Pace, s.Memory, s.MaxDescriptors, s.SpareDescriptors = b.pace, b.budget, sockets, spareFiles
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 	b.next = now + balanceEvery
 	var held [resources.NumConsumers]int64
-	files, records := b.nodes.Held(), 0
+	files, records := b.nodes.Connections(), 0
 	for _, f := range p.fronts {
-		in, out, n := f.Held()
+		in, out, n := f.Usage()
 		held[resources.PartialRequests] += in
 		held[resources.PendingOutput] += out
 		records += n
@@ -79,7 +79,7 @@
 	// The pacer counts the kernel's part too, which is most of it.
 	held[resources.PendingOutput] = max(held[resources.PendingOutput], b.pace.PendingBytes())
 	held[resources.ConnRecords] = int64(records) * recordBytes
-	held[resources.NodeResponses] = b.tcp.Held()
+	held[resources.NodeResponses] = b.tcp.BufferedBytes()
 	held[resources.CachedCopies] = int64(p.gate.CachedBytes())
 	give := b.budget.Observe(held)
 	if mark := b.budget.Level(); mark != b.mark {
@@ -94,8 +94,8 @@
 	p.gate.SetCacheLimits(limit)
 	for _, f := range p.fronts {
 		others := files + records // of the other fronts too
-		_, _, own := f.Held()
-		f.Others(others - own)
+		_, _, own := f.Usage()
+		f.SetOtherDescriptors(others - own)
 		if give[resources.PendingOutput]+give[resources.PartialRequests]+give[resources.ConnRecords] > 0 {
 			f.Shed(give[resources.PendingOutput], give[resources.PartialRequests], int(give[resources.ConnRecords]/recordBytes))
 		}
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -66,13 +66,13 @@
 	for _, f := range d.fronts {
 		f.Drain()
 		observed.Accepting = observed.Accepting || f.Accepting()
-		observed.Pending += f.Busy() + f.Coming() + f.Ending()
+		observed.Pending += f.Busy() + f.Receiving() + f.Ending()
 	}
 	now := d.loop.Now()
 	step := d.state.Advance(now, observed)
 	spent := d.state.Elapsed(now) / 1000
 	if step.Finished {
-		d.log.Info("drain: over", "after_ms", spent, "closed_outright", transport.Unshut(),
+		d.log.Info("drain: over", "after_ms", spent, "closed_outright", transport.ForceClosed(),
 			"poller_gave_up", transport.Adopted())
 		if d.over != nil {
 			d.over()
@@ -102,7 +102,7 @@
 		d.log.Info("drain: taken back", "after_ms", spent)
 	}
 	for _, f := range d.fronts {
-		f.Rejoin()
+		f.CancelDrain()
 	}
 	return d.reopen()
 }
@@ -114,7 +114,7 @@
 	for _, f := range d.fronts {
 		err = errors.Join(err, f.Resume())
 	}
-	d.reopening = transport.LacksRoom(err)
+	d.reopening = transport.IsResourceShortage(err)
 	switch {
 	case d.reopening:
 		d.log.Warn("drain: a listener can't be opened yet", "error", err)
--- a/internal/program/end.go
+++ b/internal/program/end.go
@@ -49,7 +49,7 @@
 	}
 	p.log.Warn("out of time: what is open is failed", "open", open)
 	if p.queue != nil {
-		p.queue.Abandon()
+		p.queue.RefuseAll()
 	}
 	p.gate.Abandon()
 }
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -101,7 +101,7 @@
 	ready, _ := h.p.Ready()
 	busy := h.p.gate.OpenCalls()
 	for _, f := range h.p.fronts {
-		busy += f.Busy() + f.Coming()
+		busy += f.Busy() + f.Receiving()
 	}
 	c := health.Counts{}
 	c.Known, c.Avoided = h.p.gate.Servers()
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -56,11 +56,11 @@
 	}
 	if c := operator.Clients; p.operator.Clients != nil && c != nil {
 		for i, f := range p.fronts {
-			b := session.Bounds{Connections: held(p.cfg, c), Prefix: c.Prefix, Idle: int64(c.IdleMS) * 1000, Request: int64(c.RequestMS) * 1000}
+			b := session.Bounds{MaxConns: held(p.cfg, c), MaxPerPrefix: c.Prefix, IdleTimeout: int64(c.IdleMS) * 1000, RequestTimeout: int64(c.RequestMS) * 1000}
 			if i > 0 {
-				b.Connections = int(signedShare * float64(p.cfg.Sockets))
+				b.MaxConns = int(signedShare * float64(p.cfg.Sockets))
 			}
-			f.Rebound(b)
+			f.UpdateBounds(b)
 		}
 	}
 	if p.signed != nil {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -167,9 +167,9 @@
 	}
 	tcp := upstream.NewTCP(p.loop)
 	to := towards(cfg, cfg.Settings.Classes)
-	to.Input = min(to.Streams*upstream.AnswerMost, int(inputShare*float64(cfg.MemoryMB)*(1<<20)))
-	to.Connections = max(1, min(poolMost, int(poolShare*float64(cfg.Sockets))/nodes))
-	to.Total = nodesRoom(cfg, operator)
+	to.InputBuffer = min(to.Streams*upstream.MaxAnswerBytes, int(inputShare*float64(cfg.MemoryMB)*(1<<20)))
+	to.MaxConns = max(1, min(poolMost, int(poolShare*float64(cfg.Sockets))/nodes))
+	to.MaxTotalConns = nodesRoom(cfg, operator)
 	p.pools = upstream.New(to, tcp, p.loop, p.gate, log)
 	p.gate.SetUpstream(p.pools)
 	if p.held != nil {
@@ -192,10 +192,10 @@
 	p.news = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(grace(cfg)), cfg.Known, sink)
 	limits := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
 	bound(&limits, operator.Clients)
-	limits.Connections, limits.Away = held(cfg, operator.Clients), away(cfg)
+	limits.MaxConns, limits.RetryAfter = held(cfg, operator.Clients), away(cfg)
 	p.held.apply(&limits, cfg.Sockets)
 	p.queue = limiter(p.loop, cfg, operator.Clients)
-	limits.Admission, limits.Figures = p.queue, p.figures
+	limits.Admission, limits.Counters = p.queue, p.figures
 	if operator.Fleet != nil {
 		limits.Audit = auditor{p}
 	}
@@ -217,8 +217,8 @@
 			p.signed.Share(p.shared)
 		}
 		links := session.Config{Name: "signed", Listen: operator.Signed.Listen, Limits: signed.Limits,
-			Buffer: signed.Buffer, Connections: int(signedShare * float64(cfg.Sockets)), Away: limits.Away, Admission: limits.Admission,
-			Figures: p.figures, Audit: limits.Audit}
+			InputBuffer: signed.Buffer, MaxConns: int(signedShare * float64(cfg.Sockets)), RetryAfter: limits.RetryAfter, Admission: limits.Admission,
+			Counters: p.figures, Audit: limits.Audit}
 		bound(&links, operator.Clients)
 		p.held.apply(&links, cfg.Sockets)
 		p.fronts = append(p.fronts, session.New(links, p.loop, p.signed, p.gate, log))
@@ -256,7 +256,7 @@
 func startPatiently(listen func() error, log *slog.Logger) error {
 	for end := time.Now().Add(startPatience); ; time.Sleep(startRetry) {
 		err := listen()
-		if err == nil || !transport.LacksRoom(err) || time.Now().After(end) {
+		if err == nil || !transport.IsResourceShortage(err) || time.Now().After(end) {
 			return err
 		}
 		log.Warn("a listener can't be opened yet", "error", err)
@@ -306,7 +306,7 @@
 	if c == nil {
 		return
 	}
-	s.Idle, s.Request, s.Prefix, s.Shrink, s.Park = int64(c.IdleMS)*1000, int64(c.RequestMS)*1000, c.Prefix, true, true
+	s.IdleTimeout, s.RequestTimeout, s.MaxPerPrefix, s.AdaptiveIdle, s.Park = int64(c.IdleMS)*1000, int64(c.RequestMS)*1000, c.Prefix, true, true
 }
 
 const (
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -36,10 +36,10 @@
 		return err
 	}
 	p.table = table
-	p.pools.Renew(towards(cfg, classes))
+	p.pools.UpdateConfig(towards(cfg, classes))
 	p.figures.UpdateClasses(lanes(classes))
 	if p.queue != nil {
-		p.queue.Renew(worth(classes))
+		p.queue.UpdateClasses(worth(classes))
 	}
 	p.platform.Reload(p.named())
 	return nil
@@ -56,14 +56,14 @@
 
 // towards is what the connections to nodes are told of settings and of all classes.
 func towards(cfg *config.Config, classes []rules.Class) upstream.Config {
-	c := upstream.Config{Lanes: lanes(classes), Streams: cfg.Streams, ConnectTime: cfg.ConnectTime,
-		IdleTime: int64(idleShare * float64(cfg.ConnIdle)), Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges}
+	c := upstream.Config{Lanes: lanes(classes), Streams: cfg.Streams, ConnectTimeout: cfg.ConnectTime,
+		IdleTimeout: int64(idleShare * float64(cfg.ConnIdle)), Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges}
 	for _, x := range classes {
-		c.Silent = max(c.Silent, x.Aim/2) // long work says nothing for long
+		c.SilentTimeout = max(c.SilentTimeout, x.Aim/2) // long work says nothing for long
 	}
 	for _, x := range classes { // what must not run twice does not suffer from others' answers
-		c.Alone = append(c.Alone, x.Effect == rules.Unsafe)
-		c.Repeat = append(c.Repeat, x.Effect == rules.Safe)
+		c.Exclusive = append(c.Exclusive, x.Effect == rules.Unsafe)
+		c.Repeatable = append(c.Repeatable, x.Effect == rules.Safe)
 	}
 	return c
 }
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -147,7 +147,7 @@
 type auditor struct{ p *program }
 
 // Came is part of session.Audit.
-func (a auditor) Came(c *gateway.Call) {
+func (a auditor) Received(c *gateway.Call) {
 	if a.p.fleet != nil {
 		c.Version = a.p.fleet.RequestStarted()
 	}
@@ -164,7 +164,7 @@
 }
 
 // Left is part of session.Audit.
-func (a auditor) Left(c *gateway.Call) {
+func (a auditor) ClientGone(c *gateway.Call) {
 	if a.p.fleet != nil {
 		a.p.fleet.RequestAbandoned(c.Version)
 	}
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -224,7 +224,7 @@
 			x.retrying = false
 			return nil, nil
 		case errors.Is(err, unix.EINTR):
-		case !LacksRoom(err):
+		case !IsResourceShortage(err):
 			x.report(err) // of a connection that ended before it was accepted: the next may be whole
 		case !x.retrying:
 			x.report(err)
@@ -241,7 +241,7 @@
 
 // LacksRoom tells whether this machine could not do what was asked for want of descriptors,
 // buffers, ports or leave, which it may have again later. It says nothing of the other side.
-func LacksRoom(err error) bool {
+func IsResourceShortage(err error) bool {
 	for _, lack := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EPERM} {
 		if errors.Is(err, lack) {
 			return true
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -219,7 +219,7 @@
 
 // Flooded tells whether more has come than the connection may buffer. What came
 // until then stands in the buffer; nothing more will.
-func (c *Conn) Flooded() bool {
+func (c *Conn) Overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.flooded
@@ -371,7 +371,7 @@
 // Dismiss answers what has already come on a connection that is not taken, without a wait:
 // it is read, since a close over unread bytes is a reset that may overtake the answer. Where
 // nothing has come yet there is nothing to answer. It is for admit alone.
-func (c *Conn) Dismiss(answer []byte) {
+func (c *Conn) Reject(answer []byte) {
 	var buf buffer
 	came := 0
 	for came < dismissMost {
@@ -406,7 +406,7 @@
 		if errors.Is(err, syscall.EAGAIN) {
 			break
 		}
-		if LacksRoom(err) { // the socket is writable, so nothing would tell of the end of that
+		if IsResourceShortage(err) { // the socket is writable, so nothing would tell of the end of that
 			c.pushLater()
 			break
 		}
@@ -433,7 +433,7 @@
 // Taken counts the bytes of what was sent that the other side has acknowledged,
 // and those that it has not: in the kernel, or waiting here. Where the kernel does
 // not tell, those that it holds count as taken.
-func (c *Conn) Taken() (taken int64, left int) {
+func (c *Conn) Acknowledged() (taken int64, left int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -466,7 +466,7 @@
 }
 
 // Came counts the bytes that have come.
-func (c *Conn) Came() int64 {
+func (c *Conn) BytesReceived() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.came
@@ -474,7 +474,7 @@
 
 // Last is when the last bytes came, which may be long before the loop looks at them, or the
 // poller: for a connection that was accepted it is when the kernel took them in.
-func (c *Conn) Last() loop.Micros {
+func (c *Conn) LastReceived() loop.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last
@@ -546,11 +546,11 @@
 
 // Unshut counts the connections of the process whose sockets could not be shut and were closed
 // outright. It may be called from anywhere.
-func Unshut() int64 { return unshut.Load() }
+func ForceClosed() int64 { return unshut.Load() }
 
 // Gone tells whether the other side has ended its side. Its last bytes may still stand
 // before the end, unread by the poller or by the loop, where either was held up.
-func (c *Conn) Gone() bool {
+func (c *Conn) PeerClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed || c.shut || c.hungUp()
@@ -570,7 +570,7 @@
 // Cut ends a connection now if bytes still wait for its full socket, and tells whether
 // they do: then they never leave. The poller may have sent the rest a moment ago, before the
 // loop has heard of it (Drained); then nothing is done.
-func (c *Conn) Cut() bool {
+func (c *Conn) CloseIfBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || !c.flushing {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -167,7 +167,7 @@
 	if whole || err != nil {
 		t.Fatal("nobody reads, and all was taken", err)
 	}
-	if taken, left := e.c.Taken(); left == 0 || taken+int64(left) != int64(len(data)) || w.gauge.Out.Load() == 0 {
+	if taken, left := e.c.Acknowledged(); left == 0 || taken+int64(left) != int64(len(data)) || w.gauge.Out.Load() == 0 {
 		t.Errorf("%d taken and %d left of %d", taken, left, len(data))
 	}
 	got := make([]byte, len(data))
@@ -176,7 +176,7 @@
 	}
 	<-e.drained
 	until(t, "all was read, and not all is taken", func() bool {
-		taken, left := e.c.Taken()
+		taken, left := e.c.Acknowledged()
 		return taken == int64(len(data)) && left == 0
 	})
 	if n := w.gauge.Out.Load(); n != 0 {
@@ -356,14 +356,14 @@
 		}()
 		if drained {
 			<-e.drained
-			if e.c.Cut() {
+			if e.c.CloseIfBlocked() {
 				t.Error("all had left")
 			}
 			e.c.Close()
 			if n := <-read; n != int64(len(big)) {
 				t.Errorf("%d of %d bytes came", n, len(big))
 			}
-		} else if cut := e.c.Cut(); cut != (<-read < int64(len(big))) {
+		} else if cut := e.c.CloseIfBlocked(); cut != (<-read < int64(len(big))) {
 			t.Errorf("cut: %v", cut)
 		} else if !cut {
 			e.c.Close()
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -112,7 +112,7 @@
 	switch n, err := syscall.Read(c.fd, buf); {
 	case n > 0:
 		c.deliver(buf[:n])
-	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR), LacksRoom(err):
+	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR), IsResourceShortage(err):
 	default:
 		c.end()
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -35,7 +35,7 @@
 // cut ends a connection on which an attempt has not left whole, so that it never does, and
 // tells whether there is one. The socket may have taken the rest, of which Drained is about to tell.
 func (c *conn) cut() bool {
-	if c.partial != nil && !c.tc.Cut() {
+	if c.partial != nil && !c.tc.CloseIfBlocked() {
 		c.partial = nil
 	}
 	return c.partial != nil
@@ -64,7 +64,7 @@
 	}
 	p, known := c.past[a.Call.ID]
 	cfg := &c.pool.all.cfg
-	return known && (!p.answered || !cfg.Hedges || a.Call.Class >= len(cfg.Repeat) || !cfg.Repeat[a.Call.Class])
+	return known && (!p.answered || !cfg.Hedges || a.Call.Class >= len(cfg.Repeatable) || !cfg.Repeatable[a.Call.Class])
 }
 
 // stale tells whether a connection has stood idle after use: nodes may have reset
@@ -101,7 +101,7 @@
 	}
 	l := c.pool.all.loop
 	l.Stop(c.idle)
-	c.idle = l.At(l.Now()+c.pool.all.cfg.IdleTime, func() {
+	c.idle = l.At(l.Now()+c.pool.all.cfg.IdleTimeout, func() {
 		c.draining = true
 		c.tc.Close()
 	})
@@ -120,7 +120,7 @@
 			ans, used, err = parseAnswer(b)
 			return used
 		})
-		if err == nil && used == 0 && c.tc.Flooded() {
+		if err == nil && used == 0 && c.tc.Overflowed() {
 			err = errFlood
 		}
 		if err != nil {
--- a/internal/upstream/network.go
+++ b/internal/upstream/network.go
@@ -13,10 +13,10 @@
 	Send(p []byte) (whole bool, err error)
 	// Consume shows parse all that has come and drops what it says it has used.
 	Consume(parse func(b []byte) (used int))
-	Flooded() bool // more came than may wait, and the rest was dropped
-	Blocked() bool // bytes wait for a full socket
-	Cut() bool     // if they do, ends the connection, so that they never leave
-	Close()        // Closed follows
+	Overflowed() bool     // more came than may wait, and the rest was dropped
+	Blocked() bool        // bytes wait for a full socket
+	CloseIfBlocked() bool // if they do, ends the connection, so that they never leave
+	Close()               // Closed follows
 }
 
 // Handler is told what happens on a connection, always on the loop.
@@ -44,7 +44,7 @@
 func NewTCP(l *loop.Loop) *TCP { return &TCP{loop: l} }
 
 // Held is the bytes that its connections hold.
-func (t *TCP) Held() int64 { return t.gauge.In.Load() + t.gauge.Out.Load() }
+func (t *TCP) BufferedBytes() int64 { return t.gauge.In.Load() + t.gauge.Out.Load() }
 
 // Dial is part of Network.
 func (t *TCP) Dial(address string, limit int, h Handler, by gateway.Micros, ready func(Conn, error)) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -111,7 +111,7 @@
 			live++
 		}
 	}
-	most := x.all.cfg.Connections
+	most := x.all.cfg.MaxConns
 	return live < most && len(x.conns)+x.dialing < 2*most
 }
 
@@ -148,7 +148,7 @@
 		if c.alone > 0 || x.all.alone(a) && (cost > 0 || c.stale()) {
 			cost += busyCost
 		}
-		if len(c.open) > 0 && c.pool.all.loop.Now()-c.since > c.pool.all.cfg.Silent {
+		if len(c.open) > 0 && c.pool.all.loop.Now()-c.since > c.pool.all.cfg.SilentTimeout {
 			cost += silentCost
 		}
 		if best == nil || cost < least {
@@ -194,13 +194,13 @@
 	p.held++
 	c := &conn{pool: x, open: map[string]*gateway.Attempt{}, past: map[string]past{}}
 	addr, born := x.addr, x.born
-	p.net.Dial(addr, max(p.cfg.Input, inputLeast*AnswerMost), c, p.loop.Now()+p.cfg.ConnectTime,
+	p.net.Dial(addr, max(p.cfg.InputBuffer, inputLeast*MaxAnswerBytes), c, p.loop.Now()+p.cfg.ConnectTimeout,
 		func(tc Conn, err error) {
 			x.dialing--
 			if err != nil {
 				p.held--
 			}
-			if transport.LacksRoom(err) {
+			if transport.IsResourceShortage(err) {
 				x.dialLater(err)
 				return
 			}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,7 +15,7 @@
 
 // AnswerMost is what one answer holds at most, in bytes. As many may come at once on a
 // connection as attempts were sent there, and are no flood.
-const AnswerMost = maxLine + maxBody + 2
+const MaxAnswerBytes = maxLine + maxBody + 2
 
 const (
 	inputLeast  = 4       // answers that may come on a connection before the loop looks, at the least
@@ -34,22 +34,22 @@
 
 // Config bounds the connections.
 type Config struct {
-	Lanes       []string       // names of the classes
-	Alone       []bool         // of the classes: those that share no connection, and get a fresh one, where there is room
-	Streams     int            // attempts that a connection carries together
-	Connections int            // connections to one server
-	Total       int            // connections to all servers; 0: any number
-	ConnectTime gateway.Micros // a connection not up by then has failed
-	IdleTime    gateway.Micros // an idle connection is closed after it
-	Silent      gateway.Micros // without a word, with something open, a connection is taken for silent; silentLeast at least
-	Input       int            // bytes of answers that may come on a connection before the loop looks; see AnswerMost
-	Cancel      bool           // nodes may be told that a request is given up
-	Hedges      bool           // two attempts of one request may be out together
-	Repeat      []bool         // of the classes: those that may run any number of times
+	Lanes          []string       // names of the classes
+	Exclusive      []bool         // of the classes: those that share no connection, and get a fresh one, where there is room
+	Streams        int            // attempts that a connection carries together
+	MaxConns       int            // connections to one server
+	MaxTotalConns  int            // connections to all servers; 0: any number
+	ConnectTimeout gateway.Micros // a connection not up by then has failed
+	IdleTimeout    gateway.Micros // an idle connection is closed after it
+	SilentTimeout  gateway.Micros // without a word, with something open, a connection is taken for silent; silentLeast at least
+	InputBuffer    int            // bytes of answers that may come on a connection before the loop looks; see AnswerMost
+	Cancel         bool           // nodes may be told that a request is given up
+	Hedges         bool           // two attempts of one request may be out together
+	Repeatable     []bool         // of the classes: those that may run any number of times
 }
 
 // Clearer is what the pools ask of the gateway.
-type Clearer interface {
+type AttemptController interface {
 	// May tells whether an attempt that waits may still leave.
 	CanSend(a *gateway.Attempt) bool
 	// Clear is May just before the first byte, and the oldest copy that will do.
@@ -62,7 +62,7 @@
 	cfg   Config
 	net   Network
 	loop  *loop.Loop
-	gate  Clearer
+	gate  AttemptController
 	log   *slog.Logger
 	pools map[rules.ServerID]*pool
 	held  int                        // connections, with those that are being dialled
@@ -73,8 +73,8 @@
 var _ gateway.Upstream = (*Pools)(nil)
 
 // New makes pools without connections.
-func New(cfg Config, n Network, l *loop.Loop, gate Clearer, log *slog.Logger) *Pools {
-	cfg.Silent = max(cfg.Silent, silentLeast)
+func New(cfg Config, n Network, l *loop.Loop, gate AttemptController, log *slog.Logger) *Pools {
+	cfg.SilentTimeout = max(cfg.SilentTimeout, silentLeast)
 	return &Pools{cfg: cfg, net: n, loop: l, gate: gate, log: log, pools: map[rules.ServerID]*pool{},
 		where: map[*gateway.Attempt]*conn{}}
 }
@@ -82,14 +82,14 @@
 // Renew takes a further configuration. Its lanes must keep those known so far in
 // their places. Connections that are up stay; their numbers, and what may come on one
 // unseen, are those given at the start.
-func (p *Pools) Renew(cfg Config) {
-	cfg.Silent = max(cfg.Silent, silentLeast)
-	cfg.Connections, cfg.Total, cfg.Input = p.cfg.Connections, p.cfg.Total, p.cfg.Input
+func (p *Pools) UpdateConfig(cfg Config) {
+	cfg.SilentTimeout = max(cfg.SilentTimeout, silentLeast)
+	cfg.MaxConns, cfg.MaxTotalConns, cfg.InputBuffer = p.cfg.MaxConns, p.cfg.MaxTotalConns, p.cfg.InputBuffer
 	p.cfg = cfg
 }
 
 // Held counts the connections to all servers, with those that are being dialled.
-func (p *Pools) Held() int { return p.held }
+func (p *Pools) Connections() int { return p.held }
 
 // evictIdle has the connection that has stood idle for longest make room for one to another
 // server.
@@ -160,7 +160,7 @@
 	}
 	c.forget(a)
 	c.remember(a, false)
-	if c.pool.all.loop.Now()-c.since > c.pool.all.cfg.Silent {
+	if c.pool.all.loop.Now()-c.since > c.pool.all.cfg.SilentTimeout {
 		c.unheard++
 	}
 	if c.unheard >= silentLimit || c.unheard > 0 && len(c.open) == 0 {
@@ -177,9 +177,9 @@
 }
 
 // full tells whether there are as many connections as there may be to all servers.
-func (p *Pools) full() bool { return p.cfg.Total > 0 && p.held >= p.cfg.Total }
+func (p *Pools) full() bool { return p.cfg.MaxTotalConns > 0 && p.held >= p.cfg.MaxTotalConns }
 
 // alone tells whether an attempt is of a class that shares no connection.
 func (p *Pools) alone(a *gateway.Attempt) bool {
-	return a.Call.Class < len(p.cfg.Alone) && p.cfg.Alone[a.Call.Class]
+	return a.Call.Class < len(p.cfg.Exclusive) && p.cfg.Exclusive[a.Call.Class]
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -64,8 +64,8 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, loop: loop.New(func() {}), gate: &gate{clear: true, ended: make(chan ended, 1000)}, ln: ln}
-	r.pools = New(Config{Lanes: []string{"pay"}, Streams: 1000, Connections: connections, ConnectTime: 1_000_000,
-		IdleTime: 60_000_000, Cancel: true}, NewTCP(r.loop), r.loop, r.gate, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	r.pools = New(Config{Lanes: []string{"pay"}, Streams: 1000, MaxConns: connections, ConnectTimeout: 1_000_000,
+		IdleTimeout: 60_000_000, Cancel: true}, NewTCP(r.loop), r.loop, r.gate, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	r.srv = &gateway.Server{ID: 1, Name: "s-1", Addr: ln.Addr().String(), State: rules.Ready}
 	done := make(chan struct{})
 	go func() { r.loop.Run(); close(done) }()
@@ -312,7 +312,7 @@
 // same connection was spoilt.
 func TestPayoutsShareNoConnection(t *testing.T) {
 	r := newRig(t, 3)
-	r.on(func() { r.pools.cfg.Lanes, r.pools.cfg.Alone = []string{"pay", "read"}, []bool{true, false} })
+	r.on(func() { r.pools.cfg.Lanes, r.pools.cfg.Exclusive = []string{"pay", "read"}, []bool{true, false} })
 	r.start(10)
 	one := r.accept()
 	pay := r.start(10)
@@ -349,7 +349,7 @@
 // idle connection makes room.
 func TestPayoutsGetAFreshConnection(t *testing.T) {
 	r := newRig(t, 1)
-	r.on(func() { r.pools.cfg.Alone = []bool{true} })
+	r.on(func() { r.pools.cfg.Exclusive = []bool{true} })
 	a := r.start(10)
 	old := r.accept()
 	_, _ = fmt.Fprintf(old, "%s ok - 0\r\n\r\n", a.Call.ID)
@@ -399,7 +399,7 @@
 // again where it was, also at a server with one connection.
 func TestReadsGoAgainOnTheirConnection(t *testing.T) {
 	r := newRig(t, 1)
-	r.on(func() { r.pools.cfg.Hedges, r.pools.cfg.Repeat = true, []bool{true} })
+	r.on(func() { r.pools.cfg.Hedges, r.pools.cfg.Repeatable = true, []bool{true} })
 	a := r.start(10)
 	c := r.accept()
 	for range 3 {
@@ -480,10 +480,10 @@
 func (n *held) Consume(f func(b []byte) int) {
 	n.came = n.came[f([]byte(n.came)):]
 }
-func (n *held) Flooded() bool { return false }
-func (n *held) Blocked() bool { return n.full }
-func (n *held) Cut() bool     { n.closed = n.closed || n.waits; return n.waits }
-func (n *held) Close()        { n.closed = true }
+func (n *held) Overflowed() bool     { return false }
+func (n *held) Blocked() bool        { return n.full }
+func (n *held) CloseIfBlocked() bool { n.closed = n.closed || n.waits; return n.waits }
+func (n *held) Close()               { n.closed = true }
 
 // Guards against a payout that runs twice because its socket took the rest of it in the very
 // moment in which it was given up, or in which its connection was spoilt: only bytes that surely never
@@ -556,7 +556,7 @@
 func TestAnswersThatComeTogetherAreNoFlood(t *testing.T) {
 	const many = 12
 	r := newRig(t, 1)
-	r.on(func() { r.pools.cfg.Input = many * AnswerMost })
+	r.on(func() { r.pools.cfg.InputBuffer = many * MaxAnswerBytes })
 	var asked []*gateway.Attempt
 	for range many {
 		asked = append(asked, r.start(10))
@@ -576,9 +576,9 @@
 			t.Fatal(err)
 		}
 	}
-	for end := time.Now().Add(patience); tc.Came() < int64(sent); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); tc.BytesReceived() < int64(sent); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d bytes came", tc.Came(), sent)
+			t.Fatalf("%d of %d bytes came", tc.BytesReceived(), sent)
 		}
 	}
 	close(goOn)
@@ -594,7 +594,7 @@
 // the connection that was idle for longest makes room for the next.
 func TestConnectionsToAllNodesAreBounded(t *testing.T) {
 	r := newRig(t, 1)
-	r.on(func() { r.pools.cfg.Total = 2 })
+	r.on(func() { r.pools.cfg.MaxTotalConns = 2 })
 	var first net.Conn
 	for i := range 2 {
 		if i > 0 {
@@ -623,7 +623,7 @@
 		t.Error("the oldest idle connection stays open")
 	}
 	for held := 2; held == 2; time.Sleep(time.Millisecond) {
-		r.on(func() { held = r.pools.Held() })
+		r.on(func() { held = r.pools.Connections() })
 	}
 	b := r.start(10)
 	_, _ = fmt.Fprintf(r.accept(), "%s ok - 0\r\n\r\n", b.Call.ID)
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -434,7 +434,7 @@
 		return used
 	})
 	switch {
-	case err != nil || r != nil && !c.busy || r == nil && conn.Flooded():
+	case err != nil || r != nil && !c.busy || r == nil && conn.Overflowed():
 		c.lose(Garbled)
 		return
 	case r == nil:
--- a/lab/world/inside.go
+++ b/lab/world/inside.go
@@ -53,8 +53,8 @@
 	for _, c := range w.spec.Classes {
 		lanes, alone, repeat = append(lanes, c.Name), append(alone, c.Write), append(repeat, !c.Write)
 	}
-	x.gate.SetUpstream(upstream.New(upstream.Config{Lanes: lanes, Alone: alone, Streams: streams, Connections: 8, ConnectTime: connectTime,
-		IdleTime: connIdle, Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges, Repeat: repeat}, x, w.loop, x.gate, quiet))
+	x.gate.SetUpstream(upstream.New(upstream.Config{Lanes: lanes, Exclusive: alone, Streams: streams, MaxConns: 8, ConnectTimeout: connectTime,
+		IdleTimeout: connIdle, Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges, Repeatable: repeat}, x, w.loop, x.gate, quiet))
 	x.gate.Members(true, known)
 	for _, p := range purges {
 		x.gate.Purge(p)
@@ -158,12 +158,12 @@
 }
 
 // Flooded is part of upstream.Conn.
-func (p *pipe) Flooded() bool { return p.flooded }
+func (p *pipe) Overflowed() bool { return p.flooded }
 
 // Blocked is part of upstream.Conn: a link takes all that it is given.
 func (p *pipe) Blocked() bool { return false }
 
-func (p *pipe) Cut() bool { return false }
+func (p *pipe) CloseIfBlocked() bool { return false }
 
 // Close is part of upstream.Conn.
 func (p *pipe) Close() {
