--- a/internal/decide/ledger/model_test.go
+++ b/internal/decide/ledger/model_test.go
@@ -138,7 +138,7 @@
 	case w.passed > 1 || w.passed == 1 && w.runs == 0:
 		m.violation = "answers are wrong: " + m.history()
 	}
-	// next explores the state that results from applying do to copies of both sides.
+	// next explores the state that results from applying change to copies of both sides.
 	next := func(event string, change func(x *world, sender *Sender, receiver *Receiver)) {
 		if m.violation != "" {
 			return
--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -208,24 +208,24 @@
 // rulesCall returns the maintenance rules, or changes those that are named.
 func (fleet *Fleet) rulesCall(change string, reply func(any), fail func(error)) {
 	rules := fleet.node.Replica().State().Maintenance.Rules
-	x := Rules{Out: rules.MaxOut, Zone: rules.MaxZoneOut, Percent: rules.MaxFrontsPercent, UnhealthyPercent: rules.UnhealthyPercent, AcceptS: seconds(rules.AcceptTimeout), EmptyS: seconds(rules.DrainTimeout), BackS: seconds(rules.ReturnTimeout),
+	shown := Rules{Out: rules.MaxOut, Zone: rules.MaxZoneOut, Percent: rules.MaxFrontsPercent, UnhealthyPercent: rules.UnhealthyPercent, AcceptS: seconds(rules.AcceptTimeout), EmptyS: seconds(rules.DrainTimeout), BackS: seconds(rules.ReturnTimeout),
 		ColdS: seconds(rules.WarmUp), AgeStepS: seconds(rules.AgeStep), PatienceS: seconds(rules.Patience), AloneS: seconds(rules.LeaseSpan), PacePercent: rules.MaxPacePercent, LagPercent: rules.MaxFencedPercent}
 	if change == "" {
-		reply(x)
+		reply(shown)
 		return
 	}
-	if err := decodeStrict("RULES", change, &x); err != nil {
+	if err := decodeStrict("RULES", change, &shown); err != nil {
 		fail(err)
 		return
 	}
 	micros := func(s float64) int64 { return int64(max(-1, min(s, 1e9)) * 1e6) }
-	rules = maintenance.Rules{MaxOut: x.Out, MaxZoneOut: x.Zone, MaxFrontsPercent: x.Percent, UnhealthyPercent: x.UnhealthyPercent, AcceptTimeout: micros(x.AcceptS), DrainTimeout: micros(x.EmptyS), ReturnTimeout: micros(x.BackS),
-		WarmUp: micros(x.ColdS), AgeStep: micros(x.AgeStepS), Patience: micros(x.PatienceS), LeaseSpan: micros(x.AloneS), MaxPacePercent: x.PacePercent, MaxFencedPercent: x.LagPercent}
+	rules = maintenance.Rules{MaxOut: shown.Out, MaxZoneOut: shown.Zone, MaxFrontsPercent: shown.Percent, UnhealthyPercent: shown.UnhealthyPercent, AcceptTimeout: micros(shown.AcceptS), DrainTimeout: micros(shown.EmptyS), ReturnTimeout: micros(shown.BackS),
+		WarmUp: micros(shown.ColdS), AgeStep: micros(shown.AgeStepS), Patience: micros(shown.PatienceS), LeaseSpan: micros(shown.AloneS), MaxPacePercent: shown.PacePercent, MaxFencedPercent: shown.LagPercent}
 	if err := rules.Validate(); err != nil {
 		fail(err)
 		return
 	}
-	fleet.submit(statemachine.Command{Rules: &rules}, func(any) { reply(x) }, fail)
+	fleet.submit(statemachine.Command{Rules: &rules}, func(any) { reply(shown) }, fail)
 }
 
 func (fleet *Fleet) operationsCall(call string, reply func(any), fail func(error)) {
--- a/internal/fleet/auditlog.go
+++ b/internal/fleet/auditlog.go
@@ -57,7 +57,7 @@
 func (fleet *Fleet) openAuditLog() error {
 	auditLog := &fleet.auditLog
 	auditLog.path = filepath.Join(fleet.cfg.Folder, "audit")
-	read := func() error {
+	readJournal := func() error {
 		auditLog.chain, auditLog.activation = audit.Chain{}, rollout.ActivationRecord{}
 		var torn int64
 		var err error
@@ -85,7 +85,7 @@
 		}
 		return err
 	}
-	err := read()
+	err := readJournal()
 	if err != nil {
 		aside := fmt.Sprintf("%s.damaged-%d", auditLog.path, time.Now().Unix())
 		fleet.log.Error("fleet: the audit is damaged; it is put aside and begins anew", "error", err, "aside", aside)
@@ -93,7 +93,7 @@
 		if err := os.Rename(auditLog.path, aside); err != nil {
 			return fmt.Errorf("audit: %w", err)
 		}
-		if err := read(); err != nil {
+		if err := readJournal(); err != nil {
 			return err
 		}
 	}
@@ -179,8 +179,8 @@
 func (fleet *Fleet) compactAuditLog() {
 	auditLog := &fleet.auditLog
 	auditLog.compacting = true
-	upTo, notes := auditLog.chain.Seq(), auditLog.activation
-	auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(notes)...), func(error) { // all before it is durable now
+	upTo, activation := auditLog.chain.Seq(), auditLog.activation
+	auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(activation)...), func(error) { // all before it is durable now
 		go func() {
 			var records []audit.Record
 			err := journal.Scan(auditLog.path, func(raw []byte) error {
@@ -195,7 +195,7 @@
 			for _, r := range audit.Compact(records) {
 				image = append(image, append([]byte{auditLogRecord}, r.Encode()...))
 			}
-			image = append(image, append([]byte{auditLogActivation}, encodeActivation(notes)...))
+			image = append(image, append([]byte{auditLogActivation}, encodeActivation(activation)...))
 			fleet.loop.Post(func() {
 				if err != nil || len(records) == 0 || records[len(records)-1].Seq != upTo {
 					fleet.log.Error("fleet: the audit is not made smaller", "error", err)
@@ -273,9 +273,9 @@
 		}
 		r := fleet.auditLog.chain.Append(audit.Record{Kind: audit.KindLease, Text: audit.CleanExit}, fleet.timestamp())
 		fleet.auditLog.journal.Append(append([]byte{auditLogRecord}, r.Encode()...), func(error) {})
-		notes := fleet.auditLog.activation
-		notes.Survived = true // it was told to end, and did not crash because of the version
-		fleet.auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(notes)...), func(error) {})
+		activation := fleet.auditLog.activation
+		activation.Survived = true // it was told to end, and did not crash because of the version
+		fleet.auditLog.journal.Append(append([]byte{auditLogActivation}, encodeActivation(activation)...), func(error) {})
 	}
 	return fleet.auditLog.journal.Close()
 }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -48,7 +48,7 @@
 	LeftPermits     []uint64      `cbor:"10,keyasint,omitempty"` // permits of boxes that it has left
 	MaxStateVersion int           `cbor:"11,keyasint,omitempty"` // newest version of the state that its build can read
 
-	Stand *rollout.FrontStatus `cbor:"12,keyasint,omitempty"` // which version it acts on
+	Status *rollout.FrontStatus `cbor:"12,keyasint,omitempty"` // which version it acts on
 }
 
 // maxLeftPermits limits the permits in one heartbeat.
@@ -212,7 +212,7 @@
 
 // sendHeartbeat sends a heartbeat: a voter to the leader, other fronts to their feeder.
 func (node *Node) sendHeartbeat() {
-	heartbeat := Heartbeat{Name: node.cfg.Name, ID: node.id, Start: node.cfg.Start, NotServing: node.notServing, Unhealthy: node.unhealthy, Applied: node.applied, LeftPermits: node.leftPermits(), MaxStateVersion: statemachine.Version, Stand: node.status}
+	heartbeat := Heartbeat{Name: node.cfg.Name, ID: node.id, Start: node.cfg.Start, NotServing: node.notServing, Unhealthy: node.unhealthy, Applied: node.applied, LeftPermits: node.leftPermits(), MaxStateVersion: statemachine.Version, Status: node.status}
 	to := node.feeder
 	if lead, _ := node.Leader(); node.followsLeader() || to == "" {
 		to, heartbeat.Lease = node.nameOf(lead), node.leaseRequest()
@@ -222,13 +222,13 @@
 	}
 	for _, c := range node.children {
 		if info, ok := node.fronts[c.name]; ok && node.now-info.heardAt < node.cfg.LostAfter {
-			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: c.name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Stand: info.status})
+			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: c.name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Status: info.status})
 		}
 	}
 	// Those below them, as reported in their heartbeats.
 	for name, info := range node.fronts {
 		if node.now-info.heardAt < node.cfg.LostAfter && !slices.ContainsFunc(node.children, func(c *child) bool { return c.name == name }) {
-			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Stand: info.status})
+			heartbeat.Below = append(heartbeat.Below, Heartbeat{Name: name, ID: info.id, Start: info.start, NotServing: info.notServing, Unhealthy: info.unhealthy, Applied: info.applied, Age: node.now - info.heardAt, LeftPermits: info.leftPermits, MaxStateVersion: info.maxStateVersion, Status: info.status})
 		}
 	}
 	slices.SortFunc(heartbeat.Below, func(x, y Heartbeat) int { return compare(x.Name, y.Name) })
@@ -253,7 +253,7 @@
 	record := func(heartbeat Heartbeat) {
 		at := node.now - max(0, heartbeat.Age)
 		if old, ok := node.fronts[heartbeat.Name]; !ok || old.heardAt <= at {
-			node.fronts[heartbeat.Name] = frontInfo{id: heartbeat.ID, start: heartbeat.Start, heardAt: at, notServing: heartbeat.NotServing, unhealthy: heartbeat.Unhealthy, applied: heartbeat.Applied, leftPermits: heartbeat.LeftPermits[:min(len(heartbeat.LeftPermits), maxLeftPermits)], maxStateVersion: heartbeat.MaxStateVersion, status: heartbeat.Stand}
+			node.fronts[heartbeat.Name] = frontInfo{id: heartbeat.ID, start: heartbeat.Start, heardAt: at, notServing: heartbeat.NotServing, unhealthy: heartbeat.Unhealthy, applied: heartbeat.Applied, leftPermits: heartbeat.LeftPermits[:min(len(heartbeat.LeftPermits), maxLeftPermits)], maxStateVersion: heartbeat.MaxStateVersion, status: heartbeat.Status}
 		}
 	}
 	record(heartbeat)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -296,9 +296,9 @@
 	if fleet.node == nil || fleet.failure != nil {
 		return true
 	}
-	s := fleet.node.Replica().State()
-	x := s.Rollout.Status(fleet.cfg.Name)
-	return x == nil || s.Now >= x.WarmAt
+	state := fleet.node.Replica().State()
+	status := state.Rollout.Status(fleet.cfg.Name)
+	return status == nil || state.Now >= status.WarmAt
 }
 
 // MayAct reports whether the front may act now, and if not, after how many us to come back. It
--- a/internal/fleet/versionadmin.go
+++ b/internal/fleet/versionadmin.go
@@ -272,9 +272,9 @@
 	}
 	err := fleet.queryAudits(query.Question, names, func(answers []audit.Answer, missing []string) {
 		report := AuditReport{Question: query.Question, FleetS: seconds(state.Now), Answers: answers, Missing: missing}
-		for _, h := range state.Rollout.LostAudits {
-			if query.Name == "" || query.Name == h.Name {
-				report.Lost = append(report.Lost, LostAudit{Front: h.Name, Incarnation: fmt.Sprintf("%016x", h.ID), Records: h.Seq, Head: h.Head, FoundAtS: seconds(h.FoundAt)})
+		for _, lost := range state.Rollout.LostAudits {
+			if query.Name == "" || query.Name == lost.Name {
+				report.Lost = append(report.Lost, LostAudit{Front: lost.Name, Incarnation: fmt.Sprintf("%016x", lost.ID), Records: lost.Seq, Head: lost.Head, FoundAtS: seconds(lost.FoundAt)})
 			}
 		}
 		if query.Request != "" { // omit fronts that certainly did not decide it
