--- a/cmd/cherryramp-fleet/main.go
+++ b/cmd/cherryramp-fleet/main.go
@@ -66,18 +66,18 @@
 // part begins a front's part in the fleet of the operator's file.
 func part(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetPart, error) {
 	var first []consensus.Address
-	for _, m := range c.First {
+	for _, m := range c.InitialMembers {
 		first = append(first, consensus.Address{Name: m.Name, Address: m.Address})
 	}
 	k := c.Keys
 	keep := int64(0)
 	if shared != nil {
-		keep = int64(shared.KeepS * 1e6)
+		keep = int64(shared.OwnerLeaseS * 1e6)
 	}
 	return fleet.Start(fleet.Config{Config: consensus.Config{Fleet: c.Name, Name: front, Zone: c.Zone, Machine: cmp.Or(c.Machine, front),
-		Address: c.Address, Build: revision(), FirstMembers: first, Rules: c.Rules.Work(), Tick: int64(c.TickMS) * 1000, LostAfter: int64(c.LostMS) * 1000,
-		SeatGrace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, SnapshotEntries: uint64(c.Log), OwnerLease: keep}, Exchange: shared, Listen: c.Listen, Folder: c.Folder, Reach: c.Reach,
-		Keys: peers.Files{Certificate: k.Certificate, Key: k.Key, Authorities: k.Authorities, Names: k.Names, Revoked: k.Revoked}}, l, host, log)
+		Address: c.Address, Build: revision(), FirstMembers: first, Rules: c.Rules.Maintenance(), Tick: int64(c.TickMS) * 1000, LostAfter: int64(c.LostMS) * 1000,
+		SeatGrace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, SnapshotEntries: uint64(c.MaxLogEntries), OwnerLease: keep}, Exchange: shared, Listen: c.Listen, Folder: c.DataDir, Reach: c.AddressOverrides,
+		Keys: peers.Files{Certificate: k.Certificate, Key: k.Key, Authorities: k.Authorities, Names: k.PeerNames, Revoked: k.Revoked}}, l, host, log)
 }
 
 // revision names the build: its version-control revision, where the tool chain noted one.
--- a/cmd/cherryramp/links.go
+++ b/cmd/cherryramp/links.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	p := s.ByName[f.profile]
+	p := s.ProfilesByName[f.profile]
 	if p == nil {
 		return fmt.Errorf("profile %q is not in the file", f.profile)
 	}
@@ -197,17 +197,17 @@
 		}
 		r.Header = append(r.Header, httpwire.Field{Name: name, Value: strings.TrimSpace(value)})
 	}
-	v := s.Set.Judge(r)
+	v := s.GrantSet.Judge(r)
 	if v.Proof != nil {
-		s.Set.Settle(v.Proof, v.Proof.Check(), r.Now)
-		v = s.Set.Judge(r)
+		s.GrantSet.Settle(v.Proof, v.Proof.Check(), r.Now)
+		v = s.GrantSet.Judge(r)
 	}
 	reason := string(v.Refusal)
 	if reason == "" {
-		if what := s.Taken.Has(revoked.Grant{ID: v.ID, Subject: v.Subject, Key: v.Key.Name, Path: v.Path, Digest: v.Digest}); what != "" {
+		if what := s.RevokedList.Match(revoked.Grant{ID: v.ID, Subject: v.Subject, Key: v.Key.Name, Path: v.Path, Digest: v.Digest}); what != "" {
 			reason = what + " is revoked"
 		}
-		if t := s.Whose[v.Profile.Tenant]; len(t.Paths) > 0 && !slices.ContainsFunc(t.Paths, func(p string) bool { return strings.HasPrefix(v.Path, p) }) {
+		if t := s.TenantsByName[v.Profile.Tenant]; len(t.Paths) > 0 && !slices.ContainsFunc(t.Paths, func(p string) bool { return strings.HasPrefix(v.Path, p) }) {
 			reason = string(grants.Path)
 		}
 	}
@@ -268,24 +268,24 @@
 	}
 	now := when.UnixMicro()
 	var names []string
-	for name := range s.InRing {
+	for name := range s.RingsByName {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RING\tKEY\tKIND\tSTATE\tMOMENT\tNOW\tSIGNS")
 	for _, name := range names {
-		ring := s.InRing[name]
+		ring := s.RingsByName[name]
 		for _, k := range ring.Keys {
 			moment, signs := "", ""
-			if k.Moment > 0 {
-				moment = time.UnixMicro(k.Moment).UTC().Format(time.RFC3339)
+			if k.TransitionAt > 0 {
+				moment = time.UnixMicro(k.TransitionAt).UTC().Format(time.RFC3339)
 			}
-			if ring.Signing() == k {
+			if ring.SigningKey() == k {
 				signs = "yes"
 			}
-			standing := [...]string{keyring.Good: "checks", keyring.Early: "not yet", keyring.Retired: "no more",
-				keyring.Withdrawn: "never"}[k.At(now)]
+			standing := [...]string{keyring.Valid: "checks", keyring.NotYetValid: "not yet", keyring.Retired: "no more",
+				keyring.Withdrawn: "never"}[k.ValidityAt(now)]
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", name, k.Name, k.Kind, k.State, moment, standing, signs)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,26 +31,26 @@
 
 // Config is all that the program is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Ops      string // the operators' door; empty: none
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
+	Name         string
+	Listen       string
+	AdminAddress string // the operators' door; empty: none
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
 
 	Settings rules.Settings
 	Digest   string // names the settings: 16 hex digits of SHA-256 over their JSON, without its spaces
 	Zones    []string
 	Kinds    []string
 
-	Streams     int          // attempts that a connection to a node carries together
-	ConnectTime rules.Micros // a connection not up by then has failed
-	ConnIdle    rules.Micros // nodes close connections that idle for so long
+	StreamsPerConn  int          // attempts that a connection to a node carries together
+	ConnectTimeout  rules.Micros // a connection not up by then has failed
+	ConnIdleTimeout rules.Micros // nodes close connections that idle for so long
 
 	Flow, Link float64 // bytes a second of one transfer of our own copies, and of all; 0: none
 
-	Board string // address of the notice board; empty: none
-	Known *discovery.Update
+	Board         string // address of the notice board; empty: none
+	InitialUpdate *discovery.Update
 }
 
 // file is the platform's configuration file.
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
-	c.Ops = cmp.Or(ops, c.Ops)
+	c.AdminAddress = cmp.Or(ops, c.AdminAddress)
 	return c, nil
 }
 
@@ -105,13 +105,13 @@
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	c := &Config{Name: cmp.Or(name, f.Name, "front"), Listen: cmp.Or(listen, f.Listen), Ops: f.Ops, Board: f.Board,
+	c := &Config{Name: cmp.Or(name, f.Name, "front"), Listen: cmp.Or(listen, f.Listen), AdminAddress: f.Ops, Board: f.Board,
 		Flow: f.Flow, Link: f.Link,
 		MemoryMB: cmp.Or(int(f.Limits.MemoryMB), defaultMemoryMB),
 		Sockets:  cmp.Or(f.Limits.Sockets, defaultSockets)}
 	var faults []error
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
-	for _, x := range []struct{ key, address string }{{"listen", c.Listen}, {"board", c.Board}, {"ops", c.Ops}} {
+	for _, x := range []struct{ key, address string }{{"listen", c.Listen}, {"board", c.Board}, {"ops", c.AdminAddress}} {
 		if x.key != "listen" && x.address == "" {
 			continue
 		}
@@ -135,7 +135,7 @@
 		}
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = discovery.ParseUpdate(f.Known); err != nil {
+		if c.InitialUpdate, err = discovery.ParseUpdate(f.Known); err != nil {
 			fault("known: %w", err)
 		}
 	}
@@ -153,7 +153,7 @@
 // Next is the configuration in force once another was taken while the program
 // runs: the other one, but for what takes effect at a start only. Of that it
 // names the keys that the other sets otherwise.
-func (c *Config) Next(o *Config) (next *Config, fixed []string) {
+func (c *Config) Reload(o *Config) (next *Config, fixed []string) {
 	n := *o
 	keep := func(key string, differs bool, back func()) {
 		if differs {
@@ -163,7 +163,7 @@
 	}
 	keep("name", n.Name != c.Name, func() { n.Name = c.Name })
 	keep("listen", n.Listen != c.Listen, func() { n.Listen = c.Listen })
-	keep("ops", n.Ops != c.Ops, func() { n.Ops = c.Ops })
+	keep("ops", n.AdminAddress != c.AdminAddress, func() { n.AdminAddress = c.AdminAddress })
 	keep("limits", n.MemoryMB != c.MemoryMB || n.Sockets != c.Sockets, func() {
 		n.MemoryMB, n.Sockets = c.MemoryMB, c.Sockets
 		n.Settings.MaxHeld = min(n.Settings.MaxHeld, c.Sockets/clientPart)
@@ -176,7 +176,7 @@
 	keep("settings.extra.upper-kind", s.ParentKind != was.ParentKind, func() { s.ParentKind = was.ParentKind })
 	keep("settings.extra.store-kind", s.OriginKind != was.OriginKind, func() { s.OriginKind = was.OriginKind })
 	keep("settings.discovery", s.ListOnRequest != was.ListOnRequest, func() { s.ListOnRequest = was.ListOnRequest })
-	n.Seed, n.Known = c.Seed, c.Known // only a start asks for them
+	n.Seed, n.InitialUpdate = c.Seed, c.InitialUpdate // only a start asks for them
 	return &n, fixed
 }
 
@@ -232,9 +232,9 @@
 		c.Settings.MaxHeld = places
 	}
 	c.Zones, c.Kinds = f.list("zones"), f.list("machine-types")
-	c.Streams = f.int("limits.streams-per-conn", defaultStreams)
-	c.ConnectTime = f.micros("limits.connect-timeout-us", defaultConnect)
-	c.ConnIdle = f.micros("limits.conn-idle-us", defaultIdle)
+	c.StreamsPerConn = f.int("limits.streams-per-conn", defaultStreams)
+	c.ConnectTimeout = f.micros("limits.connect-timeout-us", defaultConnect)
+	c.ConnIdleTimeout = f.micros("limits.conn-idle-us", defaultIdle)
 	return f.err
 }
 
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := o.Fleet; f.TickMS != 100 || f.FanOut != 16 || f.Folder != filepath.Join(dir, "fleet") || f.Rules.Work().AcceptTimeout != 20_000_000 {
+	if f := o.Fleet; f.TickMS != 100 || f.FanOut != 16 || f.DataDir != filepath.Join(dir, "fleet") || f.Rules.Maintenance().AcceptTimeout != 20_000_000 {
 		t.Errorf("defaults: %+v", f)
 	}
 	for _, x := range []struct{ from, to, key string }{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -39,14 +39,14 @@
 // Clients bounds the clients' connections of both fronts. Where it is left out,
 // the platform's limits hold.
 type Clients struct {
-	IdleMS    int    `json:"idle_ms"`       // without an open request; 4500
-	RequestMS int    `json:"request_ms"`    // that a whole request may take to come; 2300
-	Held      int    `json:"held"`          // connections of the platform's front; 55% of the descriptors
-	Admission string `json:"admission"`     // aimd, gradient; empty: as much as the module takes
-	Prefix    int    `json:"each_prefix"`   // connections of one /24 or /56; any number
-	Least     int    `json:"least_bytes_s"` // pace of a request that comes or an answer that goes; any
-	CreditMS  int    `json:"credit_ms"`     // for which nothing may move; 5000
-	MemoryMB  int    `json:"memory_mb"`     // of all that clients and copies hold; 45% of the front's limit
+	IdleTimeoutMS    int    `json:"idle_ms"`       // without an open request; 4500
+	RequestTimeoutMS int    `json:"request_ms"`    // that a whole request may take to come; 2300
+	MaxConns         int    `json:"held"`          // connections of the platform's front; 55% of the descriptors
+	Admission        string `json:"admission"`     // aimd, gradient; empty: as much as the module takes
+	MaxPerPrefix     int    `json:"each_prefix"`   // connections of one /24 or /56; any number
+	MinBytesPerS     int    `json:"least_bytes_s"` // pace of a request that comes or an answer that goes; any
+	CreditMS         int    `json:"credit_ms"`     // for which nothing may move; 5000
+	MemoryMB         int    `json:"memory_mb"`     // of all that clients and copies hold; 45% of the front's limit
 }
 
 // Bounds of the clients section.
@@ -69,9 +69,9 @@
 		key         string
 		n           int
 		least, most int
-	}{{"idle_ms", c.IdleMS, leastIdleMS, mostIdleMS}, {"request_ms", c.RequestMS, leastRequestMS, mostRequestMS},
-		{"held", c.Held, 1, mostHeld}, {"each_prefix", c.Prefix, 1, mostHeld},
-		{"least_bytes_s", c.Least, 1, mostPace}, {"credit_ms", c.CreditMS, leastCreditMS, mostRequestMS},
+	}{{"idle_ms", c.IdleTimeoutMS, leastIdleMS, mostIdleMS}, {"request_ms", c.RequestTimeoutMS, leastRequestMS, mostRequestMS},
+		{"held", c.MaxConns, 1, mostHeld}, {"each_prefix", c.MaxPerPrefix, 1, mostHeld},
+		{"least_bytes_s", c.MinBytesPerS, 1, mostPace}, {"credit_ms", c.CreditMS, leastCreditMS, mostRequestMS},
 		{"memory_mb", c.MemoryMB, leastMemoryMB, 1 << 20}} {
 		if x.n != 0 && (x.n < x.least || x.n > x.most) {
 			f.addf(x.key, "%d is not %d to %d", x.n, x.least, x.most)
@@ -196,7 +196,7 @@
 
 // Fixed names the keys that another file sets otherwise, and that take effect
 // at a start only.
-func (o *Operator) Fixed(n *Operator) (keys []string) {
+func (o *Operator) RestartKeys(n *Operator) (keys []string) {
 	if !reflect.DeepEqual(o.Ephemeral, n.Ephemeral) {
 		keys = append(keys, "ephemeral")
 	}
@@ -214,7 +214,7 @@
 		for _, x := range []struct {
 			key     string
 			changed bool
-		}{{"clients.admission", c.Admission != m.Admission}, {"clients.least_bytes_s", c.Least != m.Least},
+		}{{"clients.admission", c.Admission != m.Admission}, {"clients.least_bytes_s", c.MinBytesPerS != m.MinBytesPerS},
 			{"clients.credit_ms", c.CreditMS != m.CreditMS}, {"clients.memory_mb", c.MemoryMB != m.MemoryMB}} {
 			if x.changed {
 				keys = append(keys, x.key)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -47,7 +47,7 @@
 // down whole, and the error names the key.
 func TestFileIsTakenWholeOrNot(t *testing.T) {
 	c, err := Parse([]byte(good), "", "")
-	if err != nil || c.Ops != "127.0.0.1:9001" || len(c.Settings.Classes) != 2 {
+	if err != nil || c.AdminAddress != "127.0.0.1:9001" || len(c.Settings.Classes) != 2 {
 		t.Fatalf("good file: %v, %+v", err, c)
 	}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -68,17 +68,17 @@
 
 	EncodedMB *int `json:"encoded_mb"`
 
-	Set    *grants.Set              `json:"-"` // of all profiles
-	Taken  *revoked.List            `json:"-"`
-	ByName map[string]*Profile      `json:"-"`
-	Whose  map[string]*Tenant       `json:"-"`
-	InRing map[string]*keyring.Ring `json:"-"`
+	GrantSet       *grants.Set              `json:"-"` // of all profiles
+	RevokedList    *revoked.List            `json:"-"`
+	ProfilesByName map[string]*Profile      `json:"-"`
+	TenantsByName  map[string]*Tenant       `json:"-"`
+	RingsByName    map[string]*keyring.Ring `json:"-"`
 }
 
 // ShortKey is a named secret: base64url in url_keys, hex in token_keys.
 type ShortKey struct {
-	Name string `json:"name"`
-	Text string `json:"secret"`
+	Name   string `json:"name"`
+	Secret string `json:"secret"`
 }
 
 // Ring is a ring of keys.
@@ -132,13 +132,13 @@
 
 // Description is how a timed digest is made.
 type Description struct {
-	Message  string `json:"message"`
-	Token    string `json:"token"`
-	Separate string `json:"separate"`
-	Digest   string `json:"digest"`
-	Encoding string `json:"encoding"`
-	Base     int    `json:"base"`
-	LifeS    int    `json:"life_s"`
+	Message   string `json:"message"`
+	Token     string `json:"token"`
+	Separator string `json:"separate"`
+	Digest    string `json:"digest"`
+	Encoding  string `json:"encoding"`
+	Base      int    `json:"base"`
+	LifetimeS int    `json:"life_s"`
 }
 
 // Limit is a rate and a number of open requests; zero fields do not bind.
@@ -149,7 +149,7 @@
 }
 
 // Quota is the limit as it is decided by.
-func (l Limit) Quota() ratelimit.Limit {
+func (l Limit) RateLimit() ratelimit.Limit {
 	return ratelimit.Limit{Rate: l.Rate, Burst: l.Burst, Open: l.Open}
 }
 
@@ -211,19 +211,19 @@
 	s.TokenHeader = cmp.Or(s.TokenHeader, defaultTokenHeader)
 	checkWord(f, "token_name", s.TokenName)
 	checkWord(f, "token_header", s.TokenHeader)
-	s.InRing = map[string]*keyring.Ring{}
+	s.RingsByName = map[string]*keyring.Ring{}
 	s.short(f)
 	for i := range s.Rings {
-		s.Rings[i].check(f.at(fmt.Sprintf("rings[%d]", i)), dir, s.InRing)
+		s.Rings[i].check(f.at(fmt.Sprintf("rings[%d]", i)), dir, s.RingsByName)
 	}
-	s.Whose = map[string]*Tenant{ownTenant: {Name: ownTenant}}
+	s.TenantsByName = map[string]*Tenant{ownTenant: {Name: ownTenant}}
 	for i := range s.Tenants {
-		s.Tenants[i].check(f.at(fmt.Sprintf("tenants[%d]", i)), s.Whose)
+		s.Tenants[i].check(f.at(fmt.Sprintf("tenants[%d]", i)), s.TenantsByName)
 	}
 	if len(s.Profiles) == 0 || len(s.Profiles) > mostProfiles {
 		f.addf("url_keys", "no key here, in token_keys or in profiles (%d of them, %d at most)", len(s.Profiles), mostProfiles)
 	}
-	s.ByName = map[string]*Profile{}
+	s.ProfilesByName = map[string]*Profile{}
 	var list []*grants.Profile
 	for i := range s.Profiles {
 		p := &s.Profiles[i]
@@ -233,7 +233,7 @@
 		}
 	}
 	var err error
-	if s.Taken, err = revoked.New(revoked.Words{Tokens: s.Revoked.Tokens, Subjects: s.Revoked.Subjects,
+	if s.RevokedList, err = revoked.New(revoked.Entries{Tokens: s.Revoked.Tokens, Subjects: s.Revoked.Subjects,
 		Keys: s.Revoked.Keys, Paths: s.Revoked.Paths}); err != nil {
 		f.at("revoked").add("", err)
 	}
@@ -264,7 +264,7 @@
 	if f.err() != nil {
 		return
 	}
-	if s.Set, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, Remember: s.Verdicts}); err != nil {
+	if s.GrantSet, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, Remember: s.Verdicts}); err != nil {
 		f.add("profiles", err)
 	}
 }
@@ -298,7 +298,7 @@
 		}
 		var keys []*keyring.Key
 		for i, k := range x.list {
-			secret, err := x.decode(k.Text)
+			secret, err := x.decode(k.Secret)
 			if err != nil {
 				f.add(fmt.Sprintf("%s[%d].secret", x.key, i), err)
 				return
@@ -310,7 +310,7 @@
 			f.add("", errors.New(strings.Replace(err.Error(), "keys", x.key, 1)))
 			return
 		}
-		s.InRing[x.key] = ring
+		s.RingsByName[x.key] = ring
 		x.p.Name, x.p.Ring, x.p.Tenant, x.p.short = x.key, x.key, ownTenant, true
 		s.Profiles = append(s.Profiles, x.p)
 	}
@@ -407,7 +407,7 @@
 		case state != x.state:
 			f.addf(x.key, "belongs to a key that is %s", x.state)
 		default:
-			key.Moment = at.UnixMicro()
+			key.TransitionAt = at.UnixMicro()
 		}
 	}
 	return key
@@ -455,12 +455,12 @@
 }
 
 func (p *Profile) check(f *faults, s *Signed) {
-	if p.Name == "" || s.ByName[p.Name] != nil {
+	if p.Name == "" || s.ProfilesByName[p.Name] != nil {
 		f.addf("name", "%q is empty or taken twice", p.Name)
 	}
-	s.ByName[p.Name] = p
+	s.ProfilesByName[p.Name] = p
 	p.Tenant = cmp.Or(p.Tenant, ownTenant)
-	if s.Whose[p.Tenant] == nil {
+	if s.TenantsByName[p.Tenant] == nil {
 		f.addf("tenant", "%q is not among the tenants", p.Tenant)
 	}
 	if !slices.Contains(grants.Formats, p.Format) {
@@ -477,7 +477,7 @@
 		f.addf("query", "missing, as are cookie and header: nothing carries the token")
 	}
 	for _, x := range []struct{ key, word string }{{"query", p.Query}, {"cookie", p.Cookie}, {"header", p.Header},
-		{"describe.separate", p.Describe.Separate}} {
+		{"describe.separate", p.Describe.Separator}} {
 		checkWord(f, x.key, x.word)
 	}
 	skew := checkSkew(f, "skew_ms", p.SkewMS, *s.SkewMS)
@@ -491,7 +491,7 @@
 	if *p.RetryMS < 0 {
 		f.addf("retry_ms", "%d is negative", *p.RetryMS)
 	}
-	ring := s.InRing[p.Ring]
+	ring := s.RingsByName[p.Ring]
 	if ring == nil {
 		f.addf("ring", "%q is no ring that can be used", p.Ring)
 		return
@@ -500,8 +500,8 @@
 		Skew: int64(skew) * 1000, Query: p.Query, Cookie: p.Cookie, Header: p.Header, Bound: p.Bound,
 		AllowUnbound: p.AllowUnbound, Digest: p.Digest, Salt: p.Salt, AllowEndless: p.AllowEndless,
 		Issuers: p.Issuers, Audience: p.Audience, Describe: grants.Description{Message: p.Describe.Message,
-			Token: p.Describe.Token, Separate: p.Describe.Separate, Digest: p.Describe.Digest,
-			Encoding: p.Describe.Encoding, Base: p.Describe.Base, Life: int64(p.Describe.LifeS) * 1_000_000}}
+			Token: p.Describe.Token, Separate: p.Describe.Separator, Digest: p.Describe.Digest,
+			Encoding: p.Describe.Encoding, Base: p.Describe.Base, Life: int64(p.Describe.LifetimeS) * 1_000_000}}
 	if err := g.Check(); err != nil {
 		if p.short {
 			err = errors.New(strings.Replace(err.Error(), "base:", "url_base:", 1))
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -94,7 +94,7 @@
 		return nil, nil, err
 	}
 	if ops := getenv("ROUTER_OPS"); ops != "" {
-		c.Ops = ops
+		c.AdminAddress = ops
 	}
 	path := getenv("CHERRYRAMP_OPERATOR")
 	if data, err = os.ReadFile(path); err != nil {
--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -308,7 +308,7 @@
 	if g.token == nil || g.token.renew == nil {
 		return nil, nil
 	}
-	k := g.Profile.Ring.Signing()
+	k := g.Profile.Ring.SigningKey()
 	if k == nil {
 		return nil, nil
 	}
--- a/internal/decide/grants/cloudfront.go
+++ b/internal/decide/grants/cloudfront.go
@@ -95,7 +95,7 @@
 		return nil, Algorithm
 	}
 	signature, err := cfEncoding.DecodeString(c.values[cfSignature])
-	if err != nil || len(signature) == 0 || len(signature) > keyring.MostRSA/8 {
+	if err != nil || len(signature) == 0 || len(signature) > keyring.MaxRSABits/8 {
 		return nil, Malformed
 	}
 	t := &token{}
--- a/internal/decide/grants/google.go
+++ b/internal/decide/grants/google.go
@@ -66,7 +66,7 @@
 	}
 	t := &token{}
 	var ok2 bool
-	if t.expires, ok2 = seconds(values[gExpires]); !ok || !ok2 || len(values[gKey]) > keyring.MostName {
+	if t.expires, ok2 = seconds(values[gExpires]); !ok || !ok2 || len(values[gKey]) > keyring.MaxNameBytes {
 		return nil, Malformed
 	}
 	for _, p := range c.profiles {
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -338,8 +338,8 @@
 	}
 	skew := t.profile.Skew
 	if t.key != nil {
-		switch t.key.At(r.Now) {
-		case keyring.Early:
+		switch t.key.ValidityAt(r.Now) {
+		case keyring.NotYetValid:
 			return EarlyK
 		case keyring.Retired:
 			return RetiredK
@@ -428,6 +428,6 @@
 	if g.token == nil || g.token.renew == nil {
 		return false, false
 	}
-	k := g.Profile.Ring.Signing()
+	k := g.Profile.Ring.SigningKey()
 	return k != nil && k.Kind.Costly(), k != nil
 }
--- a/internal/decide/grants/grants_test.go
+++ b/internal/decide/grants/grants_test.go
@@ -350,7 +350,7 @@
 		r.Now = now + int64(i)*8_000_000
 		if i == 2 {
 			retiring := *first
-			retiring.State, retiring.Moment = keyring.Retiring, r.Now+9_000_000
+			retiring.State, retiring.TransitionAt = keyring.Retiring, r.Now+9_000_000
 			s, _ = set(&retiring, second)
 		}
 		if i == 4 {
@@ -373,7 +373,7 @@
 func TestKeyStates(t *testing.T) {
 	key := func(state keyring.State, moment Micros) *keyring.Key {
 		k := secretKey("k", "0123456789abcdef")
-		k.State, k.Moment = state, moment
+		k.State, k.TransitionAt = state, moment
 		return k
 	}
 	for _, x := range []struct {
@@ -390,7 +390,7 @@
 		}
 		m, _ := p.Mint(Wish{Target: target, Key: "k", Expires: now + 9_000_000}, nil)
 		if v := ask(s, Request{Target: m.Target}); v.Refusal != x.want {
-			t.Errorf("%v %d: %q, want %q", x.key.State, x.key.Moment-now, v.Refusal, x.want)
+			t.Errorf("%v %d: %q, want %q", x.key.State, x.key.TransitionAt-now, v.Refusal, x.want)
 		}
 		x.key.Skew = 4_000_000
 		for late, want := range map[Micros]Refusal{4_000_000: "", 4_000_001: Expired} {
--- a/internal/decide/grants/mint.go
+++ b/internal/decide/grants/mint.go
@@ -49,7 +49,7 @@
 // Mint signs a link. The profile must belong to a Set; random is for signatures
 // that need it.
 func (p *Profile) Mint(w Wish, random io.Reader) (Minted, error) {
-	k := p.Ring.Signing()
+	k := p.Ring.SigningKey()
 	if w.Key != "" {
 		if k = p.Ring.Find(w.Key); k == nil {
 			return Minted{}, fmt.Errorf("key %q is not in ring %q", w.Key, p.Ring.Name)
--- a/internal/decide/keyring/keyring.go
+++ b/internal/decide/keyring/keyring.go
@@ -28,11 +28,11 @@
 
 // Bounds of a ring and of a key.
 const (
-	MostKeys    = 32   // in a ring; a token without a key's name is tried against all of them
-	MostName    = 63   // bytes of a key's name
-	LeastRSA    = 2048 // bits
-	MostRSA     = 4096 // bits; a check's cost grows with the square
-	LeastSecret = 16   // bytes
+	MaxKeys        = 32   // in a ring; a token without a key's name is tried against all of them
+	MaxNameBytes   = 63   // bytes of a key's name
+	MinRSABits     = 2048 // bits
+	MaxRSABits     = 4096 // bits; a check's cost grows with the square
+	MinSecretBytes = 16   // bytes
 )
 
 // State is what a key may be used for.
@@ -80,39 +80,39 @@
 
 // Key is one key of a ring.
 type Key struct {
-	Name   string
-	State  State
-	Moment Micros // of Next: when it begins to count; of Retiring: when it stops; 0: unset
-	Kind   Kind
-	Bytes  []byte           // of Secret
-	Public crypto.PublicKey // of the other kinds
-	Signer crypto.Signer    // with a private half, else nil
-	Alg    string           // the one JWS algorithm it is for, as HS256
-	Skew   Micros           // that its signer's clock may differ by; -1: as the profile has it
+	Name         string
+	State        State
+	TransitionAt Micros // of Next: when it begins to count; of Retiring: when it stops; 0: unset
+	Kind         Kind
+	Bytes        []byte           // of Secret
+	Public       crypto.PublicKey // of the other kinds
+	Signer       crypto.Signer    // with a private half, else nil
+	Alg          string           // the one JWS algorithm it is for, as HS256
+	Skew         Micros           // that its signer's clock may differ by; -1: as the profile has it
 }
 
 // Standing is what a key's state means at a moment.
-type Standing uint8
+type Validity uint8
 
 // The standings.
 const (
-	Good Standing = iota
-	Early
+	Valid Validity = iota
+	NotYetValid
 	Retired
 	Withdrawn
 )
 
 // At tells whether the key may let anything in at a moment.
-func (k *Key) At(now Micros) Standing {
+func (k *Key) ValidityAt(now Micros) Validity {
 	switch {
 	case k.State == Revoked:
 		return Withdrawn
-	case k.State == Next && k.Moment > now:
-		return Early
-	case k.State == Retiring && k.Moment > 0 && k.Moment <= now:
+	case k.State == Next && k.TransitionAt > now:
+		return NotYetValid
+	case k.State == Retiring && k.TransitionAt > 0 && k.TransitionAt <= now:
 		return Retired
 	}
-	return Good
+	return Valid
 }
 
 // Ring is the keys of one profile.
@@ -125,8 +125,8 @@
 // New makes a ring, or names the key that can't be in it.
 func New(name string, keys []*Key) (*Ring, error) {
 	r := &Ring{Name: name, Keys: keys, byName: make(map[string]*Key, len(keys))}
-	if len(keys) == 0 || len(keys) > MostKeys {
-		return nil, fmt.Errorf("keys: %d of them, 1 to %d can be held", len(keys), MostKeys)
+	if len(keys) == 0 || len(keys) > MaxKeys {
+		return nil, fmt.Errorf("keys: %d of them, 1 to %d can be held", len(keys), MaxKeys)
 	}
 	for i, k := range keys {
 		if err := k.check(); err != nil {
@@ -141,19 +141,19 @@
 }
 
 func (k *Key) check() error {
-	if k.Name == "" || len(k.Name) > MostName || strings.ContainsAny(k.Name, "&=?#%+ ~:/;,\"") {
+	if k.Name == "" || len(k.Name) > MaxNameBytes || strings.ContainsAny(k.Name, "&=?#%+ ~:/;,\"") {
 		return fmt.Errorf("name: %q is empty, too long or holds odd signs", k.Name)
 	}
-	if k.State == Retiring && k.Moment == 0 {
+	if k.State == Retiring && k.TransitionAt == 0 {
 		return errors.New("until: missing, a retiring key needs its last moment")
 	}
-	if k.Kind == Secret && len(k.Bytes) < LeastSecret {
-		return fmt.Errorf("secret: %d bytes are too short, %d at least", len(k.Bytes), LeastSecret)
+	if k.Kind == Secret && len(k.Bytes) < MinSecretBytes {
+		return fmt.Errorf("secret: %d bytes are too short, %d at least", len(k.Bytes), MinSecretBytes)
 	}
 	if key, ok := k.Public.(*rsa.PublicKey); ok {
-		if bits := key.N.BitLen(); bits < LeastRSA || bits > MostRSA || key.E != 65537 {
+		if bits := key.N.BitLen(); bits < MinRSABits || bits > MaxRSABits || key.E != 65537 {
 			return fmt.Errorf("public: RSA of %d bits, exponent %d; %d to %d bits and 65537 are taken",
-				bits, key.E, LeastRSA, MostRSA)
+				bits, key.E, MinRSABits, MaxRSABits)
 		}
 	}
 	if k.Alg == "" {
@@ -173,7 +173,7 @@
 func (r *Ring) Find(name string) *Key { return r.byName[name] }
 
 // Signing gives the key that signs at a moment: the last active one that can.
-func (r *Ring) Signing() *Key {
+func (r *Ring) SigningKey() *Key {
 	for _, k := range slices.Backward(r.Keys) {
 		if k.State == Active && (k.Kind == Secret || k.Signer != nil) {
 			return k
--- a/internal/decide/keyring/keyring_test.go
+++ b/internal/decide/keyring/keyring_test.go
@@ -91,25 +91,25 @@
 // Which key signs, and what each state lets in at its moments.
 func TestStates(t *testing.T) {
 	key := func(name string, s State, m Micros) *Key {
-		return &Key{Name: name, State: s, Moment: m, Bytes: []byte("0123456789abcdef")}
+		return &Key{Name: name, State: s, TransitionAt: m, Bytes: []byte("0123456789abcdef")}
 	}
 	r, err := New("r", []*Key{key("a", Active, 0), key("b", Active, 0), key("n", Next, 100), key("o", Retiring, 100), key("x", Revoked, 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := r.Signing(); k == nil || k.Name != "b" {
+	if k := r.SigningKey(); k == nil || k.Name != "b" {
 		t.Errorf("%+v signs", k)
 	}
 	for _, x := range []struct {
 		name string
 		at   Micros
-		want Standing
-	}{{"a", 0, Good}, {"n", 99, Early}, {"n", 100, Good}, {"o", 99, Good}, {"o", 100, Retired}, {"x", 0, Withdrawn}} {
-		if got := r.Find(x.name).At(x.at); got != x.want {
+		want Validity
+	}{{"a", 0, Valid}, {"n", 99, NotYetValid}, {"n", 100, Valid}, {"o", 99, Valid}, {"o", 100, Retired}, {"x", 0, Withdrawn}} {
+		if got := r.Find(x.name).ValidityAt(x.at); got != x.want {
 			t.Errorf("%s at %d: %d, want %d", x.name, x.at, got, x.want)
 		}
 	}
-	if r, _ := New("r", []*Key{key("o", Retiring, 1)}); r.Signing() != nil || r.Find("p") != nil {
+	if r, _ := New("r", []*Key{key("o", Retiring, 1)}); r.SigningKey() != nil || r.Find("p") != nil {
 		t.Error("a retiring key signs")
 	}
 }
--- a/internal/decide/revoked/revoked.go
+++ b/internal/decide/revoked/revoked.go
@@ -12,10 +12,10 @@
 )
 
 // Most entries that a list holds in all.
-const Most = 200_000
+const MaxEntries = 200_000
 
 // Words is a list as an operator writes it.
-type Words struct {
+type Entries struct {
 	Tokens   []string // ids, as jti, or digests of 32 hex digits
 	Subjects []string
 	Keys     []string
@@ -32,9 +32,9 @@
 }
 
 // New makes a list, or names the word that can't be used.
-func New(w Words) (*List, error) {
-	if n := len(w.Tokens) + len(w.Subjects) + len(w.Keys) + len(w.Paths); n > Most {
-		return nil, fmt.Errorf("%d entries, %d at most", n, Most)
+func New(w Entries) (*List, error) {
+	if n := len(w.Tokens) + len(w.Subjects) + len(w.Keys) + len(w.Paths); n > MaxEntries {
+		return nil, fmt.Errorf("%d entries, %d at most", n, MaxEntries)
 	}
 	l := &List{digests: map[[16]byte]struct{}{}}
 	for _, x := range []struct {
@@ -71,7 +71,7 @@
 }
 
 // Has tells what of a grant is revoked: token, subject, key or path; empty: nothing.
-func (l *List) Has(g Grant) string {
+func (l *List) Match(g Grant) string {
 	if l == nil {
 		return ""
 	}
--- a/internal/decide/revoked/revoked_test.go
+++ b/internal/decide/revoked/revoked_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestListNamesWhatIsRevoked(t *testing.T) {
-	l, err := New(Words{Tokens: []string{"jti-1", "00112233445566778899aabbccddeeff"}, Subjects: []string{"member 7"},
+	l, err := New(Entries{Tokens: []string{"jti-1", "00112233445566778899aabbccddeeff"}, Subjects: []string{"member 7"},
 		Keys: []string{"k1"}, Paths: []string{"/files/guide-video/17/"}})
 	if err != nil {
 		t.Fatal(err)
@@ -53,11 +53,11 @@
 			return [16]byte{0, 0x11, 0x22, 0x33, 0x44, 0x55, 0x66, 0x77, 0x88, 0x99, 0xaa, 0xbb, 0xcc, 0xdd, 0xee, 0xff}
 		}}, "token"},
 	} {
-		if got := l.Has(x.g); got != x.want {
+		if got := l.Match(x.g); got != x.want {
 			t.Errorf("%+v: %q, want %q", x.g, got, x.want)
 		}
 	}
-	for _, w := range []Words{{Paths: []string{"files"}}, {Keys: []string{""}}} {
+	for _, w := range []Entries{{Paths: []string{"files"}}, {Keys: []string{""}}} {
 		if _, err := New(w); err == nil {
 			t.Errorf("%+v was taken", w)
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -198,7 +198,7 @@
 
 func (x *Exchange) spans() topology.Config {
 	s := x.section.Load()
-	return topology.Config{FailoverAfter: Micros(s.PassMS) * 1000, FailbackAfter: Micros(s.BackMS) * 1000}
+	return topology.Config{FailoverAfter: Micros(s.FailoverMS) * 1000, FailbackAfter: Micros(s.FailbackMS) * 1000}
 }
 
 // May tells whether this process may act as a keeper now.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -66,7 +66,7 @@
 			"folder":"x","keys":{"certificate":"exchange_test.go","key":"exchange_test.go","authorities":"exchange_test.go","names":["n"]}},
 			"exchange":{"limits":[{"name":"l","for":"tenant","of":"t","kind":"rate","amount":100,"burst":10,"hard":true}],"purges":{"return_s":1}}}`), ".")
 		require.NoError(t, err)
-		rules, list := o.Exchange.Allowances()
+		rules, list := o.Exchange.QuotaLimits()
 		h.purse = quotalease.NewLimiter(rules, list, h.now())
 		x, err := Start(Config{Name: "a", Folder: t.TempDir(), Section: o.Exchange, Now: h.now, Loop: h, Limiter: h, Invalidator: h, Observer: h, LatencySource: h, fault: fault,
 			Address: func(*topology.View, string) string { return "" }}, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -56,7 +56,7 @@
 func (l *limits) renew(now Micros) {
 	if s := l.x.section.Load(); l.section != any(s) {
 		l.section = s
-		l.rules, l.list = s.Allowances()
+		l.rules, l.list = s.QuotaLimits()
 		for _, d := range l.dealers {
 			d.Reconfigure(l.rules, l.list, now)
 		}
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -62,7 +62,7 @@
 func (x *Exchange) newPaths() func(context.Context) body {
 	return func(ctx context.Context) body {
 		p := x.section.Load().Paths
-		r := latency.Rules{HalfLife: Micros(p.HalfS * 1e6), OrderTTL: Micros(p.StaleS * 1e6), ExploreShare: p.Explore / 100, MaxShiftPerSecond: p.Pace / 100, MaxFrontWeight: p.Weight}
+		r := latency.Rules{HalfLife: Micros(p.HalfLifeS * 1e6), OrderTTL: Micros(p.StaleS * 1e6), ExploreShare: p.ExplorePercent / 100, MaxShiftPerSecond: p.PacePercent / 100, MaxFrontWeight: p.MaxWeight}
 		return &pathTask{teller: teller{x, ctx}, rules: r, model: latency.NewModel(r), said: map[string]*topology.Reports[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*latency.OrderCache{}}
 	}
 }
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -101,7 +101,7 @@
 	flight.Store(&[]invalidation.Purge{})
 	return func(ctx context.Context) body {
 		s := x.section.Load().Purges
-		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: s.Most, Retention: Micros(s.KeepS * 1e6)}), gathers: map[string]*invalidation.AckCollector{},
+		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: s.MaxHeld, Retention: Micros(s.RetentionS * 1e6)}), gathers: map[string]*invalidation.AckCollector{},
 			has: map[tie]invalidation.Watermarks{}, above: map[uint64]invalidation.Watermarks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
 		if !first { // what the disk has says all that counted as kept
 			d.purges, d.gone = nil, nil
@@ -234,7 +234,7 @@
 	if !t.seen {
 		t.seen, t.since = true, now
 	}
-	if now-t.since < Micros(t.x.section.Load().Purges.ReturnS*1e6) {
+	if now-t.since < Micros(t.x.section.Load().Purges.CatchUpS*1e6) {
 		return
 	}
 	t.book.DistrustBefore(now)
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -92,9 +92,9 @@
 	if a.Kind == gateway.Served {
 		plan = v.ask.Plan(len(a.Body), a.Tag)
 	}
-	if plan.Status == 200 && v.ask.Encoding != "" && len(a.Body) >= encoding.Smallest {
-		of := encoding.Of{Object: v.call.Object, Part: v.call.Part, Tag: a.Tag, Born: a.CreatedAt, Encoding: v.ask.Encoding}
-		body, known := f.variants.Find(of)
+	if plan.Status == 200 && v.ask.Encoding != "" && len(a.Body) >= encoding.MinSize {
+		of := encoding.Key{Object: v.call.Object, Part: v.call.Part, Tag: a.Tag, CreatedAt: a.CreatedAt, Encoding: v.ask.Encoding}
+		body, known := f.variants.Get(of)
 		if known || !f.encode(v, a, c, of) {
 			return f.word(v, a, plan, c, body)
 		}
@@ -105,7 +105,7 @@
 
 // encode has a worker encode an answer, if one is free and there is time. An
 // answer does not wait for a turn: it goes as it is.
-func (f *Front) encode(v *visit, a *gateway.Answer, c *grants.Cookie, of encoding.Of) bool {
+func (f *Front) encode(v *visit, a *gateway.Answer, c *grants.Cookie, of encoding.Key) bool {
 	if v.call.Deadline-f.now() < encodeLeft {
 		return false
 	}
@@ -118,7 +118,7 @@
 		if err != nil || len(body) > len(a.Body)*9/10 {
 			body = nil
 		}
-		f.variants.Keep(of, body)
+		f.variants.Put(of, body)
 		v.x.Reply(f.word(v, a, content.Plan{Status: 200}, c, body))
 		f.next()
 	})
--- a/internal/front/signed/encoding/encoding.go
+++ b/internal/front/signed/encoding/encoding.go
@@ -15,7 +15,7 @@
 )
 
 // Smallest is the least size of a body that is worth it, in bytes.
-const Smallest = 512
+const MinSize = 512
 
 // The effort: what a core does in a few milliseconds for the largest object.
 const (
@@ -64,24 +64,24 @@
 }
 
 // Of names a variant.
-type Of struct {
-	Object   string
-	Part     int
-	Tag      string
-	Born     int64
-	Encoding string
+type Key struct {
+	Object    string
+	Part      int
+	Tag       string
+	CreatedAt int64
+	Encoding  string
 }
 
 // Variants keeps encoded bodies, so many bytes at most, the latest used.
 type Variants struct {
 	most  int
 	bytes int
-	byOf  map[Of]*list.Element
+	byOf  map[Key]*list.Element
 	order *list.List // of *variant
 }
 
 type variant struct {
-	of   Of
+	of   Key
 	body []byte // nil: encoding makes it no smaller
 }
 
@@ -90,11 +90,11 @@
 
 // New makes room for so many bytes; with 0 nothing is kept.
 func New(most int) *Variants {
-	return &Variants{most: most, byOf: map[Of]*list.Element{}, order: list.New()}
+	return &Variants{most: most, byOf: map[Key]*list.Element{}, order: list.New()}
 }
 
 // Find gives a variant; its body is nil where encoding does not help.
-func (v *Variants) Find(of Of) (body []byte, known bool) {
+func (v *Variants) Get(of Key) (body []byte, known bool) {
 	e := v.byOf[of]
 	if e == nil {
 		return nil, false
@@ -104,7 +104,7 @@
 }
 
 // Keep takes a variant in; a nil body says that encoding does not help.
-func (v *Variants) Keep(of Of, body []byte) {
+func (v *Variants) Put(of Key, body []byte) {
 	if v.byOf[of] != nil || v.size(of, body) > v.most/4 {
 		return
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (v *Variants) size(of Of, body []byte) int {
+func (v *Variants) size(of Key, body []byte) int {
 	return cost + len(of.Object) + len(of.Tag) + len(body)
 }
 
--- a/internal/front/signed/encoding/encoding_test.go
+++ b/internal/front/signed/encoding/encoding_test.go
@@ -47,22 +47,24 @@
 // The bound holds, the latest used stay, and another copy is another variant.
 func TestVariants(t *testing.T) {
 	v := New(100_000)
-	of := func(i int, born int64) Of { return Of{Object: fmt.Sprint(i), Tag: "t", Born: born, Encoding: "br"} }
+	of := func(i int, born int64) Key {
+		return Key{Object: fmt.Sprint(i), Tag: "t", CreatedAt: born, Encoding: "br"}
+	}
 	for i := range 50 {
-		v.Keep(of(i, 1), make([]byte, 5000))
-		v.Find(of(0, 1))
+		v.Put(of(i, 1), make([]byte, 5000))
+		v.Get(of(0, 1))
 	}
-	if _, known := v.Find(of(0, 1)); !known || v.Bytes() > 100_000 {
+	if _, known := v.Get(of(0, 1)); !known || v.Bytes() > 100_000 {
 		t.Errorf("the first went, or %d bytes are held", v.Bytes())
 	}
-	if _, known := v.Find(of(1, 1)); known {
+	if _, known := v.Get(of(1, 1)); known {
 		t.Error("the second stayed")
 	}
-	if _, known := v.Find(of(0, 2)); known {
+	if _, known := v.Get(of(0, 2)); known {
 		t.Error("a copy given out later found an older one's")
 	}
-	v.Keep(of(99, 1), make([]byte, 60_000))
-	if _, known := v.Find(of(99, 1)); known {
+	v.Put(of(99, 1), make([]byte, 60_000))
+	if _, known := v.Get(of(99, 1)); known {
 		t.Error("one takes over the room")
 	}
 }
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -38,12 +38,12 @@
 var Limits = httpwire.Limits{Head: 16 << 10, Body: 0}
 
 // Buffer is what may wait of requests sent behind each other, in bytes.
-const Buffer = 64 << 10
+const InputBuffer = 64 << 10
 
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	Place    int // by which the gateway knows it
+	Index    int // by which the gateway knows it
 	Write    bool
 	GiveUp   gateway.Micros // how long a client waits
 	Fresh    gateway.Micros // how long a copy is; 0: always
@@ -53,9 +53,9 @@
 }
 
 // Uses is how often one token of a profile may be used; 0: as often as it likes.
-type Uses struct {
-	Most  int
-	Retry gateway.Micros // within which the same again is the same use
+type UseLimit struct {
+	Max         int
+	RetryWindow gateway.Micros // within which the same again is the same use
 }
 
 // Tenant is what a tenant's links may let in, and how much.
@@ -76,15 +76,15 @@
 // one whole.
 type Policy struct {
 	Set     *grants.Set
-	Uses    map[string]Uses   // by profile
-	Tenants map[string]Tenant // by name
+	Uses    map[string]UseLimit // by profile
+	Tenants map[string]Tenant   // by name
 	Revoked *revoked.List
 	CORS    *CORS
 	Classes []Class
 }
 
 // Shared are limits that hold for the whole fleet.
-type Shared interface {
+type SharedLimits interface {
 	// Take asks for one request under all its claims; it takes from all or from none.
 	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
 	// Done gives back what was taken.
@@ -96,14 +96,14 @@
 }
 
 // Share has requests keep to limits of the whole fleet, besides this front's own.
-func (f *Front) Share(s Shared) { f.shared = s }
+func (f *Front) SetSharedLimits(s SharedLimits) { f.shared = s }
 
 // Config bounds what the front holds.
 type Config struct {
-	Queue   int // costly checks that wait
-	Rates   int // names that rates are kept of
-	Uses    int // tokens that uses are kept of
-	Encoded int // bytes of encoded answers
+	MaxQueue     int // costly checks that wait
+	MaxRates     int // names that rates are kept of
+	MaxUses      int // tokens that uses are kept of
+	EncodedBytes int // bytes of encoded answers
 }
 
 // Front judges requests and words outcomes as a content network does.
@@ -119,8 +119,8 @@
 	rates    *ratelimit.Rates
 	uses     *ratelimit.Uses
 	variants *encoding.Variants
-	shared   Shared // nil: no limit holds for the whole fleet
-	base     uint64 // of the ids that requests get
+	shared   SharedLimits // nil: no limit holds for the whole fleet
+	base     uint64       // of the ids that requests get
 	count    uint64
 }
 
@@ -131,9 +131,9 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("signed: %w", err)
 	}
-	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.Queue),
+	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.MaxQueue),
 		proofs: map[*grants.Proof]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
-		rates: ratelimit.NewRates(cfg.Rates), uses: ratelimit.NewUses(cfg.Uses), variants: encoding.New(cfg.Encoded),
+		rates: ratelimit.NewRates(cfg.MaxRates), uses: ratelimit.NewUses(cfg.MaxUses), variants: encoding.New(cfg.EncodedBytes),
 		base: binary.BigEndian.Uint64(seed[:])}, nil
 }
 
@@ -185,7 +185,7 @@
 		return nil, f.refuse(v, 403, string(d.Refusal), 0)
 	}
 	// What costs little is asked before a signature is.
-	if what := f.policy.Revoked.Has(revoked.Grant{ID: d.ID, Subject: d.Subject, Key: d.Key.Name, Path: d.Path,
+	if what := f.policy.Revoked.Match(revoked.Grant{ID: d.ID, Subject: d.Subject, Key: d.Key.Name, Path: d.Path,
 		Digest: d.Digest}); what != "" {
 		return nil, f.refuse(v, 403, what+" is revoked", 0)
 	}
@@ -238,7 +238,7 @@
 	if class == nil {
 		return nil, nil
 	}
-	c := &gateway.Call{Class: class.Place, Object: object, Deadline: f.now() + class.GiveUp}
+	c := &gateway.Call{Class: class.Index, Object: object, Deadline: f.now() + class.GiveUp}
 	if session.ParseTarget(c, v.grant.Query, group) != "" {
 		return nil, nil
 	}
@@ -274,10 +274,10 @@
 			return away, 429, refused
 		}
 	}
-	if u := f.policy.Uses[g.Profile.Name]; u.Most > 0 {
+	if u := f.policy.Uses[g.Profile.Name]; u.Max > 0 {
 		v.use = g.Digest()
-		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.Ends() - f.wall(), MaxUses: u.Most,
-			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), RetryWindow: u.Retry}, now)
+		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.Ends() - f.wall(), MaxUses: u.Max,
+			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), RetryWindow: u.RetryWindow}, now)
 		switch refusal {
 		case "":
 			v.used = true
--- a/internal/program/balance.go
+++ b/internal/program/balance.go
@@ -50,7 +50,7 @@
 	for p := range b.Floor {
 		b.Floor[p] = part(floorPart)
 	}
-	return &balance{budget: resources.NewBudget(b), pace: slowclient.New(slowclient.Config{MinRate: float64(c.Least), Window: paceWindow,
+	return &balance{budget: resources.NewBudget(b), pace: slowclient.New(slowclient.Config{MinRate: float64(c.MinBytesPerS), Window: paceWindow,
 		Credit: int64(cmp.Or(c.CreditMS, paceCredit)) * 1000, MaxPrefixBytes: part(outCap * pacePart), MaxPrefixes: paceRoom})}
 }
 
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -38,11 +38,11 @@
 
 // take has all parts take a configuration over, or none.
 func (p *program) take(cfg *config.Config, operator *config.Operator) error {
-	next, fixed := p.cfg.Next(cfg)
+	next, fixed := p.cfg.Reload(cfg)
 	if err := p.settle(next); err != nil {
 		return err
 	}
-	if fixed = append(fixed, p.operator.Fixed(operator)...); len(fixed) > 0 {
+	if fixed = append(fixed, p.operator.RestartKeys(operator)...); len(fixed) > 0 {
 		p.log.Warn("configuration: these keys need a restart, their old values stay", "keys", fixed)
 	}
 	p.cfg = next
@@ -56,7 +56,7 @@
 	}
 	if c := operator.Clients; p.operator.Clients != nil && c != nil {
 		for i, f := range p.fronts {
-			b := session.Bounds{MaxConns: held(p.cfg, c), MaxPerPrefix: c.Prefix, IdleTimeout: int64(c.IdleMS) * 1000, RequestTimeout: int64(c.RequestMS) * 1000}
+			b := session.Bounds{MaxConns: held(p.cfg, c), MaxPerPrefix: c.MaxPerPrefix, IdleTimeout: int64(c.IdleTimeoutMS) * 1000, RequestTimeout: int64(c.RequestTimeoutMS) * 1000}
 			if i > 0 {
 				b.MaxConns = int(signedShare * float64(p.cfg.Sockets))
 			}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -99,7 +99,7 @@
 	}
 	go p.heedEnds(ends)
 	go p.heedReloads(reloads)
-	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "ops", cfg.Ops, "board", cfg.Board)
+	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "ops", cfg.AdminAddress, "board", cfg.Board)
 	p.loop.Run()
 	if p.fleet != nil {
 		if err := p.fleet.Close(); err != nil {
@@ -158,8 +158,8 @@
 		return nil, err
 	}
 	nodes := fewestPooled
-	if cfg.Known != nil {
-		for _, e := range cfg.Known.Events {
+	if cfg.InitialUpdate != nil {
+		for _, e := range cfg.InitialUpdate.Events {
 			if e.List != nil {
 				nodes = max(nodes, 2*len(e.List.Members))
 			}
@@ -189,7 +189,7 @@
 			return nil, err
 		}
 	}
-	p.news = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(grace(cfg)), cfg.Known, sink)
+	p.news = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(grace(cfg)), cfg.InitialUpdate, sink)
 	limits := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
 	bound(&limits, operator.Clients)
 	limits.MaxConns, limits.RetryAfter = held(cfg, operator.Clients), away(cfg)
@@ -208,16 +208,16 @@
 	if operator.Signed != nil {
 		o := operator.Signed
 		p.links = o
-		p.signed, err = signed.New(signed.Config{Queue: o.Pool.Queue, Rates: o.Tables.Rates, Uses: o.Tables.Uses,
-			Encoded: *o.EncodedMB << 20}, p.signedPolicy(o), workers.New(p.loop, o.Pool.Workers), p.loop.Now, loop.Wall, log)
+		p.signed, err = signed.New(signed.Config{MaxQueue: o.Pool.Queue, MaxRates: o.Tables.Rates, MaxUses: o.Tables.Uses,
+			EncodedBytes: *o.EncodedMB << 20}, p.signedPolicy(o), workers.New(p.loop, o.Pool.Workers), p.loop.Now, loop.Wall, log)
 		if err != nil {
 			return nil, err
 		}
 		if p.shared != nil {
-			p.signed.Share(p.shared)
+			p.signed.SetSharedLimits(p.shared)
 		}
 		links := session.Config{Name: "signed", Listen: operator.Signed.Listen, Limits: signed.Limits,
-			InputBuffer: signed.Buffer, MaxConns: int(signedShare * float64(cfg.Sockets)), RetryAfter: limits.RetryAfter, Admission: limits.Admission,
+			InputBuffer: signed.InputBuffer, MaxConns: int(signedShare * float64(cfg.Sockets)), RetryAfter: limits.RetryAfter, Admission: limits.Admission,
 			Counters: p.figures, Audit: limits.Audit}
 		bound(&links, operator.Clients)
 		p.held.apply(&links, cfg.Sockets)
@@ -235,8 +235,8 @@
 	p.ready = readiness.New(p.loop.Now(), wait)
 	p.drain = &drain{loop: p.loop, fronts: p.fronts, gate: p.gate, log: log,
 		failed: func() { p.ready.Drain() }}
-	if cfg.Ops != "" {
-		if err := admin.New(p.loop, p, operator.Fleet != nil, log).Listen(cfg.Ops); err != nil {
+	if cfg.AdminAddress != "" {
+		if err := admin.New(p.loop, p, operator.Fleet != nil, log).Listen(cfg.AdminAddress); err != nil {
 			return nil, fmt.Errorf("ops: %w", err)
 		}
 	}
@@ -284,8 +284,8 @@
 
 // held is the connections of the platform's front.
 func held(cfg *config.Config, c *config.Clients) int {
-	if c != nil && c.Held > 0 {
-		return c.Held
+	if c != nil && c.MaxConns > 0 {
+		return c.MaxConns
 	}
 	return max(1, min(int(clientShare*float64(cfg.Sockets)), cfg.Sockets-spareFiles-nodesLeast))
 }
@@ -306,7 +306,7 @@
 	if c == nil {
 		return
 	}
-	s.IdleTimeout, s.RequestTimeout, s.MaxPerPrefix, s.AdaptiveIdle, s.Park = int64(c.IdleMS)*1000, int64(c.RequestMS)*1000, c.Prefix, true, true
+	s.IdleTimeout, s.RequestTimeout, s.MaxPerPrefix, s.AdaptiveIdle, s.Park = int64(c.IdleTimeoutMS)*1000, int64(c.RequestTimeoutMS)*1000, c.MaxPerPrefix, true, true
 }
 
 const (
@@ -348,12 +348,12 @@
 
 // signedPolicy is what the operator's file says of signed links.
 func (p *program) signedPolicy(s *config.Signed) signed.Policy {
-	policy := signed.Policy{Set: s.Set, Uses: map[string]signed.Uses{}, Tenants: map[string]signed.Tenant{}, Revoked: s.Taken}
-	for name, x := range s.ByName {
-		policy.Uses[name] = signed.Uses{Most: x.Uses, Retry: int64(*x.RetryMS) * 1000}
+	policy := signed.Policy{Set: s.GrantSet, Uses: map[string]signed.UseLimit{}, Tenants: map[string]signed.Tenant{}, Revoked: s.RevokedList}
+	for name, x := range s.ProfilesByName {
+		policy.Uses[name] = signed.UseLimit{Max: x.Uses, RetryWindow: int64(*x.RetryMS) * 1000}
 	}
-	for name, t := range s.Whose {
-		policy.Tenants[name] = signed.Tenant{Paths: t.Paths, All: t.Limit.Quota(), Key: t.Key.Quota(), Subject: t.Subject.Quota()}
+	for name, t := range s.TenantsByName {
+		policy.Tenants[name] = signed.Tenant{Paths: t.Paths, All: t.Limit.RateLimit(), Key: t.Key.RateLimit(), Subject: t.Subject.RateLimit()}
 	}
 	if c := s.CORS; c != nil {
 		policy.CORS = &signed.CORS{Origins: c.Origins, Headers: c.Headers, Credentials: c.Credentials, MaxAge: *c.MaxAgeS}
@@ -361,7 +361,7 @@
 	for _, place := range p.table.InForce() {
 		c := &p.table.Classes()[place]
 		a := s.Classes[c.Name]
-		policy.Classes = append(policy.Classes, signed.Class{Name: c.Name, Place: place, Write: c.Write, GiveUp: c.GiveUp, Fresh: c.Fresh,
+		policy.Classes = append(policy.Classes, signed.Class{Name: c.Name, Index: place, Write: c.Write, GiveUp: c.GiveUp, Fresh: c.Fresh,
 			Type: a.Type, Compress: a.Compress, MaxAge: int64(a.MaxAgeS) * 1_000_000})
 	}
 	return policy
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -56,8 +56,8 @@
 
 // towards is what the connections to nodes are told of settings and of all classes.
 func towards(cfg *config.Config, classes []rules.Class) upstream.Config {
-	c := upstream.Config{Lanes: lanes(classes), Streams: cfg.Streams, ConnectTimeout: cfg.ConnectTime,
-		IdleTimeout: int64(idleShare * float64(cfg.ConnIdle)), Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges}
+	c := upstream.Config{Lanes: lanes(classes), Streams: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
+		IdleTimeout: int64(idleShare * float64(cfg.ConnIdleTimeout)), Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges}
 	for _, x := range classes {
 		c.SilentTimeout = max(c.SilentTimeout, x.Aim/2) // long work says nothing for long
 	}
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -63,10 +63,10 @@
 const mostSamples = 2048
 
 func newShared(p *program, x *config.Exchange) *shared {
-	rules, list := x.Allowances()
+	rules, list := x.QuotaLimits()
 	most := 0
 	if x.Purges != nil {
-		most = x.Purges.Most
+		most = x.Purges.MaxHeld
 	}
 	s := &shared{p: p, acts: map[string]bool{}, holds: map[string]outlier.HeldVerdict{}, draws: rand.New(rand.NewPCG(p.cfg.Seed, 0x5a)), purse: quotalease.NewLimiter(rules, list, mono()), index: invalidation.NewIndex(most), limits: len(list) > 0}
 	s.sees(x)
@@ -74,7 +74,7 @@
 }
 
 func (s *shared) renew(x *config.Exchange) {
-	rules, list := x.Allowances()
+	rules, list := x.QuotaLimits()
 	s.purse.Reconfigure(rules, list, mono())
 	s.limits = len(list) > 0
 	if r, ok := s.part.(interface{ RenewExchange(*config.Exchange) }); ok {
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -21,7 +21,7 @@
 // sees sets up what this front sees for the others.
 func (s *shared) sees(x *config.Exchange) {
 	if v := x.Verdicts; v != nil {
-		s.rules, s.watch = v.Rules(), v.Judges
+		s.rules, s.watch = v.Rules(), v.ObserveOnly
 		s.seen = outlier.NewObserver(s.rules)
 	}
 	if f := s.p.operator.Fleet; f != nil {
@@ -29,7 +29,7 @@
 	}
 	if p := x.Paths; p != nil {
 		s.paths = true
-		for prefix, name := range p.Prefixes() {
+		for prefix, name := range p.RegionsByPrefix() {
 			s.regions = append(s.regions, region{prefix, name})
 		}
 		slices.SortFunc(s.regions, func(a, b region) int { return b.prefix.Bits() - a.prefix.Bits() }) // the narrowest first
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -72,8 +72,8 @@
 // fits tells what of a version this process can't take up as it runs.
 func (p *program) fits(x *laid) error {
 	var errs []error
-	_, fixed := p.cfg.Next(x.cfg)
-	if fixed = append(fixed, p.operator.Fixed(x.operator)...); len(fixed) > 0 {
+	_, fixed := p.cfg.Reload(x.cfg)
+	if fixed = append(fixed, p.operator.RestartKeys(x.operator)...); len(fixed) > 0 {
 		errs = append(errs, fmt.Errorf("%s: a restart is needed for that", strings.Join(fixed, ", ")))
 	}
 	for _, name := range x.version.Drain {
--- a/lab/world/sockets_test.go
+++ b/lab/world/sockets_test.go
@@ -23,7 +23,7 @@
 	if want := spec.settings(zone); !reflect.DeepEqual(cfg.Settings, want) {
 		t.Errorf("read as\n%+v\nfor\n%+v", cfg.Settings, want)
 	}
-	if cfg.Streams != streams || cfg.ConnIdle != connIdle || !reflect.DeepEqual(cfg.Zones, spec.zones()) || !reflect.DeepEqual(cfg.Kinds, kinds) {
+	if cfg.StreamsPerConn != streams || cfg.ConnIdleTimeout != connIdle || !reflect.DeepEqual(cfg.Zones, spec.zones()) || !reflect.DeepEqual(cfg.Kinds, kinds) {
 		t.Errorf("%+v", cfg)
 	}
 }
