--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -60,7 +60,7 @@
 			delete(pending, e.Gateway)
 			delete(gateways, e.Gateway)
 		case e.Start != nil:
-			settings, err := config.ParseSettings(e.Start.Facts)
+			settings, err := config.ParseSettings(e.Start.Settings)
 			if err != nil {
 				return fmt.Errorf("gateway %d: %w", e.Gateway, err)
 			}
--- a/cmd/cherryramp-fleet/main.go
+++ b/cmd/cherryramp-fleet/main.go
@@ -33,7 +33,7 @@
 const exitUsage = 2
 
 func main() {
-	program.Fleet = part
+	program.JoinFleet = part
 	if len(os.Args) == 1 || os.Args[1] == "serve" {
 		if program.Serve() != nil {
 			os.Exit(1)
@@ -64,7 +64,7 @@
 }
 
 // part begins a front's part in the fleet of the operator's file.
-func part(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetPart, error) {
+func part(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetParticipant, error) {
 	var first []consensus.Address
 	for _, m := range c.InitialMembers {
 		first = append(first, consensus.Address{Name: m.Name, Address: m.Address})
--- a/cmd/cherryramp/main.go
+++ b/cmd/cherryramp/main.go
@@ -58,7 +58,7 @@
 			return nil
 		}}, checkCommand(), signCommand(), verifyCommand(), keysCommand(),
 		&cobra.Command{Use: "fleet", Short: "What the fronts of one installation agree on", DisableFlagParsing: true,
-			RunE: func(*cobra.Command, []string) error { return program.HandOver() }})
+			RunE: func(*cobra.Command, []string) error { return program.ExecFleetCommand() }})
 	cmd, err := root.ExecuteC()
 	var code failed
 	switch {
--- a/cmd/cherryramp/standin_test.go
+++ b/cmd/cherryramp/standin_test.go
@@ -336,7 +336,7 @@
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	free, err := loopbacktest.Free()
+	free, err := loopbacktest.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -126,7 +126,7 @@
 		switch f.Kind {
 		case frame.KindHello:
 			var h frame.Hello
-			if err := frame.Read(f, &h); err != nil {
+			if err := frame.DecodeHead(f, &h); err != nil {
 				return 0, err
 			}
 			if err := r.hello(h); err != nil {
@@ -189,7 +189,7 @@
 		return err
 	}
 	fleet := x.fleetID()
-	hello, err := frame.Head(frame.Hello{Versions: frame.Versions, Site: x.cfg.Name, Epoch: fleet, Window: mostMessage, Total: mostMessage, Streams: 1})
+	hello, err := frame.EncodeHead(frame.Hello{Versions: frame.Versions, Site: x.cfg.Name, Epoch: fleet, Window: mostMessage, Total: mostMessage, Streams: 1})
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 					x.counts.Sent.Add(1)
 					x.counts.Bytes.Add(int64(len(b)))
 					for len(b) > 0 {
-						n := min(len(b), frame.MostData)
+						n := min(len(b), frame.MaxData)
 						if err := write(frame.KindData, stream, b[:n]); err != nil {
 							return err
 						}
@@ -227,7 +227,7 @@
 		cancel()
 	}()
 	r := &reader{conn: c, buf: make([]byte, 0, 32<<10), hello: func(h frame.Hello) error {
-		if _, err := frame.Agree(h.Versions); err != nil {
+		if _, err := frame.NegotiateVersion(h.Versions); err != nil {
 			return err
 		}
 		if !slices.Contains(names(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == x.cfg.Name {
@@ -263,7 +263,7 @@
 func (x *Exchange) dial(ctx context.Context, name, address string) error {
 	dctx, cancel := context.WithTimeout(ctx, handshakeMost)
 	defer cancel()
-	cfg := x.cfg.Keys.Client()
+	cfg := x.cfg.Keys.ClientConfig()
 	cfg.NextProtos = []string{Protocol}
 	d := tls.Dialer{Config: cfg}
 	nc, err := d.DialContext(dctx, "tcp", address)
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -101,22 +101,22 @@
 	return b
 }
 
-// Took is part of program.ExchangePart.
-func (fleet *Fleet) Took(b *quotalease.Bucket, ok bool) {
+// RecordTake implements program.ExchangeRecorder.
+func (fleet *Fleet) RecordTake(b *quotalease.Bucket, ok bool) {
 	if fleet.exchange != nil {
 		fleet.exchange.RecordTake(b, ok)
 	}
 }
 
-// NewName is part of program.ExchangePart.
-func (fleet *Fleet) NewName() {
+// RecordNewName implements program.ExchangeRecorder.
+func (fleet *Fleet) RecordNewName() {
 	if fleet.exchange != nil {
 		fleet.exchange.NewName()
 	}
 }
 
-// Acted is part of program.ExchangePart.
-func (fleet *Fleet) Acted(v outlier.HeldVerdict, on bool, boxes, ready int) {
+// RecordVerdict implements program.ExchangeRecorder.
+func (fleet *Fleet) RecordVerdict(v outlier.HeldVerdict, on bool, boxes, ready int) {
 	if fleet.exchange != nil {
 		fleet.exchange.RecordVerdict(v, on, boxes, ready)
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -49,7 +49,7 @@
 // linkConfig returns the configuration of a link, with this front's hello.
 func (fleet *Fleet) linkConfig() link.Config {
 	return link.Config{Hello: frame.Hello{Site: fleet.cfg.Name, Epoch: fleet.node.Replica().State().Fleet, Window: streamWindow, Total: 2 * streamWindow, Streams: 4},
-		Weights: []int{1}, Ping: pingInterval, Dead: deadTimeout}
+		Weights: []int{1}, PingInterval: pingInterval, DeadTimeout: deadTimeout}
 }
 
 // send sends a message, or drops it if too much is waiting.
@@ -63,7 +63,7 @@
 	fleet.counts.Sent++
 	fleet.counts.Bytes += uint64(messageHeader + len(message.Payload))
 	if target.up {
-		if target.conn.Waits(fleetStream)+len(message.Payload) > maxQueuedBytes {
+		if target.conn.Pending(fleetStream)+len(message.Payload) > maxQueuedBytes {
 			fleet.counts.Dropped++
 			return
 		}
@@ -92,7 +92,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 		defer cancel()
-		d := tls.Dialer{Config: fleet.keys.Client()}
+		d := tls.Dialer{Config: fleet.keys.ClientConfig()}
 		conn, err := d.DialContext(ctx, "tcp", address)
 		if err == nil && !slices.Contains(provenNames(conn), peer.name) {
 			err = errors.Join(fmt.Errorf("fleet: at %s is %q, not %s", address, provenNames(conn), peer.name), conn.Close())
@@ -219,7 +219,7 @@
 			continue
 		}
 		go func() { // one goroutine per connection, only for its handshake
-			cfg := fleet.keys.Server()
+			cfg := fleet.keys.ServerConfig()
 			if fleet.exchange != nil {
 				cfg.NextProtos = []string{exchange.Protocol}
 			}
--- a/internal/front/session/crossings_test.go
+++ b/internal/front/session/crossings_test.go
@@ -72,7 +72,7 @@
 	if err := transport.Setup(log); err != nil {
 		t.Fatal(err)
 	}
-	free, err := loopbacktest.Free()
+	free, err := loopbacktest.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/link/frame/frame.go
+++ b/internal/link/frame/frame.go
@@ -28,8 +28,8 @@
 	KindData                   // bytes of a request or an answer
 	KindCredit                 // more may be sent, on a stream or, with 0, in all
 	KindCancel                 // the request is given up
-	KindAsk                    // what became of a try?
-	KindTell                   // the word on it
+	KindQuery                  // what became of a try?
+	KindStatus                 // the word on it
 	KindOffer                  // 0: what the sender takes of what could cross
 	KindPing                   // 0
 	KindPong                   // 0
@@ -41,8 +41,8 @@
 	headSize = 4 + fixed
 	fixed    = 1 + 4 + 8
 	// MostData bounds a data frame's bytes, MostHead any other's.
-	MostData = 16 << 10
-	MostHead = 4 << 10
+	MaxData = 16 << 10
+	MaxHead = 4 << 10
 )
 
 // Errors of bytes that are no frame. None of them can be recovered from.
@@ -73,9 +73,9 @@
 }
 
 func (f *Frame) check() error {
-	most := MostHead
+	most := MaxHead
 	if f.Kind == KindData {
-		most = MostData
+		most = MaxData
 	}
 	alone := f.Kind == KindHello || f.Kind >= KindOffer
 	switch {
@@ -93,7 +93,7 @@
 // can't become a frame is refused as early as that is seen.
 func Parse(b []byte) (f Frame, used int, err error) {
 	if len(b) >= 4 {
-		if n := binary.BigEndian.Uint32(b); n < fixed || n > fixed+MostData {
+		if n := binary.BigEndian.Uint32(b); n < fixed || n > fixed+MaxData {
 			return f, 0, ErrLength
 		}
 	}
@@ -107,7 +107,7 @@
 	if err := f.check(); err != nil {
 		return Frame{}, 0, err
 	}
-	if f.Kind != KindData && size-headSize > MostHead {
+	if f.Kind != KindData && size-headSize > MaxHead {
 		return Frame{}, 0, ErrLength
 	}
 	if !whole {
@@ -128,45 +128,45 @@
 
 // Open is a request. Its bytes follow as data.
 type Open struct {
-	ID     uint64 `cbor:"1,keyasint"`
-	Try    uint32 `cbor:"2,keyasint"`
-	Epoch  uint64 `cbor:"3,keyasint"` // that it is sent to
-	Class  string `cbor:"4,keyasint"`
-	Object string `cbor:"5,keyasint"`
-	Part   int32  `cbor:"6,keyasint,omitempty"` // -1: it has none
-	Group  uint8  `cbor:"7,keyasint,omitempty"`
-	Left   uint64 `cbor:"8,keyasint"` // us of its client's time
-	Hops   uint8  `cbor:"9,keyasint"`
-	Length uint32 `cbor:"10,keyasint,omitempty"` // of its bytes
-	Offset uint32 `cbor:"11,keyasint,omitempty"` // from which of the answer's on
-	Tag    string `cbor:"12,keyasint,omitempty"` // that the answer must have, where some of it is here
-	Age    uint64 `cbor:"13,keyasint,omitempty"` // us, the oldest copy that will do; 0: any
+	ID        uint64 `cbor:"1,keyasint"`
+	Attempt   uint32 `cbor:"2,keyasint"`
+	Epoch     uint64 `cbor:"3,keyasint"` // that it is sent to
+	Class     string `cbor:"4,keyasint"`
+	Object    string `cbor:"5,keyasint"`
+	Part      int32  `cbor:"6,keyasint,omitempty"` // -1: it has none
+	Group     uint8  `cbor:"7,keyasint,omitempty"`
+	Remaining uint64 `cbor:"8,keyasint"` // us of its client's time
+	Hops      uint8  `cbor:"9,keyasint"`
+	Length    uint32 `cbor:"10,keyasint,omitempty"` // of its bytes
+	Offset    uint32 `cbor:"11,keyasint,omitempty"` // from which of the answer's on
+	Tag       string `cbor:"12,keyasint,omitempty"` // that the answer must have, where some of it is here
+	MaxAge    uint64 `cbor:"13,keyasint,omitempty"` // us, the oldest copy that will do; 0: any
 }
 
 // Answer is the head of what became of a request. Its bytes follow as data.
 type Answer struct {
-	End    uint8  `cbor:"1,keyasint"` // as the ledger has it
-	Length uint32 `cbor:"2,keyasint,omitempty"`
-	Tag    string `cbor:"3,keyasint,omitempty"`
-	Age    uint64 `cbor:"4,keyasint,omitempty"` // us since the store gave the copy out
-	Await  uint64 `cbor:"5,keyasint,omitempty"` // us to stay away, where it was refused
+	Outcome    uint8  `cbor:"1,keyasint"` // as the ledger has it
+	Length     uint32 `cbor:"2,keyasint,omitempty"`
+	Tag        string `cbor:"3,keyasint,omitempty"`
+	Age        uint64 `cbor:"4,keyasint,omitempty"` // us since the store gave the copy out
+	RetryAfter uint64 `cbor:"5,keyasint,omitempty"` // us to stay away, where it was refused
 }
 
 // Ask asks for a try.
-type Ask struct {
-	ID    uint64 `cbor:"1,keyasint"`
-	Try   uint32 `cbor:"2,keyasint"`
-	Epoch uint64 `cbor:"3,keyasint"` // that it was sent to
-	Age   uint64 `cbor:"4,keyasint"` // us since then
+type Query struct {
+	ID      uint64 `cbor:"1,keyasint"`
+	Attempt uint32 `cbor:"2,keyasint"`
+	Epoch   uint64 `cbor:"3,keyasint"` // that it was sent to
+	Age     uint64 `cbor:"4,keyasint"` // us since then
 }
 
 // Tell is the word on a try. Bytes that are kept follow as data.
-type Tell struct {
-	Kind   uint8  `cbor:"1,keyasint"` // as the ledger has it
-	End    uint8  `cbor:"2,keyasint,omitempty"`
-	Kept   bool   `cbor:"3,keyasint,omitempty"`
-	Epoch  uint64 `cbor:"4,keyasint"` // under which it is said
-	Length uint32 `cbor:"5,keyasint,omitempty"`
+type Status struct {
+	Kind    uint8  `cbor:"1,keyasint"` // as the ledger has it
+	Outcome uint8  `cbor:"2,keyasint,omitempty"`
+	Kept    bool   `cbor:"3,keyasint,omitempty"`
+	Epoch   uint64 `cbor:"4,keyasint"` // under which it is said
+	Length  uint32 `cbor:"5,keyasint,omitempty"`
 }
 
 // Credit lets so many more bytes be sent.
@@ -196,10 +196,10 @@
 }
 
 // Head writes a head as a frame's body.
-func Head(x any) ([]byte, error) { return encoder.Marshal(x) }
+func EncodeHead(x any) ([]byte, error) { return encoder.Marshal(x) }
 
 // Read reads a head from a frame's body; x is a pointer to the one of its kind.
-func Read(f Frame, x any) error {
+func DecodeHead(f Frame, x any) error {
 	if err := decoder.Unmarshal(f.Body, x); err != nil {
 		return fmt.Errorf("frame: head of kind %d: %w", f.Kind, err)
 	}
@@ -213,7 +213,7 @@
 var ErrVersion = errors.New("frame: no version in common")
 
 // Agree gives the highest version that both speak.
-func Agree(theirs []uint16) (version uint16, err error) {
+func NegotiateVersion(theirs []uint16) (version uint16, err error) {
 	for _, v := range theirs {
 		if slices.Contains(Versions, v) {
 			version = max(version, v)
--- a/internal/link/frame/frame_test.go
+++ b/internal/link/frame/frame_test.go
@@ -48,15 +48,15 @@
 		text []byte
 		want error
 	}{
-		{[]byte{0xff, 0, 0, 0}, ErrLength}, {[]byte{0, 0, 0, 3}, ErrLength}, {head(fixed+MostData+1, KindData, 1), ErrLength},
-		{head(fixed+MostHead+1, KindOpen, 1), ErrLength}, {head(fixed, 0, 1), ErrKind}, {head(fixed, kinds, 0), ErrKind},
+		{[]byte{0xff, 0, 0, 0}, ErrLength}, {[]byte{0, 0, 0, 3}, ErrLength}, {head(fixed+MaxData+1, KindData, 1), ErrLength},
+		{head(fixed+MaxHead+1, KindOpen, 1), ErrLength}, {head(fixed, 0, 1), ErrKind}, {head(fixed, kinds, 0), ErrKind},
 		{head(fixed, KindOpen, 0), ErrStream}, {head(fixed, KindHello, 1), ErrStream}, {head(fixed, KindPing, 3), ErrStream},
 	} {
 		if _, used, err := Parse(x.text); !errors.Is(err, x.want) || used != 0 {
 			t.Errorf("%x: %d, %v, want %v", x.text, used, err, x.want)
 		}
 	}
-	for _, f := range []Frame{{Kind: KindData, Stream: 1, Body: make([]byte, MostData+1)}, {Kind: KindTell, Stream: 1, Body: make([]byte, MostHead+1)},
+	for _, f := range []Frame{{Kind: KindData, Stream: 1, Body: make([]byte, MaxData+1)}, {Kind: KindStatus, Stream: 1, Body: make([]byte, MaxHead+1)},
 		{Kind: KindData}, {}} {
 		if _, err := Append(nil, f); err == nil {
 			t.Errorf("kind %d is written", f.Kind)
@@ -66,31 +66,31 @@
 
 // Heads come back as they were; what is not as agreed is refused.
 func TestHeads(t *testing.T) {
-	for _, x := range []any{&Hello{[]uint16{1, 2}, "north", 1 << 63, 1, 2, 3}, &Open{ID: 1 << 60, Try: 1, Epoch: 9, Class: "guide-video", Object: "9f3a", Part: -1,
-		Group: 255, Left: 5_000_000, Hops: 1, Length: 3, Offset: 4, Tag: "t", Age: 8}, &Answer{1, 240_000, "t", 3, 4}, &Ask{1, 2, 3, 4}, &Tell{3, 1, true, 9, 7},
+	for _, x := range []any{&Hello{[]uint16{1, 2}, "north", 1 << 63, 1, 2, 3}, &Open{ID: 1 << 60, Attempt: 1, Epoch: 9, Class: "guide-video", Object: "9f3a", Part: -1,
+		Group: 255, Remaining: 5_000_000, Hops: 1, Length: 3, Offset: 4, Tag: "t", MaxAge: 8}, &Answer{1, 240_000, "t", 3, 4}, &Query{1, 2, 3, 4}, &Status{3, 1, true, 9, 7},
 		&Credit{1}, &Offer{1000}} {
-		body, err := Head(x)
+		body, err := EncodeHead(x)
 		if err != nil {
 			t.Fatal(err)
 		}
 		again := reflect.New(reflect.TypeOf(x).Elem()).Interface()
-		if err := Read(Frame{Body: body}, again); err != nil || !reflect.DeepEqual(again, x) {
+		if err := DecodeHead(Frame{Body: body}, again); err != nil || !reflect.DeepEqual(again, x) {
 			t.Errorf("%+v: got %+v, %v", x, again, err)
 		}
-		if err := Read(Frame{Body: append(body, 0)}, again); err == nil {
+		if err := DecodeHead(Frame{Body: append(body, 0)}, again); err == nil {
 			t.Errorf("%T: something behind it is taken", x)
 		}
 	}
 	for name, body := range map[string][]byte{"twice the same field": {0xa2, 1, 1, 1, 2}, "a field that is not known": {0xa1, 0x18, 0x63, 1},
 		"an open length": {0xbf, 1, 1, 0xff}, "a tag": {0xc1, 0xa0}, "less than nothing": {0xa1, 1, 0x20}, "no map": {1}, "nothing": {}} {
-		if err := Read(Frame{Kind: KindCredit, Body: body}, &Credit{}); err == nil {
+		if err := DecodeHead(Frame{Kind: KindCredit, Body: body}, &Credit{}); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if v, err := Agree([]uint16{0, 7, 1}); v != 1 || err != nil {
+	if v, err := NegotiateVersion([]uint16{0, 7, 1}); v != 1 || err != nil {
 		t.Error(v, err)
 	}
-	if _, err := Agree([]uint16{7}); !errors.Is(err, ErrVersion) {
+	if _, err := NegotiateVersion([]uint16{7}); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
 }
@@ -102,7 +102,7 @@
 		f.Fatal(err)
 	}
 	f.Add(text)
-	body, err := Head(&Open{ID: 1, Class: "guide-video", Object: "9f3a"})
+	body, err := EncodeHead(&Open{ID: 1, Class: "guide-video", Object: "9f3a"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -119,18 +119,18 @@
 		if again, err := Append(nil, x); err != nil || !bytes.Equal(again, b[:used]) {
 			t.Fatalf("%+v: %x, %v", x, again, err)
 		}
-		for _, head := range []any{&Hello{}, &Open{}, &Answer{}, &Ask{}, &Tell{}, &Credit{}, &Offer{}} {
-			_ = Read(x, head)
+		for _, head := range []any{&Hello{}, &Open{}, &Answer{}, &Query{}, &Status{}, &Credit{}, &Offer{}} {
+			_ = DecodeHead(x, head)
 		}
 	})
 }
 
 // BenchmarkOpen is a request's frame, written and read.
 func BenchmarkOpen(b *testing.B) {
-	open := Open{ID: 1 << 60, Try: 1, Epoch: 1 << 60, Class: "guide-video", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Left: 1_500_000, Hops: 1}
+	open := Open{ID: 1 << 60, Attempt: 1, Epoch: 1 << 60, Class: "guide-video", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Remaining: 1_500_000, Hops: 1}
 	var buf []byte
 	for b.Loop() {
-		body, err := Head(&open)
+		body, err := EncodeHead(&open)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 		}
 		f, _, err := Parse(buf)
 		var x Open
-		if err != nil || Read(f, &x) != nil {
+		if err != nil || DecodeHead(f, &x) != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -25,18 +25,18 @@
 
 // Config is what a side wants of its connections.
 type Config struct {
-	Hello   frame.Hello // Window, Total and Streams are what this side allows
-	Weights []int       // by class
-	Ping    Micros      // a frame is sent at least so often
-	Dead    Micros      // a connection on which nothing came for so long is given up
+	Hello        frame.Hello // Window, Total and Streams are what this side allows
+	Weights      []int       // by class
+	PingInterval Micros      // a frame is sent at least so often
+	DeadTimeout  Micros      // a connection on which nothing came for so long is given up
 }
 
 // Reasons for which a connection ends.
 var (
-	ErrSilent = errors.New("link: the other side says nothing")
-	ErrDeaf   = errors.New("link: the other side reads nothing")
-	ErrOrder  = errors.New("link: a frame out of order")
-	ErrClosed = errors.New("link: closed")
+	ErrSilent     = errors.New("link: the other side says nothing")
+	ErrNotReading = errors.New("link: the other side reads nothing")
+	ErrFrameOrder = errors.New("link: a frame out of order")
+	ErrClosed     = errors.New("link: closed")
 )
 
 // Handler is told what happens on a connection, always on the loop.
@@ -90,7 +90,7 @@
 	hello := cfg.Hello
 	hello.Versions = frame.Versions
 	c.head(frame.KindHello, 0, hello)
-	l.Set(&c.watch, c.began+cfg.Ping)
+	l.Set(&c.watch, c.began+cfg.PingInterval)
 	go c.read()
 	go c.write()
 	return c
@@ -102,12 +102,12 @@
 		return
 	}
 	now := c.loop.Now()
-	if now-c.came >= c.cfg.Dead {
+	if now-c.came >= c.cfg.DeadTimeout {
 		c.end(ErrSilent)
 		return
 	}
 	c.put(frame.Frame{Kind: frame.KindPing})
-	c.loop.Set(&c.watch, min(now+c.cfg.Ping, c.came+c.cfg.Dead))
+	c.loop.Set(&c.watch, min(now+c.cfg.PingInterval, c.came+c.cfg.DeadTimeout))
 }
 
 // Open opens a stream of ours and sends what opens it.
@@ -165,7 +165,7 @@
 }
 
 // Done ends a stream; what it has not sent is dropped.
-func (c *Conn) Done(stream uint32) {
+func (c *Conn) CloseStream(stream uint32) {
 	if c.over || c.mux == nil {
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // Waits tells how many bytes a stream has not sent yet.
-func (c *Conn) Waits(stream uint32) int { return len(c.data[stream]) }
+func (c *Conn) Pending(stream uint32) int { return len(c.data[stream]) }
 
 // Close ends the connection. Down follows.
 func (c *Conn) Close() { c.end(ErrClosed) }
@@ -195,7 +195,7 @@
 }
 
 func (c *Conn) head(kind frame.Kind, stream uint32, head any) {
-	body, err := frame.Head(head)
+	body, err := frame.EncodeHead(head)
 	if err != nil {
 		c.end(err)
 		return
@@ -210,7 +210,7 @@
 	var err error
 	c.out, err = frame.Append(c.out, f)
 	if err == nil && len(c.out) > highWater {
-		err = ErrDeaf
+		err = ErrNotReading
 	}
 	c.wake.Signal()
 	c.mu.Unlock()
@@ -230,7 +230,7 @@
 		if full {
 			return
 		}
-		id, n, ok := c.mux.Next(frame.MostData)
+		id, n, ok := c.mux.Next(frame.MaxData)
 		if !ok {
 			return
 		}
@@ -323,13 +323,13 @@
 	}
 	switch f.Kind {
 	case frame.KindHello:
-		c.end(ErrOrder)
+		c.end(ErrFrameOrder)
 	case frame.KindPing:
 		c.put(frame.Frame{Kind: frame.KindPong})
 	case frame.KindPong:
 	case frame.KindCredit:
 		var x frame.Credit
-		err := frame.Read(f, &x)
+		err := frame.DecodeHead(f, &x)
 		if err == nil {
 			err = c.mux.Credit(f.Stream, int(x.Bytes))
 		}
@@ -352,21 +352,21 @@
 // hello agrees with the other side: the lesser of each bound.
 func (c *Conn) hello(f frame.Frame) {
 	if f.Kind != frame.KindHello {
-		c.end(ErrOrder)
+		c.end(ErrFrameOrder)
 		return
 	}
 	var x frame.Hello
-	err := frame.Read(f, &x)
+	err := frame.DecodeHead(f, &x)
 	var version uint16
 	if err == nil {
-		version, err = frame.Agree(x.Versions)
+		version, err = frame.NegotiateVersion(x.Versions)
 	}
 	own := c.cfg.Hello
 	agreed := frame.Hello{Versions: []uint16{version}, Site: x.Site, Epoch: x.Epoch, Window: min(own.Window, x.Window),
 		Total: min(own.Total, x.Total), Streams: min(own.Streams, x.Streams)}
 	if err == nil {
 		c.mux, err = flowcontrol.New(flowcontrol.Config{Weights: c.cfg.Weights, StreamWindow: int(agreed.Window), ConnWindow: int(agreed.Total),
-			MaxStreams: int(agreed.Streams), Quantum: frame.MostData})
+			MaxStreams: int(agreed.Streams), Quantum: frame.MaxData})
 	}
 	if err != nil {
 		c.end(err)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -55,7 +55,7 @@
 }
 
 func config(site string) Config {
-	return Config{Hello: frame.Hello{Site: site, Epoch: 7, Window: 64 << 10, Total: 256 << 10, Streams: 50}, Weights: []int{1, 4}, Ping: 50_000, Dead: 400_000}
+	return Config{Hello: frame.Hello{Site: site, Epoch: 7, Window: 64 << 10, Total: 256 << 10, Streams: 50}, Weights: []int{1, 4}, PingInterval: 50_000, DeadTimeout: 400_000}
 }
 
 // joined are two ends on one loop, with a stand-in line between.
@@ -132,7 +132,7 @@
 	}
 	j.do(func() {
 		for id := uint32(1); id <= 20; id++ {
-			if err := j.a.Open(id, int(id)%2, frame.Open{ID: uint64(id), Try: 1}); err != nil {
+			if err := j.a.Open(id, int(id)%2, frame.Open{ID: uint64(id), Attempt: 1}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -143,11 +143,11 @@
 		}
 	}
 	j.do(func() {
-		if from.got[stalled] != 64<<10 || j.b.Waits(stalled) != size-64<<10 {
-			t.Errorf("of the stream that nobody reads %d bytes came, %d wait", from.got[stalled], j.b.Waits(stalled))
+		if from.got[stalled] != 64<<10 || j.b.Pending(stalled) != size-64<<10 {
+			t.Errorf("of the stream that nobody reads %d bytes came, %d wait", from.got[stalled], j.b.Pending(stalled))
 		}
-		j.a.Done(stalled)
-		if err := j.a.Open(99, 0, frame.Open{ID: 99, Try: 1}); err != nil {
+		j.a.CloseStream(stalled)
+		if err := j.a.Open(99, 0, frame.Open{ID: 99, Attempt: 1}); err != nil {
 			t.Error(err)
 		}
 	})
@@ -167,12 +167,12 @@
 		"the far side is gone":      {func(j *joined) { j.line.Half(faultproxy.Back) }, ErrSilent},
 		"it is cut":                 {func(j *joined) { j.line.Cut() }, nil},
 		"it is closed":              {func(j *joined) { j.do(j.a.Close) }, ErrClosed},
-		"a second hello":            {func(j *joined) { j.do(func() { j.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrOrder},
+		"a second hello":            {func(j *joined) { j.do(func() { j.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrFrameOrder},
 		"credit without end":        {func(j *joined) { j.do(func() { j.b.Send(frame.KindCredit, 0, frame.Credit{Bytes: 1 << 30}) }) }, flowcontrol.ErrCreditExceeded},
 		"bytes without credit": {func(j *joined) {
 			j.do(func() {
 				for range 17 {
-					j.b.put(frame.Frame{Kind: frame.KindData, Stream: 5, Body: make([]byte, frame.MostData)})
+					j.b.put(frame.Frame{Kind: frame.KindData, Stream: 5, Body: make([]byte, frame.MaxData)})
 				}
 			})
 		}, flowcontrol.ErrNoCredit},
@@ -230,7 +230,7 @@
 	next := uint32(0)
 	start := func() {
 		next++
-		if err := j.a.Open(next, 0, frame.Open{ID: uint64(next), Try: 1, Class: "guide-video", Object: "7f3a9c21e0b4d655"}); err != nil {
+		if err := j.a.Open(next, 0, frame.Open{ID: uint64(next), Attempt: 1, Class: "guide-video", Object: "7f3a9c21e0b4d655"}); err != nil {
 			b.Error(err)
 		}
 	}
@@ -244,8 +244,8 @@
 		id := await(b, from.full, "an answer")
 		j.do(func() {
 			delete(from.got, id)
-			j.a.Done(id)
-			j.b.Done(id)
+			j.a.CloseStream(id)
+			j.b.CloseStream(id)
 			if int(next) < b.N {
 				start()
 			}
--- a/internal/link/peers/peers.go
+++ b/internal/link/peers/peers.go
@@ -31,9 +31,9 @@
 
 // Reasons for which a peer is not let in.
 var (
-	ErrName    = errors.New("peers: a name that is not let in")
-	ErrRevoked = errors.New("peers: its certificate was taken back")
-	ErrNobody  = errors.New("peers: it showed no certificate")
+	ErrNameNotAllowed = errors.New("peers: a name that is not let in")
+	ErrRevoked        = errors.New("peers: its certificate was taken back")
+	ErrNoCertificate  = errors.New("peers: it showed no certificate")
 )
 
 // material is what was read together.
@@ -98,7 +98,7 @@
 // Check tells whether a connection's peer may be there now, by the keys of now.
 func (k *Keys) Check(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return ErrNobody
+		return ErrNoCertificate
 	}
 	m, leaf := k.in.Load(), s.PeerCertificates[0]
 	between := x509.NewCertPool()
@@ -121,7 +121,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %q", ErrName, leaf.DNSNames)
+	return fmt.Errorf("%w: %q", ErrNameNotAllowed, leaf.DNSNames)
 }
 
 // Name is the first of a peer's names that is let in; empty: none is.
@@ -139,14 +139,14 @@
 // Server is for the side that is connected to, Client for the one that connects.
 // Both sides show a certificate, and both check the other's by Check alone; sessions
 // are never resumed, so that each connection is checked whole.
-func (k *Keys) Server() *tls.Config {
+func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true,
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.in.Load().own, nil },
 		VerifyConnection: k.Check, Time: k.now}
 }
 
 // Client is as Server.
-func (k *Keys) Client() *tls.Config {
+func (k *Keys) ClientConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13,
 		InsecureSkipVerify:   true, // Check takes its place: peers go by their own list of names, not by the address dialled
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.in.Load().own, nil },
--- a/internal/link/peers/peers_test.go
+++ b/internal/link/peers/peers_test.go
@@ -97,7 +97,7 @@
 	if err = errors.Join(err, ln.Close()); err != nil {
 		return nil, nil, err
 	}
-	s, c = tls.Server(x, server.Server()), tls.Client(y, client.Client())
+	s, c = tls.Server(x, server.ServerConfig()), tls.Client(y, client.ClientConfig())
 	errs := make(chan error, 1)
 	go func() {
 		_, err := s.Write([]byte("s"))
@@ -196,7 +196,7 @@
 	if err := north.Check(s.ConnectionState()); err != nil {
 		t.Error(err)
 	}
-	if err := north.Check(tls.ConnectionState{}); !errors.Is(err, ErrNobody) {
+	if err := north.Check(tls.ConnectionState{}); !errors.Is(err, ErrNoCertificate) {
 		t.Error(err)
 	}
 }
--- a/internal/loopbacktest/loopbacktest.go
+++ b/internal/loopbacktest/loopbacktest.go
@@ -51,7 +51,7 @@
 }
 
 // Free is an address at which nobody listens; whoever asked may.
-func Free() (string, error) {
+func FreeAddress() (string, error) {
 	ln, err := Listen()
 	if err != nil {
 		return "", err
--- a/internal/loopbacktest/loopbacktest_test.go
+++ b/internal/loopbacktest/loopbacktest_test.go
@@ -10,7 +10,7 @@
 func TestAddressesAreGivenOnce(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
-		free, err := Free()
+		free, err := FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -16,7 +16,7 @@
 )
 
 // FleetPart is the front's part in a fleet. It is used on the loop only.
-type FleetPart interface {
+type FleetParticipant interface {
 	// Call carries out a call of the operators' door; the answer is told once, now or later.
 	Call(call string, answer func(line string))
 	// Holds tells whether the front may act now, and if not, after how many us to come
@@ -62,19 +62,19 @@
 
 // Fleet begins a front's part in a fleet, under a name. It is set by the command
 // that has the part linked in; nil: this one has not.
-var Fleet func(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host FleetHost, log *slog.Logger) (FleetPart, error)
+var JoinFleet func(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host FleetHost, log *slog.Logger) (FleetParticipant, error)
 
 // Sibling is the command beside this one that has the part in a fleet.
-const Sibling = "cherryramp-fleet"
+const FleetCommand = "cherryramp-fleet"
 
 // HandOver has the sibling run in this process's place, with the same arguments and
 // environment.
-func HandOver() error {
+func ExecFleetCommand() error {
 	own, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	path := filepath.Join(filepath.Dir(own), Sibling)
+	path := filepath.Join(filepath.Dir(own), FleetCommand)
 	if err := syscall.Exec(path, append([]string{path}, os.Args[1:]...), os.Environ()); err != nil {
 		return fmt.Errorf("fleet: %s, which a fleet needs beside this program: %w", path, err)
 	}
@@ -83,10 +83,10 @@
 
 // startFleet has the front take part in the fleet of the operator's file.
 func (p *program) startFleet(c *config.Fleet, shared *config.Exchange) (err error) {
-	if p.fleet, err = Fleet(c, shared, cmp.Or(c.Front, p.cfg.Name), p.loop, fleetHost{p}, p.log); err != nil {
+	if p.fleet, err = JoinFleet(c, shared, cmp.Or(c.Front, p.cfg.Name), p.loop, fleetHost{p}, p.log); err != nil {
 		return err
 	}
-	if part, ok := p.fleet.(ExchangePart); ok && p.shared != nil {
+	if part, ok := p.fleet.(ExchangeRecorder); ok && p.shared != nil {
 		p.shared.part = part
 	}
 	p.gate.SetGuard(p.fleet.MayAct)
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -85,9 +85,9 @@
 	if err != nil {
 		return err
 	}
-	if operator.Fleet != nil && Fleet == nil {
+	if operator.Fleet != nil && JoinFleet == nil {
 		out.Flush(logFlush)
-		return HandOver()
+		return ExecFleetCommand()
 	}
 	debug.SetMemoryLimit(int64(memoryShare * float64(cfg.MemoryMB) * (1 << 20)))
 	if err := transport.Setup(log); err != nil {
@@ -129,7 +129,7 @@
 	figures        *counters.Counters
 	ready          *readiness.State
 	drain          *drain
-	fleet          FleetPart              // nil: the front acts alone
+	fleet          FleetParticipant       // nil: the front acts alone
 	bars           *gateway.DrainOverride // nil without fleet
 	watched        health.Detector        // of what the fleet must know of this front
 	hurt           bool
--- a/internal/program/shared.go
+++ b/internal/program/shared.go
@@ -14,14 +14,14 @@
 )
 
 // ExchangePart is what a front's part in the exchange does for its host, on the loop.
-type ExchangePart interface {
+type ExchangeRecorder interface {
 	// Took tells of a request that a limit let through or refused, and by which part.
-	Took(b *quotalease.Bucket, ok bool)
+	RecordTake(b *quotalease.Bucket, ok bool)
 	// NewName tells that a name came that no part is held of.
-	NewName()
+	RecordNewName()
 	// Acted tells that this front acts on a verdict, or does so no more; boxes is how many
 	// its hub has, ready how many of them are left.
-	Acted(v outlier.HeldVerdict, on bool, boxes, ready int)
+	RecordVerdict(v outlier.HeldVerdict, on bool, boxes, ready int)
 }
 
 // began is when this process did, for clocks that only go forward.
@@ -36,7 +36,7 @@
 	p      *program
 	purse  *quotalease.Limiter
 	index  *invalidation.Index
-	part   ExchangePart
+	part   ExchangeRecorder
 	limits bool
 
 	seen   *outlier.Observer // nil: off
@@ -77,8 +77,8 @@
 	rules, list := x.QuotaLimits()
 	s.purse.Reconfigure(rules, list, mono())
 	s.limits = len(list) > 0
-	if r, ok := s.part.(interface{ RenewExchange(*config.Exchange) }); ok {
-		r.RenewExchange(x)
+	if r, ok := s.part.(interface{ UpdateExchange(*config.Exchange) }); ok {
+		r.UpdateExchange(x)
 	}
 }
 
@@ -95,7 +95,7 @@
 		for _, b := range s.purse.Find(kinds[claims[i].Kind], claims[i].Name, now) {
 			wait, ok := b.Take(now)
 			if s.part != nil {
-				s.part.Took(b, ok)
+				s.part.RecordTake(b, ok)
 			}
 			if ok {
 				taken = append(taken, b)
@@ -114,7 +114,7 @@
 
 func (s *shared) fresh() {
 	if s.purse.TakeNewNames() && s.part != nil {
-		s.part.NewName()
+		s.part.RecordNewName()
 	}
 }
 
--- a/internal/program/sight.go
+++ b/internal/program/sight.go
@@ -185,7 +185,7 @@
 	if s.part != nil && h.Number != 0 {
 		zone, kind, _ := s.p.bars.ZoneAndKind(name)
 		all := s.p.bars.Count(zone, kind)
-		s.part.Acted(h, on, all, all-hubs[zone+"/"+kind])
+		s.part.RecordVerdict(h, on, all, all-hubs[zone+"/"+kind])
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -60,8 +60,8 @@
 
 // Start is what a gateway is told at its start.
 type Start struct {
-	Seed  uint64
-	Facts string
+	Seed     uint64
+	Settings string
 }
 
 // Batch is one frame of events.
@@ -193,7 +193,7 @@
 		e.Stop = true
 	case evInit:
 		s := &Start{Seed: c.u64()}
-		s.Facts = string(c.take(int(c.u32())))
+		s.Settings = string(c.take(int(c.u32())))
 		e.Start = s
 	case evOutcome:
 		o := rules.Outcome{ID: rules.RequestID(c.u32()), Attempt: int(c.u16()), Server: c.server()}
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -198,7 +198,7 @@
 			err = errors.Join(fmt.Errorf("site: %w", err), s.Stop())
 		}
 	}()
-	if s.Listen, err = loopbacktest.Free(); err != nil {
+	if s.Listen, err = loopbacktest.FreeAddress(); err != nil {
 		return s, err
 	}
 	config := s.Config("lab", s.Listen, o.MemoryMB, o.Sockets)
@@ -208,7 +208,7 @@
 	}
 	env := append([]string{"ROUTER_CONFIG=" + path}, o.Env...)
 	if o.Operator != nil {
-		if s.Signed, err = loopbacktest.Free(); err != nil {
+		if s.Signed, err = loopbacktest.FreeAddress(); err != nil {
 			return s, err
 		}
 		s.Operator = filepath.Join(s.dir, "operator.json")
