--- a/cmd/cherryramp/syscalls_test.go
+++ b/cmd/cherryramp/syscalls_test.go
@@ -59,7 +59,7 @@
 }
 
 // shortWrites take half of their bytes.
-var shortWrites = failing{"write short", anyOf(unix.SYS_WRITE), syscallfault.Short, 0.5, 5}
+var shortWrites = failing{"write short", anyOf(unix.SYS_WRITE), syscallfault.ShortWrite, 0.5, 5}
 
 // decider fails calls on sockets at a rate, from a seed.
 func (f *failing) decider(seed uint64, armed func() bool) syscallfault.Decide {
@@ -82,7 +82,7 @@
 	case unix.SYS_SOCKET, unix.SYS_POLL, unix.SYS_PPOLL:
 		return true
 	case unix.SYS_EPOLL_CTL:
-		events, ok := c.Word(3)
+		events, ok := c.ReadUint32(3)
 		return ok && events == unix.EPOLLOUT
 	}
 	return c.IsSocket()
@@ -122,7 +122,7 @@
 			s.parent.serveLarge()
 			s.origin.serveLarge()
 			serveAndDrain(t, s, door)
-			if s.faults.Made(f.errno) == 0 {
+			if s.faults.FailureCount(f.errno) == 0 {
 				t.Error("no call failed")
 			}
 		})
@@ -216,7 +216,7 @@
 			s.parent.serveLarge()
 			s.origin.serveLarge()
 			serveAndDrain(t, s, door)
-			if s.faults.Made(f.errno) == 0 {
+			if s.faults.FailureCount(f.errno) == 0 {
 				t.Error("no call failed")
 			}
 		})
@@ -229,6 +229,6 @@
 	if c.Number != unix.SYS_EPOLL_CTL {
 		return true
 	}
-	events, ok := c.Word(3)
+	events, ok := c.ReadUint32(3)
 	return ok && events&unix.EPOLLET == 0
 }
--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -70,7 +70,7 @@
 // resident is what all fronts hold, in KB, and spent the time on cores.
 func (f *fronts) resident() (kb int) {
 	for _, s := range f.sites {
-		kb += process.Resident(s.Pid())
+		kb += process.ResidentKB(s.Pid())
 	}
 	return kb
 }
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -226,7 +226,7 @@
 	n := r.Forged.Count[403] + r.Forged.Count[503]
 	reached := s.Box.Taken() + s.Parent.Taken() + s.Origin.Taken()
 	fmt.Printf("forged turned away a second: %.0f; front's CPU: %.2f s a second; reached a node: %d, of %d good ones sent; resident %d KB\n",
-		float64(n)/r.Spent.Seconds(), (after-before).Seconds()/r.Spent.Seconds(), reached, c.Good*int(c.For/time.Second), process.Resident(s.Pid()))
+		float64(n)/r.Spent.Seconds(), (after-before).Seconds()/r.Spent.Seconds(), reached, c.Good*int(c.For/time.Second), process.ResidentKB(s.Pid()))
 	if reached > int64(r.Good.Count[200]+r.Good.Lost) || r.Forged.Count[200] > 0 {
 		return errNotMet
 	}
--- a/lab/fleet/boxes.go
+++ b/lab/fleet/boxes.go
@@ -71,7 +71,7 @@
 		return s, err
 	}
 	s.at = ln.Addr().String()
-	s.board = &http.Server{ReadHeaderTimeout: process.Patience, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s.board = &http.Server{ReadHeaderTimeout: process.Timeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-r.Context().Done():
--- a/lab/fleet/disk_test.go
+++ b/lab/fleet/disk_test.go
@@ -36,7 +36,7 @@
 		if errno == 0 || !strings.Contains(c.Descriptor(), "/folder/journal") {
 			return 0
 		}
-		if syscall.Errno(errno) == syscallfault.Short && d.halved[front].Swap(true) {
+		if syscall.Errno(errno) == syscallfault.ShortWrite && d.halved[front].Swap(true) {
 			return syscall.ENOSPC
 		}
 		return syscall.Errno(errno)
@@ -59,8 +59,8 @@
 	}{
 		{"a follower's is full", false, &disks.write, syscall.ENOSPC, "the disk takes nothing"},
 		{"the leader's is full", true, &disks.write, syscall.ENOSPC, "the disk takes nothing"},
-		{"a follower's is full within a record", false, &disks.write, syscallfault.Short, "the disk takes nothing"},
-		{"the leader's is full within a record", true, &disks.write, syscallfault.Short, "the disk takes nothing"},
+		{"a follower's is full within a record", false, &disks.write, syscallfault.ShortWrite, "the disk takes nothing"},
+		{"the leader's is full within a record", true, &disks.write, syscallfault.ShortWrite, "the disk takes nothing"},
 		{"a follower's sync fails", false, &disks.sync, syscall.EIO, "takes no part until it is restarted"},
 		{"the leader's sync fails", true, &disks.sync, syscall.EIO, "takes no part until it is restarted"},
 	} {
--- a/lab/fleet/processes.go
+++ b/lab/fleet/processes.go
@@ -210,7 +210,7 @@
 		return err
 	}
 	p.running = running
-	if err := running.Await(); err != nil {
+	if err := running.AwaitServing(); err != nil {
 		running.Kill()
 		p.running = nil
 		return err
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -19,11 +19,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Patience is how long a front may take to start and to end.
-const Patience = 10 * time.Second
+// Timeout is how long a front may take to start and to end.
+const Timeout = 10 * time.Second
 
-// Serving is what a front's log says once it serves.
-const Serving = "msg=serving"
+// ServingMessage is what a front's log says once it serves.
+const ServingMessage = "msg=serving"
 
 // Options say how a front is started.
 type Options struct {
@@ -45,7 +45,7 @@
 
 // Start starts a front. It must be stopped or killed.
 func Start(o Options) (*Process, error) {
-	p := &Process{log: &awaited{text: Serving, seen: make(chan struct{}), to: o.Log}, ended: make(chan struct{})}
+	p := &Process{log: &awaited{text: ServingMessage, seen: make(chan struct{}), to: o.Log}, ended: make(chan struct{})}
 	p.cmd = exec.Command(o.Path)
 	p.cmd.Env, p.cmd.Stderr = append([]string{"PATH=" + os.Getenv("PATH")}, o.Env...), p.log
 	launch := o.Launch
@@ -81,14 +81,14 @@
 	return errors.Join(launch(p.cmd), unix.SchedSetaffinity(0, &before))
 }
 
-// Await waits until the front serves.
-func (p *Process) Await() error {
+// AwaitServing waits until the front serves.
+func (p *Process) AwaitServing() error {
 	select {
 	case <-p.log.seen:
 		return nil
 	case <-p.ended:
 		return fmt.Errorf("process: the front ended at its start: %w: %s", p.err, p.log.head())
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		return errors.New("process: the front does not start")
 	}
 }
@@ -111,7 +111,7 @@
 	select {
 	case <-p.ended:
 		return p.err
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		p.Kill()
 		return errors.New("process: the front did not end by itself")
 	}
@@ -123,8 +123,8 @@
 	<-p.ended
 }
 
-// Resident is a process's resident size in KB; 0: not known.
-func Resident(pid int) int {
+// ResidentKB is a process's resident size in KB; 0: not known.
+func ResidentKB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -138,8 +138,8 @@
 	return 0
 }
 
-// Descriptors counts a process's open descriptors; 0: not known.
-func Descriptors(pid int) int {
+// OpenDescriptors counts a process's open descriptors; 0: not known.
+func OpenDescriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return 0
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.board = &http.Server{Handler: http.HandlerFunc(poll), ReadHeaderTimeout: process.Patience}
+	s.board = &http.Server{Handler: http.HandlerFunc(poll), ReadHeaderTimeout: process.Timeout}
 	go func() { _ = s.board.Serve(ln) }()
 	s.boardAt = ln.Addr().String()
 	return s, nil
@@ -220,7 +220,7 @@
 	if s.front, err = process.Start(process.Options{Path: o.Front, Env: env, Log: o.Log, Core: o.Core}); err != nil {
 		return s, err
 	}
-	return s, s.front.Await()
+	return s, s.front.AwaitServing()
 }
 
 // Pid is the front's process.
--- a/lab/syscallfault/syscallfault.go
+++ b/lab/syscallfault/syscallfault.go
@@ -60,8 +60,8 @@
 // IsSocket tells whether the call's first argument is a socket.
 func (c Call) IsSocket() bool { return strings.HasPrefix(c.Descriptor(), "socket:") }
 
-// Word reads the 32 bits that an argument points to; false: it can't be read.
-func (c Call) Word(arg int) (uint32, bool) {
+// ReadUint32 reads the 32 bits that an argument points to; false: it can't be read.
+func (c Call) ReadUint32(arg int) (uint32, bool) {
 	var b [4]byte
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(c.Args[arg]), Len: len(b)}}
@@ -69,13 +69,13 @@
 	return binary.NativeEndian.Uint32(b[:]), err == nil
 }
 
-// Decide gives the error that a call fails with; 0: the call is made as usual. Short is no
+// Decide gives the error that a call fails with; 0: the call is made as usual. ShortWrite is no
 // error: it has a write(2) or pwrite(2) take half of its bytes.
 type Decide func(Call) syscall.Errno
 
-// Short has a write take half of its bytes, as a full socket or a full disk does. It is a number that
+// ShortWrite has a write take half of its bytes, as a full socket or a full disk does. It is a number that
 // no error of the system has.
-const Short syscall.Errno = 1 << 12
+const ShortWrite syscall.Errno = 1 << 12
 
 // Injector answers for the system calls of one started process.
 type Injector struct {
@@ -162,8 +162,8 @@
 // monotonic clock goes on as before.
 func (x *Injector) StepClock(by time.Duration) { x.step.Add(int64(by)) }
 
-// Made counts the calls that were made to fail with an error.
-func (x *Injector) Made(errno syscall.Errno) int64 {
+// FailureCount counts the calls that were made to fail with an error.
+func (x *Injector) FailureCount(errno syscall.Errno) int64 {
 	if n, ok := x.made.Load(errno); ok {
 		return n.(*atomic.Int64).Load()
 	}
@@ -224,7 +224,7 @@
 		return r
 	}
 	errno := x.decide(Call{Process: int(n.PID), Number: int(n.Number), Args: n.Args})
-	if errno == Short {
+	if errno == ShortWrite {
 		short, err := x.writeHalf(n)
 		if err != nil {
 			return r // as usual
@@ -234,7 +234,7 @@
 	if errno != 0 {
 		count, _ := x.made.LoadOrStore(errno, new(atomic.Int64))
 		count.(*atomic.Int64).Add(1)
-		if errno != Short {
+		if errno != ShortWrite {
 			r.Error, r.Flags = -int32(errno), 0
 		}
 	}
--- a/lab/world/door.go
+++ b/lab/world/door.go
@@ -137,7 +137,7 @@
 		if full {
 			return nil
 		}
-		c, err := net.DialTimeout("tcp", d.address, process.Patience)
+		c, err := net.DialTimeout("tcp", d.address, process.Timeout)
 		if err != nil {
 			return err
 		}
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -128,7 +128,7 @@
 		if x.failed != nil {
 			return x.failed
 		}
-		if err := x.process.Await(); err != nil {
+		if err := x.process.AwaitServing(); err != nil {
 			return err
 		}
 	}
@@ -307,7 +307,7 @@
 		return
 	}
 	go func() {
-		err := x.process.Await()
+		err := x.process.AwaitServing()
 		x.f.w.loop.Post(func() {
 			if err == nil && !x.over {
 				serving()
@@ -354,7 +354,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /board/poll", x.serveBoard)
-	x.board = &http.Server{Handler: mux, ReadHeaderTimeout: process.Patience}
+	x.board = &http.Server{Handler: mux, ReadHeaderTimeout: process.Timeout}
 	go func() { _ = x.board.Serve(board) }()
 	x.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, IdleConnTimeout: 4 * time.Second, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
@@ -509,7 +509,7 @@
 func (x *outside) settle() {}
 
 func (x *outside) held() (calls, kb, open int) {
-	return len(x.f.open), process.Resident(x.process.Pid()), process.Descriptors(x.process.Pid())
+	return len(x.f.open), process.ResidentKB(x.process.Pid()), process.OpenDescriptors(x.process.Pid())
 }
 
 // reload tells the front to read its files anew.
