--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -32,24 +32,24 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-const patience = 10 * time.Second
+const maxWait = 10 * time.Second
 
 // told is a sink that hands on the states it is told.
-type told struct{ members chan gateway.Member }
+type memberSink struct{ members chan gateway.Member }
 
-func (s told) Members(_ bool, list []gateway.Member) {
+func (s memberSink) Members(_ bool, list []gateway.Member) {
 	for _, m := range list {
 		s.members <- m
 	}
 }
-func (told) Purge(gateway.Purge) {}
-func (told) BoardAnswered()      {}
+func (memberSink) Purge(gateway.Purge) {}
+func (memberSink) BoardAnswered()      {}
 
 // follow begins to follow a board at an address, on a running loop.
-func follow(t *testing.T, address string) (*Client, told, func(func())) {
+func follow(t *testing.T, address string) (*Client, memberSink, func(func())) {
 	t.Helper()
 	l := loop.New(func() {})
-	sink := told{make(chan gateway.Member, 100)}
+	sink := memberSink{make(chan gateway.Member, 100)}
 	b := New(l, quiet, address, TimeoutsFor(500_000), nil, sink)
 	done := make(chan struct{})
 	go func() { l.Run(); close(done) }()
@@ -63,26 +63,26 @@
 }
 
 // watch accepts one connection and reads its first poll.
-type watch struct {
+type boardConn struct {
 	t *testing.T
 	c net.Conn
 	r *bufio.Reader
 }
 
-func accept(t *testing.T, ln net.Listener) *watch {
+func accept(t *testing.T, ln net.Listener) *boardConn {
 	t.Helper()
-	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(maxWait))
 	c, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
-	return &watch{t, c, bufio.NewReader(c)}
+	_ = c.SetDeadline(time.Now().Add(maxWait))
+	return &boardConn{t, c, bufio.NewReader(c)}
 }
 
 // poll reads a poll and tells the number after which it asks.
-func (w *watch) poll() string {
+func (w *boardConn) poll() string {
 	w.t.Helper()
 	r, err := http.ReadRequest(w.r)
 	if err != nil {
@@ -91,14 +91,14 @@
 	return r.URL.Query().Get("watch")
 }
 
-const event = `{"rev":1,"notices":[{"rev":1,"pool":{"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1",` +
+const drainingAnswer = `{"rev":1,"notices":[{"rev":1,"pool":{"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:1",` +
 	`"locality":"z","flavor":"k","phase":"DRAINING"}]}}]}`
 
-func whole(body string) string {
+func httpAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func (w *watch) send(text string) {
+func (w *boardConn) send(text string) {
 	w.t.Helper()
 	if _, err := io.WriteString(w.c, text); err != nil {
 		w.t.Fatal(err)
@@ -120,18 +120,18 @@
 	}
 	cut := accept(t, ln)
 	cut.poll()
-	cut.send(whole(event)[:120])
+	cut.send(httpAnswer(drainingAnswer)[:120])
 	w := accept(t, ln)
 	if n := w.poll(); n != "0" {
 		t.Errorf("after half an event it asks after %s", n)
 	}
-	w.send(whole(event))
+	w.send(httpAnswer(drainingAnswer))
 	select {
 	case m := <-sink.members:
 		if m.Name != "s-1" {
 			t.Errorf("told of %+v", m)
 		}
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		t.Fatal("not told")
 	}
 	if n := w.poll(); n != "1" {
@@ -153,9 +153,9 @@
 	_, sink, on := follow(t, ln.Addr().String())
 	w := accept(t, ln)
 	w.poll()
-	text := whole(strings.Replace(event, `"notices"`, strings.Repeat(" ", 400)+`"notices"`, 1))
+	text := httpAnswer(strings.Replace(drainingAnswer, `"notices"`, strings.Repeat(" ", 400)+`"notices"`, 1))
 	var silent time.Duration
-	on(func() { silent = time.Duration(TimeoutsFor(500_000).silent) * time.Microsecond })
+	on(func() { silent = time.Duration(TimeoutsFor(500_000).silence) * time.Microsecond })
 	for began := time.Now(); time.Since(began) < 2*silent; time.Sleep(20 * time.Millisecond) {
 		w.send(text[:1])
 		text = text[1:]
@@ -163,7 +163,7 @@
 	w.send(text)
 	select {
 	case <-sink.members:
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		t.Fatal("not told")
 	}
 	if n := w.poll(); n != "1" { // still the same connection
@@ -185,27 +185,27 @@
 	if err := syscall.Listen(fd, 0); err != nil { // one connection fills it, and connects hang from then on
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	listenAddr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	clog, err := net.Dial("tcp", address)
+	address := fmt.Sprintf("127.0.0.1:%d", listenAddr.(*syscall.SockaddrInet4).Port)
+	filler, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = clog.Close() }()
+	defer func() { _ = filler.Close() }()
 	b, _, on := follow(t, address)
-	most := 0
-	for end := time.Now().Add(patience); most < 3; time.Sleep(time.Millisecond) {
-		on(func() { most = max(most, b.search.dials) })
+	maxDials := 0
+	for end := time.Now().Add(maxWait); maxDials < 3; time.Sleep(time.Millisecond) {
+		on(func() { maxDials = max(maxDials, b.search.dials) })
 		if time.Now().After(end) {
-			t.Fatalf("%d connects at a time", most)
+			t.Fatalf("%d connects at a time", maxDials)
 		}
 	}
-	for end := time.Now().Add(connectTime * 2 * time.Microsecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if on(func() { most = max(most, b.search.dials) }); most > 6 {
-			t.Fatalf("%d connects at a time", most)
+	for end := time.Now().Add(connectTimeout * 2 * time.Microsecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if on(func() { maxDials = max(maxDials, b.search.dials) }); maxDials > 6 {
+			t.Fatalf("%d connects at a time", maxDials)
 		}
 	}
 	// It is back: whichever comes up first is asked, and those that come up behind it are closed.
@@ -231,7 +231,7 @@
 	for range 3 { // silent ones are left, and others come up, beside connects that still hang
 		select {
 		case <-asked:
-		case <-time.After(patience):
+		case <-time.After(maxWait):
 			t.Fatal("the board is not asked")
 		}
 	}
@@ -241,15 +241,15 @@
 // Whatever grace the settings give: a watch that falls silent right after its poll is
 // noticed, and another connect that hangs at first is begun again, with time left to be told and
 // to act; polls are not so short that they make up most of the work.
-func TestTimesFitTheGrace(t *testing.T) {
+func TestTimeoutsFitTheGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		grace := rapid.Int64Range(graceLeast, 10_000_000).Draw(t, "grace")
-		x := TimeoutsFor(grace)
-		if x.silent+x.linger/3 > grace || x.redial+x.pause > grace*3/4 || x.silent <= x.linger {
-			t.Fatalf("%+v", x)
+		grace := rapid.Int64Range(minGrace, 10_000_000).Draw(t, "grace")
+		timeouts := TimeoutsFor(grace)
+		if timeouts.silence+timeouts.linger/3 > grace || timeouts.redialAfter+timeouts.maxRetryPause > grace*3/4 || timeouts.silence <= timeouts.linger {
+			t.Fatalf("%+v", timeouts)
 		}
-		if x.linger < graceLeast/2 || x.linger > lingerMost {
-			t.Fatalf("%+v", x)
+		if timeouts.linger < minGrace/2 || timeouts.linger > maxLinger {
+			t.Fatalf("%+v", timeouts)
 		}
 	})
 	for _, grace := range []gateway.Micros{-5, 0} {
@@ -268,8 +268,8 @@
 	}
 	defer func() { _ = ln.Close() }()
 	b, sink, on := follow(t, ln.Addr().String())
-	on(func() { b.seek(); b.dial(b.search); b.dial(b.search) })
-	ended, asked := make(chan bool, 100), make(chan *watch, 100)
+	on(func() { b.startSearch(); b.dial(b.search); b.dial(b.search) })
+	ended, asked := make(chan bool, 100), make(chan *boardConn, 100)
 	for range 4 { // with the first search's
 		w := accept(t, ln)
 		go func() {
@@ -283,16 +283,16 @@
 	for range 3 {
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(maxWait):
 			t.Fatal("a connection that is not used stays open")
 		}
 	}
 	w := <-asked
 	w.poll()
-	w.send(whole(event))
+	w.send(httpAnswer(drainingAnswer))
 	select {
 	case <-sink.members:
-	case <-time.After(patience):
+	case <-time.After(maxWait):
 		t.Fatal("not told")
 	}
 }
--- a/internal/discovery/news.go
+++ b/internal/discovery/update.go
@@ -30,7 +30,7 @@
 	Members []gateway.Member
 }
 
-type wireNews struct {
+type wireUpdate struct {
 	Rev     *int64       `json:"rev"`
 	Notices []wireNotice `json:"notices"`
 }
@@ -84,31 +84,31 @@
 
 // ParseNews reads {"rev":LAST,"notices":[...]}.
 func ParseUpdate(data []byte) (*Update, error) {
-	var w wireNews
-	if err := json.Unmarshal(data, &w); err != nil {
+	var wire wireUpdate
+	if err := json.Unmarshal(data, &wire); err != nil {
 		return nil, fmt.Errorf("board: %w", err)
 	}
-	if w.Rev == nil {
+	if wire.Rev == nil {
 		return nil, fmt.Errorf("board: rev: missing")
 	}
-	n := &Update{Last: *w.Rev}
-	for _, x := range w.Notices {
-		e := Event{Number: x.Rev}
-		if x.Pool != nil {
-			e.List = &List{Full: x.Pool.Complete}
-			for _, w := range x.Pool.Members {
-				m, err := w.member()
+	update := &Update{Last: *wire.Rev}
+	for _, notice := range wire.Notices {
+		event := Event{Number: notice.Rev}
+		if notice.Pool != nil {
+			event.List = &List{Full: notice.Pool.Complete}
+			for _, wire := range notice.Pool.Members {
+				m, err := wire.member()
 				if err != nil {
-					return nil, fmt.Errorf("board: notice %d: %w", x.Rev, err)
+					return nil, fmt.Errorf("board: notice %d: %w", notice.Rev, err)
 				}
-				e.List.Members = append(e.List.Members, m)
+				event.List.Members = append(event.List.Members, m)
 			}
 		}
-		if x.Flush != nil {
-			e.Purge = &gateway.Purge{Object: x.Flush.Asset, Group: x.Flush.Collection,
-				At: x.Flush.MS * 1000}
+		if notice.Flush != nil {
+			event.Purge = &gateway.Purge{Object: notice.Flush.Asset, Group: notice.Flush.Collection,
+				At: notice.Flush.MS * 1000}
 		}
-		n.Events = append(n.Events, e)
+		update.Events = append(update.Events, event)
 	}
-	return n, nil
+	return update, nil
 }
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/update_test.go
@@ -8,13 +8,13 @@
 	"cherryramp/rules"
 )
 
-const news = `{"rev":43,"notices":[{"rev":41,"pool":{"revision":7,"complete":false,"members":[
+const updateText = `{"rev":43,"notices":[{"rev":41,"pool":{"revision":7,"complete":false,"members":[
 	{"id":"s-1","host_port":"127.0.0.9:8080","locality":"east","flavor":"std","cell":2,"phase":"DRAINING",
 	"size":4,"up_since_ms":5}]}},
 	{"rev":42,"flush":{"asset":"7f3a","ms":1764576000123}},{"rev":43,"flush":{"collection":17,"ms":9}}]}`
 
-func TestParseNews(t *testing.T) {
-	n, err := ParseUpdate([]byte(news))
+func TestParseUpdate(t *testing.T) {
+	n, err := ParseUpdate([]byte(updateText))
 	if err != nil || n.Last != 43 || len(n.Events) != 3 {
 		t.Fatalf("got %+v, %v", n, err)
 	}
@@ -37,13 +37,13 @@
 }
 
 // Guards against news that is cut off or altered making the follower panic.
-func TestGarbage(t *testing.T) {
+func TestParseUpdateOfGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := []byte(news)[:rapid.IntRange(0, len(news)-1).Draw(t, "cut")]
+		b := []byte(updateText)[:rapid.IntRange(0, len(updateText)-1).Draw(t, "cut")]
 		if _, err := ParseUpdate(b); err == nil {
 			t.Fatalf("cut news was taken: %s", b)
 		}
-		b = []byte(news)
+		b = []byte(updateText)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "place")] = rapid.Byte().Draw(t, "byte")
 		_, _ = ParseUpdate(b) // an error or not, but no panic
 	})
--- a/internal/ephemeral/changes.go
+++ b/internal/ephemeral/changes.go
@@ -13,12 +13,12 @@
 	root string        // path whose children are the nodes
 	wake chan struct{} // holds one: there is something to take
 
-	mu    sync.Mutex
-	found marks
+	mu      sync.Mutex
+	pending changeSet
 }
 
 // marks say what has changed.
-type marks struct {
+type changeSet struct {
 	all   bool // the list and every node
 	list  bool // which nodes there are
 	nodes map[string]struct{}
@@ -29,8 +29,8 @@
 }
 
 // everything marks all as changed: no watch of an earlier connection counts any more.
-func (c *changes) everything() {
-	c.mark(func(m *marks) { m.all = true })
+func (c *changes) markAll() {
+	c.mark(func(m *changeSet) { m.all = true })
 }
 
 // add marks what the event of a watch is about.
@@ -38,9 +38,9 @@
 	child, isNode := strings.CutPrefix(e.Path, c.root+"/")
 	switch {
 	case e.Path == c.root:
-		c.mark(func(m *marks) { m.list = true })
+		c.mark(func(m *changeSet) { m.list = true })
 	case isNode:
-		c.mark(func(m *marks) {
+		c.mark(func(m *changeSet) {
 			if m.nodes == nil {
 				m.nodes = map[string]struct{}{}
 			}
@@ -49,9 +49,9 @@
 	}
 }
 
-func (c *changes) mark(set func(m *marks)) {
+func (c *changes) mark(set func(m *changeSet)) {
 	c.mu.Lock()
-	set(&c.found)
+	set(&c.pending)
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -60,10 +60,10 @@
 }
 
 // take gives what was marked since the last time.
-func (c *changes) take() marks {
+func (c *changes) take() changeSet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.found
-	c.found = marks{}
-	return found
+	taken := c.pending
+	c.pending = changeSet{}
+	return taken
 }
--- a/internal/ephemeral/ephemeral.go
+++ b/internal/ephemeral/ephemeral.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	retryEvery = time.Second // between reads while something is wrong
-	maxPacket  = 1 << 20
-	readers    = 16 // nodes that are read at once
+	retryInterval = time.Second // between reads while something is wrong
+	maxPacket     = 1 << 20
+	maxReaders    = 16 // nodes that are read at once
 )
 
 // Config says where the nodes are.
@@ -45,15 +45,15 @@
 // Follower keeps a list up to date. It has one goroutine, since the client
 // library's calls block, and a few more while nodes are read.
 type Follower struct {
-	cfg     Config
-	loop    *loop.Loop
-	sink    Sink
-	log     *slog.Logger
-	conn    *zk.Conn
-	changes *changes
-	stale   bool             // which nodes there are is to be read again
-	nodes   map[string]*node // by child
-	told    []gateway.Member
+	cfg       Config
+	loop      *loop.Loop
+	sink      Sink
+	log       *slog.Logger
+	conn      *zk.Conn
+	changes   *changes
+	staleList bool             // which nodes there are is to be read again
+	nodes     map[string]*node // by child
+	lastList  []gateway.Member
 }
 
 // node is a child and what was last read of it.
@@ -67,8 +67,8 @@
 // tried again; only a configuration that can't work is returned.
 func Start(cfg Config, l *loop.Loop, sink Sink, log *slog.Logger) error {
 	f := &Follower{cfg: cfg, loop: l, sink: sink, log: log.With("path", cfg.Path),
-		changes: newChanges(cfg.Path), stale: true, nodes: map[string]*node{}}
-	conn, _, err := zk.Connect(cfg.Servers, cfg.Session, zk.WithLogger(printer{f.log}), zk.WithLogInfo(false),
+		changes: newChanges(cfg.Path), staleList: true, nodes: map[string]*node{}}
+	conn, _, err := zk.Connect(cfg.Servers, cfg.Session, zk.WithLogger(zkLogger{f.log}), zk.WithLogInfo(false),
 		zk.WithMaxBufferSize(maxPacket), zk.WithEventCallback(f.event), zk.WithDialer(dialWatched))
 	if err != nil {
 		return fmt.Errorf("ephemeral: %w", err)
@@ -79,9 +79,9 @@
 }
 
 // printer passes the library's lines to the log.
-type printer struct{ log *slog.Logger }
+type zkLogger struct{ log *slog.Logger }
 
-func (p printer) Printf(format string, args ...any) {
+func (p zkLogger) Printf(format string, args ...any) {
 	p.log.Info("zookeeper client", "text", fmt.Sprintf(format, args...))
 }
 
@@ -94,7 +94,7 @@
 	switch e.State {
 	case zk.StateHasSession:
 		f.log.Info("member nodes: session", "server", e.Server)
-		f.changes.everything()
+		f.changes.markAll()
 	case zk.StateDisconnected:
 		f.log.Warn("member nodes: connection lost, the last list stays", "server", e.Server)
 	case zk.StateExpired:
@@ -107,10 +107,10 @@
 func (f *Follower) run() {
 	f.wait(true)
 	for {
-		f.expire(f.changes.take())
+		f.markStale(f.changes.take())
 		err := f.read()
 		if err == nil {
-			f.tell()
+			f.publish()
 		} else {
 			f.log.Warn("member nodes can't be read, the last list stays", "error", err)
 		}
@@ -119,10 +119,10 @@
 }
 
 // expire notes what has to be read again.
-func (f *Follower) expire(m marks) {
-	f.stale = f.stale || m.all || m.list
+func (f *Follower) markStale(changed changeSet) {
+	f.staleList = f.staleList || changed.all || changed.list
 	for child, n := range f.nodes {
-		if _, changed := m.nodes[child]; changed || m.all {
+		if _, nodeChanged := changed.nodes[child]; nodeChanged || changed.all {
 			n.stale = true
 		}
 	}
@@ -130,19 +130,19 @@
 
 // read brings in what has changed: which nodes there are, and the data of each that is stale.
 func (f *Follower) read() error {
-	if f.stale {
+	if f.staleList {
 		children, _, err := f.conn.Children(f.cfg.Path)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.cfg.Path, err)
 		}
-		f.stale = false
-		f.keep(children)
+		f.staleList = false
+		f.setChildren(children)
 	}
 	return f.readNodes()
 }
 
 // keep has just these nodes.
-func (f *Follower) keep(children []string) {
+func (f *Follower) setChildren(children []string) {
 	nodes := make(map[string]*node, len(children))
 	for _, child := range children {
 		if nodes[child] = f.nodes[child]; nodes[child] == nil {
@@ -165,11 +165,11 @@
 			stale = append(stale, child)
 		}
 	}
-	asked, results := make(chan string), make(chan result)
-	var all sync.WaitGroup
-	for range min(readers, len(stale)) {
-		all.Go(func() {
-			for child := range asked {
+	children, results := make(chan string), make(chan result)
+	var workers sync.WaitGroup
+	for range min(maxReaders, len(stale)) {
+		workers.Go(func() {
+			for child := range children {
 				data, _, err := f.conn.Get(f.cfg.Path + "/" + child)
 				results <- result{child, data, err}
 			}
@@ -177,23 +177,23 @@
 	}
 	go func() {
 		for _, child := range stale {
-			asked <- child
+			children <- child
 		}
-		close(asked)
-		all.Wait()
+		close(children)
+		workers.Wait()
 		close(results)
 	}()
-	var failed error
+	var firstErr error
 	for r := range results {
-		if err := f.take(r.child, r.data, r.err); err != nil && failed == nil {
-			failed = err
+		if err := f.update(r.child, r.data, r.err); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return failed
+	return firstErr
 }
 
 // take notes what was read of a node.
-func (f *Follower) take(child string, data []byte, err error) error {
+func (f *Follower) update(child string, data []byte, err error) error {
 	if errors.Is(err, zk.ErrNoNode) {
 		delete(f.nodes, child)
 		return nil
@@ -213,7 +213,7 @@
 }
 
 // tell passes on the list, if it is not the one told last.
-func (f *Follower) tell() {
+func (f *Follower) publish() {
 	var list []gateway.Member
 	for _, n := range f.nodes {
 		if n.usable {
@@ -221,10 +221,10 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b gateway.Member) int { return strings.Compare(a.Name, b.Name) })
-	if slices.Equal(list, f.told) {
+	if slices.Equal(list, f.lastList) {
 		return
 	}
-	f.told = list
+	f.lastList = list
 	f.loop.Post(func() {
 		f.sink.Members(true, list)
 		f.log.Info("member nodes read", "members", len(list)) // whoever reads it finds them in use
@@ -233,14 +233,14 @@
 
 // wait returns when something has changed, and with retry after a while.
 func (f *Follower) wait(retry bool) {
-	var again <-chan time.Time
+	var retryAfter <-chan time.Time
 	if retry {
-		timer := time.NewTimer(retryEvery)
+		timer := time.NewTimer(retryInterval)
 		defer timer.Stop()
-		again = timer.C
+		retryAfter = timer.C
 	}
 	select {
 	case <-f.changes.wake:
-	case <-again:
+	case <-retryAfter:
 	}
 }
--- a/internal/ephemeral/ephemeral_test.go
+++ b/internal/ephemeral/ephemeral_test.go
@@ -15,7 +15,7 @@
 	"cherryramp/rules"
 )
 
-const patience = 10 * time.Second
+const maxWait = 10 * time.Second
 
 func box(phase string) string {
 	return fmt.Sprintf(`{"host_port":"127.0.0.1:9","locality":"edge-1","flavor":"box","phase":"%s","size":4}`, phase)
@@ -25,17 +25,17 @@
 type sink struct{ lists chan string }
 
 func (s *sink) Members(full bool, list []gateway.Member) {
-	words := []string{fmt.Sprint(full)}
+	parts := []string{fmt.Sprint(full)}
 	for _, m := range list {
-		words = append(words, m.Name+map[rules.MemberState]string{rules.Ready: "+", rules.Draining: "-"}[m.State])
+		parts = append(parts, m.Name+map[rules.MemberState]string{rules.Ready: "+", rules.Draining: "-"}[m.State])
 	}
-	s.lists <- strings.Join(words, " ")
+	s.lists <- strings.Join(parts, " ")
 }
 
 func (s *sink) await(t *testing.T, want string) {
 	t.Helper()
 	var seen []string
-	end := time.After(patience)
+	end := time.After(maxWait)
 	for !slices.Contains(seen, want) {
 		select {
 		case got := <-s.lists:
@@ -47,9 +47,9 @@
 }
 
 // awaitLast waits for a list that ends so.
-func (s *sink) awaitLast(t *testing.T, want string) {
+func (s *sink) awaitSuffix(t *testing.T, want string) {
 	t.Helper()
-	end := time.After(patience)
+	end := time.After(maxWait)
 	for {
 		select {
 		case got := <-s.lists:
@@ -63,29 +63,29 @@
 }
 
 // said hands over the log's word of a list in line with the lists.
-type said struct{ *sink }
+type logSink struct{ *sink }
 
-func (s said) Write(line []byte) (int, error) {
+func (s logSink) Write(line []byte) (int, error) {
 	if strings.Contains(string(line), "member nodes read") {
 		s.lists <- "said"
 	}
 	return len(line), nil
 }
 
-func start(t *testing.T, k *zookeepertest.Server) *sink {
+func start(t *testing.T, server *zookeepertest.Server) *sink {
 	t.Helper()
 	s := &sink{lists: make(chan string, 100)}
-	startWith(t, k, s, io.Discard)
+	startWith(t, server, s, io.Discard)
 	return s
 }
 
-func startWith(t *testing.T, k *zookeepertest.Server, s *sink, log io.Writer) {
+func startWith(t *testing.T, server *zookeepertest.Server, s *sink, log io.Writer) {
 	t.Helper()
 	l := loop.New(func() {})
 	done := make(chan struct{})
 	go func() { l.Run(); close(done) }()
 	t.Cleanup(func() { l.Post(l.Quit); <-done })
-	err := Start(Config{Servers: []string{k.Addr()}, Path: zookeepertest.Root, Session: 2 * time.Second}, l, s,
+	err := Start(Config{Servers: []string{server.Addr()}, Path: zookeepertest.Root, Session: 2 * time.Second}, l, s,
 		slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -93,49 +93,49 @@
 }
 
 // Guards against a list that is logged as read while requests still meet the one before.
-func TestLogsAListInUse(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
+func TestLogsListOnceInUse(t *testing.T) {
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
 	s := &sink{lists: make(chan string, 100)}
-	startWith(t, k, s, said{s})
+	startWith(t, server, s, logSink{s})
 	for _, want := range []string{"true s-1+", "said"} {
 		select {
 		case got := <-s.lists:
 			if got != want {
 				t.Fatalf("got %q, want %q", got, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(maxWait):
 			t.Fatalf("%q did not come", want)
 		}
 	}
 }
 
 func TestFollowsNodes(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
-	s := start(t, k)
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
+	s := start(t, server)
 	s.await(t, "true s-1+")
-	k.Set("s-2", box("SERVING"))
+	server.Set("s-2", box("SERVING"))
 	s.await(t, "true s-1+ s-2+")
-	k.Set("s-1", box("DRAINING"))
+	server.Set("s-1", box("DRAINING"))
 	s.await(t, "true s-1- s-2+")
-	k.Set("s-1", "")
+	server.Set("s-1", "")
 	s.await(t, "true s-2+")
 	// Data that can't be used keeps what was known of the node.
-	k.Set("s-2", "garbage")
-	k.Set("s-3", box("SERVING"))
+	server.Set("s-2", "garbage")
+	server.Set("s-3", box("SERVING"))
 	s.await(t, "true s-2+ s-3+")
 }
 
 // Guards against a lost connection emptying the list, and against changes made
 // meanwhile that are never heard of.
 func TestLostConnectionKeepsTheList(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
-	s := start(t, k)
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
+	s := start(t, server)
 	s.await(t, "true s-1+")
-	k.Disconnect(false)
-	k.Set("s-2", box("SERVING"))
+	server.Disconnect(false)
+	server.Set("s-2", box("SERVING"))
 	s.await(t, "true s-1+ s-2+")
 	select {
 	case got := <-s.lists:
@@ -153,16 +153,16 @@
 // watch, nothing is ever read again.
 //
 // What showed it: "member nodes: session" stands in the log after the cut, and no "member nodes read" behind it.
-func TestDrainToldDuringALostConnectionIsHeard(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
-	k.Set("s-2", box("SERVING"))
-	s := start(t, k)
+func TestDrainDuringALostConnectionIsRead(t *testing.T) {
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
+	server.Set("s-2", box("SERVING"))
+	s := start(t, server)
 	s.await(t, "true s-1+ s-2+")
-	k.Disconnect(false)
-	k.Set("s-1", box("DRAINING"))
+	server.Disconnect(false)
+	server.Set("s-1", box("DRAINING"))
 	s.await(t, "true s-1- s-2+")
-	k.Set("s-1", box("SERVING"))
+	server.Set("s-1", box("SERVING"))
 	s.await(t, "true s-1+ s-2+")
 }
 
@@ -176,17 +176,17 @@
 // the race detector: reported in 6 of 6 plays; with four reads without watches in none of 6. So
 // the library must be left without watches, and then asks for none to be set again.
 func TestLibraryHasNoWatchesToSetAgain(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
-	s := start(t, k)
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
+	s := start(t, server)
 	s.await(t, "true s-1+")
 	for i := range 3 {
-		k.Disconnect(false)
+		server.Disconnect(false)
 		name := fmt.Sprintf("s-%d", i+2)
-		k.Set(name, box("SERVING"))
-		s.awaitLast(t, name+"+")
+		server.Set(name, box("SERVING"))
+		s.awaitSuffix(t, name+"+")
 	}
-	if n := k.SetWatchesCalls(); n > 0 {
+	if n := server.SetWatchesCalls(); n > 0 {
 		t.Errorf("old watches were set again %d times", n)
 	}
 }
@@ -194,17 +194,17 @@
 // Guards against watches that die with their session: the new one must read
 // all again and hear of what comes later.
 func TestNewSessionReadsAllAgain(t *testing.T) {
-	k := zookeepertest.New(t)
-	k.Set("s-1", box("SERVING"))
-	k.Set("s-2", box("SERVING"))
-	s := start(t, k)
+	server := zookeepertest.New(t)
+	server.Set("s-1", box("SERVING"))
+	server.Set("s-2", box("SERVING"))
+	s := start(t, server)
 	s.await(t, "true s-1+ s-2+")
-	k.Disconnect(true)
-	k.Set("s-1", "")
-	k.Set("s-2", box("DRAINING"))
+	server.Disconnect(true)
+	server.Set("s-1", "")
+	server.Set("s-2", box("DRAINING"))
 	s.await(t, "true s-2-")
-	k.Set("s-2", box("SERVING"))
+	server.Set("s-2", box("SERVING"))
 	s.await(t, "true s-2+")
-	k.Set("s-3", box("SERVING"))
+	server.Set("s-3", box("SERVING"))
 	s.await(t, "true s-2+ s-3+")
 }
--- a/internal/ephemeral/watched.go
+++ b/internal/ephemeral/watched.go
@@ -10,10 +10,10 @@
 // Requests of ZooKeeper's published protocol, as a packet has them: its length and the request's
 // number (4 bytes each), the operation (4 bytes), and its fields.
 const (
-	operationAt   = 8
-	fieldsAt      = 12
-	opGetData     = 4  // a path, and whether to set a watch
-	opGetChildren = 12 // the same
+	operationOffset = 8
+	fieldsOffset    = 12
+	opGetData       = 4  // a path, and whether to set a watch
+	opGetChildren   = 12 // the same
 )
 
 // watchedConn is a connection on which every read of a node's data or children sets a watch at the
@@ -22,7 +22,7 @@
 // watches that it does not know it hands to its event callback, which is all that is needed.
 type watchedConn struct {
 	net.Conn
-	begun bool // the packet that begins the session, which holds no operation, was written
+	started bool // the packet that begins the session, which holds no operation, was written
 }
 
 // dialWatched is the library's dialer.
@@ -36,8 +36,8 @@
 
 // Write sends a packet; the library writes each whole.
 func (c *watchedConn) Write(packet []byte) (int, error) {
-	if !c.begun {
-		c.begun = true
+	if !c.started {
+		c.started = true
 		return c.Conn.Write(packet)
 	}
 	return c.Conn.Write(withWatch(packet))
@@ -45,10 +45,10 @@
 
 // withWatch sets the watch of a read; other packets are as they were.
 func withWatch(packet []byte) []byte {
-	if len(packet) <= fieldsAt {
+	if len(packet) <= fieldsOffset {
 		return packet
 	}
-	switch binary.BigEndian.Uint32(packet[operationAt:]) {
+	switch binary.BigEndian.Uint32(packet[operationOffset:]) {
 	case opGetData, opGetChildren:
 		packet = slices.Clone(packet) // it is the caller's
 		packet[len(packet)-1] = 1
--- a/internal/ephemeral/watched_test.go
+++ b/internal/ephemeral/watched_test.go
@@ -20,8 +20,8 @@
 
 // Guards against reads without a watch, after which a change is never heard of, and against
 // other packets that are altered: the one that begins a session may hold any number at an operation's place.
-func TestReadsAloneSetWatches(t *testing.T) {
-	begins := packet([]uint32{0, opGetData, 7, 2000}, 0, 0)
+func TestOnlyReadsSetWatches(t *testing.T) {
+	connectPacket := packet([]uint32{0, opGetData, 7, 2000}, 0, 0)
 	for name, c := range map[string]struct{ packet, want []byte }{
 		"get data":        {packet([]uint32{1, opGetData, 2}, '/', 'a', 0), packet([]uint32{1, opGetData, 2}, '/', 'a', 1)},
 		"get children":    {packet([]uint32{1, opGetChildren, 2}, '/', 'a', 0), packet([]uint32{1, opGetChildren, 2}, '/', 'a', 1)},
@@ -33,12 +33,12 @@
 		conn := &watchedConn{Conn: near}
 		before := bytes.Clone(c.packet)
 		go func() {
-			_, _ = conn.Write(begins)
+			_, _ = conn.Write(connectPacket)
 			_, _ = conn.Write(c.packet)
 			_ = conn.Close()
 		}()
 		got, err := io.ReadAll(far)
-		if err != nil || !bytes.Equal(got, append(bytes.Clone(begins), c.want...)) {
+		if err != nil || !bytes.Equal(got, append(bytes.Clone(connectPacket), c.want...)) {
 			t.Errorf("%s: got %v, %v, want %v", name, got, err, c.want)
 		}
 		if !bytes.Equal(c.packet, before) {
--- a/internal/ephemeral/zookeepertest/zookeepertest.go
+++ b/internal/ephemeral/zookeepertest/zookeepertest.go
@@ -18,23 +18,23 @@
 // Keeper is a stand-in that speaks the part of ZooKeeper's published protocol
 // that reading children and data with watches takes.
 type Server struct {
-	ln      net.Listener
-	mu      sync.Mutex
-	nodes   map[string]node // by child
-	zxid    int64
-	session int64
-	conns   map[net.Conn]bool
-	watches map[net.Conn]map[string]bool // "list" or a child
-	frozen  bool
-	thawed  sync.Cond
+	ln       net.Listener
+	mu       sync.Mutex
+	nodes    map[string]node // by child
+	zxid     int64
+	session  int64
+	conns    map[net.Conn]bool
+	watches  map[net.Conn]map[string]bool // "list" or a child
+	frozen   bool
+	unfrozen sync.Cond
 
-	setAgain int // calls that set watches of an older connection again
+	setWatches int // calls that set watches of an older connection again
 }
 
 // node is what the keeper holds under a name.
 type node struct {
-	data    string
-	changed int64 // number of the change that made it so
+	data      string
+	changedAt int64 // number of the change that made it so
 }
 
 // Root is the path whose children are the nodes.
@@ -43,12 +43,12 @@
 // New starts a keeper without nodes, which ends with the test.
 func New(t testing.TB) *Server {
 	t.Helper()
-	k, err := Open("")
+	server, err := Open("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	return k
+	t.Cleanup(server.Close)
+	return server
 }
 
 // Open starts a keeper without nodes at an address, or at one of this process's own if it
@@ -58,44 +58,44 @@
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
-	k := &Server{ln: ln, nodes: map[string]node{}, session: 100, conns: map[net.Conn]bool{},
+	server := &Server{ln: ln, nodes: map[string]node{}, session: 100, conns: map[net.Conn]bool{},
 		watches: map[net.Conn]map[string]bool{}}
-	k.thawed.L = &k.mu
+	server.unfrozen.L = &server.mu
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go k.serve(c)
+			go server.serve(c)
 		}
 	}()
-	return k, nil
+	return server, nil
 }
 
 // Close ends a keeper and its connections.
-func (k *Server) Close() {
-	_ = k.ln.Close()
-	k.Disconnect(false)
-	k.Freeze(false)
+func (s *Server) Close() {
+	_ = s.ln.Close()
+	s.Disconnect(false)
+	s.Freeze(false)
 }
 
 // Freeze has the keeper say nothing until it is thawed: connections come up and
 // stay, and what is asked meanwhile is answered then.
-func (k *Server) Freeze(frozen bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.frozen = frozen
-	k.thawed.Broadcast()
+func (s *Server) Freeze(frozen bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frozen = frozen
+	s.unfrozen.Broadcast()
 }
 
 // packet reads or writes fields in ZooKeeper's encoding.
 type packet struct{ b []byte }
 
-func (p *packet) i32(v int32)   { p.b = binary.BigEndian.AppendUint32(p.b, uint32(v)) }
-func (p *packet) i64(v int64)   { p.b = binary.BigEndian.AppendUint64(p.b, uint64(v)) }
-func (p *packet) text(s string) { p.i32(int32(len(s))); p.b = append(p.b, s...) }
-func (p *packet) stat()         { p.b = append(p.b, make([]byte, 68)...) }
+func (p *packet) putInt32(v int32) { p.b = binary.BigEndian.AppendUint32(p.b, uint32(v)) }
+func (p *packet) putInt64(v int64) { p.b = binary.BigEndian.AppendUint64(p.b, uint64(v)) }
+func (p *packet) putText(s string) { p.putInt32(int32(len(s))); p.b = append(p.b, s...) }
+func (p *packet) putStat()         { p.b = append(p.b, make([]byte, 68)...) }
 
 func (p *packet) take32() int32 {
 	v := int32(binary.BigEndian.Uint32(p.b))
@@ -130,135 +130,135 @@
 	_, _ = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(p.b))), p.b...))
 }
 
-func (k *Server) serve(c net.Conn) {
-	p, err := receive(c)
+func (s *Server) serve(c net.Conn) {
+	request, err := receive(c)
 	if err != nil {
 		return
 	}
-	p.take32() // protocol version
-	p.take64() // last zxid
-	timeout, session := p.take32(), p.take64()
-	k.mu.Lock()
-	for k.frozen {
-		k.thawed.Wait()
+	request.take32() // protocol version
+	request.take64() // last zxid
+	timeout, session := request.take32(), request.take64()
+	s.mu.Lock()
+	for s.frozen {
+		s.unfrozen.Wait()
 	}
-	if session != 0 && session != k.session {
+	if session != 0 && session != s.session {
 		session = 0 // expired
 	} else {
-		session = k.session
+		session = s.session
 	}
-	k.conns[c], k.watches[c] = true, map[string]bool{}
-	k.mu.Unlock()
-	var r packet
-	r.i32(0)
-	r.i32(timeout)
-	r.i64(session)
-	r.text(strings.Repeat("p", 16))
-	send(c, &r)
+	s.conns[c], s.watches[c] = true, map[string]bool{}
+	s.mu.Unlock()
+	var reply packet
+	reply.putInt32(0)
+	reply.putInt32(timeout)
+	reply.putInt64(session)
+	reply.putText(strings.Repeat("p", 16))
+	send(c, &reply)
 	if session == 0 {
 		_ = c.Close()
 		return
 	}
 	for {
-		if p, err = receive(c); err != nil {
+		if request, err = receive(c); err != nil {
 			return
 		}
-		k.answer(c, p)
+		s.answer(c, request)
 	}
 }
 
-func (k *Server) answer(c net.Conn, p *packet) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for k.frozen {
-		k.thawed.Wait()
+func (s *Server) answer(c net.Conn, request *packet) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for s.frozen {
+		s.unfrozen.Wait()
 	}
-	if k.watches[c] == nil { // it was cut
+	if s.watches[c] == nil { // it was cut
 		return
 	}
-	xid, op := p.take32(), p.take32()
+	xid, op := request.take32(), request.take32()
 	var body packet
 	code := int32(0)
 	switch op {
 	case 12: // the children of a node
-		if p.takeText() != Root {
+		if request.takeText() != Root {
 			code = -101
 			break
 		}
-		k.watches[c]["list"] = p.b[0] == 1
-		body.i32(int32(len(k.nodes)))
-		for child := range k.nodes {
-			body.text(child)
+		s.watches[c]["list"] = request.b[0] == 1
+		body.putInt32(int32(len(s.nodes)))
+		for child := range s.nodes {
+			body.putText(child)
 		}
-		body.stat()
+		body.putStat()
 	case 4: // the data of a node
-		child := strings.TrimPrefix(p.takeText(), Root+"/")
-		n, known := k.nodes[child]
+		child := strings.TrimPrefix(request.takeText(), Root+"/")
+		found, known := s.nodes[child]
 		if !known {
 			code = -101
 			break
 		}
-		k.watches[c][child] = p.b[0] == 1
-		body.text(n.data)
-		body.stat()
+		s.watches[c][child] = request.b[0] == 1
+		body.putText(found.data)
+		body.putStat()
 	case 101: // watches of an older connection, set again; what changed since fires at once
-		k.setAgain++
-		seen := p.take64()
+		s.setWatches++
+		seen := request.take64()
 		for _, list := range []bool{false, false, true} {
-			for range p.take32() {
-				path := p.takeText()
+			for range request.take32() {
+				path := request.takeText()
 				child := strings.TrimPrefix(path, Root+"/")
-				switch n, known := k.nodes[child]; {
-				case list && k.zxid > seen:
+				switch found, known := s.nodes[child]; {
+				case list && s.zxid > seen:
 					notify(c, 4, Root)
 				case list:
-					k.watches[c]["list"] = true
+					s.watches[c]["list"] = true
 				case !known:
 					notify(c, 2, path)
-				case n.changed > seen:
+				case found.changedAt > seen:
 					notify(c, 3, path)
 				default:
-					k.watches[c][child] = true
+					s.watches[c][child] = true
 				}
 			}
 		}
 	}
-	var r packet
-	r.i32(xid)
-	r.i64(k.zxid)
-	r.i32(code)
+	var reply packet
+	reply.putInt32(xid)
+	reply.putInt64(s.zxid)
+	reply.putInt32(code)
 	if code == 0 {
-		r.b = append(r.b, body.b...)
+		reply.b = append(reply.b, body.b...)
 	}
-	send(c, &r)
+	send(c, &reply)
 }
 
 // notify sends a watch's event: 2 deleted, 3 data changed, 4 children changed.
 func notify(c net.Conn, kind int32, path string) {
-	var r packet
-	r.i32(-1)
-	r.i64(-1)
-	r.i32(0)
-	r.i32(kind)
-	r.i32(3)
-	r.text(path)
-	send(c, &r)
+	var event packet
+	event.putInt32(-1)
+	event.putInt64(-1)
+	event.putInt32(0)
+	event.putInt32(kind)
+	event.putInt32(3)
+	event.putText(path)
+	send(c, &event)
 }
 
 // Set makes, changes or, with empty data, removes a node.
-func (k *Server) Set(child, data string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, known := k.nodes[child]
-	k.zxid++
+func (s *Server) Set(child, data string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, known := s.nodes[child]
+	s.zxid++
 	kind := int32(3)
 	if data == "" {
-		delete(k.nodes, child)
+		delete(s.nodes, child)
 		kind = 2
 	} else {
-		k.nodes[child] = node{data: data, changed: k.zxid}
+		s.nodes[child] = node{data: data, changedAt: s.zxid}
 	}
-	for c, w := range k.watches {
+	for c, w := range s.watches {
 		if w[child] {
 			w[child] = false
 			notify(c, kind, Root+"/"+child)
@@ -271,24 +271,24 @@
 }
 
 // Cut ends all connections, and the session too where it is to expire.
-func (k *Server) Disconnect(expire bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Server) Disconnect(expire bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if expire {
-		k.session++
+		s.session++
 	}
-	for c := range k.conns {
+	for c := range s.conns {
 		_ = c.Close()
 	}
-	k.conns, k.watches = map[net.Conn]bool{}, map[net.Conn]map[string]bool{}
+	s.conns, s.watches = map[net.Conn]bool{}, map[net.Conn]map[string]bool{}
 }
 
 // WatchesSetAgain counts the calls in which clients set watches of an older connection again.
-func (k *Server) SetWatchesCalls() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.setAgain
+func (s *Server) SetWatchesCalls() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.setWatches
 }
 
 // Addr is where the keeper listens.
-func (k *Server) Addr() string { return k.ln.Addr().String() }
+func (s *Server) Addr() string { return s.ln.Addr().String() }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -64,7 +64,7 @@
 	Observer      Observer
 	LatencySource LatencySource
 
-	fault func(task string, message any) // for tests: panics or stalls
+	injectFault func(task string, message any) // for tests: panics or stalls
 }
 
 // Counts are what has gone over the connections, and what was dropped at bounds.
@@ -80,41 +80,41 @@
 
 // Exchange is one front's part.
 type Exchange struct {
-	cfg    Config
-	log    *slog.Logger
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   <-chan error
-	sup    *suture.Supervisor
-	counts Counts
+	cfg        Config
+	log        *slog.Logger
+	ctx        context.Context
+	cancel     context.CancelFunc
+	serveDone  <-chan error
+	supervisor *suture.Supervisor
+	counts     Counts
 	// sequence numbers the messages of this process. It outlives a task that is started anew,
 	// and begins above that of the process before.
-	sequence atomic.Uint64
-	history  *history
-	disk     *disk // nil: no purges
-
-	standing atomic.Pointer[FleetState]
-	links    atomic.Pointer[links] // who attaches where, by the hub
-	open     atomic.Bool           // this front has what it missed, and may serve
-	section  atomic.Pointer[config.Exchange]
-
-	hub      *box[any]
-	limits   *box[any]
-	purges   *box[any]
-	verdicts *box[any]
-	paths    *box[any]
+	sequence   atomic.Uint64
+	history    *history
+	purgeStore *purgeStore // nil: no purges
+
+	fleetState atomic.Pointer[FleetState]
+	links      atomic.Pointer[links] // who attaches where, by the hub
+	caughtUp   atomic.Bool           // this front has what it missed, and may serve
+	section    atomic.Pointer[config.Exchange]
+
+	dispatcher *mailbox[any]
+	limits     *mailbox[any]
+	purges     *mailbox[any]
+	verdicts   *mailbox[any]
+	paths      *mailbox[any]
 }
 
 // links is who is attached where now.
 type links struct {
 	up       map[topology.Role]topology.Owner // of each role of this process
-	children map[tie]Micros                   // roles attached to keepers that this process is, and when they were heard
+	children map[attachment]Micros            // roles attached to keepers that this process is, and when they were heard
 }
 
 // tie is a role that is attached to a keeper, by its number.
-type tie struct {
-	role   topology.Role
-	keeper uint64
+type attachment struct {
+	role  topology.Role
+	owner uint64
 }
 
 // without is a rule that this build leaves out, for the checkers' own test; it is set by
@@ -122,146 +122,146 @@
 var without string
 
 // mailbox is what a subject's task may have waiting.
-const mailbox = 4096
+const mailboxSize = 4096
 
 // Start starts a front's part. It must be closed.
 func Start(cfg Config, log *slog.Logger) (*Exchange, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &Exchange{cfg: cfg, log: log, ctx: ctx, cancel: cancel}
-	x.section.Store(cfg.Section)
-	x.sequence.Store(uint64(time.Now().UnixMicro()))
-	x.links.Store(&links{})
-	x.open.Store(cfg.Section.Purges == nil)
+	ex := &Exchange{cfg: cfg, log: log, ctx: ctx, cancel: cancel}
+	ex.section.Store(cfg.Section)
+	ex.sequence.Store(uint64(time.Now().UnixMicro()))
+	ex.links.Store(&links{})
+	ex.caughtUp.Store(cfg.Section.Purges == nil)
 	var err error
-	if x.history, err = openHistory(ctx, cfg.Section.History, cfg.Name); err != nil {
+	if ex.history, err = openHistory(ctx, cfg.Section.History, cfg.Name); err != nil {
 		cancel()
 		return nil, fmt.Errorf("exchange: history: %w", err)
 	}
-	plain := func() *box[any] {
-		return newBox(ctx, mailbox, &x.counts.Dropped, func(m any) string {
+	newTaskMailbox := func() *mailbox[any] {
+		return newMailbox(ctx, mailboxSize, &ex.counts.Dropped, func(m any) string {
 			if k, ok := m.(interface{ replaces() string }); ok {
 				return k.replaces()
 			}
 			return ""
 		})
 	}
-	x.hub, x.limits, x.purges, x.verdicts, x.paths = plain(), plain(), plain(), plain(), plain()
-	x.sup = suture.New("exchange", suture.Spec{EventHook: func(e suture.Event) {
+	ex.dispatcher, ex.limits, ex.purges, ex.verdicts, ex.paths = newTaskMailbox(), newTaskMailbox(), newTaskMailbox(), newTaskMailbox(), newTaskMailbox()
+	ex.supervisor = suture.New("exchange", suture.Spec{EventHook: func(e suture.Event) {
 		if e.Type() == suture.EventTypeServicePanic || e.Type() == suture.EventTypeServiceTerminate {
-			x.log.Error("exchange: a task is started anew", "event", e.String())
+			ex.log.Error("exchange: a task is started anew", "event", e.String())
 		}
 	}, FailureThreshold: 50, FailureBackoff: time.Second, Timeout: 2 * time.Second})
-	x.disk, err = openDisk(x, filepath.Join(cfg.Folder, "purges"))
+	ex.purgeStore, err = openPurgeStore(ex, filepath.Join(cfg.Folder, "purges"))
 	if err != nil {
 		cancel()
 		return nil, fmt.Errorf("exchange: purges: %w", err)
 	}
-	x.sup.Add(&task{x: x, name: "tree", make: func(context.Context) body { return newHub(x) }})
-	x.sup.Add(&task{x: x, name: "limits", make: x.newLimits()})
+	ex.supervisor.Add(&task{ex: ex, name: "tree", newHandler: func(context.Context) handler { return newDispatcher(ex) }})
+	ex.supervisor.Add(&task{ex: ex, name: "limits", newHandler: ex.newLimitsTask()})
 	if cfg.Section.Purges != nil {
-		x.sup.Add(&task{x: x, name: "purges", make: x.newPurges(x.disk)})
+		ex.supervisor.Add(&task{ex: ex, name: "purges", newHandler: ex.newPurgeTask(ex.purgeStore)})
 	}
 	if cfg.Section.Verdicts != nil {
-		x.sup.Add(&task{x: x, name: "verdicts", make: x.newVerdicts()})
+		ex.supervisor.Add(&task{ex: ex, name: "verdicts", newHandler: ex.newVerdictTask()})
 	}
 	if cfg.Section.Paths != nil {
-		x.sup.Add(&task{x: x, name: "paths", make: x.newPaths()})
+		ex.supervisor.Add(&task{ex: ex, name: "paths", newHandler: ex.newPathTask()})
 	}
-	x.done = x.sup.ServeBackground(ctx)
-	return x, nil
+	ex.serveDone = ex.supervisor.ServeBackground(ctx)
+	return ex, nil
 }
 
 // Know tells what the log says now. The newest takes the place of those before.
-func (x *Exchange) SetFleetState(s *FleetState) { x.standing.Store(s) }
+func (ex *Exchange) SetFleetState(state *FleetState) { ex.fleetState.Store(state) }
 
 // Renew takes a new section over; what needs a restart stays as it was.
-func (x *Exchange) Reconfigure(s *config.Exchange) {
-	next := *x.section.Load()
-	next.Limits = s.Limits
-	x.section.Store(&next)
+func (ex *Exchange) Reconfigure(section *config.Exchange) {
+	next := *ex.section.Load()
+	next.Limits = section.Limits
+	ex.section.Store(&next)
 }
 
 // Open tells whether this front has what purges it missed, so that it may serve.
-func (x *Exchange) CaughtUp() bool { return x.open.Load() }
+func (ex *Exchange) CaughtUp() bool { return ex.caughtUp.Load() }
 
-func (x *Exchange) fleetID() uint64 {
-	if s := x.standing.Load(); s != nil {
-		return s.View.FleetID
+func (ex *Exchange) fleetID() uint64 {
+	if state := ex.fleetState.Load(); state != nil {
+		return state.View.FleetID
 	}
 	return 0
 }
 
 // round is the time between two tellings.
-func (x *Exchange) round() time.Duration {
-	return time.Duration(x.section.Load().RoundMS) * time.Millisecond
+func (ex *Exchange) roundInterval() time.Duration {
+	return time.Duration(ex.section.Load().RoundMS) * time.Millisecond
 }
 
-func (x *Exchange) spans() topology.Config {
-	s := x.section.Load()
-	return topology.Config{FailoverAfter: Micros(s.FailoverMS) * 1000, FailbackAfter: Micros(s.FailbackMS) * 1000}
+func (ex *Exchange) topologyConfig() topology.Config {
+	section := ex.section.Load()
+	return topology.Config{FailoverAfter: Micros(section.FailoverMS) * 1000, FailbackAfter: Micros(section.FailbackMS) * 1000}
 }
 
 // May tells whether this process may act as a keeper now.
 func (s *FleetState) MayActAsOwner(now Micros) bool { return now < s.OwnerUntil }
 
 // Close ends all tasks.
-func (x *Exchange) Close() error {
-	x.cancel()
-	<-x.done
-	err := x.history.close()
-	if x.disk != nil {
-		err = errors.Join(err, x.disk.j.Close())
+func (ex *Exchange) Close() error {
+	ex.cancel()
+	<-ex.serveDone
+	err := ex.history.close()
+	if ex.purgeStore != nil {
+		err = errors.Join(err, ex.purgeStore.journal.Close())
 	}
 	return err
 }
 
 // teller sends what one life of a task says. One that was left behind, since it stalled,
 // says nothing more: another has begun from its last snapshot.
-type teller struct {
-	x   *Exchange
+type sender struct {
+	ex  *Exchange
 	ctx context.Context
 }
 
 // up sends what a role has to say to the keeper that it is attached to.
-func (t teller) up(subject Subject, r topology.Role, what any) {
-	if k, ok := t.x.links.Load().up[r]; ok && t.ctx.Err() == nil {
-		t.x.hub.put(goes{Envelope{Subject: subject, Up: true, Role: r, Site: k.Site, Owner: k.Number, Body: encode(what)}})
+func (s sender) sendUp(subject Subject, role topology.Role, message any) {
+	if owner, ok := s.ex.links.Load().up[role]; ok && s.ctx.Err() == nil {
+		s.ex.dispatcher.put(outgoing{Envelope{Subject: subject, Up: true, Role: role, Site: owner.Site, Owner: owner.Number, Body: encode(message)}})
 	}
 }
 
 // down sends what a keeper of this process has to say to a role below it.
-func (t teller) down(subject Subject, r topology.Role, k topology.Owner, what any) {
-	if t.ctx.Err() == nil {
-		t.x.hub.put(goes{Envelope{Subject: subject, Role: r, Site: k.Site, Owner: k.Number, Body: encode(what)}})
+func (s sender) sendDown(subject Subject, role topology.Role, owner topology.Owner, message any) {
+	if s.ctx.Err() == nil {
+		s.ex.dispatcher.put(outgoing{Envelope{Subject: subject, Role: role, Site: owner.Site, Owner: owner.Number, Body: encode(message)}})
 	}
 }
 
 // body is what a task does: messages come from a mailbox, and it is called every round.
-type body interface {
-	take(message any)
-	round()
+type handler interface {
+	handle(message any)
+	tick()
 }
 
 // task runs a body under the supervisor, and has it begun anew where it stalls.
 type task struct {
-	x    *Exchange
-	name string
-	make func(ctx context.Context) body
+	ex         *Exchange
+	name       string
+	newHandler func(ctx context.Context) handler
 }
 
 // stallMost is for how long a task may be busy with one message.
-const stallMost = 2 * time.Second
+const stallTimeout = 2 * time.Second
 
 // began is when this process did, for spans.
-var began = time.Now()
+var processStart = time.Now()
 
 // monotonic is a moment that no step of the wall clock moves, in us; never 0.
-func monotonic() Micros { return 1 + time.Since(began).Microseconds() }
+func monotonic() Micros { return 1 + time.Since(processStart).Microseconds() }
 
 func (t *task) String() string { return "exchange " + t.name }
 
-func (t *task) box() *box[any] {
-	return map[string]*box[any]{"tree": t.x.hub, "limits": t.x.limits, "purges": t.x.purges, "verdicts": t.x.verdicts, "paths": t.x.paths}[t.name]
+func (t *task) mailbox() *mailbox[any] {
+	return map[string]*mailbox[any]{"tree": t.ex.dispatcher, "limits": t.ex.limits, "purges": t.ex.purges, "verdicts": t.ex.verdicts, "paths": t.ex.paths}[t.name]
 }
 
 // Serve is part of suture.Service. The work is in a goroutine of its own, so that one
@@ -270,54 +270,54 @@
 func (t *task) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var beat atomic.Int64 // since when it is busy; 0: it is not
+	var busySince atomic.Int64 // since when it is busy; 0: it is not
 	ended := make(chan error, 1)
 	go func() {
 		defer func() {
-			if p := recover(); p != nil {
-				t.x.counts.Restarts.Add(1)
-				ended <- fmt.Errorf("exchange: %s: %v", t.name, p)
+			if panicValue := recover(); panicValue != nil {
+				t.ex.counts.Restarts.Add(1)
+				ended <- fmt.Errorf("exchange: %s: %v", t.name, panicValue)
 			}
 		}()
-		ended <- t.run(ctx, &beat)
+		ended <- t.run(ctx, &busySince)
 	}()
-	look := time.NewTicker(stallMost / 4)
-	defer look.Stop()
+	ticker := time.NewTicker(stallTimeout / 4)
+	defer ticker.Stop()
 	for {
 		select {
 		case err := <-ended:
 			return err
-		case <-look.C:
-			if since := beat.Load(); since != 0 && monotonic()-since > stallMost.Microseconds() {
-				t.x.counts.Restarts.Add(1)
+		case <-ticker.C:
+			if since := busySince.Load(); since != 0 && monotonic()-since > stallTimeout.Microseconds() {
+				t.ex.counts.Restarts.Add(1)
 				return fmt.Errorf("exchange: %s stalls", t.name)
 			}
 		}
 	}
 }
 
-func (t *task) run(ctx context.Context, beat *atomic.Int64) error {
-	b := t.make(ctx)
-	every := time.NewTicker(t.x.round())
-	defer every.Stop()
-	box := t.box()
+func (t *task) run(ctx context.Context, busySince *atomic.Int64) error {
+	handler := t.newHandler(ctx)
+	ticker := time.NewTicker(t.ex.roundInterval())
+	defer ticker.Stop()
+	mailbox := t.mailbox()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-box.out:
-			beat.Store(monotonic())
-			if t.x.cfg.fault != nil {
-				t.x.cfg.fault(t.name, m)
+		case message := <-mailbox.out:
+			busySince.Store(monotonic())
+			if t.ex.cfg.injectFault != nil {
+				t.ex.cfg.injectFault(t.name, message)
 			}
 			if ctx.Err() != nil { // it was left behind meanwhile
 				return ctx.Err()
 			}
-			b.take(m)
-		case <-every.C:
-			beat.Store(monotonic())
-			b.round()
+			handler.handle(message)
+		case <-ticker.C:
+			busySince.Store(monotonic())
+			handler.tick()
 		}
-		beat.Store(0)
+		busySince.Store(0)
 	}
 }
--- a/internal/exchange/history.go
+++ b/internal/exchange/history.go
@@ -16,12 +16,12 @@
 type history struct {
 	events  chan []byte
 	file    *os.File
-	ended   chan error
+	closed  chan error
 	dropped atomic.Int64
 	front   string
 }
 
-const mostEvents = 1 << 16
+const maxEvents = 1 << 16
 
 func openHistory(ctx context.Context, path, front string) (*history, error) {
 	if path == "" {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &history{events: make(chan []byte, mostEvents), file: f, ended: make(chan error, 1), front: front}
+	h := &history{events: make(chan []byte, maxEvents), file: f, closed: make(chan error, 1), front: front}
 	go h.run(ctx)
 	h.write("began", nil)
 	return h, nil
@@ -48,7 +48,7 @@
 				_ = w.Flush()
 			}
 		case <-ctx.Done():
-			h.ended <- w.Flush()
+			h.closed <- w.Flush()
 			return
 		}
 	}
@@ -64,7 +64,7 @@
 }
 
 // on tells whether anything is written.
-func (h *history) on() bool { return h != nil }
+func (h *history) enabled() bool { return h != nil }
 
 // write writes an event that happens now. Where too many wait it is counted as missing.
 func (h *history) write(event string, facts map[string]any) {
@@ -74,14 +74,14 @@
 }
 
 func (h *history) writeAt(at int64, event string, facts map[string]any) {
-	x := map[string]any{"t": at, "by": h.front, "e": event}
+	line := map[string]any{"t": at, "by": h.front, "e": event}
 	for k, v := range facts {
-		x[k] = v
+		line[k] = v
 	}
 	if n := h.dropped.Load(); n > 0 {
-		x["missing"] = n
+		line["missing"] = n
 	}
-	b, err := json.Marshal(x)
+	b, err := json.Marshal(line)
 	if err != nil {
 		return
 	}
@@ -96,7 +96,7 @@
 	if h == nil {
 		return nil
 	}
-	err := <-h.ended
+	err := <-h.closed
 	if e := h.file.Close(); err == nil {
 		err = e
 	}
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -12,258 +12,258 @@
 
 // Messages to the task of limits, beside envelopes.
 type (
-	says      struct{ list []quotalease.BucketReport } // what the loop has to tell of its purse
-	newcomer  struct{}                                 // a name came that was not known
-	limitsAsk struct{ answer func(LimitsStatus) }
+	bucketReports struct{ list []quotalease.BucketReport } // what the loop has to tell of its purse
+	unknownName   struct{}                                 // a name came that was not known
+	limitsQuery   struct{ answer func(LimitsStatus) }
 )
 
-func (newcomer) replaces() string { return "newcomer" }
+func (unknownName) replaceKey() string { return "newcomer" }
 
 // demandKeep is the part of demand that stays from one round of telling to the next, where less is asked for.
-const demandKeep = 0.75
+const demandDecay = 0.75
 
 // limits is the task of limits: this front's side, and that of each site it keeps.
-type limits struct {
-	teller
-	section any
-	rules   quotalease.Rules
-	list    []quotalease.Limit
-	demand  map[quotalease.Key]float64
-	said    []quotalease.BucketReport
-	dealers map[string]*quotalease.Allocator
-	snaps   *atomic.Pointer[kept] // that outlives this life of the task
-	told    Micros
-	fronts  int
+type limitsTask struct {
+	sender
+	section     any
+	rules       quotalease.Rules
+	limits      []quotalease.Limit
+	demand      map[quotalease.Key]float64
+	reports     []quotalease.BucketReport
+	allocators  map[string]*quotalease.Allocator
+	snapshots   *atomic.Pointer[allocatorSnapshots] // that outlives this life of the task
+	allocatedAt Micros
+	fronts      int
 }
 
 // kept is what a task begins anew from.
-type kept map[string]keptDealer
+type allocatorSnapshots map[string]allocatorSnapshot
 
-type keptDealer struct {
+type allocatorSnapshot struct {
 	number uint64
-	b      []byte
+	ledger []byte
 }
 
-func (x *Exchange) newLimits() func(context.Context) body {
-	snaps := &atomic.Pointer[kept]{}
-	snaps.Store(&kept{})
-	return func(ctx context.Context) body {
-		return &limits{teller: teller{x, ctx}, demand: map[quotalease.Key]float64{}, dealers: map[string]*quotalease.Allocator{}, snaps: snaps}
+func (ex *Exchange) newLimitsTask() func(context.Context) handler {
+	snapshots := &atomic.Pointer[allocatorSnapshots]{}
+	snapshots.Store(&allocatorSnapshots{})
+	return func(ctx context.Context) handler {
+		return &limitsTask{sender: sender{ex, ctx}, demand: map[quotalease.Key]float64{}, allocators: map[string]*quotalease.Allocator{}, snapshots: snapshots}
 	}
 }
 
 // renew takes over what the section says now.
-func (l *limits) renew(now Micros) {
-	if s := l.x.section.Load(); l.section != any(s) {
-		l.section = s
-		l.rules, l.list = s.QuotaLimits()
-		for _, d := range l.dealers {
-			d.Reconfigure(l.rules, l.list, now)
+func (l *limitsTask) reconfigure(now Micros) {
+	if section := l.ex.section.Load(); l.section != any(section) {
+		l.section = section
+		l.rules, l.limits = section.QuotaLimits()
+		for _, allocator := range l.allocators {
+			allocator.Reconfigure(l.rules, l.limits, now)
 		}
 	}
 }
 
-func (l *limits) round() {
-	s := l.x.standing.Load()
-	now := l.x.cfg.Now()
-	l.renew(now)
-	if s == nil || len(l.list) == 0 {
+func (l *limitsTask) tick() {
+	state := l.ex.fleetState.Load()
+	now := l.ex.cfg.Now()
+	l.reconfigure(now)
+	if state == nil || len(l.limits) == 0 {
 		return
 	}
-	l.keeps(s, now)
-	x := l.x
+	l.updateAllocators(state, now)
+	ex := l.ex
 	fronts := 0
-	for i := range s.View.Fronts {
-		if s.View.Fronts[i].OwnerLease > 0 {
+	for i := range state.View.Fronts {
+		if state.View.Fronts[i].OwnerLease > 0 {
 			fronts++
 		}
 	}
-	x.cfg.Loop.Post(func() {
+	ex.cfg.Loop.Post(func() {
 		if fronts > 0 {
-			x.cfg.Limiter.SetFronts(fronts)
+			ex.cfg.Limiter.SetFronts(fronts)
 		}
-		x.limits.offer(says{x.cfg.Limiter.Report()})
+		ex.limits.tryPut(bucketReports{ex.cfg.Limiter.Report()})
 	})
-	l.deal(s, now)
+	l.allocate(state, now)
 }
 
 // keeps has a dealer for each site that this process keeps.
-func (l *limits) keeps(s *FleetState, now Micros) {
-	own := s.View.OwnedBySelf()
-	for site, d := range l.dealers {
-		if !slices.ContainsFunc(own, func(k topology.Owner) bool { return k.Site == site && k.Number == d.Number() }) {
-			delete(l.dealers, site)
+func (l *limitsTask) updateAllocators(state *FleetState, now Micros) {
+	owned := state.View.OwnedBySelf()
+	for site, allocator := range l.allocators {
+		if !slices.ContainsFunc(owned, func(owner topology.Owner) bool { return owner.Site == site && owner.Number == allocator.Number() }) {
+			delete(l.allocators, site)
 		}
 	}
-	for _, k := range own {
-		if l.dealers[k.Site] == nil {
-			d := quotalease.NewAllocator(l.rules, l.list, k.Site, k.Number, k.PriorLease, now)
-			if old, ok := (*l.snaps.Load())[k.Site]; ok && old.number == k.Number {
+	for _, owner := range owned {
+		if l.allocators[owner.Site] == nil {
+			allocator := quotalease.NewAllocator(l.rules, l.limits, owner.Site, owner.Number, owner.PriorLease, now)
+			if snapshot, ok := (*l.snapshots.Load())[owner.Site]; ok && snapshot.number == owner.Number {
 				var ledger quotalease.Ledger
-				if err := decoder.Unmarshal(old.b, &ledger); err == nil {
-					d.Restore(ledger)
+				if err := decoder.Unmarshal(snapshot.ledger, &ledger); err == nil {
+					allocator.Restore(ledger)
 				} else {
-					l.x.log.Error("exchange: limits: a snapshot can't be read", "error", err)
-					d = quotalease.NewAllocator(l.rules, l.list, k.Site, k.Number, max(k.PriorLease, l.rules.OwnerLease), now)
+					l.ex.log.Error("exchange: limits: a snapshot can't be read", "error", err)
+					allocator = quotalease.NewAllocator(l.rules, l.limits, owner.Site, owner.Number, max(owner.PriorLease, l.rules.OwnerLease), now)
 				}
-				d.Reconfigure(l.rules, l.list, now)
+				allocator.Reconfigure(l.rules, l.limits, now)
 			}
-			d.Disable(quotalease.Mutation(without))
-			l.dealers[k.Site] = d
+			allocator.Disable(quotalease.Mutation(without))
+			l.allocators[owner.Site] = allocator
 		}
 	}
 }
 
-func source(k topology.Owner) quotalease.Source {
-	return quotalease.Source{Site: k.Site, Owner: k.Number}
+func source(owner topology.Owner) quotalease.Source {
+	return quotalease.Source{Site: owner.Site, Owner: owner.Number}
 }
 
 // deal has each site's parts dealt out, and asked for above.
-func (l *limits) deal(s *FleetState, now Micros) {
-	links := l.x.links.Load()
-	for _, k := range s.View.OwnedBySelf() {
-		d := l.dealers[k.Site]
-		if d == nil {
+func (l *limitsTask) allocate(state *FleetState, now Micros) {
+	links := l.ex.links.Load()
+	for _, owner := range state.View.OwnedBySelf() {
+		allocator := l.allocators[owner.Site]
+		if allocator == nil {
 			continue
 		}
-		above := links.up[topology.SiteRole(k)]
-		if k.Site == topology.Root && !s.MayActAsOwner(now) {
+		above := links.up[topology.SiteRole(owner)]
+		if owner.Site == topology.Root && !state.MayActAsOwner(now) {
 			continue
 		}
-		grants := d.Allocate(source(above), now)
-		l.keep(k, d) // before anything of it leaves
-		for _, r := range links.below(k, now, l.x.spans().FailoverAfter) {
-			if g, ok := grants[roleName(r)]; ok {
-				l.down(Limits, r, k, g)
+		grants := allocator.Allocate(source(above), now)
+		l.saveSnapshot(owner, allocator) // before anything of it leaves
+		for _, role := range links.childrenOf(owner, now, l.ex.topologyConfig().FailoverAfter) {
+			if grant, ok := grants[roleName(role)]; ok {
+				l.sendDown(Limits, role, owner, grant)
 			}
 		}
-		if k.Site != topology.Root {
-			l.up(Limits, topology.SiteRole(k), quotalease.Request{Stamp: now, Limits: d.LimitRequests(source(above), now)})
+		if owner.Site != topology.Root {
+			l.sendUp(Limits, topology.SiteRole(owner), quotalease.Request{Stamp: now, Limits: allocator.LimitRequests(source(above), now)})
 		}
 	}
-	l.told = now
+	l.allocatedAt = now
 }
 
 // keep puts what a dealer knows where the task's next life finds it.
-func (l *limits) keep(k topology.Owner, d *quotalease.Allocator) {
+func (l *limitsTask) saveSnapshot(owner topology.Owner, allocator *quotalease.Allocator) {
 	if l.ctx.Err() != nil {
 		return
 	}
-	next := kept{k.Site: {k.Number, encode(d.Ledger())}}
-	for site, x := range *l.snaps.Load() {
-		if site != k.Site && l.dealers[site] != nil {
-			next[site] = x
+	next := allocatorSnapshots{owner.Site: {owner.Number, encode(allocator.Ledger())}}
+	for site, snapshot := range *l.snapshots.Load() {
+		if site != owner.Site && l.allocators[site] != nil {
+			next[site] = snapshot
 		}
 	}
-	l.snaps.Store(&next)
+	l.snapshots.Store(&next)
 }
 
 // ask asks for this front's own parts.
-func (l *limits) ask(s *FleetState, now Micros) {
-	r := s.View.SelfRole()
-	k, ok := l.x.links.Load().up[r]
+func (l *limitsTask) requestAllocations(state *FleetState, now Micros) {
+	role := state.View.SelfRole()
+	owner, ok := l.ex.links.Load().up[role]
 	if !ok {
 		return
 	}
-	a := quotalease.Request{Stamp: now}
-	for _, y := range l.said {
-		w := quotalease.LimitRequest{Key: y.Key, Demand: l.demand[y.Key], Epoch: y.Epoch}
-		for _, p := range y.Allocations {
+	request := quotalease.Request{Stamp: now}
+	for _, report := range l.reports {
+		limitRequest := quotalease.LimitRequest{Key: report.Key, Demand: l.demand[report.Key], Epoch: report.Epoch}
+		for _, allocation := range report.Allocations {
 			switch {
-			case p.From == source(k):
-				w.Number, w.Held = p.Number, p.Held
-			case p.From.Site == k.Site:
-				w.HeldBefore += p.Held
+			case allocation.From == source(owner):
+				limitRequest.Number, limitRequest.Held = allocation.Number, allocation.Held
+			case allocation.From.Site == owner.Site:
+				limitRequest.HeldBefore += allocation.Held
 			}
 		}
-		a.Limits = append(a.Limits, w)
+		request.Limits = append(request.Limits, limitRequest)
 	}
-	l.up(Limits, r, a)
+	l.sendUp(Limits, role, request)
 }
 
-func (l *limits) take(m any) {
-	s := l.x.standing.Load()
-	now := l.x.cfg.Now()
-	l.renew(now)
-	if s == nil {
+func (l *limitsTask) handle(m any) {
+	state := l.ex.fleetState.Load()
+	now := l.ex.cfg.Now()
+	l.reconfigure(now)
+	if state == nil {
 		return
 	}
 	switch m := m.(type) {
-	case says:
-		per := 1e6 / float64(l.x.round().Microseconds())
-		kinds := map[string]quotalease.Limit{}
-		for _, x := range l.list {
-			kinds[x.Name] = x
+	case bucketReports:
+		perSecond := 1e6 / float64(l.ex.roundInterval().Microseconds())
+		limits := map[string]quotalease.Limit{}
+		for _, limit := range l.limits {
+			limits[limit.Name] = limit
 		}
-		for _, y := range m.list {
-			want := float64(y.Requests) * per
-			switch x := kinds[y.Key.Limit]; x.Kind {
+		for _, report := range m.list {
+			want := float64(report.Requests) * perSecond
+			switch limit := limits[report.Key.Limit]; limit.Kind {
 			case quotalease.Open:
-				want = y.MaxOpen
+				want = report.MaxOpen
 			case quotalease.Uses:
-				l.demand[y.Key] = y.Spent + math.Max(l.demand[y.Key]-y.Spent, float64(y.Requests)*20)*demandKeep
+				l.demand[report.Key] = report.Spent + math.Max(l.demand[report.Key]-report.Spent, float64(report.Requests)*20)*demandDecay
 				continue
 			}
-			old := l.demand[y.Key]
+			old := l.demand[report.Key]
 			if want > old { // more is asked for at once, less by and by
-				l.demand[y.Key] = old + (want-old)*0.5
+				l.demand[report.Key] = old + (want-old)*0.5
 			} else {
-				l.demand[y.Key] = old*demandKeep + want*(1-demandKeep)
+				l.demand[report.Key] = old*demandDecay + want*(1-demandDecay)
 			}
 		}
-		l.said = m.list
-		l.ask(s, now)
+		l.reports = m.list
+		l.requestAllocations(state, now)
 		if len(l.demand) > 2*len(m.list)+64 {
 			known := map[quotalease.Key]float64{}
-			for _, y := range m.list {
-				known[y.Key] = l.demand[y.Key]
+			for _, report := range m.list {
+				known[report.Key] = l.demand[report.Key]
 			}
 			l.demand = known
 		}
-	case newcomer:
-		l.round()
-	case limitsAsk:
-		m.answer(l.tell(s, now))
+	case unknownName:
+		l.tick()
+	case limitsQuery:
+		m.answer(l.status(state, now))
 	case Envelope:
-		l.came(s, m, now)
+		l.receive(state, m, now)
 	}
 }
 
-func (l *limits) came(s *FleetState, e Envelope, now Micros) {
-	if e.Up {
-		var a quotalease.Request
-		if decoder.Unmarshal(e.Body, &a) != nil || l.dealers[e.Site] == nil {
+func (l *limitsTask) receive(state *FleetState, envelope Envelope, now Micros) {
+	if envelope.Up {
+		var request quotalease.Request
+		if decoder.Unmarshal(envelope.Body, &request) != nil || l.allocators[envelope.Site] == nil {
 			return
 		}
-		d := l.dealers[e.Site]
-		if d.Number() != e.Owner {
+		allocator := l.allocators[envelope.Site]
+		if allocator.Number() != envelope.Owner {
 			return
 		}
-		d.HandleRequest(roleName(e.Role), a, now)
-		first := slices.ContainsFunc(a.Limits, func(w quotalease.LimitRequest) bool { return w.Number == 0 && w.Demand > 0 })
-		if first && now-l.told > l.x.round().Microseconds()/4 { // it has nothing: it need not wait for the round
-			l.deal(s, now)
+		allocator.HandleRequest(roleName(envelope.Role), request, now)
+		first := slices.ContainsFunc(request.Limits, func(limit quotalease.LimitRequest) bool { return limit.Number == 0 && limit.Demand > 0 })
+		if first && now-l.allocatedAt > l.ex.roundInterval().Microseconds()/4 { // it has nothing: it need not wait for the round
+			l.allocate(state, now)
 		}
 		return
 	}
-	var g quotalease.Grant
-	if decoder.Unmarshal(e.Body, &g) != nil || g.Site != e.Site || g.Owner != e.Owner {
+	var grant quotalease.Grant
+	if decoder.Unmarshal(envelope.Body, &grant) != nil || grant.Site != envelope.Site || grant.Owner != envelope.Owner {
 		return
 	}
 	newest := uint64(0)
-	if k := s.View.Owner(g.Site); k != nil {
-		newest = k.Number
+	if owner := state.View.Owner(grant.Site); owner != nil {
+		newest = owner.Number
 	}
-	if e.Role == s.View.SelfRole() {
-		x := l.x
-		x.cfg.Loop.Post(func() { x.cfg.Limiter.ApplyGrant(g, newest) })
-	} else if d := l.dealers[e.Role.Site]; d != nil && d.Number() == e.Role.Owner {
-		d.ApplyGrant(g, newest, now)
+	if envelope.Role == state.View.SelfRole() {
+		ex := l.ex
+		ex.cfg.Loop.Post(func() { ex.cfg.Limiter.ApplyGrant(grant, newest) })
+	} else if allocator := l.allocators[envelope.Role.Site]; allocator != nil && allocator.Number() == envelope.Role.Owner {
+		allocator.ApplyGrant(grant, newest, now)
 	}
 }
 
 // NewName tells that a name came that no part is held of. It may be called on the loop.
-func (x *Exchange) NewName() { x.limits.offer(newcomer{}) }
+func (ex *Exchange) NewName() { ex.limits.tryPut(unknownName{}) }
 
 // LimitsTold is what a front tells of limits.
 type LimitsStatus struct {
@@ -277,23 +277,23 @@
 // Sheet is one limit as a site's keeper deals it out.
 type SiteLimit = quotalease.LimitStatus
 
-func (l *limits) tell(s *FleetState, now Micros) LimitsStatus {
-	links := l.x.links.Load()
-	t := LimitsStatus{Front: s.View.Self.Name, Own: l.said, Bounds: l.x.section.Load().Bounds(), Sites: map[string][]SiteLimit{}}
-	if k, ok := links.up[s.View.SelfRole()]; ok {
-		t.AttachedTo = k.Name
+func (l *limitsTask) status(state *FleetState, now Micros) LimitsStatus {
+	links := l.ex.links.Load()
+	status := LimitsStatus{Front: state.View.Self.Name, Own: l.reports, Bounds: l.ex.section.Load().Bounds(), Sites: map[string][]SiteLimit{}}
+	if owner, ok := links.up[state.View.SelfRole()]; ok {
+		status.AttachedTo = owner.Name
 	}
-	for site, d := range l.dealers {
-		up := quotalease.Source{}
-		if k := s.View.Owner(site); k != nil {
-			up = source(links.up[topology.SiteRole(*k)])
+	for site, allocator := range l.allocators {
+		parent := quotalease.Source{}
+		if owner := state.View.Owner(site); owner != nil {
+			parent = source(links.up[topology.SiteRole(*owner)])
 		}
-		t.Sites["/"+site] = d.Status(up, now)
+		status.Sites["/"+site] = allocator.Status(parent, now)
 	}
-	return t
+	return status
 }
 
 // LimitsOf asks for what this front knows of limits; the answer comes on the loop.
-func (x *Exchange) QueryLimits(answer func(LimitsStatus)) {
-	x.limits.offer(limitsAsk{func(t LimitsStatus) { x.cfg.Loop.Post(func() { answer(t) }) }})
+func (ex *Exchange) QueryLimits(answer func(LimitsStatus)) {
+	ex.limits.tryPut(limitsQuery{func(status LimitsStatus) { ex.cfg.Loop.Post(func() { answer(status) }) }})
 }
--- a/internal/exchange/box.go
+++ b/internal/exchange/mailbox.go
@@ -9,7 +9,7 @@
 // newer one says all that an older one did (the same key), it takes that one's place,
 // and at the bound the oldest goes and is counted. Whoever puts one in never waits for
 // the task.
-type box[T any] struct {
+type mailbox[T any] struct {
 	in      chan T
 	out     chan T
 	ctx     context.Context
@@ -17,39 +17,39 @@
 }
 
 // boxRoom is what may stand before the mailbox's own goroutine.
-const boxRoom = 64
+const mailboxBuffer = 64
 
 // newBox makes a mailbox that lives as long as the context. Key names what a message
 // replaces; empty: nothing.
-func newBox[T any](ctx context.Context, most int, dropped *atomic.Int64, key func(T) string) *box[T] {
-	b := &box[T]{in: make(chan T, boxRoom), out: make(chan T), ctx: ctx, dropped: dropped}
-	go b.hold(most, key)
-	return b
+func newMailbox[T any](ctx context.Context, bound int, dropped *atomic.Int64, key func(T) string) *mailbox[T] {
+	m := &mailbox[T]{in: make(chan T, mailboxBuffer), out: make(chan T), ctx: ctx, dropped: dropped}
+	go m.run(bound, key)
+	return m
 }
 
-func (b *box[T]) hold(most int, key func(T) string) {
-	var list []T
+func (m *mailbox[T]) run(bound int, key func(T) string) {
+	var queue []T
 	var keys []string
 	for {
 		var out chan T
 		var first T
-		if len(list) > 0 {
-			out, first = b.out, list[0]
+		if len(queue) > 0 {
+			out, first = m.out, queue[0]
 		}
 		select {
-		case <-b.ctx.Done():
+		case <-m.ctx.Done():
 			return
 		case out <- first:
 			var zero T
-			list[0] = zero
-			list, keys = list[1:], keys[1:]
-		case m := <-b.in:
-			k := key(m)
+			queue[0] = zero
+			queue, keys = queue[1:], keys[1:]
+		case message := <-m.in:
+			newKey := key(message)
 			replaced := false
-			if k != "" {
+			if newKey != "" {
 				for i := range keys {
-					if keys[i] == k {
-						list[i], replaced = m, true
+					if keys[i] == newKey {
+						queue[i], replaced = message, true
 						break
 					}
 				}
@@ -57,30 +57,30 @@
 			if replaced {
 				continue
 			}
-			if len(list) >= most {
-				list, keys = list[1:], keys[1:]
-				b.dropped.Add(1)
+			if len(queue) >= bound {
+				queue, keys = queue[1:], keys[1:]
+				m.dropped.Add(1)
 			}
-			list, keys = append(list, m), append(keys, k)
+			queue, keys = append(queue, message), append(keys, newKey)
 		}
 	}
 }
 
 // put puts a message in; after the mailbox's end it goes nowhere.
-func (b *box[T]) put(m T) {
+func (m *mailbox[T]) put(message T) {
 	select {
-	case b.in <- m:
-	case <-b.ctx.Done():
+	case m.in <- message:
+	case <-m.ctx.Done():
 	}
 }
 
 // offer puts a message in unless that would take any time; for the loop.
-func (b *box[T]) offer(m T) bool {
+func (m *mailbox[T]) tryPut(message T) bool {
 	select {
-	case b.in <- m:
+	case m.in <- message:
 		return true
 	default:
-		b.dropped.Add(1)
+		m.dropped.Add(1)
 		return false
 	}
 }
--- a/internal/exchange/box_test.go
+++ b/internal/exchange/mailbox_test.go
@@ -10,11 +10,11 @@
 )
 
 // Guards that a mailbox loses nothing below its bound, however many put messages in.
-func TestBoxLosesNothing(t *testing.T) {
+func TestMailboxLosesNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var dropped atomic.Int64
-	b := newBox(ctx, 1<<20, &dropped, func(int) string { return "" })
+	b := newMailbox(ctx, 1<<20, &dropped, func(int) string { return "" })
 	const writers, each = 8, 5000
 	var wg sync.WaitGroup
 	for w := range writers {
@@ -36,19 +36,19 @@
 }
 
 // Guards what happens at the bound, and that newer state takes the place of older.
-func TestBoxAtItsBound(t *testing.T) {
+func TestMailboxAtItsBound(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var dropped atomic.Int64
-	b := newBox(ctx, 3, &dropped, func(s string) string { return s[:1] })
+	b := newMailbox(ctx, 3, &dropped, func(s string) string { return s[:1] })
 	for _, s := range []string{"a1", "b1", "a2", "c1", "d1", "a3"} {
 		b.put(s)
 	}
-	require.Eventually(t, func() bool { return len(b.in) == 0 && dropped.Load() == 2 }, waitMost, tick)
+	require.Eventually(t, func() bool { return len(b.in) == 0 && dropped.Load() == 2 }, maxWait, tick)
 	require.Equal(t, []string{"c1", "d1", "a3"}, []string{<-b.out, <-b.out, <-b.out})
 }
 
 const (
-	waitMost = 10 * 1000 * 1000 * 1000
-	tick     = 1000 * 1000
+	maxWait = 10 * 1000 * 1000 * 1000
+	tick    = 1000 * 1000
 )
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -18,24 +18,24 @@
 
 // pathsUp is what a role says, and pathsDown what it is told.
 type (
-	pathsUp struct {
-		Stamp Micros             `cbor:"1,keyasint"`
-		List  []latency.Summary  `cbor:"2,keyasint,omitempty"`
-		Room  map[string]float64 `cbor:"3,keyasint,omitempty"`
+	pathsReport struct {
+		Stamp     Micros             `cbor:"1,keyasint"`
+		Summaries []latency.Summary  `cbor:"2,keyasint,omitempty"`
+		Capacity  map[string]float64 `cbor:"3,keyasint,omitempty"`
 	}
-	pathsDown struct {
-		Stamp Micros          `cbor:"1,keyasint"`
-		List  []latency.Order `cbor:"2,keyasint,omitempty"`
+	pathsUpdate struct {
+		Stamp  Micros          `cbor:"1,keyasint"`
+		Orders []latency.Order `cbor:"2,keyasint,omitempty"`
 	}
 )
 
 // Messages to the task, beside envelopes.
 type (
-	samples struct {
-		list []latency.Sample
-		room map[string]float64
+	latencySamples struct {
+		list     []latency.Sample
+		capacity map[string]float64
 	}
-	steerAsk struct {
+	regionQuery struct {
 		region string
 		answer func(any, error)
 	}
@@ -43,93 +43,93 @@
 
 // pathTask is the task of paths.
 type pathTask struct {
-	teller
-	rules   latency.Rules
-	model   *latency.Model
-	room    map[string]float64
-	said    map[string]*topology.Reports[pathsUp]
-	stamps  map[tie]Micros
-	maps    map[topology.Role]*latency.OrderCache
-	planner *latency.Planner
-	root    uint64
-	rounds  int
-	told    Micros
+	sender
+	rules      latency.Rules
+	model      *latency.Model
+	capacity   map[string]float64
+	reports    map[string]*topology.Reports[pathsReport]
+	stamps     map[attachment]Micros
+	orders     map[topology.Role]*latency.OrderCache
+	planner    *latency.Planner
+	rootNumber uint64
+	rounds     int
+	loggedAt   Micros
 }
 
 // pathRounds is the rounds between two tellings.
 const pathRounds = 3
 
-func (x *Exchange) newPaths() func(context.Context) body {
-	return func(ctx context.Context) body {
-		p := x.section.Load().Paths
-		r := latency.Rules{HalfLife: Micros(p.HalfLifeS * 1e6), OrderTTL: Micros(p.StaleS * 1e6), ExploreShare: p.ExplorePercent / 100, MaxShiftPerSecond: p.PacePercent / 100, MaxFrontWeight: p.MaxWeight}
-		return &pathTask{teller: teller{x, ctx}, rules: r, model: latency.NewModel(r), said: map[string]*topology.Reports[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[topology.Role]*latency.OrderCache{}}
+func (ex *Exchange) newPathTask() func(context.Context) handler {
+	return func(ctx context.Context) handler {
+		section := ex.section.Load().Paths
+		rules := latency.Rules{HalfLife: Micros(section.HalfLifeS * 1e6), OrderTTL: Micros(section.StaleS * 1e6), ExploreShare: section.ExplorePercent / 100, MaxShiftPerSecond: section.PacePercent / 100, MaxFrontWeight: section.MaxWeight}
+		return &pathTask{sender: sender{ex, ctx}, rules: rules, model: latency.NewModel(rules), reports: map[string]*topology.Reports[pathsReport]{}, stamps: map[attachment]Micros{}, orders: map[topology.Role]*latency.OrderCache{}}
 	}
 }
 
-func (t *pathTask) round() {
-	if t.rounds++; t.rounds%pathRounds != 0 || t.x.standing.Load() == nil {
+func (t *pathTask) tick() {
+	if t.rounds++; t.rounds%pathRounds != 0 || t.ex.fleetState.Load() == nil {
 		return
 	}
-	x := t.x
-	x.cfg.Loop.Post(func() {
+	ex := t.ex
+	ex.cfg.Loop.Post(func() {
 		var list []latency.Sample
-		x.cfg.LatencySource.LatencySamples(func(region, edge string, took int64) {
+		ex.cfg.LatencySource.LatencySamples(func(region, edge string, took int64) {
 			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Latency: took})
 		})
-		x.paths.offer(samples{list, x.cfg.LatencySource.EdgeCapacity()})
+		ex.paths.tryPut(latencySamples{list, ex.cfg.LatencySource.EdgeCapacity()})
 	})
 }
 
-func (t *pathTask) tell(s *FleetState, now Micros) {
-	links := t.x.links.Load()
-	t.up(Paths, s.View.SelfRole(), pathsUp{now, t.model.Summaries(now), t.room})
-	keeps := s.View.OwnedBySelf()
-	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k topology.Owner) bool { return k.Site == site }) {
-			delete(t.said, site)
+func (t *pathTask) publish(state *FleetState, now Micros) {
+	links := t.ex.links.Load()
+	t.sendUp(Paths, state.View.SelfRole(), pathsReport{now, t.model.Summaries(now), t.capacity})
+	owned := state.View.OwnedBySelf()
+	for site := range t.reports {
+		if !slices.ContainsFunc(owned, func(owner topology.Owner) bool { return owner.Site == site }) {
+			delete(t.reports, site)
 		}
 	}
-	for _, k := range keeps {
+	for _, owner := range owned {
 		var fronts, sites [][]latency.Summary
-		room := map[string]float64{}
-		if said := t.said[k.Site]; said != nil {
-			for r, u := range said.All(now, t.x.spans().FailoverAfter) {
-				if r.Front != "" {
-					fronts = append(fronts, u.List)
+		capacity := map[string]float64{}
+		if reports := t.reports[owner.Site]; reports != nil {
+			for role, report := range reports.All(now, t.ex.topologyConfig().FailoverAfter) {
+				if role.Front != "" {
+					fronts = append(fronts, report.Summaries)
 				} else {
-					sites = append(sites, u.List)
+					sites = append(sites, report.Summaries)
 				}
-				for e, x := range u.Room {
-					if old, ok := room[e]; (!ok || x < old) && len(room) < latency.MaxPairs {
-						room[e] = min(1, max(0, x))
+				for edge, x := range report.Capacity {
+					if old, ok := capacity[edge]; (!ok || x < old) && len(capacity) < latency.MaxPairs {
+						capacity[edge] = min(1, max(0, x))
 					}
 				}
 			}
 		}
 		merged := latency.Merge(t.rules, fronts, sites)
-		var list []latency.Order
-		if k.Site == topology.Root {
-			if t.planner == nil || t.root != k.Number {
-				t.planner, t.root = latency.NewPlanner(t.rules), k.Number
+		var orders []latency.Order
+		if owner.Site == topology.Root {
+			if t.planner == nil || t.rootNumber != owner.Number {
+				t.planner, t.rootNumber = latency.NewPlanner(t.rules), owner.Number
 			}
-			if s.MayActAsOwner(now) {
-				list = t.planner.Step(merged, func(e string) float64 {
-					if x, ok := room[e]; ok {
+			if state.MayActAsOwner(now) {
+				orders = t.planner.Step(merged, func(edge string) float64 {
+					if x, ok := capacity[edge]; ok {
 						return x
 					}
 					return 1
 				}, now)
 			}
 		} else {
-			t.up(Paths, topology.SiteRole(k), pathsUp{now, merged, room})
-			if m := t.maps[topology.SiteRole(k)]; m != nil {
-				list = m.All(now)
+			t.sendUp(Paths, topology.SiteRole(owner), pathsReport{now, merged, capacity})
+			if cache := t.orders[topology.SiteRole(owner)]; cache != nil {
+				orders = cache.All(now)
 			}
 		}
-		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
-			if stamp := t.stamps[tie{r, k.Number}]; stamp != 0 {
-				t.down(Paths, r, k, pathsDown{stamp, list})
+		for _, role := range links.childrenOf(owner, now, t.ex.topologyConfig().FailoverAfter) {
+			if stamp := t.stamps[attachment{role, owner.Number}]; stamp != 0 {
+				t.sendDown(Paths, role, owner, pathsUpdate{stamp, orders})
 			}
 		}
 	}
@@ -140,48 +140,48 @@
 	}
 }
 
-func (t *pathTask) take(m any) {
-	s, now := t.x.standing.Load(), t.x.cfg.Now()
-	if s == nil {
+func (t *pathTask) handle(m any) {
+	state, now := t.ex.fleetState.Load(), t.ex.cfg.Now()
+	if state == nil {
 		return
 	}
 	switch m := m.(type) {
-	case samples:
+	case latencySamples:
 		t.model.Add(m.list, now)
-		t.room = m.room
-		t.tell(s, now)
-	case steerAsk:
-		m.answer(t.steer(s, m.region, now), nil)
+		t.capacity = m.capacity
+		t.publish(state, now)
+	case regionQuery:
+		m.answer(t.regionOrder(state, m.region, now), nil)
 	case Envelope:
 		if m.Up {
-			var u pathsUp
-			if decoder.Unmarshal(m.Body, &u) != nil {
+			var report pathsReport
+			if decoder.Unmarshal(m.Body, &report) != nil {
 				return
 			}
-			if t.said[m.Site] == nil {
-				t.said[m.Site] = &topology.Reports[pathsUp]{}
+			if t.reports[m.Site] == nil {
+				t.reports[m.Site] = &topology.Reports[pathsReport]{}
 			}
-			t.said[m.Site].Put(m.Role, m.Seq, u, now)
-			t.stamps[tie{m.Role, m.Owner}] = u.Stamp
+			t.reports[m.Site].Put(m.Role, m.Seq, report, now)
+			t.stamps[attachment{m.Role, m.Owner}] = report.Stamp
 			return
 		}
-		var d pathsDown
-		if decoder.Unmarshal(m.Body, &d) != nil {
+		var update pathsUpdate
+		if decoder.Unmarshal(m.Body, &update) != nil {
 			return
 		}
-		if t.maps[m.Role] == nil {
-			t.maps[m.Role] = &latency.OrderCache{}
+		if t.orders[m.Role] == nil {
+			t.orders[m.Role] = &latency.OrderCache{}
 		}
-		t.maps[m.Role].Update(d.List, d.Stamp, t.rules.OrderTTL)
-		for r := range t.maps {
-			if !slices.Contains(roles(s.View), r) {
-				delete(t.maps, r)
+		t.orders[m.Role].Update(update.Orders, update.Stamp, t.rules.OrderTTL)
+		for r := range t.orders {
+			if !slices.Contains(roles(state.View), r) {
+				delete(t.orders, r)
 			}
 		}
-		if m.Role == s.View.SelfRole() && t.x.history.on() && now-t.told > 200_000 {
-			t.told = now
-			for _, o := range t.maps[m.Role].All(now) {
-				t.x.history.write("order", map[string]any{"region": o.Region, "age_ms": float64(t.rules.OrderTTL-o.Remaining) / 1000, "bound_ms": float64(t.rules.OrderTTL) / 1000})
+		if m.Role == state.View.SelfRole() && t.ex.history.enabled() && now-t.loggedAt > 200_000 {
+			t.loggedAt = now
+			for _, order := range t.orders[m.Role].All(now) {
+				t.ex.history.write("order", map[string]any{"region": order.Region, "age_ms": float64(t.rules.OrderTTL-order.Remaining) / 1000, "bound_ms": float64(t.rules.OrderTTL) / 1000})
 			}
 		}
 	}
@@ -198,23 +198,23 @@
 
 // steer falls back in steps: the fleet's order until its end, then this front's own
 // sight, then the static order, which is none: evenly.
-func (t *pathTask) steer(s *FleetState, region string, now Micros) RegionOrder {
+func (t *pathTask) regionOrder(state *FleetState, region string, now Micros) RegionOrder {
 	out := RegionOrder{Region: region, MaxAgeS: float64(t.rules.OrderTTL) / 1e6}
-	if m := t.maps[s.View.SelfRole()]; m != nil {
-		if o, ok := m.Lookup(region, now); ok {
-			out.Source, out.Edges, out.RemainingS = "the fleet's order", o.Edges, float64(o.Remaining)/1e6
+	if cache := t.orders[state.View.SelfRole()]; cache != nil {
+		if order, ok := cache.Lookup(region, now); ok {
+			out.Source, out.Edges, out.RemainingS = "the fleet's order", order.Edges, float64(order.Remaining)/1e6
 			return out
 		}
 	}
-	own := latency.NewPlanner(t.rules).Step(t.model.Summaries(now), func(e string) float64 {
-		if x, ok := t.room[e]; ok {
+	orders := latency.NewPlanner(t.rules).Step(t.model.Summaries(now), func(edge string) float64 {
+		if x, ok := t.capacity[edge]; ok {
 			return x
 		}
 		return 1
 	}, now)
-	for _, o := range own {
-		if o.Region == region {
-			out.Source, out.Edges, out.RemainingS = "own sight", o.Edges, float64(t.x.round().Microseconds()*pathRounds)/1e6
+	for _, order := range orders {
+		if order.Region == region {
+			out.Source, out.Edges, out.RemainingS = "own sight", order.Edges, float64(t.ex.roundInterval().Microseconds()*pathRounds)/1e6
 			return out
 		}
 	}
@@ -223,6 +223,6 @@
 }
 
 // Steer asks for a region's order; the answer comes on the loop.
-func (x *Exchange) QueryRegion(region string, answer func(any, error)) bool {
-	return x.cfg.Section.Paths != nil && x.paths.offer(steerAsk{region, func(v any, err error) { x.cfg.Loop.Post(func() { answer(v, err) }) }})
+func (ex *Exchange) QueryRegion(region string, answer func(any, error)) bool {
+	return ex.cfg.Section.Paths != nil && ex.paths.tryPut(regionQuery{region, func(v any, err error) { ex.cfg.Loop.Post(func() { answer(v, err) }) }})
 }
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -14,487 +14,487 @@
 )
 
 // asking is a purge on its way to who numbers it.
-type asking struct {
-	Asked string             `cbor:"1,keyasint"`
-	Scope invalidation.Scope `cbor:"2,keyasint"`
-	Why   string             `cbor:"3,keyasint,omitempty"`
+type purgeRequest struct {
+	RequestKey string             `cbor:"1,keyasint"`
+	Scope      invalidation.Scope `cbor:"2,keyasint"`
+	Reason     string             `cbor:"3,keyasint,omitempty"`
 }
 
 // purgeUp is what a role tells the keeper above it.
-type purgeUp struct {
-	Marks   invalidation.Watermarks `cbor:"1,keyasint,omitempty"` // what is there
-	News    []invalidation.Purge    `cbor:"2,keyasint,omitempty"` // that the keeper lacks
-	Gone    invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
-	Summary invalidation.Summary    `cbor:"4,keyasint"`
-	Asks    []asking                `cbor:"5,keyasint,omitempty"`
-	Synced  bool                    `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
+type purgeReport struct {
+	Received  invalidation.Watermarks `cbor:"1,keyasint,omitempty"` // what is there
+	Purges    []invalidation.Purge    `cbor:"2,keyasint,omitempty"` // that the keeper lacks
+	Forgotten invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
+	Summary   invalidation.Summary    `cbor:"4,keyasint"`
+	Requests  []purgeRequest          `cbor:"5,keyasint,omitempty"`
+	CaughtUp  bool                    `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
 }
 
 // purgeDown is what a keeper tells a role below it.
-type purgeDown struct {
-	Marks  invalidation.Watermarks `cbor:"1,keyasint,omitempty"`
-	News   []invalidation.Purge    `cbor:"2,keyasint,omitempty"`
-	Gone   invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
-	Whole  invalidation.Watermarks `cbor:"4,keyasint,omitempty"` // up to where complete
-	Synced bool                    `cbor:"5,keyasint,omitempty"`
+type purgeUpdate struct {
+	Received  invalidation.Watermarks `cbor:"1,keyasint,omitempty"`
+	Purges    []invalidation.Purge    `cbor:"2,keyasint,omitempty"`
+	Forgotten invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
+	Completed invalidation.Watermarks `cbor:"4,keyasint,omitempty"` // up to where complete
+	CaughtUp  bool                    `cbor:"5,keyasint,omitempty"`
 }
 
 // Messages to the task, beside envelopes.
 type (
-	poke     struct{}
-	posted   struct{ do func() } // the disk's word
-	obeyed   struct{ list []invalidation.Purge }
-	purgeAsk struct {
-		a      asking
-		answer func(invalidation.Purge, error)
-	}
-	purgeLook struct {
-		what   string
+	wakeup      struct{}
+	callback    struct{ do func() } // the disk's word
+	applied     struct{ list []invalidation.Purge }
+	purgeSubmit struct {
+		request purgeRequest
+		answer  func(invalidation.Purge, error)
+	}
+	purgeQuery struct {
+		id     string
 		answer func(any, error)
 	}
 )
 
 // Bounds.
 const (
-	mostAsks   = 64
-	asksFor    = 10_000_000 // us that a purge waits for its number before who asked is told that it still does
-	tellLeast  = 5_000      // us between two tellings where something is new
-	tellRounds = 3          // rounds between two tellings where nothing is new
-	staleSpans = 3          // passes over, after which a role's word says nothing any more
-	rewriteAt  = 4 << 20    // bytes of the disk's file
+	maxRequests       = 64
+	requestTimeout    = 10_000_000 // us that a purge waits for its number before who asked is told that it still does
+	minReportInterval = 5_000      // us between two tellings where something is new
+	idleReportRounds  = 3          // rounds between two tellings where nothing is new
+	staleFactor       = 3          // passes over, after which a role's word says nothing any more
+	rewriteSize       = 4 << 20    // bytes of the disk's file
 )
 
 // purgeTask is the task of purges.
 type purgeTask struct {
-	teller
-	flight  *atomic.Pointer[[]invalidation.Purge] // on their way to the disk; that outlives this life of the task
-	disk    *disk
-	book    *invalidation.PurgeLog
-	gathers map[string]*invalidation.AckCollector
-	has     map[tie]invalidation.Watermarks // what roles below, and keepers above, have
-	above   map[uint64]invalidation.Watermarks
-	synced  map[tie]bool
-	closing *invalidation.CompletionTracker
-	root    uint64 // the number under which this process closes
-	asks    []pendingAsk
-	waits   map[string]int // purges that are not yet both kept and obeyed: 2 and down
-	began   Micros
-	opened  bool // what has it serve is on its way to the loop
-	seen    bool // the log has had this process for as long as returns says
-	since   Micros
-	rounds  int
-	dirty   bool
-	toldAt  Micros
-	poked   bool
-	sum     invalidation.Summary // of the root, where this process keeps it
+	sender
+	unstored        *atomic.Pointer[[]invalidation.Purge] // on their way to the disk; that outlives this life of the task
+	store           *purgeStore
+	purges          *invalidation.PurgeLog
+	collectors      map[string]*invalidation.AckCollector
+	childWatermarks map[attachment]invalidation.Watermarks // what roles below, and keepers above, have
+	ownerWatermarks map[uint64]invalidation.Watermarks
+	childCaughtUp   map[attachment]bool
+	tracker         *invalidation.CompletionTracker
+	rootNumber      uint64 // the number under which this process closes
+	requests        []pendingRequest
+	pendingAcks     map[string]int // purges that are not yet both kept and obeyed: 2 and down
+	startedAt       Micros
+	opening         bool // what has it serve is on its way to the loop
+	registered      bool // the log has had this process for as long as returns says
+	registeredAt    Micros
+	rounds          int
+	dirty           bool
+	reportedAt      Micros
+	wakeupPending   bool
+	rootSummary     invalidation.Summary // of the root, where this process keeps it
 }
 
-type pendingAsk struct {
-	purgeAsk
-	until Micros
+type pendingRequest struct {
+	purgeSubmit
+	deadline Micros
 }
 
 // newPurges makes the task's body; the book outlives a task that was left behind, as a
 // snapshot that is taken when it is begun anew.
-func (x *Exchange) newPurges(d *disk) func(context.Context) body {
-	first, flight := true, &atomic.Pointer[[]invalidation.Purge]{}
-	flight.Store(&[]invalidation.Purge{})
-	return func(ctx context.Context) body {
-		s := x.section.Load().Purges
-		t := &purgeTask{teller: teller{x, ctx}, flight: flight, disk: d, book: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: s.MaxHeld, Retention: Micros(s.RetentionS * 1e6)}), gathers: map[string]*invalidation.AckCollector{},
-			has: map[tie]invalidation.Watermarks{}, above: map[uint64]invalidation.Watermarks{}, synced: map[tie]bool{}, waits: map[string]int{}, began: x.cfg.Now()}
+func (ex *Exchange) newPurgeTask(store *purgeStore) func(context.Context) handler {
+	first, unstored := true, &atomic.Pointer[[]invalidation.Purge]{}
+	unstored.Store(&[]invalidation.Purge{})
+	return func(ctx context.Context) handler {
+		settings := ex.section.Load().Purges
+		t := &purgeTask{sender: sender{ex, ctx}, unstored: unstored, store: store, purges: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: settings.MaxHeld, Retention: Micros(settings.RetentionS * 1e6)}), collectors: map[string]*invalidation.AckCollector{},
+			childWatermarks: map[attachment]invalidation.Watermarks{}, ownerWatermarks: map[uint64]invalidation.Watermarks{}, childCaughtUp: map[attachment]bool{}, pendingAcks: map[string]int{}, startedAt: ex.cfg.Now()}
 		if !first { // what the disk has says all that counted as kept
-			d.purges, d.gone = nil, nil
-			if err := journal.Scan(filepath.Join(x.cfg.Folder, "purges"), func(rec []byte) error {
-				if len(rec) > 1 && rec[0] == recPurge {
+			store.purges, store.forgotten = nil, nil
+			if err := journal.Scan(filepath.Join(ex.cfg.Folder, "purges"), func(record []byte) error {
+				if len(record) > 1 && record[0] == recordPurge {
 					var p invalidation.Purge
-					if err := decoder.Unmarshal(rec[1:], &p); err == nil {
-						d.purges = append(d.purges, p)
+					if err := decoder.Unmarshal(record[1:], &p); err == nil {
+						store.purges = append(store.purges, p)
 					}
-				} else if len(rec) > 1 {
-					_ = decoder.Unmarshal(rec[1:], &d.gone)
+				} else if len(record) > 1 {
+					_ = decoder.Unmarshal(record[1:], &store.forgotten)
 				}
 				return nil
 			}); err != nil {
-				x.log.Error("exchange: purges: what is on disk can't be read again", "error", err)
+				ex.log.Error("exchange: purges: what is on disk can't be read again", "error", err)
 			}
 		}
-		for _, m := range d.gone {
-			t.book.RecoverForgotten(m)
+		for _, watermark := range store.forgotten {
+			t.purges.RecoverForgotten(watermark)
 		}
-		for _, p := range d.purges {
-			t.book.Recover(p, t.began)
+		for _, p := range store.purges {
+			t.purges.Recover(p, t.startedAt)
 		}
 		if first {
-			x.history.write("recovered", map[string]any{"purges": len(d.purges)})
+			ex.history.write("recovered", map[string]any{"purges": len(store.purges)})
 		}
 		first = false
-		for list := *flight.Load(); len(list) > 0; list = list[min(len(list), invalidation.MaxBatch):] {
-			t.book.Receive(list, t.began)
+		for list := *unstored.Load(); len(list) > 0; list = list[min(len(list), invalidation.MaxBatch):] {
+			t.purges.Receive(list, t.startedAt)
 		}
-		t.obey()
+		t.applyPending()
 		return t
 	}
 }
 
 // obey has what came obeyed on the loop at once, and kept on disk.
-func (t *purgeTask) obey() {
-	list := t.book.TakePending()
-	if len(list) == 0 {
+func (t *purgeTask) applyPending() {
+	pending := t.purges.TakePending()
+	if len(pending) == 0 {
 		return
 	}
 	t.dirty = true
-	now, x := t.x.cfg.Now(), t.x
+	now, ex := t.ex.cfg.Now(), t.ex
 	if t.ctx.Err() == nil {
-		next := append(slices.Clone(*t.flight.Load()), list...)
-		next = slices.DeleteFunc(next, func(p invalidation.Purge) bool { return p.Number <= t.book.Stored().Of(p.Origin) })
-		t.flight.Store(&next)
+		next := append(slices.Clone(*t.unstored.Load()), pending...)
+		next = slices.DeleteFunc(next, func(p invalidation.Purge) bool { return p.Number <= t.purges.Stored().Of(p.Origin) })
+		t.unstored.Store(&next)
 	}
-	for _, p := range list {
-		if k := t.book.Stored().Of(p.Origin); p.Number <= k { // recovered: it is on disk
+	for _, p := range pending {
+		if stored := t.purges.Stored().Of(p.Origin); p.Number <= stored { // recovered: it is on disk
 			continue
 		}
-		t.waits[p.ID()] = 2
-		x.history.write("told", map[string]any{"purge": p.ID()})
-		t.disk.j.Append(record(recPurge, p), func(err error) {
+		t.pendingAcks[p.ID()] = 2
+		ex.history.write("told", map[string]any{"purge": p.ID()})
+		t.store.journal.Append(encodeRecord(recordPurge, p), func(err error) {
 			if err != nil {
-				x.log.Error("exchange: a purge is not kept", "purge", p.ID(), "error", err)
+				ex.log.Error("exchange: a purge is not kept", "purge", p.ID(), "error", err)
 				return // it is not acknowledged, and is told again at the next start
 			}
-			x.history.write("kept", map[string]any{"purge": p.ID()})
-			t.half(p)
+			ex.history.write("kept", map[string]any{"purge": p.ID()})
+			t.finishStep(p)
 		})
 	}
-	x.cfg.Loop.Post(func() {
-		for _, p := range list {
-			x.cfg.Invalidator.Invalidate(p.Scope, p.Age+max(0, x.cfg.Now()-now))
-			x.history.write("obey", map[string]any{"purge": p.ID(), "scope": p.Scope.String(), "asked": p.RequestKey})
+	ex.cfg.Loop.Post(func() {
+		for _, p := range pending {
+			ex.cfg.Invalidator.Invalidate(p.Scope, p.Age+max(0, ex.cfg.Now()-now))
+			ex.history.write("obey", map[string]any{"purge": p.ID(), "scope": p.Scope.String(), "asked": p.RequestKey})
 		}
-		x.purges.put(obeyed{list})
+		ex.purges.put(applied{pending})
 	})
 }
 
 // half notes one of the two that a purge needs to be acknowledged: kept, and obeyed.
-func (t *purgeTask) half(p invalidation.Purge) {
+func (t *purgeTask) finishStep(p invalidation.Purge) {
 	id := p.ID()
-	if n, ok := t.waits[id]; !ok {
+	if n, ok := t.pendingAcks[id]; !ok {
 		return
 	} else if n > 1 {
-		t.waits[id] = n - 1
+		t.pendingAcks[id] = n - 1
 		return
 	}
-	delete(t.waits, id)
-	t.book.MarkStored(p.Origin, p.Number)
+	delete(t.pendingAcks, id)
+	t.purges.MarkStored(p.Origin, p.Number)
 	t.dirty = true
 }
 
-func (t *purgeTask) round() {
-	s := t.x.standing.Load()
-	if s == nil {
+func (t *purgeTask) tick() {
+	state := t.ex.fleetState.Load()
+	if state == nil {
 		return
 	}
-	now := t.x.cfg.Now()
-	t.book.Compact(now)
-	if floor, ok := t.book.Floor(); ok {
-		t.floor(floor, now)
+	now := t.ex.cfg.Now()
+	t.purges.Compact(now)
+	if floor, ok := t.purges.Floor(); ok {
+		t.distrustBefore(floor, now)
 	}
-	t.returns(s, now)
-	t.number(s, now)
-	if t.rounds++; t.dirty || t.rounds >= tellRounds {
-		t.tell(s, now)
+	t.openAfterWait(state, now)
+	t.submitRequests(state, now)
+	if t.rounds++; t.dirty || t.rounds >= idleReportRounds {
+		t.report(state, now)
 	}
-	t.asks = slices.DeleteFunc(t.asks, func(a pendingAsk) bool {
-		if p, ok := t.book.Find(a.a.Asked, now); ok {
-			a.answer(p, nil)
+	t.requests = slices.DeleteFunc(t.requests, func(request pendingRequest) bool {
+		if p, ok := t.purges.Find(request.request.RequestKey, now); ok {
+			request.answer(p, nil)
 			return true
 		}
-		if now > a.until {
-			a.answer(invalidation.Purge{}, errors.New("no number yet: no keeper answers; ask again under the same name"))
+		if now > request.deadline {
+			request.answer(invalidation.Purge{}, errors.New("no number yet: no keeper answers; ask again under the same name"))
 		}
-		return now > a.until
+		return now > request.deadline
 	})
-	if size := t.disk.j.Size(); size > rewriteAt+2*t.disk.rewrote {
+	if size := t.store.journal.Size(); size > rewriteSize+2*t.store.rewrittenBytes {
 		t.rewrite(now)
 	}
 }
 
 // floor has no copy from before a moment be trusted on the loop.
-func (t *purgeTask) floor(at, now Micros) {
-	x := t.x
+func (t *purgeTask) distrustBefore(at, now Micros) {
+	ex := t.ex
 	age := max(0, now-at)
-	x.cfg.Loop.Post(func() { x.cfg.Invalidator.Invalidate(invalidation.Scope{Kind: invalidation.All}, age) })
+	ex.cfg.Loop.Post(func() { ex.cfg.Invalidator.Invalidate(invalidation.Scope{Kind: invalidation.All}, age) })
 }
 
 // returns opens the front once it has what it missed: as much as a keeper has that is
 // open itself, or, after a while, by trusting no copy from before.
-func (t *purgeTask) returns(s *FleetState, now Micros) {
-	if t.x.open.Load() || t.opened || !s.View.Registered {
+func (t *purgeTask) openAfterWait(state *FleetState, now Micros) {
+	if t.ex.caughtUp.Load() || t.opening || !state.View.Registered {
 		return
 	}
-	if !t.seen {
-		t.seen, t.since = true, now
+	if !t.registered {
+		t.registered, t.registeredAt = true, now
 	}
-	if now-t.since < Micros(t.x.section.Load().Purges.CatchUpS*1e6) {
+	if now-t.registeredAt < Micros(t.ex.section.Load().Purges.CatchUpS*1e6) {
 		return
 	}
-	t.book.DistrustBefore(now)
-	t.floor(now, now)
-	t.opens("by copies from now on", now)
+	t.purges.DistrustBefore(now)
+	t.distrustBefore(now, now)
+	t.openFront("by copies from now on", now)
 }
 
-func (t *purgeTask) opens(how string, now Micros) {
-	t.opened = true
-	t.x.history.write("open", map[string]any{"state": how})
-	t.x.log.Info("exchange: the front serves", "purges", how)
-	x := t.x
-	x.cfg.Loop.Post(func() { x.open.Store(true) }) // behind what the loop has to obey
+func (t *purgeTask) openFront(how string, now Micros) {
+	t.opening = true
+	t.ex.history.write("open", map[string]any{"state": how})
+	t.ex.log.Info("exchange: the front serves", "purges", how)
+	ex := t.ex
+	ex.cfg.Loop.Post(func() { ex.caughtUp.Store(true) }) // behind what the loop has to obey
 }
 
 // keeperFor is who numbers a purge asked here: the keeper that this front is attached to.
-func (t *purgeTask) keeperFor(s *FleetState) (k topology.Owner, own, ok bool) {
-	k, ok = t.x.links.Load().up[s.View.SelfRole()]
-	return k, ok && k.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start), ok
+func (t *purgeTask) numberingOwner(state *FleetState) (owner topology.Owner, self, ok bool) {
+	owner, ok = t.ex.links.Load().up[state.View.SelfRole()]
+	return owner, ok && owner.Is(state.View.Self.Name, state.View.Self.ID, state.View.Self.Start), ok
 }
 
 // number gives purges asked here their number, or has them go to who does.
-func (t *purgeTask) number(s *FleetState, now Micros) {
-	if len(t.asks) == 0 {
+func (t *purgeTask) submitRequests(state *FleetState, now Micros) {
+	if len(t.requests) == 0 {
 		return
 	}
-	k, own, ok := t.keeperFor(s)
+	owner, self, ok := t.numberingOwner(state)
 	if !ok {
 		return
 	}
-	if own {
-		for _, a := range t.asks {
-			t.ask(k, a.a, now)
+	if self {
+		for _, request := range t.requests {
+			t.submit(owner, request.request, now)
 		}
 	} else {
 		t.dirty = true
 	}
 }
 
-func (t *purgeTask) ask(k topology.Owner, a asking, now Micros) {
-	t.book.Submit(invalidation.Origin{Site: k.Site, Owner: k.Number}, a.Scope, a.Asked, a.Why, now)
-	t.obey()
+func (t *purgeTask) submit(owner topology.Owner, request purgeRequest, now Micros) {
+	t.purges.Submit(invalidation.Origin{Site: owner.Site, Owner: owner.Number}, request.Scope, request.RequestKey, request.Reason, now)
+	t.applyPending()
 }
 
 // own is this front's own acknowledgement.
-func (t *purgeTask) own(s *FleetState) invalidation.Summary {
-	return invalidation.Summary{Index: s.View.Index, Stored: t.book.Stored(), FrontCount: 1}
+func (t *purgeTask) ownSummary(state *FleetState) invalidation.Summary {
+	return invalidation.Summary{Index: state.View.Index, Stored: t.purges.Stored(), FrontCount: 1}
 }
 
 // tell tells neighbours what they lack, and what is acknowledged.
-func (t *purgeTask) tell(s *FleetState, now Micros) {
-	t.rounds, t.dirty, t.toldAt = 0, false, now
-	links := t.x.links.Load()
-	stale := staleSpans * t.x.spans().FailoverAfter
-	own := s.View.OwnedBySelf()
-	marks := t.book.Received()
-	for site := range t.gathers {
-		if !slices.ContainsFunc(own, func(k topology.Owner) bool { return k.Site == site }) {
-			delete(t.gathers, site)
+func (t *purgeTask) report(state *FleetState, now Micros) {
+	t.rounds, t.dirty, t.reportedAt = 0, false, now
+	links := t.ex.links.Load()
+	stale := staleFactor * t.ex.topologyConfig().FailoverAfter
+	owned := state.View.OwnedBySelf()
+	received := t.purges.Received()
+	for site := range t.collectors {
+		if !slices.ContainsFunc(owned, func(owner topology.Owner) bool { return owner.Site == site }) {
+			delete(t.collectors, site)
 		}
 	}
-	for _, k := range own { // the deepest first, so that what is acknowledged goes up at once
-		g := t.gather(k)
-		g.Prune(s.View)
-		sum := g.Summarize(s.View, s.FrontsChanged, marks, stale, now)
-		if k.Site == topology.Root {
-			t.sum = sum
-			if t.closing == nil || t.root != k.Number {
-				t.closing, t.root = &invalidation.CompletionTracker{}, k.Number
+	for _, owner := range owned { // the deepest first, so that what is acknowledged goes up at once
+		collector := t.collector(owner)
+		collector.Prune(state.View)
+		summary := collector.Summarize(state.View, state.FrontsChanged, received, stale, now)
+		if owner.Site == topology.Root {
+			t.rootSummary = summary
+			if t.tracker == nil || t.rootNumber != owner.Number {
+				t.tracker, t.rootNumber = &invalidation.CompletionTracker{}, owner.Number
 			}
-			if s.MayActAsOwner(now) {
-				before := t.book.Completed()
-				t.book.MarkComplete(t.closing.Step(sum.Stored, s.MajorityAsked, now))
-				t.completed(before)
+			if state.MayActAsOwner(now) {
+				before := t.purges.Completed()
+				t.purges.MarkComplete(t.tracker.Step(summary.Stored, state.MajorityAsked, now))
+				t.recordCompleted(before)
 			}
 		} else {
-			t.up(topology.SiteRole(k), links.up[topology.SiteRole(k)], sum, now)
+			t.sendReport(topology.SiteRole(owner), links.up[topology.SiteRole(owner)], summary, now)
 		}
-		whole := t.book.Completed()
-		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
-			if r == s.View.SelfRole() { // it is this process
-				g.Record(r, uint64(now), t.own(s), now)
+		completed := t.purges.Completed()
+		for _, role := range links.childrenOf(owner, now, t.ex.topologyConfig().FailoverAfter) {
+			if role == state.View.SelfRole() { // it is this process
+				collector.Record(role, uint64(now), t.ownSummary(state), now)
 				continue
 			}
-			if c := s.View.Owner(r.Site); r.Front == "" && c != nil && c.Is(s.View.Self.Name, s.View.Self.ID, s.View.Self.Start) {
+			if child := state.View.Owner(role.Site); role.Front == "" && child != nil && child.Is(state.View.Self.Name, state.View.Self.ID, state.View.Self.Start) {
 				continue // it has the same book; its acknowledgement comes by up
 			}
-			x := tie{r, k.Number}
-			news, gone := t.book.MissingFrom(t.has[x], now)
-			t.down(Purges, r, k, purgeDown{Marks: marks, News: news, Gone: gone, Whole: whole, Synced: t.x.open.Load()})
-			if len(news) > 0 {
-				t.has[x] = with(t.has[x], news) // told once; what it says next counts again
+			link := attachment{role, owner.Number}
+			missing, forgotten := t.purges.MissingFrom(t.childWatermarks[link], now)
+			t.sendDown(Purges, role, owner, purgeUpdate{Received: received, Purges: missing, Forgotten: forgotten, Completed: completed, CaughtUp: t.ex.caughtUp.Load()})
+			if len(missing) > 0 {
+				t.childWatermarks[link] = advance(t.childWatermarks[link], missing) // told once; what it says next counts again
 			}
 		}
 	}
-	if k, self, ok := t.keeperFor(s); ok && !self {
-		t.up(s.View.SelfRole(), k, t.own(s), now)
+	if owner, self, ok := t.numberingOwner(state); ok && !self {
+		t.sendReport(state.View.SelfRole(), owner, t.ownSummary(state), now)
 	}
-	for x := range t.has {
-		if _, ok := links.children[x]; !ok {
-			delete(t.has, x)
-			delete(t.synced, x)
+	for link := range t.childWatermarks {
+		if _, ok := links.children[link]; !ok {
+			delete(t.childWatermarks, link)
+			delete(t.childCaughtUp, link)
 		}
 	}
 }
 
 // with is marks after news that follow them without a gap.
-func with(m invalidation.Watermarks, news []invalidation.Purge) invalidation.Watermarks {
-	m = slices.Clone(m)
-	for _, p := range news {
-		i := slices.IndexFunc(m, func(x invalidation.Watermark) bool { return x.Origin == p.Origin })
+func advance(watermarks invalidation.Watermarks, purges []invalidation.Purge) invalidation.Watermarks {
+	watermarks = slices.Clone(watermarks)
+	for _, p := range purges {
+		i := slices.IndexFunc(watermarks, func(x invalidation.Watermark) bool { return x.Origin == p.Origin })
 		switch {
-		case i >= 0 && m[i].Number+1 == p.Number:
-			m[i].Number++
+		case i >= 0 && watermarks[i].Number+1 == p.Number:
+			watermarks[i].Number++
 		case i < 0 && p.Number == 1:
-			m = append(m, invalidation.Watermark{Origin: p.Origin, Number: 1})
-			invalidation.SortWatermarks(m)
+			watermarks = append(watermarks, invalidation.Watermark{Origin: p.Origin, Number: 1})
+			invalidation.SortWatermarks(watermarks)
 		}
 	}
-	return m
+	return watermarks
 }
 
-func (t *purgeTask) gather(k topology.Owner) *invalidation.AckCollector {
-	g := t.gathers[k.Site]
-	if g == nil {
-		g = invalidation.NewAckCollector(k.Site)
-		g.Disable(invalidation.Mutation(without))
-		t.gathers[k.Site] = g
-	}
-	return g
+func (t *purgeTask) collector(owner topology.Owner) *invalidation.AckCollector {
+	collector := t.collectors[owner.Site]
+	if collector == nil {
+		collector = invalidation.NewAckCollector(owner.Site)
+		collector.Disable(invalidation.Mutation(without))
+		t.collectors[owner.Site] = collector
+	}
+	return collector
 }
 
-func (t *purgeTask) up(r topology.Role, k topology.Owner, sum invalidation.Summary, now Micros) {
-	u := purgeUp{Marks: t.book.Received(), Summary: sum, Synced: t.x.open.Load()}
-	u.News, u.Gone = t.book.MissingFrom(t.above[k.Number], now)
-	if len(u.News) > 0 {
-		t.above[k.Number] = with(t.above[k.Number], u.News)
-	}
-	if r.Front != "" {
-		for _, a := range t.asks[:min(len(t.asks), mostAsks)] {
-			u.Asks = append(u.Asks, a.a)
+func (t *purgeTask) sendReport(role topology.Role, owner topology.Owner, summary invalidation.Summary, now Micros) {
+	report := purgeReport{Received: t.purges.Received(), Summary: summary, CaughtUp: t.ex.caughtUp.Load()}
+	report.Purges, report.Forgotten = t.purges.MissingFrom(t.ownerWatermarks[owner.Number], now)
+	if len(report.Purges) > 0 {
+		t.ownerWatermarks[owner.Number] = advance(t.ownerWatermarks[owner.Number], report.Purges)
+	}
+	if role.Front != "" {
+		for _, request := range t.requests[:min(len(t.requests), maxRequests)] {
+			report.Requests = append(report.Requests, request.request)
 		}
 	}
-	t.teller.up(Purges, r, u)
+	t.sender.sendUp(Purges, role, report)
 }
 
 // completed writes which purges have become complete.
-func (t *purgeTask) completed(before invalidation.Watermarks) {
-	if !t.x.history.on() {
+func (t *purgeTask) recordCompleted(before invalidation.Watermarks) {
+	if !t.ex.history.enabled() {
 		return
 	}
-	for _, m := range t.book.Completed() {
+	for _, m := range t.purges.Completed() {
 		for n := before.Of(m.Origin) + 1; n <= m.Number; n++ {
 			p := invalidation.Purge{Origin: m.Origin, Number: n}
-			t.x.history.write("complete", map[string]any{"purge": p.ID()})
+			t.ex.history.write("complete", map[string]any{"purge": p.ID()})
 		}
 	}
 }
 
-func (t *purgeTask) take(m any) {
-	s := t.x.standing.Load()
-	now := t.x.cfg.Now()
+func (t *purgeTask) handle(m any) {
+	state := t.ex.fleetState.Load()
+	now := t.ex.cfg.Now()
 	switch m := m.(type) {
-	case poke:
-		t.poked = false
-	case posted:
+	case wakeup:
+		t.wakeupPending = false
+	case callback:
 		m.do()
-	case obeyed:
+	case applied:
 		for _, p := range m.list {
-			t.half(p)
+			t.finishStep(p)
 		}
-	case purgeAsk:
-		if p, ok := t.book.Find(m.a.Asked, now); ok {
+	case purgeSubmit:
+		if p, ok := t.purges.Find(m.request.RequestKey, now); ok {
 			m.answer(p, nil)
 			return
 		}
-		if len(t.asks) >= mostAsks*16 {
+		if len(t.requests) >= maxRequests*16 {
 			m.answer(invalidation.Purge{}, errors.New("too many purges wait for their number"))
 			return
 		}
-		t.x.history.write("ask", map[string]any{"asked": m.a.Asked, "scope": m.a.Scope.String()})
-		t.asks = append(t.asks, pendingAsk{m, now + asksFor})
-		if s != nil {
-			t.round()
+		t.ex.history.write("ask", map[string]any{"asked": m.request.RequestKey, "scope": m.request.Scope.String()})
+		t.requests = append(t.requests, pendingRequest{m, now + requestTimeout})
+		if state != nil {
+			t.tick()
 		}
-	case purgeLook:
-		t.look(s, m, now)
+	case purgeQuery:
+		t.query(state, m, now)
 	case Envelope:
-		if s != nil {
-			t.came(s, m, now)
+		if state != nil {
+			t.receive(state, m, now)
 		}
 	}
-	if s == nil || !t.dirty {
+	if state == nil || !t.dirty {
 		return
 	}
 	// What is new is told at once, but not over and over while answers to it come.
-	if now-t.toldAt >= tellLeast {
-		t.round()
-	} else if !t.poked {
-		t.poked = true
-		x := t.x
-		time.AfterFunc(time.Duration(tellLeast)*time.Microsecond, func() { x.purges.put(poke{}) })
+	if now-t.reportedAt >= minReportInterval {
+		t.tick()
+	} else if !t.wakeupPending {
+		t.wakeupPending = true
+		ex := t.ex
+		time.AfterFunc(time.Duration(minReportInterval)*time.Microsecond, func() { ex.purges.put(wakeup{}) })
 	}
 }
 
-func (t *purgeTask) came(s *FleetState, e Envelope, now Micros) {
-	x := tie{e.Role, e.Owner}
-	before := t.book.Completed()
-	if e.Up {
-		var u purgeUp
-		if decoder.Unmarshal(e.Body, &u) != nil {
+func (t *purgeTask) receive(state *FleetState, envelope Envelope, now Micros) {
+	link := attachment{envelope.Role, envelope.Owner}
+	before := t.purges.Completed()
+	if envelope.Up {
+		var report purgeReport
+		if decoder.Unmarshal(envelope.Body, &report) != nil {
 			return
 		}
-		k := s.View.Owner(e.Site)
-		t.book.Receive(u.News, now)
-		t.book.HandleForgotten(u.Gone, now)
-		t.has[x], t.synced[x] = u.Marks, u.Synced
-		t.gather(*k).Record(e.Role, e.Seq, u.Summary, now)
-		for _, a := range u.Asks[:min(len(u.Asks), mostAsks)] {
-			if sc, err := invalidation.ParseScope(a.Scope.Kind.String(), a.Scope.Name); err == nil {
-				t.book.Submit(invalidation.Origin{Site: k.Site, Owner: k.Number}, sc, a.Asked, a.Why, now)
+		owner := state.View.Owner(envelope.Site)
+		t.purges.Receive(report.Purges, now)
+		t.purges.HandleForgotten(report.Forgotten, now)
+		t.childWatermarks[link], t.childCaughtUp[link] = report.Received, report.CaughtUp
+		t.collector(*owner).Record(envelope.Role, envelope.Seq, report.Summary, now)
+		for _, request := range report.Requests[:min(len(report.Requests), maxRequests)] {
+			if scope, err := invalidation.ParseScope(request.Scope.Kind.String(), request.Scope.Name); err == nil {
+				t.purges.Submit(invalidation.Origin{Site: owner.Site, Owner: owner.Number}, scope, request.RequestKey, request.Reason, now)
 			}
 		}
-		t.obey()
-		t.syncedBy(s, u.Marks, u.Synced, now)
-		if _, gone := t.book.MissingFrom(u.Marks, now); len(gone) > 0 || !t.book.Received().Equal(u.Marks) {
+		t.applyPending()
+		t.openIfCaughtUp(state, report.Received, report.CaughtUp, now)
+		if _, forgotten := t.purges.MissingFrom(report.Received, now); len(forgotten) > 0 || !t.purges.Received().Equal(report.Received) {
 			t.dirty = true
 		}
 		return
 	}
-	var d purgeDown
-	if decoder.Unmarshal(e.Body, &d) != nil {
+	var update purgeUpdate
+	if decoder.Unmarshal(envelope.Body, &update) != nil {
 		return
 	}
-	t.book.Receive(d.News, now)
-	t.book.HandleForgotten(d.Gone, now)
-	t.above[e.Owner] = d.Marks
-	if len(t.above) > 64 {
-		clear(t.above)
-	}
-	t.obey()
-	t.book.MarkComplete(d.Whole)
-	t.completed(before)
-	t.syncedBy(s, d.Marks, d.Synced, now)
-	if len(d.News) > 0 {
+	t.purges.Receive(update.Purges, now)
+	t.purges.HandleForgotten(update.Forgotten, now)
+	t.ownerWatermarks[envelope.Owner] = update.Received
+	if len(t.ownerWatermarks) > 64 {
+		clear(t.ownerWatermarks)
+	}
+	t.applyPending()
+	t.purges.MarkComplete(update.Completed)
+	t.recordCompleted(before)
+	t.openIfCaughtUp(state, update.Received, update.CaughtUp, now)
+	if len(update.Purges) > 0 {
 		t.dirty = true
 	}
 }
 
 // syncedBy opens the front once all is here that one has who serves already. Every
 // purge that is complete is among that.
-func (t *purgeTask) syncedBy(s *FleetState, marks invalidation.Watermarks, serves bool, now Micros) {
-	if t.x.open.Load() || t.opened || !serves || !s.View.Registered {
+func (t *purgeTask) openIfCaughtUp(state *FleetState, peerWatermarks invalidation.Watermarks, caughtUp bool, now Micros) {
+	if t.ex.caughtUp.Load() || t.opening || !caughtUp || !state.View.Registered {
 		return
 	}
-	have := t.book.Received()
-	for _, m := range marks {
-		if have.Of(m.Origin) < m.Number {
+	received := t.purges.Received()
+	for _, m := range peerWatermarks {
+		if received.Of(m.Origin) < m.Number {
 			return
 		}
 	}
-	t.opens("all that was missed is here", now)
+	t.openFront("all that was missed is here", now)
 }
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -18,81 +18,81 @@
 
 // verdictsUp is what a role says, and verdictsDown what it is told.
 type (
-	verdictsUp struct {
-		Stamp Micros                `cbor:"1,keyasint"`
-		List  []outlier.Observation `cbor:"2,keyasint,omitempty"`
-		Boxes map[string]int        `cbor:"3,keyasint,omitempty"`
+	verdictsReport struct {
+		Stamp        Micros                `cbor:"1,keyasint"`
+		Observations []outlier.Observation `cbor:"2,keyasint,omitempty"`
+		Boxes        map[string]int        `cbor:"3,keyasint,omitempty"`
 	}
-	verdictsDown struct {
-		Stamp Micros            `cbor:"1,keyasint"`
-		List  []outlier.Verdict `cbor:"2,keyasint,omitempty"`
+	verdictsUpdate struct {
+		Stamp    Micros            `cbor:"1,keyasint"`
+		Verdicts []outlier.Verdict `cbor:"2,keyasint,omitempty"`
 	}
 )
 
 // Messages to the task, beside envelopes.
 type (
-	opinions struct {
+	observations struct {
 		list  []outlier.Observation
 		boxes map[string]int
 	}
-	verdictsAsk struct{ answer func(any) }
+	verdictsQuery struct{ answer func(any) }
 )
 
-func (opinions) replaces() string { return "opinions" }
+func (observations) replaceKey() string { return "opinions" }
 
 // verdictTask is the task of verdicts. It keeps nothing that neighbours don't say again.
 type verdictTask struct {
-	teller
-	rules  outlier.Rules
-	own    opinions
-	said   map[string]*topology.Reports[verdictsUp] // by site
-	stamps map[tie]Micros
-	docket map[topology.Role]*outlier.VerdictCache
-	bench  *outlier.Evaluator
-	root   uint64
-	rounds int
+	sender
+	rules      outlier.Rules
+	own        observations
+	reports    map[string]*topology.Reports[verdictsReport] // by site
+	stamps     map[attachment]Micros
+	caches     map[topology.Role]*outlier.VerdictCache
+	evaluator  *outlier.Evaluator
+	rootNumber uint64
+	rounds     int
 }
 
 // verdictRounds is the rounds between two tellings.
 const verdictRounds = 2
 
-func (x *Exchange) newVerdicts() func(context.Context) body {
-	return func(ctx context.Context) body {
-		return &verdictTask{teller: teller{x, ctx}, rules: x.section.Load().Verdicts.Rules(), said: map[string]*topology.Reports[verdictsUp]{}, stamps: map[tie]Micros{},
-			docket: map[topology.Role]*outlier.VerdictCache{}}
+func (ex *Exchange) newVerdictTask() func(context.Context) handler {
+	return func(ctx context.Context) handler {
+		return &verdictTask{sender: sender{ex, ctx}, rules: ex.section.Load().Verdicts.Rules(), reports: map[string]*topology.Reports[verdictsReport]{}, stamps: map[attachment]Micros{},
+			caches: map[topology.Role]*outlier.VerdictCache{}}
 	}
 }
 
-func (t *verdictTask) round() {
-	s := t.x.standing.Load()
-	if t.rounds++; s == nil || t.rounds%verdictRounds != 0 {
+func (t *verdictTask) tick() {
+	state := t.ex.fleetState.Load()
+	if t.rounds++; state == nil || t.rounds%verdictRounds != 0 {
 		return
 	}
-	x := t.x
-	x.cfg.Loop.Post(func() {
-		list, boxes := x.cfg.Observer.Observations(s.View.Self.Name, s.View.Self.Site)
-		x.verdicts.offer(opinions{list, boxes})
+	ex := t.ex
+	ex.cfg.Loop.Post(func() {
+		list, boxes := ex.cfg.Observer.Observations(state.View.Self.Name, state.View.Self.Site)
+		ex.verdicts.tryPut(observations{list, boxes})
 	})
 }
 
 // tell merges what is said below, sends it up, and tells verdicts down.
-func (t *verdictTask) tell(s *FleetState, now Micros) {
-	links := t.x.links.Load()
-	own := s.View.SelfRole()
-	t.up(Verdicts, own, verdictsUp{now, t.own.list, t.own.boxes})
-	keeps := s.View.OwnedBySelf()
-	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k topology.Owner) bool { return k.Site == site }) {
-			delete(t.said, site)
+func (t *verdictTask) publish(state *FleetState, now Micros) {
+	links := t.ex.links.Load()
+	own := state.View.SelfRole()
+	t.sendUp(Verdicts, own, verdictsReport{now, t.own.list, t.own.boxes})
+	owned := state.View.OwnedBySelf()
+	for site := range t.reports {
+		if !slices.ContainsFunc(owned, func(owner topology.Owner) bool { return owner.Site == site }) {
+			delete(t.reports, site)
 		}
 	}
-	for _, k := range keeps {
+	for _, owner := range owned {
 		var lists [][]outlier.Observation
 		boxes := map[string]int{}
-		if said := t.said[k.Site]; said != nil {
-			for _, u := range said.All(now, t.x.spans().FailoverAfter) {
-				lists = append(lists, u.List)
-				for hub, n := range u.Boxes {
+		if reports := t.reports[owner.Site]; reports != nil {
+			for _, report := range reports.All(now, t.ex.topologyConfig().FailoverAfter) {
+				lists = append(lists, report.Observations)
+				for hub, n := range report.Boxes {
 					if len(boxes) < outlier.MaxSubjects {
 						boxes[hub] = max(boxes[hub], min(n, 1<<16))
 					}
@@ -100,95 +100,95 @@
 			}
 		}
 		merged := outlier.Merge(lists...)
-		var list []outlier.Verdict
-		if k.Site == topology.Root {
-			if t.bench == nil || t.root != k.Number {
-				t.bench, t.root = outlier.NewEvaluator(t.rules, k.Number), k.Number
-				t.bench.Disable(outlier.Mutation(without))
+		var verdicts []outlier.Verdict
+		if owner.Site == topology.Root {
+			if t.evaluator == nil || t.rootNumber != owner.Number {
+				t.evaluator, t.rootNumber = outlier.NewEvaluator(t.rules, owner.Number), owner.Number
+				t.evaluator.Disable(outlier.Mutation(without))
 			}
-			list = t.bench.Step(merged, boxes, now)
-			if !s.MayActAsOwner(now) { // another one may judge by now
-				list = nil
+			verdicts = t.evaluator.Step(merged, boxes, now)
+			if !state.MayActAsOwner(now) { // another one may judge by now
+				verdicts = nil
 			}
 		} else {
-			t.up(Verdicts, topology.SiteRole(k), verdictsUp{now, merged, boxes})
-			if d := t.docket[topology.SiteRole(k)]; d != nil {
-				list = d.Active(now)
+			t.sendUp(Verdicts, topology.SiteRole(owner), verdictsReport{now, merged, boxes})
+			if cache := t.caches[topology.SiteRole(owner)]; cache != nil {
+				verdicts = cache.Active(now)
 			}
 		}
-		for _, r := range links.below(k, now, t.x.spans().FailoverAfter) {
-			if stamp := t.stamps[tie{r, k.Number}]; stamp != 0 {
-				t.down(Verdicts, r, k, verdictsDown{stamp, list})
+		for _, role := range links.childrenOf(owner, now, t.ex.topologyConfig().FailoverAfter) {
+			if stamp := t.stamps[attachment{role, owner.Number}]; stamp != 0 {
+				t.sendDown(Verdicts, role, owner, verdictsUpdate{stamp, verdicts})
 			}
 		}
 	}
-	for x := range t.stamps {
-		if _, ok := links.children[x]; !ok {
-			delete(t.stamps, x)
+	for link := range t.stamps {
+		if _, ok := links.children[link]; !ok {
+			delete(t.stamps, link)
 		}
 	}
 }
 
-func (t *verdictTask) take(m any) {
-	s, now := t.x.standing.Load(), t.x.cfg.Now()
-	if s == nil {
+func (t *verdictTask) handle(m any) {
+	state, now := t.ex.fleetState.Load(), t.ex.cfg.Now()
+	if state == nil {
 		return
 	}
 	switch m := m.(type) {
-	case opinions:
+	case observations:
 		t.own = m
-		t.tell(s, now)
-	case verdictsAsk:
-		m.answer(t.tells(s, now))
+		t.publish(state, now)
+	case verdictsQuery:
+		m.answer(t.status(state, now))
 	case Envelope:
 		if m.Up {
-			var u verdictsUp
-			if decoder.Unmarshal(m.Body, &u) != nil {
+			var report verdictsReport
+			if decoder.Unmarshal(m.Body, &report) != nil {
 				return
 			}
 			if m.Role.Front != "" { // it speaks for itself alone, whatever it says
-				for i := range u.List {
-					u.List[i].Count = 1
-					u.List[i].Witnesses = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(u.List[i])}}
-					u.List[i].Rate = min(u.List[i].Rate, t.rules.ForgedRate/float64(t.rules.Witnesses)*2)
+				for i := range report.Observations {
+					report.Observations[i].Count = 1
+					report.Observations[i].Witnesses = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(report.Observations[i])}}
+					report.Observations[i].Rate = min(report.Observations[i].Rate, t.rules.ForgedRate/float64(t.rules.Witnesses)*2)
 				}
 			}
-			if t.said[m.Site] == nil {
-				t.said[m.Site] = &topology.Reports[verdictsUp]{}
+			if t.reports[m.Site] == nil {
+				t.reports[m.Site] = &topology.Reports[verdictsReport]{}
 			}
-			t.said[m.Site].Put(m.Role, m.Seq, u, now)
-			t.stamps[tie{m.Role, m.Owner}] = u.Stamp
+			t.reports[m.Site].Put(m.Role, m.Seq, report, now)
+			t.stamps[attachment{m.Role, m.Owner}] = report.Stamp
 			return
 		}
-		var d verdictsDown
-		if decoder.Unmarshal(m.Body, &d) != nil {
+		var update verdictsUpdate
+		if decoder.Unmarshal(m.Body, &update) != nil {
 			return
 		}
-		if t.docket[m.Role] == nil {
-			t.docket[m.Role] = &outlier.VerdictCache{}
+		if t.caches[m.Role] == nil {
+			t.caches[m.Role] = &outlier.VerdictCache{}
 		}
-		t.docket[m.Role].Update(d.List, d.Stamp, t.rules.MaxSpan())
-		if m.Role == s.View.SelfRole() {
+		t.caches[m.Role].Update(update.Verdicts, update.Stamp, t.rules.MaxSpan())
+		if m.Role == state.View.SelfRole() {
 			var held []outlier.HeldVerdict
-			for _, v := range t.docket[m.Role].Active(now) {
+			for _, v := range t.caches[m.Role].Active(now) {
 				held = append(held, outlier.HeldVerdict{Verdict: v, Until: now + v.Remaining})
 			}
-			x := t.x
-			x.cfg.Loop.Post(func() { x.cfg.Observer.ApplyVerdicts(held) })
+			ex := t.ex
+			ex.cfg.Loop.Post(func() { ex.cfg.Observer.ApplyVerdicts(held) })
 		}
-		for r := range t.docket {
-			if !slices.Contains(roles(s.View), r) {
-				delete(t.docket, r)
+		for r := range t.caches {
+			if !slices.Contains(roles(state.View), r) {
+				delete(t.caches, r)
 			}
 		}
 	}
 }
 
-func evidence(o outlier.Observation) float64 {
-	if len(o.Witnesses) == 0 {
+func evidence(observation outlier.Observation) float64 {
+	if len(observation.Witnesses) == 0 {
 		return 0
 	}
-	return min(max(0, o.Witnesses[0].Evidence), 1e6)
+	return min(max(0, observation.Witnesses[0].Evidence), 1e6)
 }
 
 // VerdictTold is one verdict, or an opinion of this front's own, for a person.
@@ -212,10 +212,10 @@
 	Own    []VerdictStatus `json:"own"`
 }
 
-func (t *verdictTask) tells(s *FleetState, now Micros) VerdictsStatus {
-	out := VerdictsStatus{Front: s.View.Self.Name}
-	if d := t.docket[s.View.SelfRole()]; d != nil {
-		for _, v := range d.Active(now) {
+func (t *verdictTask) status(state *FleetState, now Micros) VerdictsStatus {
+	out := VerdictsStatus{Front: state.View.Self.Name}
+	if cache := t.caches[state.View.SelfRole()]; cache != nil {
+		for _, v := range cache.Active(now) {
 			out.Active = append(out.Active, VerdictStatus{v.Subject, v.State.String(), v.Number, v.Witnesses, v.Count, v.Sites, v.PossibleSites, float64(v.Remaining) / 1e6, float64(v.Span) / 1e6, v.Factor})
 		}
 	}
@@ -226,22 +226,22 @@
 }
 
 // VerdictsOf asks for what this front knows of verdicts; the answer comes on the loop.
-func (x *Exchange) QueryVerdicts(answer func(any)) bool {
-	return x.cfg.Section.Verdicts != nil && x.verdicts.offer(verdictsAsk{func(v any) { x.cfg.Loop.Post(func() { answer(v) }) }})
+func (ex *Exchange) QueryVerdicts(answer func(any)) bool {
+	return ex.cfg.Section.Verdicts != nil && ex.verdicts.tryPut(verdictsQuery{func(v any) { ex.cfg.Loop.Post(func() { answer(v) }) }})
 }
 
 // Acted notes for the laboratory that this front acts on a verdict, or does so no more.
 // Boxes is how many its hub has, and ready how many of them are left. It is called on the
 // loop.
-func (x *Exchange) RecordVerdict(v outlier.HeldVerdict, on bool, boxes, ready int) {
-	if !x.history.on() {
+func (ex *Exchange) RecordVerdict(verdict outlier.HeldVerdict, active bool, boxes, ready int) {
+	if !ex.history.enabled() {
 		return
 	}
 	var names []string
-	for _, w := range v.Witnesses {
+	for _, w := range verdict.Witnesses {
 		names = append(names, w.Front)
 	}
-	left := v.Until - x.cfg.Now()
-	x.history.write("verdict", map[string]any{"box": v.Subject, "state": v.State.String(), "ok": on, "witnesses": names, "sites": v.Sites, "possible": v.PossibleSites,
-		"age_ms": float64(v.Span-left) / 1000, "bound_ms": float64(v.Span) / 1000, "hub": v.Hub, "boxes": boxes, "ready": ready})
+	remaining := verdict.Until - ex.cfg.Now()
+	ex.history.write("verdict", map[string]any{"box": verdict.Subject, "state": verdict.State.String(), "ok": active, "witnesses": names, "sites": verdict.Sites, "possible": verdict.PossibleSites,
+		"age_ms": float64(verdict.Span-remaining) / 1000, "bound_ms": float64(verdict.Span) / 1000, "hub": verdict.Hub, "boxes": boxes, "ready": ready})
 }
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -30,7 +30,7 @@
 	Purges
 	Verdicts
 	Paths
-	subjects
+	subjectCount
 )
 
 var subjectNames = [...]string{"", "tree", "limits", "purges", "verdicts", "paths"}
@@ -58,14 +58,14 @@
 
 // Spans and bounds of connections.
 const (
-	handshakeMost = 5 * time.Second
-	redialLeast   = 100 * time.Millisecond
-	redialMost    = 2 * time.Second
-	silentMost    = 5 * time.Second // a connection on which nothing comes for so long is given up
-	pingEvery     = time.Second
-	mostOutbox    = 512
-	mostMessage   = 1 << 20 // bytes
-	stream        = 1
+	handshakeTimeout = 5 * time.Second
+	minRedial        = 100 * time.Millisecond
+	maxRedial        = 2 * time.Second
+	ioTimeout        = 5 * time.Second // a connection on which nothing comes for so long is given up
+	pingInterval     = time.Second
+	maxOutbox        = 512
+	maxMessage       = 1 << 20 // bytes
+	dataStream       = 1
 )
 
 var (
@@ -90,17 +90,17 @@
 }
 
 // errSize tells of a message that is too long; its connection ends.
-var errSize = errors.New("exchange: a message is too long")
+var errMessageTooLong = errors.New("exchange: a message is too long")
 
 // reader gives the bytes of a connection's data frames. The messages on them are a
 // sequence in CBOR (RFC 8742).
 type reader struct {
-	conn   net.Conn
-	buf    []byte
-	data   []byte
-	since  int // bytes since the last whole message
-	hello  func(frame.Hello) error
-	greets bool
+	conn         net.Conn
+	buf          []byte
+	data         []byte
+	messageBytes int // bytes since the last whole message
+	hello        func(frame.Hello) error
+	greeted      bool
 }
 
 func (r *reader) Read(p []byte) (int, error) {
@@ -113,7 +113,7 @@
 			if len(r.buf) == cap(r.buf) {
 				r.buf = slices.Grow(r.buf, 32<<10)
 			}
-			if err := r.conn.SetReadDeadline(time.Now().Add(silentMost)); err != nil {
+			if err := r.conn.SetReadDeadline(time.Now().Add(ioTimeout)); err != nil {
 				return 0, err
 			}
 			n, err := r.conn.Read(r.buf[len(r.buf):cap(r.buf)])
@@ -132,9 +132,9 @@
 			if err := r.hello(h); err != nil {
 				return 0, err
 			}
-			r.greets = true
+			r.greeted = true
 		case frame.KindData:
-			if !r.greets {
+			if !r.greeted {
 				return 0, errors.New("exchange: data before a greeting")
 			}
 			r.data = slices.Clone(f.Body)
@@ -143,8 +143,8 @@
 	}
 	n := copy(p, r.data)
 	r.data = r.data[n:]
-	if r.since += n; r.since > mostMessage {
-		return 0, errSize
+	if r.messageBytes += n; r.messageBytes > maxMessage {
+		return 0, errMessageTooLong
 	}
 	return n, nil
 }
@@ -154,12 +154,12 @@
 type conn struct {
 	net.Conn
 	name   string // proven by its certificate
-	outbox *box[Envelope]
+	outbox *mailbox[Envelope]
 	dialed bool
 }
 
 // names are those that a connection's other side has proven.
-func names(c net.Conn) []string {
+func peerNames(c net.Conn) []string {
 	if t, ok := c.(*tls.Conn); ok {
 		if certs := t.ConnectionState().PeerCertificates; len(certs) > 0 {
 			return certs[0].DNSNames
@@ -169,27 +169,27 @@
 }
 
 // serve runs a connection until it ends. Up is told once the other side has greeted.
-func (x *Exchange) serve(ctx context.Context, c *conn, up func()) error {
+func (ex *Exchange) serve(ctx context.Context, c *conn, onHello func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.outbox = newBox(ctx, mostOutbox, &x.counts.Dropped, func(e Envelope) string { return e.key() })
+	c.outbox = newMailbox(ctx, maxOutbox, &ex.counts.Dropped, func(e Envelope) string { return e.key() })
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer func() { _ = c.Close() }()
-	began := time.Now()
-	write := func(kind frame.Kind, on uint32, body []byte) error {
-		b, err := frame.Append(nil, frame.Frame{Kind: kind, Stream: on, Sent: uint64(time.Since(began).Microseconds()), Body: body})
+	start := time.Now()
+	write := func(kind frame.Kind, streamID uint32, body []byte) error {
+		b, err := frame.Append(nil, frame.Frame{Kind: kind, Stream: streamID, Sent: uint64(time.Since(start).Microseconds()), Body: body})
 		if err != nil {
 			return err
 		}
-		if err := c.SetWriteDeadline(time.Now().Add(silentMost)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(ioTimeout)); err != nil {
 			return err
 		}
 		_, err = c.Write(b)
 		return err
 	}
-	fleet := x.fleetID()
-	hello, err := frame.EncodeHead(frame.Hello{Versions: frame.Versions, Site: x.cfg.Name, Epoch: fleet, Window: mostMessage, Total: mostMessage, Streams: 1})
+	fleet := ex.fleetID()
+	hello, err := frame.EncodeHead(frame.Hello{Versions: frame.Versions, Site: ex.cfg.Name, Epoch: fleet, Window: maxMessage, Total: maxMessage, Streams: 1})
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 			if err := write(frame.KindHello, 0, hello); err != nil {
 				return err
 			}
-			ping := time.NewTicker(pingEvery)
+			ping := time.NewTicker(pingInterval)
 			defer ping.Stop()
 			for {
 				select {
@@ -211,11 +211,11 @@
 					}
 				case e := <-c.outbox.out:
 					b := encode(e)
-					x.counts.Sent.Add(1)
-					x.counts.Bytes.Add(int64(len(b)))
+					ex.counts.Sent.Add(1)
+					ex.counts.Bytes.Add(int64(len(b)))
 					for len(b) > 0 {
 						n := min(len(b), frame.MaxData)
-						if err := write(frame.KindData, stream, b[:n]); err != nil {
+						if err := write(frame.KindData, dataStream, b[:n]); err != nil {
 							return err
 						}
 						b = b[n:]
@@ -230,14 +230,14 @@
 		if _, err := frame.NegotiateVersion(h.Versions); err != nil {
 			return err
 		}
-		if !slices.Contains(names(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == x.cfg.Name {
-			return fmt.Errorf("exchange: it calls itself %q, and its certificate is for %q", h.Site, names(c.Conn))
+		if !slices.Contains(peerNames(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == ex.cfg.Name {
+			return fmt.Errorf("exchange: it calls itself %q, and its certificate is for %q", h.Site, peerNames(c.Conn))
 		}
 		if h.Epoch != 0 && fleet != 0 && h.Epoch != fleet {
 			return fmt.Errorf("exchange: %s belongs to another fleet", h.Site)
 		}
 		c.name = h.Site
-		up()
+		onHello()
 		return nil
 	}}
 	d := decoder.NewDecoder(r)
@@ -245,51 +245,51 @@
 		var e Envelope
 		if err := d.Decode(&e); err != nil {
 			cancel()
-			if first := <-failed; first != nil && !errors.Is(first, net.ErrClosed) {
-				return first
+			if writeErr := <-failed; writeErr != nil && !errors.Is(writeErr, net.ErrClosed) {
+				return writeErr
 			}
 			if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return err
 		}
-		r.since = 0
-		x.counts.Received.Add(1)
-		x.hub.put(fromFront{c.name, e})
+		r.messageBytes = 0
+		ex.counts.Received.Add(1)
+		ex.dispatcher.put(received{c.name, e})
 	}
 }
 
 // dial connects to a front and serves the connection; it comes back when that ends.
-func (x *Exchange) dial(ctx context.Context, name, address string) error {
-	dctx, cancel := context.WithTimeout(ctx, handshakeMost)
+func (ex *Exchange) dial(ctx context.Context, name, address string) error {
+	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	cfg := x.cfg.Keys.ClientConfig()
+	cfg := ex.cfg.Keys.ClientConfig()
 	cfg.NextProtos = []string{Protocol}
-	d := tls.Dialer{Config: cfg}
-	nc, err := d.DialContext(dctx, "tcp", address)
+	dialer := tls.Dialer{Config: cfg}
+	netConn, err := dialer.DialContext(dialCtx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	t := nc.(*tls.Conn)
-	if t.ConnectionState().NegotiatedProtocol != Protocol {
-		return errors.Join(fmt.Errorf("exchange: %s at %s takes no part", name, address), nc.Close())
+	tlsConn := netConn.(*tls.Conn)
+	if tlsConn.ConnectionState().NegotiatedProtocol != Protocol {
+		return errors.Join(fmt.Errorf("exchange: %s at %s takes no part", name, address), netConn.Close())
 	}
-	if !slices.Contains(names(nc), name) {
-		return errors.Join(fmt.Errorf("exchange: at %s is %q, not %s", address, names(nc), name), nc.Close())
+	if !slices.Contains(peerNames(netConn), name) {
+		return errors.Join(fmt.Errorf("exchange: at %s is %q, not %s", address, peerNames(netConn), name), netConn.Close())
 	}
-	c := &conn{Conn: nc, name: name, dialed: true}
-	defer x.hub.put(connDown{c})
-	return x.serve(ctx, c, func() { x.hub.put(connUp{c}) })
+	c := &conn{Conn: netConn, name: name, dialed: true}
+	defer ex.dispatcher.put(connDown{c})
+	return ex.serve(ctx, c, func() { ex.dispatcher.put(connUp{c}) })
 }
 
 // Accept takes over a connection that another front opened, whose handshake is done.
-func (x *Exchange) Accept(nc net.Conn, done func()) {
+func (ex *Exchange) Accept(netConn net.Conn, done func()) {
 	go func() {
 		defer done()
-		c := &conn{Conn: nc}
-		defer x.hub.put(connDown{c})
-		if err := x.serve(x.ctx, c, func() { x.hub.put(connUp{c}) }); err != nil && x.ctx.Err() == nil {
-			x.log.Info("exchange: a connection ended", "front", c.name, "error", err)
+		c := &conn{Conn: netConn}
+		defer ex.dispatcher.put(connDown{c})
+		if err := ex.serve(ex.ctx, c, func() { ex.dispatcher.put(connUp{c}) }); err != nil && ex.ctx.Err() == nil {
+			ex.log.Info("exchange: a connection ended", "front", c.name, "error", err)
 		}
 	}()
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -26,14 +26,14 @@
 // of length and bytes, then records, each after its length; all figures are of 4
 // bytes, little-endian.
 const (
-	magic      = "cherryramp journal 1\n"
-	frameHead  = 8
-	recordHead = 4
+	magic        = "cherryramp journal 1\n"
+	frameHeader  = 8
+	recordHeader = 4
 	// MostRecord bounds a record's bytes.
 	MaxRecord = 1 << 20
 	// mostBatch is how many bytes of records a frame has at most, before its last one.
-	mostBatch = 4 << 20
-	mostFrame = mostBatch + MaxRecord + 2*recordHead
+	maxBatch = 4 << 20
+	maxFrame = maxBatch + MaxRecord + 2*recordHeader
 )
 
 var (
@@ -58,31 +58,31 @@
 // Journal is an open journal. One goroutine of its own writes and waits for the
 // disk; Append and Rewrite never do.
 type Journal struct {
-	path string
-	jobs chan job
-	done chan error // of the writer's end
-	post func(func())
+	path   string
+	jobs   chan job
+	closed chan error // of the writer's end
+	post   func(func())
 
-	told int64 // of size; its owner's
+	reportedSize int64 // of size; its owner's
 
 	// The writer's.
-	f    file
-	size int64 // of whole records that are durable
-	lost error // after which nothing is written any more
-	make func(path string) (file, error)
+	f      file
+	size   int64 // of whole records that are durable
+	failed error // after which nothing is written any more
+	create func(path string) (file, error)
 }
 
 // job is a record, or a snapshot to begin anew from.
 type job struct {
 	record   []byte
 	snapshot [][]byte
-	kept     func(error)
+	done     func(error)
 }
 
 // Open opens a journal, or makes one, and hands over each of its records in order;
 // they may be kept. A torn end is cut off and told in bytes. Up to most records may
 // wait to be written. What is to be told later is posted, as to a loop.
-func Open(path string, most int, post func(func()), each func(record []byte) error) (j *Journal, torn int64, err error) {
+func Open(path string, maxWaiting int, post func(func()), each func(record []byte) error) (j *Journal, torn int64, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, 0, fmt.Errorf("journal: %w", err)
@@ -103,9 +103,9 @@
 	if err != nil {
 		return nil, 0, errors.Join(fmt.Errorf("journal: %s: %w", path, err), f.Close())
 	}
-	j = &Journal{path: path, jobs: make(chan job, most), done: make(chan error, 1), post: post, f: f, size: size, told: size,
-		make: func(path string) (file, error) { return os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600) }}
-	go j.write()
+	j = &Journal{path: path, jobs: make(chan job, maxWaiting), closed: make(chan error, 1), post: post, f: f, size: size, reportedSize: size,
+		create: func(path string) (file, error) { return os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600) }}
+	go j.run()
 	return j, torn, nil
 }
 
@@ -130,93 +130,93 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	all := info.Size()
-	head := make([]byte, min(all, int64(len(magic))))
-	if _, err := io.ReadFull(f, head); err != nil {
+	fileSize := info.Size()
+	header := make([]byte, min(fileSize, int64(len(magic))))
+	if _, err := io.ReadFull(f, header); err != nil {
 		return 0, 0, err
 	}
-	if string(head) != magic[:len(head)] {
+	if string(header) != magic[:len(header)] {
 		return 0, 0, errors.New("this is no journal of this version")
 	}
-	if len(head) < len(magic) { // a crash at its making
-		return 0, all, nil
+	if len(header) < len(magic) { // a crash at its making
+		return 0, fileSize, nil
 	}
 	size = int64(len(magic))
-	r := bufio.NewReaderSize(io.LimitReader(f, all-size), 1<<20) // it may be growing meanwhile
-	var b [frameHead]byte
+	reader := bufio.NewReaderSize(io.LimitReader(f, fileSize-size), 1<<20) // it may be growing meanwhile
+	var frameStart [frameHeader]byte
 	var buf []byte
 	for {
-		n, err := io.ReadFull(r, b[:])
+		n, err := io.ReadFull(reader, frameStart[:])
 		if err == io.EOF {
 			return size, 0, nil
 		}
 		if err != nil && err != io.ErrUnexpectedEOF {
 			return 0, 0, err
 		}
-		if n < frameHead {
-			return size, all - size, nil
+		if n < frameHeader {
+			return size, fileSize - size, nil
 		}
-		length, whole := int64(binary.LittleEndian.Uint32(b[:])), false
-		if length <= mostFrame && size+frameHead+length <= all {
+		length, intact := int64(binary.LittleEndian.Uint32(frameStart[:])), false
+		if length <= maxFrame && size+frameHeader+length <= fileSize {
 			buf = slices.Grow(buf[:0], int(length))[:length]
-			if _, err := io.ReadFull(r, buf); err != nil {
+			if _, err := io.ReadFull(reader, buf); err != nil {
 				return 0, 0, err
 			}
-			whole = sum(buf) == binary.LittleEndian.Uint32(b[4:])
+			intact = checksum(buf) == binary.LittleEndian.Uint32(frameStart[4:])
 		}
-		if !whole {
-			next, err := wholeAfter(f, size+1, all)
+		if !intact {
+			next, err := findFrame(f, size+1, fileSize)
 			if err != nil {
 				return 0, 0, err
 			}
 			if next > 0 {
 				return 0, 0, fmt.Errorf("the frame at byte %d is damaged, and a whole one stands behind it, at byte %d", size, next)
 			}
-			return size, all - size, nil
+			return size, fileSize - size, nil
 		}
-		if err := records(buf, each); err != nil {
+		if err := eachRecord(buf, each); err != nil {
 			return 0, 0, fmt.Errorf("the frame at byte %d: %w", size, err)
 		}
-		size += frameHead + length
+		size += frameHeader + length
 	}
 }
 
 // records hands over a frame's records, each in memory of its own.
-func records(b []byte, each func([]byte) error) error {
-	for len(b) > 0 {
-		if len(b) < recordHead || int(binary.LittleEndian.Uint32(b)) > len(b)-recordHead {
+func eachRecord(body []byte, each func([]byte) error) error {
+	for len(body) > 0 {
+		if len(body) < recordHeader || int(binary.LittleEndian.Uint32(body)) > len(body)-recordHeader {
 			return errors.New("its checksum is right, and its records are not whole")
 		}
-		n := recordHead + int(binary.LittleEndian.Uint32(b))
-		if err := each(bytes.Clone(b[recordHead:n])); err != nil {
+		n := recordHeader + int(binary.LittleEndian.Uint32(body))
+		if err := each(bytes.Clone(body[recordHeader:n])); err != nil {
 			return err
 		}
-		b = b[n:]
+		body = body[n:]
 	}
 	return nil
 }
 
 // leastWhole is how long a frame must be for its checksum to be no chance, where one
 // is looked for at every byte.
-const leastWhole = recordHead
+const minFoundFrame = recordHeader
 
 // wholeAfter finds a whole frame that begins at a byte or later, which a torn end
 // does not have; 0: there is none. It looks as far as one write may have torn, and
 // a frame more.
-func wholeAfter(f *os.File, from, all int64) (int64, error) {
-	if from >= all {
+func findFrame(f *os.File, from, fileSize int64) (int64, error) {
+	if from >= fileSize {
 		return 0, nil
 	}
-	b := make([]byte, min(all-from, 2*mostFrame))
-	if _, err := f.ReadAt(b, from); err != nil && err != io.EOF {
+	data := make([]byte, min(fileSize-from, 2*maxFrame))
+	if _, err := f.ReadAt(data, from); err != nil && err != io.EOF {
 		return 0, err
 	}
-	for i := 0; i+frameHead <= len(b); i++ {
-		length := int(binary.LittleEndian.Uint32(b[i:]))
-		if length < leastWhole || length > mostFrame || i+frameHead+length > len(b) {
+	for i := 0; i+frameHeader <= len(data); i++ {
+		length := int(binary.LittleEndian.Uint32(data[i:]))
+		if length < minFoundFrame || length > maxFrame || i+frameHeader+length > len(data) {
 			continue
 		}
-		if sum(b[i+frameHead:i+frameHead+length]) == binary.LittleEndian.Uint32(b[i+4:]) {
+		if checksum(data[i+frameHeader:i+frameHeader+length]) == binary.LittleEndian.Uint32(data[i+4:]) {
 			return from + int64(i), nil
 		}
 	}
@@ -224,105 +224,105 @@
 }
 
 // sum is the checksum of a frame's length and bytes.
-func sum(b []byte) uint32 {
-	var head [4]byte
-	binary.LittleEndian.PutUint32(head[:], uint32(len(b)))
-	return crc32.Update(crc32.Checksum(head[:], castagnoli), castagnoli, b)
+func checksum(body []byte) uint32 {
+	var header [4]byte
+	binary.LittleEndian.PutUint32(header[:], uint32(len(body)))
+	return crc32.Update(crc32.Checksum(header[:], castagnoli), castagnoli, body)
 }
 
 // begin and seal make a frame behind what stands in dst: begin leaves room for its
 // head, which seal fills in once the records are there.
-func begin(dst []byte) []byte { return append(dst, make([]byte, frameHead)...) }
+func beginFrame(dst []byte) []byte { return append(dst, make([]byte, frameHeader)...) }
 
-func add(dst, record []byte) []byte {
+func appendRecord(dst, record []byte) []byte {
 	return append(binary.LittleEndian.AppendUint32(dst, uint32(len(record))), record...)
 }
 
-func seal(dst []byte, at int) []byte {
-	binary.LittleEndian.PutUint32(dst[at:], uint32(len(dst)-at-frameHead))
-	binary.LittleEndian.PutUint32(dst[at+4:], sum(dst[at+frameHead:]))
+func sealFrame(dst []byte, start int) []byte {
+	binary.LittleEndian.PutUint32(dst[start:], uint32(len(dst)-start-frameHeader))
+	binary.LittleEndian.PutUint32(dst[start+4:], checksum(dst[start+frameHeader:]))
 	return dst
 }
 
 // Size is the bytes of the file as far as the owner of post knows: it is told with
 // what was kept.
-func (j *Journal) Size() int64 { return j.told }
+func (j *Journal) Size() int64 { return j.reportedSize }
 
 // Append has a record written; kept is posted once it is durable, or is not. The
 // bytes must stay as they are until then. A record that is told not to be kept does
 // not come back at the next start.
-func (j *Journal) Append(record []byte, kept func(error)) {
+func (j *Journal) Append(record []byte, done func(error)) {
 	if len(record) > MaxRecord {
-		j.post(func() { kept(fmt.Errorf("journal: a record of %d bytes, %d at most", len(record), MaxRecord)) })
+		j.post(func() { done(fmt.Errorf("journal: a record of %d bytes, %d at most", len(record), MaxRecord)) })
 		return
 	}
-	j.put(job{record: record, kept: kept})
+	j.enqueue(job{record: record, done: done})
 }
 
 // Rewrite begins the file anew with a snapshot's records; those appended before are
 // dropped, those after stand behind it. Until it is durable the old file stays.
-func (j *Journal) Rewrite(snapshot [][]byte, kept func(error)) {
+func (j *Journal) Rewrite(snapshot [][]byte, done func(error)) {
 	if snapshot == nil {
 		snapshot = [][]byte{}
 	}
-	j.put(job{snapshot: snapshot, kept: kept})
+	j.enqueue(job{snapshot: snapshot, done: done})
 }
 
-func (j *Journal) put(x job) {
+func (j *Journal) enqueue(queued job) {
 	select {
-	case j.jobs <- x:
+	case j.jobs <- queued:
 	default:
-		j.post(func() { x.kept(ErrFull) })
+		j.post(func() { queued.done(ErrFull) })
 	}
 }
 
 // Close writes what waits and closes the file. Nothing may be appended any more.
 func (j *Journal) Close() error {
 	close(j.jobs)
-	return <-j.done
+	return <-j.closed
 }
 
 // write is the writer: it takes all that waits, writes it at once and waits for the
 // disk once.
-func (j *Journal) write() {
+func (j *Journal) run() {
 	var buf []byte
-	for x := range j.jobs {
-		if x.snapshot != nil {
-			j.tell([]job{x}, j.rewrite(x.snapshot))
+	for current := range j.jobs {
+		if current.snapshot != nil {
+			j.report([]job{current}, j.rewrite(current.snapshot))
 			continue
 		}
-		batch, next := []job{x}, (*job)(nil)
-		buf = add(begin(buf[:0]), x.record)
+		batch, rewriteJob := []job{current}, (*job)(nil)
+		buf = appendRecord(beginFrame(buf[:0]), current.record)
 	more:
-		for len(buf) < mostBatch {
+		for len(buf) < maxBatch {
 			select {
-			case y, ok := <-j.jobs:
+			case following, ok := <-j.jobs:
 				if !ok {
 					break more
 				}
-				if y.snapshot != nil {
-					next = &y
+				if following.snapshot != nil {
+					rewriteJob = &following
 					break more
 				}
-				batch, buf = append(batch, y), add(buf, y.record)
+				batch, buf = append(batch, following), appendRecord(buf, following.record)
 			default:
 				break more
 			}
 		}
-		j.tell(batch, j.commit(seal(buf, 0)))
-		if next != nil {
-			j.tell([]job{*next}, j.rewrite(next.snapshot))
+		j.report(batch, j.commit(sealFrame(buf, 0)))
+		if rewriteJob != nil {
+			j.report([]job{*rewriteJob}, j.rewrite(rewriteJob.snapshot))
 		}
 	}
-	j.done <- j.f.Close()
+	j.closed <- j.f.Close()
 }
 
-func (j *Journal) tell(batch []job, err error) {
+func (j *Journal) report(batch []job, err error) {
 	size := j.size
 	j.post(func() {
-		j.told = size
-		for _, x := range batch {
-			x.kept(err)
+		j.reportedSize = size
+		for _, written := range batch {
+			written.done(err)
 		}
 	})
 }
@@ -330,32 +330,32 @@
 // commit makes bytes durable, or has the file be as it was before. Where not even
 // that succeeds, or the disk's own word can't be trusted any more (a failed sync may
 // have dropped what it did not write), nothing more is taken.
-func (j *Journal) commit(b []byte) error {
-	if j.lost != nil {
-		return j.lost
-	}
-	if _, err := j.f.Write(b); err != nil {
-		_, seek := j.f.Seek(j.size, io.SeekStart)
-		if undo := errors.Join(j.f.Truncate(j.size), seek); undo != nil {
-			j.lost = errors.Join(ErrClosed, undo)
+func (j *Journal) commit(frame []byte) error {
+	if j.failed != nil {
+		return j.failed
+	}
+	if _, err := j.f.Write(frame); err != nil {
+		_, seekErr := j.f.Seek(j.size, io.SeekStart)
+		if undoErr := errors.Join(j.f.Truncate(j.size), seekErr); undoErr != nil {
+			j.failed = errors.Join(ErrClosed, undoErr)
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
 	if err := j.f.Sync(); err != nil {
-		j.lost = errors.Join(ErrClosed, err)
-		return j.lost
+		j.failed = errors.Join(ErrClosed, err)
+		return j.failed
 	}
-	j.size += int64(len(b))
+	j.size += int64(len(frame))
 	return nil
 }
 
 // rewrite puts a new file in the old one's place.
 func (j *Journal) rewrite(snapshot [][]byte) (err error) {
-	if j.lost != nil {
-		return j.lost
+	if j.failed != nil {
+		return j.failed
 	}
 	path := j.path + ".new"
-	f, err := j.make(path)
+	f, err := j.create(path)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -371,10 +371,10 @@
 		size += int64(n)
 		return err
 	}
-	buf := begin([]byte(nil))
+	buf := beginFrame([]byte(nil))
 	flush := func() error {
-		defer func() { buf = begin(buf[:0]) }()
-		return write(seal(buf, 0))
+		defer func() { buf = beginFrame(buf[:0]) }()
+		return write(sealFrame(buf, 0))
 	}
 	if err := write([]byte(magic)); err != nil {
 		return err
@@ -383,7 +383,7 @@
 		if len(r) > MaxRecord {
 			return fmt.Errorf("a record of %d bytes, %d at most", len(r), MaxRecord)
 		}
-		if buf = add(buf, r); len(buf) > mostBatch {
+		if buf = appendRecord(buf, r); len(buf) > maxBatch {
 			if err := flush(); err != nil {
 				return err
 			}
@@ -402,8 +402,8 @@
 	// The new file holds from here on; without the directory's word it may be the old
 	// one again after a crash, so nothing more is promised.
 	if err := syncDir(j.path); err != nil {
-		j.lost = errors.Join(ErrClosed, err)
-		return j.lost
+		j.failed = errors.Join(ErrClosed, err)
+		return j.failed
 	}
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -21,21 +21,21 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-func now(f func()) { f() }
+func runNow(f func()) { f() }
 
 func open(path string) (*Journal, []string, int64, error) {
 	var got []string
-	j, torn, err := Open(path, 1000, now, func(r []byte) error { got = append(got, string(r)); return nil })
+	j, torn, err := Open(path, 1000, runNow, func(r []byte) error { got = append(got, string(r)); return nil })
 	return j, got, torn, err
 }
 
 // write puts records into a journal and gives those that were kept.
-func write(t testing.TB, j *Journal, list []string) (kept []string) {
+func appendAll(t testing.TB, j *Journal, list []string) (kept []string) {
 	t.Helper()
 	for _, r := range list {
-		told := make(chan error, 1)
-		j.Append([]byte(r), func(err error) { told <- err })
-		if <-told == nil {
+		done := make(chan error, 1)
+		j.Append([]byte(r), func(err error) { done <- err })
+		if <-done == nil {
 			kept = append(kept, r)
 		}
 	}
@@ -56,11 +56,11 @@
 			t.Fatal(err)
 		}
 		// One by one each is a frame; together they are frames as it comes.
-		if alone := rapid.Bool().Draw(t, "alone"); alone {
+		if oneByOne := rapid.Bool().Draw(t, "alone"); oneByOne {
 			for _, r := range list {
-				told := make(chan error, 1)
-				j.Append([]byte(r), func(err error) { told <- err })
-				if err := <-told; err != nil {
+				done := make(chan error, 1)
+				j.Append([]byte(r), func(err error) { done <- err })
+				if err := <-done; err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -80,27 +80,27 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		whole, at := 0, len(magic)
+		intact, at := 0, len(magic)
 		for at < len(text) {
-			size := frameHead + int(binary.LittleEndian.Uint32(text[at:]))
+			size := frameHeader + int(binary.LittleEndian.Uint32(text[at:]))
 			if at+size > cut {
 				break
 			}
-			if err := records(text[at+frameHead:at+size], func([]byte) error { whole++; return nil }); err != nil {
+			if err := eachRecord(text[at+frameHeader:at+size], func([]byte) error { intact++; return nil }); err != nil {
 				t.Fatal(err)
 			}
 			at += size
 		}
 		j, got, _, err := open(path)
-		if err != nil || !slices.Equal(got, list[:whole]) {
-			t.Fatalf("cut at %d: %v, got %q, want %q", cut, err, got, list[:whole])
+		if err != nil || !slices.Equal(got, list[:intact]) {
+			t.Fatalf("cut at %d: %v, got %q, want %q", cut, err, got, list[:intact])
 		}
 		j.Append([]byte("again"), func(error) {})
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 		j, got, torn, err := open(path)
-		if err != nil || torn != 0 || !slices.Equal(got, append(slices.Clone(list[:whole]), "again")) {
+		if err != nil || torn != 0 || !slices.Equal(got, append(slices.Clone(list[:intact]), "again")) {
 			t.Fatalf("after that: %v, %q", err, got)
 		}
 		_ = j.Close()
@@ -108,19 +108,19 @@
 }
 
 // Damage before the end is an error that names the byte, and nothing is changed.
-func TestDamageIsNotPassedOver(t *testing.T) {
+func TestDamageIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"first record", "second record", "third record"})
+	appendAll(t, j, []string{"first record", "second record", "third record"})
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(path)
-	second := len(magic) + frameHead + recordHead + len("first record")
-	for at := len(magic); at < second+frameHead+recordHead+len("second record"); at++ {
+	second := len(magic) + frameHeader + recordHeader + len("first record")
+	for at := len(magic); at < second+frameHeader+recordHeader+len("second record"); at++ {
 		bad := bytes.Clone(text)
 		bad[at] ^= 0x40
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
@@ -149,13 +149,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"a", "b"})
-	told := make(chan error, 1)
-	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { told <- err })
-	if err := <-told; err != nil {
+	appendAll(t, j, []string{"a", "b"})
+	done := make(chan error, 1)
+	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { done <- err })
+	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"c"})
+	appendAll(t, j, []string{"c"})
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -171,19 +171,19 @@
 
 // A snapshot that is durable is told as kept, and what comes after it is kept too, whatever the
 // old file's close says: nobody needs that any more.
-func TestRewriteWhereTheOldFileFailsToClose(t *testing.T) {
+func TestRewriteWhenTheOldFileFailsToClose(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.f = &shaky{File: j.f.(*os.File), room: 1000, close: syscall.EIO}
-	told := make(chan error, 1)
-	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { told <- err })
-	if err := <-told; err != nil {
+	j.f = &faultyFile{File: j.f.(*os.File), room: 1000, closeErr: syscall.EIO}
+	done := make(chan error, 1)
+	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { done <- err })
+	if err := <-done; err != nil {
 		t.Errorf("the snapshot: %v", err)
 	}
-	if kept := write(t, j, []string{"c"}); !slices.Equal(kept, []string{"c"}) {
+	if kept := appendAll(t, j, []string{"c"}); !slices.Equal(kept, []string{"c"}) {
 		t.Errorf("kept after it: %q", kept)
 	}
 	_ = j.Close()
@@ -193,18 +193,18 @@
 }
 
 // shaky is a file on a disk that fills up, or whose sync or close fails.
-type shaky struct {
+type faultyFile struct {
 	*os.File
-	room        int
-	sync, close error
+	room              int
+	syncErr, closeErr error
 }
 
-func (s *shaky) Close() error { return errors.Join(s.close, s.File.Close()) }
+func (f *faultyFile) Close() error { return errors.Join(f.closeErr, f.File.Close()) }
 
-func (s *shaky) Write(p []byte) (int, error) {
-	n := min(len(p), s.room)
-	s.room -= n
-	if n, err := s.File.Write(p[:n]); err != nil {
+func (f *faultyFile) Write(p []byte) (int, error) {
+	n := min(len(p), f.room)
+	f.room -= n
+	if n, err := f.File.Write(p[:n]); err != nil {
 		return n, err
 	}
 	if n < len(p) {
@@ -213,7 +213,7 @@
 	return n, nil
 }
 
-func (s *shaky) Sync() error { return errors.Join(s.sync, s.File.Sync()) }
+func (f *faultyFile) Sync() error { return errors.Join(f.syncErr, f.File.Sync()) }
 
 // On a full disk what does not fit is told not to be kept and does not come back;
 // once there is room, records are kept again. After a sync that failed none is.
@@ -223,17 +223,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &shaky{File: j.f.(*os.File), room: 65}
+	s := &faultyFile{File: j.f.(*os.File), room: 65}
 	j.f = s // the writer has nothing to do yet
 	list := []string{strings.Repeat("a", 30), strings.Repeat("b", 30), "c"}
-	kept := write(t, j, list)
+	kept := appendAll(t, j, list)
 	if !slices.Equal(kept, []string{list[0]}) && !slices.Equal(kept, []string{list[0], "c"}) {
 		t.Fatal(kept)
 	}
 	s.room = 1000
-	kept = append(kept, write(t, j, []string{"later"})...)
-	s.sync = syscall.EIO
-	if got := write(t, j, []string{"unsure", "after that"}); got != nil {
+	kept = append(kept, appendAll(t, j, []string{"later"})...)
+	s.syncErr = syscall.EIO
+	if got := appendAll(t, j, []string{"unsure", "after that"}); got != nil {
 		t.Error(got)
 	}
 	_ = j.Close()
@@ -244,22 +244,22 @@
 }
 
 // More than may wait is told at once.
-func TestBound(t *testing.T) {
-	j := &Journal{jobs: make(chan job, 1), post: now}
-	var told []error
+func TestQueueBound(t *testing.T) {
+	j := &Journal{jobs: make(chan job, 1), post: runNow}
+	var errs []error
 	for range 2 {
-		j.Append([]byte("x"), func(err error) { told = append(told, err) })
+		j.Append([]byte("x"), func(err error) { errs = append(errs, err) })
 	}
-	j.Append(make([]byte, MaxRecord+1), func(err error) { told = append(told, err) })
-	if len(told) != 2 || !errors.Is(told[0], ErrFull) || told[1] == nil {
-		t.Error(told)
+	j.Append(make([]byte, MaxRecord+1), func(err error) { errs = append(errs, err) })
+	if len(errs) != 2 || !errors.Is(errs[0], ErrFull) || errs[1] == nil {
+		t.Error(errs)
 	}
 }
 
 // FuzzOpen reads anything without falling over, and reads the same again.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(magic))
-	f.Add(seal(add(begin([]byte(magic)), []byte("record")), len(magic)))
+	f.Add(sealFrame(appendRecord(beginFrame([]byte(magic)), []byte("record")), len(magic)))
 	f.Add(binary.LittleEndian.AppendUint32([]byte(magic), 1<<31))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		path := filepath.Join(t.TempDir(), "j")
@@ -288,13 +288,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			told, n := make(chan error, together), 0
+			done, n := make(chan error, together), 0
 			for b.Loop() {
 				for range together {
-					j.Append(record, func(err error) { told <- err })
+					j.Append(record, func(err error) { done <- err })
 				}
 				for range together {
-					if err := <-told; err == nil {
+					if err := <-done; err == nil {
 						n++
 					}
 				}
@@ -315,22 +315,22 @@
 			b.Fatal(err)
 		}
 		at := len(text)
-		text = seal(add(begin(text), r), at)
+		text = sealFrame(appendRecord(beginFrame(text), r), at)
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		far := ledger.NewReceiver(ledger.Config{MaxIDs: 2_000_000, Retention: 1 << 40, MaxDelay: 1}, 1, func(ledger.Record) {})
-		j, _, err := Open(path, 1, now, func(p []byte) error {
+		receiver := ledger.NewReceiver(ledger.Config{MaxIDs: 2_000_000, Retention: 1 << 40, MaxDelay: 1}, 1, func(ledger.Record) {})
+		j, _, err := Open(path, 1, runNow, func(p []byte) error {
 			var r ledger.Record
 			if err := cbor.Unmarshal(p, &r); err != nil {
 				return err
 			}
-			far.Apply(r)
+			receiver.Apply(r)
 			return nil
 		})
-		if err != nil || far.Len() != 1_000_000 {
+		if err != nil || receiver.Len() != 1_000_000 {
 			b.Fatal(err)
 		}
 		_ = j.Close()
