--- a/internal/exchange/dispatcher.go
+++ b/internal/exchange/dispatcher.go
@@ -12,23 +12,23 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Messages to the hub.
+// Messages to the dispatcher.
 type (
-	received struct { // came over a connection
+	received struct { // received over a connection
 		from     string
 		envelope Envelope
 	}
 	connUp   struct{ conn *conn }
 	connDown struct{ conn *conn }
-	outgoing struct{ envelope Envelope } // to be sent
+	outgoing struct{ envelope Envelope } // to send
 )
 
-// greet is a role's question to a keeper, and its answer.
+// greeting is a role's probe of an owner, and the owner's reply.
 type greeting struct {
-	Attached bool `cbor:"1,keyasint,omitempty"` // to that keeper; else it is only asked whether it is there
+	Attached bool `cbor:"1,keyasint,omitempty"` // the role is attached to that owner; otherwise it only probes it
 }
 
-// dialer keeps a connection to one front up, for as long as it is wanted.
+// dialer keeps a connection to one front up for as long as it is needed.
 type dialer struct {
 	ex     *Exchange
 	name   string
@@ -37,7 +37,7 @@
 
 func (d *dialer) String() string { return "exchange to " + d.name }
 
-// Serve is part of suture.Service.
+// Serve implements suture.Service.
 func (d *dialer) Serve(ctx context.Context) error {
 	wait := minRedial
 	for ctx.Err() == nil {
@@ -67,14 +67,15 @@
 	return ctx.Err()
 }
 
-// hub is the task of the tree: it knows the connections, attaches this process's roles,
-// and passes on what subjects say. It keeps nothing that it could not find out anew.
+// dispatcher is the task of the tree: it tracks the connections, attaches this process's
+// roles to owners and routes the messages of subjects. All of its state can be rebuilt
+// after a restart.
 type dispatcher struct {
 	ex           *Exchange
 	attachments  map[topology.Role]*topology.Attachment
 	conns        map[string][]*conn
 	dialers      map[string]suture.ServiceToken
-	unusedRounds map[string]int // rounds for which nobody wanted a connection
+	unusedRounds map[string]int // rounds for which a connection was not needed
 	children     map[attachment]Micros
 }
 
@@ -83,7 +84,8 @@
 		children: map[attachment]Micros{}}
 }
 
-// roles are those of this process: itself, and the sites that it keeps.
+// roles returns the roles of this process: the front itself and the sites that it owns,
+// but for the root, which has nothing above it.
 func roles(view *topology.View) []topology.Role {
 	list := []topology.Role{view.SelfRole()}
 	for _, owner := range view.OwnedBySelf() {
@@ -95,9 +97,9 @@
 }
 
 const (
-	maxUnusedRounds    = 100 // rounds after which a connection that nobody wants is given up
+	maxUnusedRounds    = 100 // rounds after which a connection that is not needed is closed
 	maxChildren        = 2048
-	childTimeoutRounds = 40 // rounds without a word after which a role is forgotten
+	childTimeoutRounds = 40 // rounds without a message after which a child is forgotten
 )
 
 func (d *dispatcher) tick() {
@@ -137,7 +139,8 @@
 	d.ex.links.Store(&links{up: up, children: maps.Clone(d.children)})
 }
 
-// connect dials those that are wanted, and gives up those that have not been for a while.
+// connect starts dialers for the fronts that are needed and stops those that have not
+// been needed for maxUnusedRounds.
 func (d *dispatcher) connect(wanted map[string]bool, self string) {
 	for name := range wanted {
 		delete(d.unusedRounds, name)
@@ -174,7 +177,8 @@
 	}
 }
 
-// send sends a message to the front that it is for, or takes it in where that is this one.
+// send sends a message to the front that it is for, or receives it here if that is this
+// one. Without a connection the message is dropped and counted.
 func (d *dispatcher) send(e Envelope) {
 	state := d.ex.fleetState.Load()
 	if state == nil {
@@ -206,7 +210,7 @@
 	list[len(list)-1].outbox.put(e)
 }
 
-// came looks whether who sent a message may say it, and hands it to its subject.
+// receive checks that the sender is entitled to a message and passes it to its subject.
 func (d *dispatcher) receive(from string, e Envelope) {
 	state := d.ex.fleetState.Load()
 	if state == nil {
@@ -215,9 +219,9 @@
 	view, now := state.View, d.ex.cfg.Now()
 	owner := view.Owner(e.Site)
 	if owner == nil || owner.Number != e.Owner {
-		return // of a keeper before, or one that this front does not know yet
+		return // of an earlier owner, or of one that this front does not know yet
 	}
-	speaker := e.Role.Front // who may say what comes up for a role
+	speaker := e.Role.Front // the front that acts for the role
 	if e.Role.Front == "" {
 		child := view.Owner(e.Role.Site)
 		if child == nil || child.Number != e.Role.Owner {
@@ -261,7 +265,8 @@
 	}
 }
 
-// below are the roles that ask a keeper, in order.
+// childrenOf returns the roles attached to an owner that were heard within maxAge, in
+// order of their names.
 func (l *links) childrenOf(owner topology.Owner, now, maxAge Micros) (list []topology.Role) {
 	for t, heardAt := range l.children {
 		if t.owner == owner.Number && now-heardAt <= maxAge {
@@ -279,7 +284,8 @@
 	return list
 }
 
-// roleName names a role whole: another process or keeper is another role.
+// roleName returns a role's full name: another process of a front, or another owner of a
+// site, is another role.
 func roleName(role topology.Role) string {
 	if role.Front != "" {
 		return fmt.Sprintf("%s %016x", role.Front, role.Start)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,12 +1,12 @@
-// Package exchange carries what the fronts of a fleet tell each other without agreeing
-// first: limits, purges, verdicts, latencies, up and down a tree of sites. It decides
-// nothing; what follows from what is told is under internal/decide.
+// Package exchange carries the messages that the fronts of a fleet exchange without
+// consensus: limits, purges, verdicts and latencies, up and down a tree of sites. It only
+// transports and schedules; the decisions are in the packages under internal/decide.
 //
-// It does not run on the front's loop. Its tasks own their state and their sockets and
-// talk by messages: one a connection, one for the tree (the hub), one a subject. Each
-// mailbox is bounded. A task that panics or stalls is started anew from its last
-// snapshot by its supervisor, and the front serves on. A request never waits for any of
-// them: what it may spend lies on the loop already.
+// It does not run on the front's event loop. Its tasks own their state and their sockets
+// and communicate by messages: one task for each connection, one for the tree (the
+// dispatcher) and one for each subject. Every mailbox is bounded. The supervisor restarts
+// a task that panics or stalls from its last snapshot while the front keeps serving. No
+// request waits for a task: the allocations that it spends are held on the loop.
 package exchange
 
 import (
@@ -27,36 +27,36 @@
 	"cherryramp/internal/link/peers"
 )
 
-// Micros is a span, or a moment of this process's clock, in microseconds.
+// Micros is a duration, or a time on this process's clock, in microseconds.
 type Micros = int64
 
-// Loop is the front's event loop, as tasks reach it.
+// Loop is the front's event loop. Post runs a function on it.
 type Loop interface {
 	Post(do func())
 }
 
-// Limiter is what spends parts of limits, on the loop.
+// Limiter spends allocations of limits. It is called on the loop.
 type Limiter interface {
 	ApplyGrant(g quotalease.Grant, newest uint64)
 	Report() []quotalease.BucketReport
 	SetFronts(n int)
 }
 
-// Obeyer obeys purges, on the loop.
+// Invalidator applies purges. It is called on the loop.
 type Invalidator interface {
-	// Obey has no copy served any more that is older than the purge, which was asked for
-	// so long ago.
+	// Invalidate stops copies in the scope from being served if they are older than the
+	// purge, which was requested age ago.
 	Invalidate(s invalidation.Scope, age Micros)
 }
 
-// Config is one front's place in the exchange.
+// Config configures one front's exchange.
 type Config struct {
 	Name        string
-	Folder      string // of this front alone
+	Folder      string // used by this front only
 	Keys        *peers.Keys
-	Address     func(v *topology.View, name string) string // where a front is reached from here
+	Address     func(v *topology.View, name string) string // address of a front as reached from here; empty if unknown
 	Section     *config.Exchange
-	Now         func() Micros // the clock by which leases are
+	Now         func() Micros // the clock of leases
 	Loop        Loop
 	Limiter     Limiter
 	Invalidator Invalidator
@@ -64,21 +64,23 @@
 	Observer      Observer
 	LatencySource LatencySource
 
-	injectFault func(task string, message any) // for tests: panics or stalls
+	injectFault func(task string, message any) // for tests: called before each message, may panic or stall
 }
 
-// Counts are what has gone over the connections, and what was dropped at bounds.
+// Counts counts messages and bytes sent, messages received, messages dropped at bounds,
+// and restarts of tasks.
 type Counts struct{ Sent, Received, Bytes, Dropped, Restarts atomic.Int64 }
 
-// Standing is what the log says of this front now, as the fleet's driver publishes it.
+// FleetState is the state of the fleet's replicated log that concerns this front, as
+// published by package fleet.
 type FleetState struct {
 	View          *topology.View
-	FrontsChanged uint64 // index at which the fleet's fronts were last changed
-	OwnerUntil    Micros // up to which this front may act as a keeper
-	MajorityAsked Micros // a moment before which a majority was asked whether it may
+	FrontsChanged uint64 // log index of the last change of the set of fronts
+	OwnerUntil    Micros // end of this front's lease to act as an owner
+	MajorityAsked Micros // a time by which a majority had been asked to confirm that lease
 }
 
-// Exchange is one front's part.
+// Exchange is one front's side of the exchange.
 type Exchange struct {
 	cfg        Config
 	log        *slog.Logger
@@ -87,15 +89,15 @@
 	serveDone  <-chan error
 	supervisor *suture.Supervisor
 	counts     Counts
-	// sequence numbers the messages of this process. It outlives a task that is started anew,
-	// and begins above that of the process before.
+	// sequence numbers the messages of this process. It survives restarts of tasks and
+	// starts above the numbers of the previous process.
 	sequence   atomic.Uint64
 	history    *history
-	purgeStore *purgeStore // nil: no purges
+	purgeStore *purgeStore // nil if purges are off
 
 	fleetState atomic.Pointer[FleetState]
-	links      atomic.Pointer[links] // who attaches where, by the hub
-	caughtUp   atomic.Bool           // this front has what it missed, and may serve
+	links      atomic.Pointer[links] // who is attached where; stored by the dispatcher
+	caughtUp   atomic.Bool           // this front has the purges that it missed and may serve
 	section    atomic.Pointer[config.Exchange]
 
 	dispatcher *mailbox[any]
@@ -105,26 +107,27 @@
 	paths      *mailbox[any]
 }
 
-// links is who is attached where now.
+// links is a snapshot of who is attached where.
 type links struct {
-	up       map[topology.Role]topology.Owner // of each role of this process
-	children map[attachment]Micros            // roles attached to keepers that this process is, and when they were heard
+	up       map[topology.Role]topology.Owner // for each role of this process
+	children map[attachment]Micros            // roles attached to owners in this process, and when they were last heard
 }
 
-// tie is a role that is attached to a keeper, by its number.
+// attachment is a role attached to an owner, by the owner's number.
 type attachment struct {
 	role  topology.Role
 	owner uint64
 }
 
-// without is a rule that this build leaves out, for the checkers' own test; it is set by
-// the linker alone: -ldflags "-X cherryramp/internal/exchange.without=over".
+// without names a rule that this build disables, to test the checkers. It is set by the
+// linker only: -ldflags "-X cherryramp/internal/exchange.without=over".
 var without string
 
-// mailbox is what a subject's task may have waiting.
+// mailboxSize is the maximum number of messages waiting for a subject's task.
 const mailboxSize = 4096
 
-// Start starts a front's part. It must be closed.
+// Start starts a front's exchange. The caller must close it. It fails if the history or
+// the file of purges can't be opened.
 func Start(cfg Config, log *slog.Logger) (*Exchange, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ex := &Exchange{cfg: cfg, log: log, ctx: ctx, cancel: cancel}
@@ -171,17 +174,18 @@
 	return ex, nil
 }
 
-// Know tells what the log says now. The newest takes the place of those before.
+// SetFleetState replaces the state of the fleet's log.
 func (ex *Exchange) SetFleetState(state *FleetState) { ex.fleetState.Store(state) }
 
-// Renew takes a new section over; what needs a restart stays as it was.
+// Reconfigure takes over the limits of a new configuration section. Its other settings
+// need a restart and keep their values.
 func (ex *Exchange) Reconfigure(section *config.Exchange) {
 	next := *ex.section.Load()
 	next.Limits = section.Limits
 	ex.section.Store(&next)
 }
 
-// Open tells whether this front has what purges it missed, so that it may serve.
+// CaughtUp reports whether this front has the purges that it missed, so that it may serve.
 func (ex *Exchange) CaughtUp() bool { return ex.caughtUp.Load() }
 
 func (ex *Exchange) fleetID() uint64 {
@@ -191,7 +195,7 @@
 	return 0
 }
 
-// round is the time between two tellings.
+// roundInterval is the interval at which tasks are ticked.
 func (ex *Exchange) roundInterval() time.Duration {
 	return time.Duration(ex.section.Load().RoundMS) * time.Millisecond
 }
@@ -201,10 +205,10 @@
 	return topology.Config{FailoverAfter: Micros(section.FailoverMS) * 1000, FailbackAfter: Micros(section.FailbackMS) * 1000}
 }
 
-// May tells whether this process may act as a keeper now.
+// MayActAsOwner reports whether this process may act as an owner at a time.
 func (s *FleetState) MayActAsOwner(now Micros) bool { return now < s.OwnerUntil }
 
-// Close ends all tasks.
+// Close stops all tasks and closes the history and the file of purges.
 func (ex *Exchange) Close() error {
 	ex.cancel()
 	<-ex.serveDone
@@ -215,47 +219,49 @@
 	return err
 }
 
-// teller sends what one life of a task says. One that was left behind, since it stalled,
-// says nothing more: another has begun from its last snapshot.
+// sender sends the messages of one run of a task. Once that run was abandoned because it
+// stalled, it sends nothing more: another run has started from its last snapshot.
 type sender struct {
 	ex  *Exchange
 	ctx context.Context
 }
 
-// up sends what a role has to say to the keeper that it is attached to.
+// sendUp sends a message of a role to the owner that the role is attached to.
 func (s sender) sendUp(subject Subject, role topology.Role, message any) {
 	if owner, ok := s.ex.links.Load().up[role]; ok && s.ctx.Err() == nil {
 		s.ex.dispatcher.put(outgoing{Envelope{Subject: subject, Up: true, Role: role, Site: owner.Site, Owner: owner.Number, Body: encode(message)}})
 	}
 }
 
-// down sends what a keeper of this process has to say to a role below it.
+// sendDown sends a message of an owner in this process to a role below it.
 func (s sender) sendDown(subject Subject, role topology.Role, owner topology.Owner, message any) {
 	if s.ctx.Err() == nil {
 		s.ex.dispatcher.put(outgoing{Envelope{Subject: subject, Role: role, Site: owner.Site, Owner: owner.Number, Body: encode(message)}})
 	}
 }
 
-// body is what a task does: messages come from a mailbox, and it is called every round.
+// handler is the work of a task: it handles each message of the mailbox and is ticked
+// every round.
 type handler interface {
 	handle(message any)
 	tick()
 }
 
-// task runs a body under the supervisor, and has it begun anew where it stalls.
+// task runs a handler under the supervisor and has it restarted if it stalls.
 type task struct {
 	ex         *Exchange
 	name       string
 	newHandler func(ctx context.Context) handler
 }
 
-// stallMost is for how long a task may be busy with one message.
+// stallTimeout is the longest that a task may be busy with one message.
 const stallTimeout = 2 * time.Second
 
-// began is when this process did, for spans.
+// processStart is the origin of monotonic.
 var processStart = time.Now()
 
-// monotonic is a moment that no step of the wall clock moves, in us; never 0.
+// monotonic returns the time since the start of the process, unaffected by steps of the
+// wall clock, in us; never 0.
 func monotonic() Micros { return 1 + time.Since(processStart).Microseconds() }
 
 func (t *task) String() string { return "exchange " + t.name }
@@ -264,13 +270,13 @@
 	return map[string]*mailbox[any]{"tree": t.ex.dispatcher, "limits": t.ex.limits, "purges": t.ex.purges, "verdicts": t.ex.verdicts, "paths": t.ex.paths}[t.name]
 }
 
-// Serve is part of suture.Service. The work is in a goroutine of its own, so that one
-// that stalls can be left behind; whatever that one does later changes nothing here,
-// since its context is over.
+// Serve implements suture.Service. The handler runs in a goroutine of its own, so that a
+// stalled one can be abandoned; whatever it does later has no effect, since its context
+// is cancelled.
 func (t *task) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var busySince atomic.Int64 // since when it is busy; 0: it is not
+	var busySince atomic.Int64 // when the current message was taken; 0 while idle
 	ended := make(chan error, 1)
 	go func() {
 		defer func() {
@@ -310,7 +316,7 @@
 			if t.ex.cfg.injectFault != nil {
 				t.ex.cfg.injectFault(t.name, message)
 			}
-			if ctx.Err() != nil { // it was left behind meanwhile
+			if ctx.Err() != nil { // abandoned meanwhile
 				return ctx.Err()
 			}
 			handler.handle(message)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// host is a front round its part: a loop that runs what is posted, and a purse.
+// host stands in for the front: an event loop, a limiter, and a record of invalidations.
 type host struct {
 	t           *testing.T
 	posted      chan func()
@@ -47,7 +47,7 @@
 }
 func (h *host) Observations(string, string) ([]outlier.Observation, map[string]int) { return nil, nil }
 
-// alone plays one front that keeps every site itself, in virtual time.
+// runSingleFront runs one front that owns every site, in virtual time.
 func runSingleFront(t *testing.T, fault func(task string, m any), run func(ex *Exchange, h *host)) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -100,7 +100,7 @@
 	})
 }
 
-// take takes what the purse lets through in a second.
+// take makes n requests spread over a second and returns how many the limiter let through.
 func (h *host) take(n int) (passed int) {
 	done := make(chan struct{})
 	for range n {
@@ -116,14 +116,14 @@
 	return passed
 }
 
-// Guards that a task that panics at each message of one kind, and one that stalls, come
-// back from their snapshots while the front goes on spending what it holds.
+// Guards against a task that, after it panicked on each message of one kind or stalled,
+// does not restart from its snapshot, or keeps the front from spending what it holds.
 func TestTasksRestartFromSnapshot(t *testing.T) {
 	for name, fault := range map[string]func(on *atomic.Bool) func(string, any){
 		"panics": func(on *atomic.Bool) func(string, any) {
 			return func(task string, m any) {
 				if e, ok := m.(Envelope); ok && task == "limits" && e.Up && on.Load() {
-					panic("a message of one kind")
+					panic("injected fault")
 				}
 			}
 		},
@@ -141,8 +141,8 @@
 				time.Sleep(3 * time.Second)
 				require.InDelta(t, 100, h.take(200), 15, "before")
 				on.Store(true)
-				require.InDelta(t, 100, h.take(200), 15, "by what is held")
-				require.InDelta(t, 100, h.take(200), 15, "by what is held")
+				require.InDelta(t, 100, h.take(200), 15, "spending what is held")
+				require.InDelta(t, 100, h.take(200), 15, "spending what is held")
 				time.Sleep(2 * time.Second)
 				on.Store(false)
 				require.Positive(t, ex.counts.Restarts.Load())
@@ -153,7 +153,8 @@
 	}
 }
 
-// Guards the way of a purge of a fleet of one, and that what is asked twice is one.
+// Guards against a purge in a fleet of one front that is not applied or never completes,
+// and against two purges for two requests under one key.
 func TestPurgeWithSingleFront(t *testing.T) {
 	runSingleFront(t, nil, func(ex *Exchange, h *host) {
 		require.False(t, ex.CaughtUp())
--- a/internal/exchange/history.go
+++ b/internal/exchange/history.go
@@ -10,9 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// history writes what happened to a file, as it happened, for a judge to read later. It
-// is the laboratory's; without a path nothing is written. Moments are of the machine's
-// monotonic clock, in nanoseconds.
+// history writes events to a file, for the lab's checkers to read later. Without a path
+// nothing is written. Times are of the machine's monotonic clock, in nanoseconds.
 type history struct {
 	events  chan []byte
 	file    *os.File
@@ -37,7 +36,8 @@
 	return h, nil
 }
 
-// run writes; what is waiting is written at once, so that little is lost with a process.
+// run writes events. It flushes whenever none is waiting, so that little is lost if the
+// process dies.
 func (h *history) run(ctx context.Context) {
 	w := bufio.NewWriter(h.file)
 	for {
@@ -54,7 +54,8 @@
 	}
 }
 
-// Mono is the machine's monotonic clock, in nanoseconds: the same for all processes.
+// Mono returns the machine's monotonic clock in nanoseconds, which all processes share; 0
+// if it can't be read.
 func Mono() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
@@ -63,10 +64,11 @@
 	return t.Nano()
 }
 
-// on tells whether anything is written.
+// enabled reports whether events are written.
 func (h *history) enabled() bool { return h != nil }
 
-// write writes an event that happens now. Where too many wait it is counted as missing.
+// write writes an event that happens now. If too many are waiting, the event is dropped
+// and counted as missing in the next one.
 func (h *history) write(event string, facts map[string]any) {
 	if h != nil {
 		h.writeAt(Mono(), event, facts)
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -10,19 +10,20 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Messages to the task of limits, beside envelopes.
+// Messages to the task of limits, besides envelopes.
 type (
-	bucketReports struct{ list []quotalease.BucketReport } // what the loop has to tell of its purse
-	unknownName   struct{}                                 // a name came that was not known
+	bucketReports struct{ list []quotalease.BucketReport } // the limiter's report, from the loop
+	unknownName   struct{}                                 // a request came under a name without allocation
 	limitsQuery   struct{ answer func(LimitsStatus) }
 )
 
 func (unknownName) replaceKey() string { return "newcomer" }
 
-// demandKeep is the part of demand that stays from one round of telling to the next, where less is asked for.
+// demandDecay is the share of the old demand that is kept from one round to the next
+// while fewer requests come.
 const demandDecay = 0.75
 
-// limits is the task of limits: this front's side, and that of each site it keeps.
+// limitsTask is the task of limits: this front's side, and that of each site it owns.
 type limitsTask struct {
 	sender
 	section     any
@@ -31,12 +32,12 @@
 	demand      map[quotalease.Key]float64
 	reports     []quotalease.BucketReport
 	allocators  map[string]*quotalease.Allocator
-	snapshots   *atomic.Pointer[allocatorSnapshots] // that outlives this life of the task
+	snapshots   *atomic.Pointer[allocatorSnapshots] // shared by all runs of the task
 	allocatedAt Micros
 	fronts      int
 }
 
-// kept is what a task begins anew from.
+// allocatorSnapshots is the state from which a task restarts, by site.
 type allocatorSnapshots map[string]allocatorSnapshot
 
 type allocatorSnapshot struct {
@@ -52,7 +53,7 @@
 	}
 }
 
-// renew takes over what the section says now.
+// reconfigure takes over the current configuration section.
 func (l *limitsTask) reconfigure(now Micros) {
 	if section := l.ex.section.Load(); l.section != any(section) {
 		l.section = section
@@ -87,7 +88,7 @@
 	l.allocate(state, now)
 }
 
-// keeps has a dealer for each site that this process keeps.
+// updateAllocators keeps one allocator for each site that this process owns.
 func (l *limitsTask) updateAllocators(state *FleetState, now Micros) {
 	owned := state.View.OwnedBySelf()
 	for site, allocator := range l.allocators {
@@ -118,7 +119,7 @@
 	return quotalease.Source{Site: owner.Site, Owner: owner.Number}
 }
 
-// deal has each site's parts dealt out, and asked for above.
+// allocate sends each owned site's allocations down and its requests up.
 func (l *limitsTask) allocate(state *FleetState, now Micros) {
 	links := l.ex.links.Load()
 	for _, owner := range state.View.OwnedBySelf() {
@@ -131,7 +132,7 @@
 			continue
 		}
 		grants := allocator.Allocate(source(above), now)
-		l.saveSnapshot(owner, allocator) // before anything of it leaves
+		l.saveSnapshot(owner, allocator) // before any grant is sent
 		for _, role := range links.childrenOf(owner, now, l.ex.topologyConfig().FailoverAfter) {
 			if grant, ok := grants[roleName(role)]; ok {
 				l.sendDown(Limits, role, owner, grant)
@@ -144,7 +145,7 @@
 	l.allocatedAt = now
 }
 
-// keep puts what a dealer knows where the task's next life finds it.
+// saveSnapshot saves an allocator's ledger for the next run of the task.
 func (l *limitsTask) saveSnapshot(owner topology.Owner, allocator *quotalease.Allocator) {
 	if l.ctx.Err() != nil {
 		return
@@ -158,7 +159,7 @@
 	l.snapshots.Store(&next)
 }
 
-// ask asks for this front's own parts.
+// requestAllocations requests this front's own allocations.
 func (l *limitsTask) requestAllocations(state *FleetState, now Micros) {
 	role := state.View.SelfRole()
 	owner, ok := l.ex.links.Load().up[role]
@@ -205,7 +206,7 @@
 				continue
 			}
 			old := l.demand[report.Key]
-			if want > old { // more is asked for at once, less by and by
+			if want > old { // demand rises faster than it falls
 				l.demand[report.Key] = old + (want-old)*0.5
 			} else {
 				l.demand[report.Key] = old*demandDecay + want*(1-demandDecay)
@@ -241,7 +242,7 @@
 		}
 		allocator.HandleRequest(roleName(envelope.Role), request, now)
 		first := slices.ContainsFunc(request.Limits, func(limit quotalease.LimitRequest) bool { return limit.Number == 0 && limit.Demand > 0 })
-		if first && now-l.allocatedAt > l.ex.roundInterval().Microseconds()/4 { // it has nothing: it need not wait for the round
+		if first && now-l.allocatedAt > l.ex.roundInterval().Microseconds()/4 { // it holds nothing: it does not wait for the next round
 			l.allocate(state, now)
 		}
 		return
@@ -262,10 +263,11 @@
 	}
 }
 
-// NewName tells that a name came that no part is held of. It may be called on the loop.
+// NewName notes that a request came under a name of which no allocation is held. It may
+// be called on the loop.
 func (ex *Exchange) NewName() { ex.limits.tryPut(unknownName{}) }
 
-// LimitsTold is what a front tells of limits.
+// LimitsStatus is a front's status of limits, for the admin endpoint.
 type LimitsStatus struct {
 	Front      string                    `json:"front"`
 	AttachedTo string                    `json:"attached_to"`
@@ -274,7 +276,7 @@
 	Bounds     []string                  `json:"bounds"`
 }
 
-// Sheet is one limit as a site's keeper deals it out.
+// SiteLimit is one limit as a site's owner allocates it.
 type SiteLimit = quotalease.LimitStatus
 
 func (l *limitsTask) status(state *FleetState, now Micros) LimitsStatus {
@@ -293,7 +295,7 @@
 	return status
 }
 
-// LimitsOf asks for what this front knows of limits; the answer comes on the loop.
+// QueryLimits asks for this front's status of limits; answer is called on the loop.
 func (ex *Exchange) QueryLimits(answer func(LimitsStatus)) {
 	ex.limits.tryPut(limitsQuery{func(status LimitsStatus) { ex.cfg.Loop.Post(func() { answer(status) }) }})
 }
--- a/internal/exchange/mailbox.go
+++ b/internal/exchange/mailbox.go
@@ -5,10 +5,9 @@
 	"sync/atomic"
 )
 
-// box is a task's mailbox. It holds a bounded number of messages in order; where a
-// newer one says all that an older one did (the same key), it takes that one's place,
-// and at the bound the oldest goes and is counted. Whoever puts one in never waits for
-// the task.
+// mailbox is a bounded queue of messages to a task. A message replaces a waiting one with
+// the same key; at the bound the oldest message is dropped and counted. Senders never
+// wait for the task.
 type mailbox[T any] struct {
 	in      chan T
 	out     chan T
@@ -16,11 +15,11 @@
 	dropped *atomic.Int64
 }
 
-// boxRoom is what may stand before the mailbox's own goroutine.
+// mailboxBuffer is the capacity of the channel to the mailbox's goroutine.
 const mailboxBuffer = 64
 
-// newBox makes a mailbox that lives as long as the context. Key names what a message
-// replaces; empty: nothing.
+// newMailbox makes a mailbox that lives as long as the context. A message replaces a
+// waiting one with the same key; with an empty key it replaces none.
 func newMailbox[T any](ctx context.Context, bound int, dropped *atomic.Int64, key func(T) string) *mailbox[T] {
 	m := &mailbox[T]{in: make(chan T, mailboxBuffer), out: make(chan T), ctx: ctx, dropped: dropped}
 	go m.run(bound, key)
@@ -66,7 +65,7 @@
 	}
 }
 
-// put puts a message in; after the mailbox's end it goes nowhere.
+// put adds a message; once the mailbox has ended the message is discarded.
 func (m *mailbox[T]) put(message T) {
 	select {
 	case m.in <- message:
@@ -74,7 +73,8 @@
 	}
 }
 
-// offer puts a message in unless that would take any time; for the loop.
+// tryPut adds a message unless that would block, and reports whether it did. It is for
+// the loop.
 func (m *mailbox[T]) tryPut(message T) bool {
 	select {
 	case m.in <- message:
--- a/internal/exchange/mailbox_test.go
+++ b/internal/exchange/mailbox_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards that a mailbox loses nothing below its bound, however many put messages in.
+// Guards against messages lost below the mailbox's bound when several goroutines send.
 func TestMailboxLosesNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -35,7 +35,8 @@
 	require.Zero(t, dropped.Load())
 }
 
-// Guards what happens at the bound, and that newer state takes the place of older.
+// Guards against a mailbox that, at its bound, drops anything but the oldest message, or
+// that keeps an older message beside a newer one with the same key.
 func TestMailboxAtItsBound(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -8,15 +8,15 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Surveyor is what measures latencies, on the loop.
+// LatencySource measures latencies. It is called on the loop.
 type LatencySource interface {
-	// Sights gives what attempts took since it was last asked.
+	// LatencySamples calls each with the latency in us of every attempt since the last call.
 	LatencySamples(each func(region, edge string, took int64))
-	// Room is which part of each edge can be used, as far as this front knows.
+	// EdgeCapacity returns the usable share of each edge, 0 to 1, as far as this front knows.
 	EdgeCapacity() map[string]float64
 }
 
-// pathsUp is what a role says, and pathsDown what it is told.
+// pathsReport is a role's message to its owner, pathsUpdate the owner's to the role.
 type (
 	pathsReport struct {
 		Stamp     Micros             `cbor:"1,keyasint"`
@@ -29,7 +29,7 @@
 	}
 )
 
-// Messages to the task, beside envelopes.
+// Messages to the task of paths, besides envelopes.
 type (
 	latencySamples struct {
 		list     []latency.Sample
@@ -56,7 +56,7 @@
 	loggedAt   Micros
 }
 
-// pathRounds is the rounds between two tellings.
+// pathRounds is the number of rounds between two reports.
 const pathRounds = 3
 
 func (ex *Exchange) newPathTask() func(context.Context) handler {
@@ -187,17 +187,17 @@
 	}
 }
 
-// Steered is what a front tells of a region.
+// RegionOrder is the order of edges for a region, for the admin endpoint.
 type RegionOrder struct {
 	Region     string          `json:"region"`
-	Source     string          `json:"by"` // the fleet's order, own sight, static
+	Source     string          `json:"by"` // "the fleet's order", "own sight" or "static"
 	Edges      []latency.Share `json:"edges"`
-	RemainingS float64         `json:"holds_s"` // from now on
+	RemainingS float64         `json:"holds_s"` // how long the order still holds
 	MaxAgeS    float64         `json:"stale_by_s"`
 }
 
-// steer falls back in steps: the fleet's order until its end, then this front's own
-// sight, then the static order, which is none: evenly.
+// regionOrder returns the order of a region: the fleet's until it expires, else one from
+// this front's own samples, else the static one, which is empty and means evenly.
 func (t *pathTask) regionOrder(state *FleetState, region string, now Micros) RegionOrder {
 	out := RegionOrder{Region: region, MaxAgeS: float64(t.rules.OrderTTL) / 1e6}
 	if cache := t.orders[state.View.SelfRole()]; cache != nil {
@@ -222,7 +222,8 @@
 	return out
 }
 
-// Steer asks for a region's order; the answer comes on the loop.
+// QueryRegion asks for a region's order; answer is called on the loop. It reports whether
+// the query was accepted.
 func (ex *Exchange) QueryRegion(region string, answer func(any, error)) bool {
 	return ex.cfg.Section.Paths != nil && ex.paths.tryPut(regionQuery{region, func(v any, err error) { ex.cfg.Loop.Post(func() { answer(v, err) }) }})
 }
--- a/internal/exchange/purgequery.go
+++ b/internal/exchange/purgequery.go
@@ -8,7 +8,7 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Purged is what a front tells of one purge.
+// PurgeProgress is the progress of one purge, for the admin endpoint.
 type PurgeProgress struct {
 	ID           string                 `json:"id"`
 	RequestKey   string                 `json:"asked"`
@@ -19,7 +19,7 @@
 	Detail       string                 `json:"told"`
 }
 
-// look answers what a person asks.
+// query answers a query of the admin endpoint.
 func (t *purgeTask) query(state *FleetState, query purgeQuery, now Micros) {
 	if query.id == "" {
 		query.answer(t.purges.List(1000, now), nil)
@@ -58,8 +58,8 @@
 	return owner != nil && owner.Is(state.View.Self.Name, state.View.Self.ID, state.View.Self.Start)
 }
 
-// AskPurge asks for a purge; asked again under the same name it is the same one. The
-// answer comes on the loop, once it has its number.
+// RequestPurge requests a purge; a request repeated under the same key is the same purge.
+// answer is called on the loop once the purge has its number.
 func (ex *Exchange) RequestPurge(scope invalidation.Scope, requestKey, reason string, answer func(invalidation.Purge, error)) {
 	ok := ex.cfg.Section.Purges != nil && ex.purges.tryPut(purgeSubmit{purgeRequest{requestKey, scope, reason}, func(p invalidation.Purge, err error) {
 		ex.cfg.Loop.Post(func() { answer(p, err) })
@@ -69,7 +69,8 @@
 	}
 }
 
-// LookPurges gives the purges held, or one by its number or the name of its asking.
+// QueryPurges returns the purges held, or the progress of one by its id or request key;
+// answer is called on the loop.
 func (ex *Exchange) QueryPurges(id string, answer func(any, error)) {
 	ok := ex.cfg.Section.Purges != nil && ex.purges.tryPut(purgeQuery{id, func(v any, err error) { ex.cfg.Loop.Post(func() { answer(v, err) }) }})
 	if !ok {
--- a/internal/exchange/purges.go
+++ b/internal/exchange/purges.go
@@ -13,36 +13,36 @@
 	"cherryramp/internal/journal"
 )
 
-// asking is a purge on its way to who numbers it.
+// purgeRequest is a purge on its way to the owner that numbers it.
 type purgeRequest struct {
 	RequestKey string             `cbor:"1,keyasint"`
 	Scope      invalidation.Scope `cbor:"2,keyasint"`
 	Reason     string             `cbor:"3,keyasint,omitempty"`
 }
 
-// purgeUp is what a role tells the keeper above it.
+// purgeReport is a role's message to the owner above it.
 type purgeReport struct {
-	Received  invalidation.Watermarks `cbor:"1,keyasint,omitempty"` // what is there
-	Purges    []invalidation.Purge    `cbor:"2,keyasint,omitempty"` // that the keeper lacks
+	Received  invalidation.Watermarks `cbor:"1,keyasint,omitempty"` // up to where the role has purges
+	Purges    []invalidation.Purge    `cbor:"2,keyasint,omitempty"` // those that the owner lacks
 	Forgotten invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
 	Summary   invalidation.Summary    `cbor:"4,keyasint"`
 	Requests  []purgeRequest          `cbor:"5,keyasint,omitempty"`
-	CaughtUp  bool                    `cbor:"6,keyasint,omitempty"` // the front that tells has what it missed
+	CaughtUp  bool                    `cbor:"6,keyasint,omitempty"` // the reporting front has the purges that it missed
 }
 
-// purgeDown is what a keeper tells a role below it.
+// purgeUpdate is an owner's message to a role below it.
 type purgeUpdate struct {
 	Received  invalidation.Watermarks `cbor:"1,keyasint,omitempty"`
 	Purges    []invalidation.Purge    `cbor:"2,keyasint,omitempty"`
 	Forgotten invalidation.Watermarks `cbor:"3,keyasint,omitempty"`
-	Completed invalidation.Watermarks `cbor:"4,keyasint,omitempty"` // up to where complete
+	Completed invalidation.Watermarks `cbor:"4,keyasint,omitempty"` // up to where purges are complete
 	CaughtUp  bool                    `cbor:"5,keyasint,omitempty"`
 }
 
-// Messages to the task, beside envelopes.
+// Messages to the task of purges, besides envelopes.
 type (
 	wakeup      struct{}
-	callback    struct{ do func() } // the disk's word
+	callback    struct{ do func() } // a result from the journal
 	applied     struct{ list []invalidation.Purge }
 	purgeSubmit struct {
 		request purgeRequest
@@ -57,36 +57,36 @@
 // Bounds.
 const (
 	maxRequests       = 64
-	requestTimeout    = 10_000_000 // us that a purge waits for its number before who asked is told that it still does
-	minReportInterval = 5_000      // us between two tellings where something is new
-	idleReportRounds  = 3          // rounds between two tellings where nothing is new
-	staleFactor       = 3          // passes over, after which a role's word says nothing any more
-	rewriteSize       = 4 << 20    // bytes of the disk's file
+	requestTimeout    = 10_000_000 // us that a purge may wait for its number before the requester gets an error
+	minReportInterval = 5_000      // us between two reports while there are changes
+	idleReportRounds  = 3          // rounds between two reports without changes
+	staleFactor       = 3          // times FailoverAfter, after which a role's acknowledgement is stale
+	rewriteSize       = 4 << 20    // bytes of the file from which it is rewritten
 )
 
 // purgeTask is the task of purges.
 type purgeTask struct {
 	sender
-	unstored        *atomic.Pointer[[]invalidation.Purge] // on their way to the disk; that outlives this life of the task
+	unstored        *atomic.Pointer[[]invalidation.Purge] // not yet stored on disk; shared by all runs of the task
 	store           *purgeStore
 	purges          *invalidation.PurgeLog
 	collectors      map[string]*invalidation.AckCollector
-	childWatermarks map[attachment]invalidation.Watermarks // what roles below, and keepers above, have
+	childWatermarks map[attachment]invalidation.Watermarks // what the roles below have
 	ownerWatermarks map[uint64]invalidation.Watermarks
 	childCaughtUp   map[attachment]bool
 	tracker         *invalidation.CompletionTracker
-	rootNumber      uint64 // the number under which this process closes
+	rootNumber      uint64 // the owner number to which tracker belongs
 	requests        []pendingRequest
-	pendingAcks     map[string]int // purges that are not yet both kept and obeyed: 2 and down
+	pendingAcks     map[string]int // steps left, of stored and applied, until a purge is acknowledged: 2 or 1
 	startedAt       Micros
-	opening         bool // what has it serve is on its way to the loop
-	registered      bool // the log has had this process for as long as returns says
+	opening         bool // opening the front was posted to the loop
+	registered      bool // the log was seen to list this process, at registeredAt
 	registeredAt    Micros
 	rounds          int
 	dirty           bool
 	reportedAt      Micros
 	wakeupPending   bool
-	rootSummary     invalidation.Summary // of the root, where this process keeps it
+	rootSummary     invalidation.Summary // the root's, if this process owns it
 }
 
 type pendingRequest struct {
@@ -94,8 +94,8 @@
 	deadline Micros
 }
 
-// newPurges makes the task's body; the book outlives a task that was left behind, as a
-// snapshot that is taken when it is begun anew.
+// newPurgeTask returns the constructor of the task's handler. When a task is restarted,
+// its purges are recovered from the file and from those not yet stored.
 func (ex *Exchange) newPurgeTask(store *purgeStore) func(context.Context) handler {
 	first, unstored := true, &atomic.Pointer[[]invalidation.Purge]{}
 	unstored.Store(&[]invalidation.Purge{})
@@ -103,7 +103,7 @@
 		settings := ex.section.Load().Purges
 		t := &purgeTask{sender: sender{ex, ctx}, unstored: unstored, store: store, purges: invalidation.NewPurgeLog(invalidation.Config{MaxPurges: settings.MaxHeld, Retention: Micros(settings.RetentionS * 1e6)}), collectors: map[string]*invalidation.AckCollector{},
 			childWatermarks: map[attachment]invalidation.Watermarks{}, ownerWatermarks: map[uint64]invalidation.Watermarks{}, childCaughtUp: map[attachment]bool{}, pendingAcks: map[string]int{}, startedAt: ex.cfg.Now()}
-		if !first { // what the disk has says all that counted as kept
+		if !first { // the file holds all that counted as stored
 			store.purges, store.forgotten = nil, nil
 			if err := journal.Scan(filepath.Join(ex.cfg.Folder, "purges"), func(record []byte) error {
 				if len(record) > 1 && record[0] == recordPurge {
@@ -137,7 +137,7 @@
 	}
 }
 
-// obey has what came obeyed on the loop at once, and kept on disk.
+// applyPending applies newly received purges on the loop and stores them on disk.
 func (t *purgeTask) applyPending() {
 	pending := t.purges.TakePending()
 	if len(pending) == 0 {
@@ -151,7 +151,7 @@
 		t.unstored.Store(&next)
 	}
 	for _, p := range pending {
-		if stored := t.purges.Stored().Of(p.Origin); p.Number <= stored { // recovered: it is on disk
+		if stored := t.purges.Stored().Of(p.Origin); p.Number <= stored { // recovered from disk
 			continue
 		}
 		t.pendingAcks[p.ID()] = 2
@@ -159,7 +159,7 @@
 		t.store.journal.Append(encodeRecord(recordPurge, p), func(err error) {
 			if err != nil {
 				ex.log.Error("exchange: a purge is not kept", "purge", p.ID(), "error", err)
-				return // it is not acknowledged, and is told again at the next start
+				return // it is not acknowledged, and is sent again after the next start
 			}
 			ex.history.write("kept", map[string]any{"purge": p.ID()})
 			t.finishStep(p)
@@ -174,7 +174,8 @@
 	})
 }
 
-// half notes one of the two that a purge needs to be acknowledged: kept, and obeyed.
+// finishStep notes one of the two steps that a purge needs to be acknowledged: stored,
+// and applied.
 func (t *purgeTask) finishStep(p invalidation.Purge) {
 	id := p.ID()
 	if n, ok := t.pendingAcks[id]; !ok {
@@ -218,15 +219,15 @@
 	}
 }
 
-// floor has no copy from before a moment be trusted on the loop.
+// distrustBefore invalidates, on the loop, all copies from before a time.
 func (t *purgeTask) distrustBefore(at, now Micros) {
 	ex := t.ex
 	age := max(0, now-at)
 	ex.cfg.Loop.Post(func() { ex.cfg.Invalidator.Invalidate(invalidation.Scope{Kind: invalidation.All}, age) })
 }
 
-// returns opens the front once it has what it missed: as much as a keeper has that is
-// open itself, or, after a while, by trusting no copy from before.
+// openAfterWait opens the front if no neighbour has brought it up to date within
+// return_s: it then trusts no copy from before now.
 func (t *purgeTask) openAfterWait(state *FleetState, now Micros) {
 	if t.ex.caughtUp.Load() || t.opening || !state.View.Registered {
 		return
@@ -247,16 +248,18 @@
 	t.ex.history.write("open", map[string]any{"state": how})
 	t.ex.log.Info("exchange: the front serves", "purges", how)
 	ex := t.ex
-	ex.cfg.Loop.Post(func() { ex.caughtUp.Store(true) }) // behind what the loop has to obey
+	ex.cfg.Loop.Post(func() { ex.caughtUp.Store(true) }) // after the purges posted before it
 }
 
-// keeperFor is who numbers a purge asked here: the keeper that this front is attached to.
+// numberingOwner returns the owner that numbers purges requested here, which is the one
+// that this front is attached to, and whether that is this process itself.
 func (t *purgeTask) numberingOwner(state *FleetState) (owner topology.Owner, self, ok bool) {
 	owner, ok = t.ex.links.Load().up[state.View.SelfRole()]
 	return owner, ok && owner.Is(state.View.Self.Name, state.View.Self.ID, state.View.Self.Start), ok
 }
 
-// number gives purges asked here their number, or has them go to who does.
+// submitRequests numbers the purges requested here, or marks them to be sent to the owner
+// that does.
 func (t *purgeTask) submitRequests(state *FleetState, now Micros) {
 	if len(t.requests) == 0 {
 		return
@@ -279,12 +282,12 @@
 	t.applyPending()
 }
 
-// own is this front's own acknowledgement.
+// ownSummary returns this front's own acknowledgement.
 func (t *purgeTask) ownSummary(state *FleetState) invalidation.Summary {
 	return invalidation.Summary{Index: state.View.Index, Stored: t.purges.Stored(), FrontCount: 1}
 }
 
-// tell tells neighbours what they lack, and what is acknowledged.
+// report sends neighbours the purges that they lack, and what is acknowledged.
 func (t *purgeTask) report(state *FleetState, now Micros) {
 	t.rounds, t.dirty, t.reportedAt = 0, false, now
 	links := t.ex.links.Load()
@@ -296,7 +299,7 @@
 			delete(t.collectors, site)
 		}
 	}
-	for _, owner := range owned { // the deepest first, so that what is acknowledged goes up at once
+	for _, owner := range owned { // deepest first, so that acknowledgements go up in the same pass
 		collector := t.collector(owner)
 		collector.Prune(state.View)
 		summary := collector.Summarize(state.View, state.FrontsChanged, received, stale, now)
@@ -315,18 +318,18 @@
 		}
 		completed := t.purges.Completed()
 		for _, role := range links.childrenOf(owner, now, t.ex.topologyConfig().FailoverAfter) {
-			if role == state.View.SelfRole() { // it is this process
+			if role == state.View.SelfRole() { // this process itself
 				collector.Record(role, uint64(now), t.ownSummary(state), now)
 				continue
 			}
 			if child := state.View.Owner(role.Site); role.Front == "" && child != nil && child.Is(state.View.Self.Name, state.View.Self.ID, state.View.Self.Start) {
-				continue // it has the same book; its acknowledgement comes by up
+				continue // it shares these purges, and acknowledges by sendReport
 			}
 			link := attachment{role, owner.Number}
 			missing, forgotten := t.purges.MissingFrom(t.childWatermarks[link], now)
 			t.sendDown(Purges, role, owner, purgeUpdate{Received: received, Purges: missing, Forgotten: forgotten, Completed: completed, CaughtUp: t.ex.caughtUp.Load()})
 			if len(missing) > 0 {
-				t.childWatermarks[link] = advance(t.childWatermarks[link], missing) // told once; what it says next counts again
+				t.childWatermarks[link] = advance(t.childWatermarks[link], missing) // sent once; its next report replaces this
 			}
 		}
 	}
@@ -341,7 +344,7 @@
 	}
 }
 
-// with is marks after news that follow them without a gap.
+// advance returns watermarks advanced over purges that follow them without a gap.
 func advance(watermarks invalidation.Watermarks, purges []invalidation.Purge) invalidation.Watermarks {
 	watermarks = slices.Clone(watermarks)
 	for _, p := range purges {
@@ -381,7 +384,7 @@
 	t.sender.sendUp(Purges, role, report)
 }
 
-// completed writes which purges have become complete.
+// recordCompleted records in the history the purges that have become complete.
 func (t *purgeTask) recordCompleted(before invalidation.Watermarks) {
 	if !t.ex.history.enabled() {
 		return
@@ -430,7 +433,8 @@
 	if state == nil || !t.dirty {
 		return
 	}
-	// What is new is told at once, but not over and over while answers to it come.
+	// Changes are reported at once, but no more often than every minReportInterval while
+	// replies to them arrive.
 	if now-t.reportedAt >= minReportInterval {
 		t.tick()
 	} else if !t.wakeupPending {
@@ -484,8 +488,8 @@
 	}
 }
 
-// syncedBy opens the front once all is here that one has who serves already. Every
-// purge that is complete is among that.
+// openIfCaughtUp opens the front once it has every purge of a neighbour that already
+// serves. These include all complete purges.
 func (t *purgeTask) openIfCaughtUp(state *FleetState, peerWatermarks invalidation.Watermarks, caughtUp bool, now Micros) {
 	if t.ex.caughtUp.Load() || t.opening || !caughtUp || !state.View.Registered {
 		return
--- a/internal/exchange/purgestore.go
+++ b/internal/exchange/purgestore.go
@@ -8,7 +8,7 @@
 	"cherryramp/internal/journal"
 )
 
-// disk is the purges' file, and what it held at the start.
+// purgeStore is the file of purges and what it held when it was read.
 type purgeStore struct {
 	journal        *journal.Journal
 	purges         []invalidation.Purge
@@ -16,7 +16,7 @@
 	rewrittenBytes int64
 }
 
-// What a record is, by its first byte.
+// The kinds of records, in their first byte.
 const (
 	recordPurge byte = iota + 1
 	recordForgotten
@@ -55,7 +55,7 @@
 
 func encodeRecord(kind byte, v any) []byte { return append([]byte{kind}, encode(v)...) }
 
-// rewrite begins the disk's file anew with what is still held.
+// rewrite replaces the file with a snapshot of the purges still held.
 func (t *purgeTask) rewrite(now Micros) {
 	purges, forgotten := t.purges.Snapshot(now)
 	records := [][]byte{encodeRecord(recordForgotten, forgotten)}
@@ -72,7 +72,7 @@
 			t.ex.log.Error("exchange: the purges' file is not made smaller", "error", err)
 		}
 	})
-	for _, p := range purges { // those on their way to the disk stand behind it
+	for _, p := range purges { // those not yet stored are appended after the snapshot
 		if t.pendingAcks[p.ID()] > 0 {
 			t.store.journal.Append(encodeRecord(recordPurge, p), func(error) {})
 		}
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -5,8 +5,8 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Took notes for the laboratory that a limit let a request through, or did not, and by
-// which part. It is called on the loop.
+// RecordTake records in the history that a limit let a request through, or refused it,
+// and under which allocation. It is called on the loop.
 func (ex *Exchange) RecordTake(bucket *quotalease.Bucket, ok bool) {
 	if !ex.history.enabled() {
 		return
@@ -16,7 +16,7 @@
 	ex.history.writeAt(at, "take", map[string]any{"limit": bucket.Key.Limit, "who": bucket.Key.Who, "ok": ok, "site": from.Site, "keeper": from.Owner, "part": number, "amount": amount})
 }
 
-// TreeTold is what a front tells of the tree.
+// TreeStatus is a front's status of the tree, for the admin endpoint.
 type TreeStatus struct {
 	Front    string       `json:"front"`
 	CaughtUp bool         `json:"open"`
@@ -29,14 +29,14 @@
 	Restarts int64        `json:"restarts"`
 }
 
-// SiteTold is a site and who keeps it.
+// SiteStatus is a site and its owner.
 type SiteStatus struct {
 	Site   string `json:"site"`
 	Owner  string `json:"keeper"`
 	Number uint64 `json:"number"`
 }
 
-// RoleTold is one of this process's roles, and where it is attached.
+// RoleStatus is one of this process's roles and its attachment.
 type RoleStatus struct {
 	Role       string   `json:"role"`
 	AttachedTo string   `json:"attached_to"`
@@ -45,7 +45,7 @@
 	Children   []string `json:"below,omitempty"`
 }
 
-// Tree tells what this front knows of the tree.
+// TreeStatus returns what this front knows of the tree.
 func (ex *Exchange) TreeStatus() TreeStatus {
 	status := TreeStatus{Front: ex.cfg.Name, CaughtUp: ex.caughtUp.Load(), Sent: ex.counts.Sent.Load(), Received: ex.counts.Received.Load(), Bytes: ex.counts.Bytes.Load(),
 		Dropped: ex.counts.Dropped.Load(), Restarts: ex.counts.Restarts.Load()}
--- a/internal/exchange/verdicts.go
+++ b/internal/exchange/verdicts.go
@@ -8,15 +8,15 @@
 	"cherryramp/internal/decide/topology"
 )
 
-// Witness is what sees boxes, clients and its own hub, on the loop.
+// Observer observes boxes, clients and its own hub. It is called on the loop.
 type Observer interface {
-	// Opinions are this front's own, and how many boxes each hub has.
+	// Observations returns this front's own observations and each hub's number of boxes.
 	Observations(front, site string) (list []outlier.Observation, boxes map[string]int)
-	// Judged takes the verdicts that hold now.
+	// ApplyVerdicts replaces the verdicts in force.
 	ApplyVerdicts(list []outlier.HeldVerdict)
 }
 
-// verdictsUp is what a role says, and verdictsDown what it is told.
+// verdictsReport is a role's message to its owner, verdictsUpdate the owner's to the role.
 type (
 	verdictsReport struct {
 		Stamp        Micros                `cbor:"1,keyasint"`
@@ -29,7 +29,7 @@
 	}
 )
 
-// Messages to the task, beside envelopes.
+// Messages to the task of verdicts, besides envelopes.
 type (
 	observations struct {
 		list  []outlier.Observation
@@ -40,7 +40,8 @@
 
 func (observations) replaceKey() string { return "opinions" }
 
-// verdictTask is the task of verdicts. It keeps nothing that neighbours don't say again.
+// verdictTask is the task of verdicts. After a restart, its neighbours' next messages
+// restore its state.
 type verdictTask struct {
 	sender
 	rules      outlier.Rules
@@ -53,7 +54,7 @@
 	rounds     int
 }
 
-// verdictRounds is the rounds between two tellings.
+// verdictRounds is the number of rounds between two reports.
 const verdictRounds = 2
 
 func (ex *Exchange) newVerdictTask() func(context.Context) handler {
@@ -75,7 +76,7 @@
 	})
 }
 
-// tell merges what is said below, sends it up, and tells verdicts down.
+// publish merges the observations from below, sends them up, and sends verdicts down.
 func (t *verdictTask) publish(state *FleetState, now Micros) {
 	links := t.ex.links.Load()
 	own := state.View.SelfRole()
@@ -107,7 +108,7 @@
 				t.evaluator.Disable(outlier.Mutation(without))
 			}
 			verdicts = t.evaluator.Step(merged, boxes, now)
-			if !state.MayActAsOwner(now) { // another one may judge by now
+			if !state.MayActAsOwner(now) { // another owner may evaluate by now
 				verdicts = nil
 			}
 		} else {
@@ -146,7 +147,7 @@
 			if decoder.Unmarshal(m.Body, &report) != nil {
 				return
 			}
-			if m.Role.Front != "" { // it speaks for itself alone, whatever it says
+			if m.Role.Front != "" { // a front counts as one witness, itself, whatever it reports
 				for i := range report.Observations {
 					report.Observations[i].Count = 1
 					report.Observations[i].Witnesses = []outlier.Witness{{Front: m.Role.Front, Site: m.Role.Site, Evidence: evidence(report.Observations[i])}}
@@ -191,7 +192,7 @@
 	return min(max(0, observation.Witnesses[0].Evidence), 1e6)
 }
 
-// VerdictTold is one verdict, or an opinion of this front's own, for a person.
+// VerdictStatus is a verdict, or an observation of this front, for the admin endpoint.
 type VerdictStatus struct {
 	Subject       string            `json:"thing"`
 	State         string            `json:"state"`
@@ -205,7 +206,7 @@
 	Factor        float64           `json:"factor,omitempty"`
 }
 
-// VerdictsTold is what a front tells of verdicts.
+// VerdictsStatus is a front's status of verdicts, for the admin endpoint.
 type VerdictsStatus struct {
 	Front  string          `json:"front"`
 	Active []VerdictStatus `json:"holds"`
@@ -225,14 +226,14 @@
 	return out
 }
 
-// VerdictsOf asks for what this front knows of verdicts; the answer comes on the loop.
+// QueryVerdicts asks for this front's status of verdicts; answer is called on the loop.
+// It reports whether the query was accepted.
 func (ex *Exchange) QueryVerdicts(answer func(any)) bool {
 	return ex.cfg.Section.Verdicts != nil && ex.verdicts.tryPut(verdictsQuery{func(v any) { ex.cfg.Loop.Post(func() { answer(v) }) }})
 }
 
-// Acted notes for the laboratory that this front acts on a verdict, or does so no more.
-// Boxes is how many its hub has, and ready how many of them are left. It is called on the
-// loop.
+// RecordVerdict records in the history that this front starts or stops acting on a
+// verdict. Its hub has that many boxes, of which ready are left. It is called on the loop.
 func (ex *Exchange) RecordVerdict(verdict outlier.HeldVerdict, active bool, boxes, ready int) {
 	if !ex.history.enabled() {
 		return
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -16,11 +16,11 @@
 	"cherryramp/internal/link/frame"
 )
 
-// Protocol is what the exchange's connections say in their handshake (ALPN), so that
-// they come to the fleet's own address and its keys.
+// Protocol is the ALPN protocol of the exchange's connections. It lets them share the
+// fleet's address and keys.
 const Protocol = "cherryramp-exchange"
 
-// Subject is what a message is about.
+// Subject is the subject of a message; each has a task of its own.
 type Subject uint8
 
 // The subjects.
@@ -37,31 +37,31 @@
 
 func (s Subject) String() string { return subjectNames[min(int(s), len(subjectNames)-1)] }
 
-// Envelope is one message between a role and a keeper above it.
+// Envelope is one message between a role and an owner above it.
 type Envelope struct {
 	Subject Subject         `cbor:"1,keyasint"`
-	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the keeper
-	Role    topology.Role   `cbor:"3,keyasint"`           // who says, or who is told
-	Site    string          `cbor:"4,keyasint,omitempty"` // of the keeper
-	Owner   uint64          `cbor:"5,keyasint"`           // its number
-	Seq     uint64          `cbor:"6,keyasint,omitempty"` // of its sender's messages, growing
+	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the owner
+	Role    topology.Role   `cbor:"3,keyasint"`           // the sender of messages that go up, the receiver of others
+	Site    string          `cbor:"4,keyasint,omitempty"` // of the owner
+	Owner   uint64          `cbor:"5,keyasint"`           // the owner's number
+	Seq     uint64          `cbor:"6,keyasint,omitempty"` // increases with each message of a sender
 	Body    cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// key names what a newer message replaces while it waits to be sent.
+// key returns the key under which a newer message replaces one that waits to be sent.
 func (e *Envelope) key() string {
-	if e.Subject == Purges { // what they tell of comes once
+	if e.Subject == Purges { // each carries purges that are sent only once
 		return ""
 	}
 	return fmt.Sprint(e.Subject, e.Up, e.Role, e.Site, e.Owner)
 }
 
-// Spans and bounds of connections.
+// Timeouts and bounds of connections.
 const (
 	handshakeTimeout = 5 * time.Second
 	minRedial        = 100 * time.Millisecond
 	maxRedial        = 2 * time.Second
-	ioTimeout        = 5 * time.Second // a connection on which nothing comes for so long is given up
+	ioTimeout        = 5 * time.Second // for a write, and without any bytes received
 	pingInterval     = time.Second
 	maxOutbox        = 512
 	maxMessage       = 1 << 20 // bytes
@@ -89,16 +89,16 @@
 	return b
 }
 
-// errSize tells of a message that is too long; its connection ends.
-var errMessageTooLong = errors.New("exchange: a message is too long")
+// errMessageTooLong ends the connection on which a message exceeds maxMessage.
+var errMessageTooLong = errors.New("exchange: message too long")
 
-// reader gives the bytes of a connection's data frames. The messages on them are a
-// sequence in CBOR (RFC 8742).
+// reader reads the bytes of a connection's data frames, which carry the messages as a
+// CBOR sequence (RFC 8742).
 type reader struct {
 	conn         net.Conn
 	buf          []byte
 	data         []byte
-	messageBytes int // bytes since the last whole message
+	messageBytes int // bytes since the end of the last message
 	hello        func(frame.Hello) error
 	greeted      bool
 }
@@ -135,7 +135,7 @@
 			r.greeted = true
 		case frame.KindData:
 			if !r.greeted {
-				return 0, errors.New("exchange: data before a greeting")
+				return 0, errors.New("exchange: data before the hello")
 			}
 			r.data = slices.Clone(f.Body)
 		}
@@ -149,16 +149,16 @@
 	return n, nil
 }
 
-// conn is one connection to another front, with its outbox. It is a task of two
-// goroutines: one reads and hands messages to the hub, one writes.
+// conn is a connection to another front, with its outbox. Two goroutines serve it: one
+// reads and passes messages to the dispatcher, one writes.
 type conn struct {
 	net.Conn
-	name   string // proven by its certificate
+	name   string // proven by the peer's certificate
 	outbox *mailbox[Envelope]
 	dialed bool
 }
 
-// names are those that a connection's other side has proven.
+// peerNames returns the names in the peer's certificate.
 func peerNames(c net.Conn) []string {
 	if t, ok := c.(*tls.Conn); ok {
 		if certs := t.ConnectionState().PeerCertificates; len(certs) > 0 {
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// serve runs a connection until it ends. Up is told once the other side has greeted.
+// serve runs a connection until it ends. It calls onHello once the peer's hello was
+// accepted.
 func (ex *Exchange) serve(ctx context.Context, c *conn, onHello func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -231,7 +232,7 @@
 			return err
 		}
 		if !slices.Contains(peerNames(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == ex.cfg.Name {
-			return fmt.Errorf("exchange: it calls itself %q, and its certificate is for %q", h.Site, peerNames(c.Conn))
+			return fmt.Errorf("exchange: the peer calls itself %q, and its certificate is for %q", h.Site, peerNames(c.Conn))
 		}
 		if h.Epoch != 0 && fleet != 0 && h.Epoch != fleet {
 			return fmt.Errorf("exchange: %s belongs to another fleet", h.Site)
@@ -259,7 +260,7 @@
 	}
 }
 
-// dial connects to a front and serves the connection; it comes back when that ends.
+// dial connects to a front and serves the connection until it ends.
 func (ex *Exchange) dial(ctx context.Context, name, address string) error {
 	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -272,17 +273,18 @@
 	}
 	tlsConn := netConn.(*tls.Conn)
 	if tlsConn.ConnectionState().NegotiatedProtocol != Protocol {
-		return errors.Join(fmt.Errorf("exchange: %s at %s takes no part", name, address), netConn.Close())
+		return errors.Join(fmt.Errorf("exchange: %s at %s does not speak the exchange protocol", name, address), netConn.Close())
 	}
 	if !slices.Contains(peerNames(netConn), name) {
-		return errors.Join(fmt.Errorf("exchange: at %s is %q, not %s", address, peerNames(netConn), name), netConn.Close())
+		return errors.Join(fmt.Errorf("exchange: the certificate at %s is for %q, not %s", address, peerNames(netConn), name), netConn.Close())
 	}
 	c := &conn{Conn: netConn, name: name, dialed: true}
 	defer ex.dispatcher.put(connDown{c})
 	return ex.serve(ctx, c, func() { ex.dispatcher.put(connUp{c}) })
 }
 
-// Accept takes over a connection that another front opened, whose handshake is done.
+// Accept takes over a connection opened by another front, after its TLS handshake. It
+// calls done when the connection has ended.
 func (ex *Exchange) Accept(netConn net.Conn, done func()) {
 	go func() {
 		defer done()
