--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	connectTimeout    = 400_000   // us for a connection to come up
-	maxAnswerTime     = 2_000_000 // us from a poll for the whole of an answer that is coming
-	initialRetryPause = 10_000    // us before the next connection after a failed one; doubles
-	warnInterval      = 1_000_000 // us between log lines about trouble
+	connectTimeout    = 400_000   // us
+	maxAnswerTime     = 2_000_000 // us from a poll to the end of an answer that is still arriving
+	initialRetryPause = 10_000    // us from a failed connection to the next; doubles each time
+	warnInterval      = 1_000_000 // us between two warnings
 	maxAnswerBytes    = 4 << 20
-	maxLinger         = 150_000 // us that the board may hold a poll at most
-	minGrace          = 100_000 // us: a shorter grace leaves no time for a poll and its answer
+	maxLinger         = 150_000 // us that the board may hold a poll
+	minGrace          = 100_000 // us; a shorter grace leaves no time for a poll and its answer
 )
 
-// Times are how long a client waits for what. All follow from the grace that the
-// settings give for what the board tells: an event counts as told once the board holds it,
-// whether a watch on it still speaks or not. So a silent watch has to be noticed, and the
-// board asked on another connection, within the grace; and after an outage the board has to be
-// found within it too, whether connects are refused or hang.
+// Timeouts are a client's timeouts. All derive from the grace that the settings allow for
+// acting on events: it counts from when the board holds an event, whether or not the
+// connection still delivers. So within the grace a silent connection has to be detected
+// and the board polled on another one, and after an outage the board has to be found
+// again, whether connects are refused or hang.
 type Timeouts struct {
-	linger        gateway.Micros // that the board may hold a poll
-	silence       gateway.Micros // after a poll, from which a connection is taken for dead
-	stall         gateway.Micros // between two parts of an answer, likewise
-	redialAfter   gateway.Micros // from which a connect that hangs gets another beside it
-	maxRetryPause gateway.Micros // between two connects at most
+	linger        gateway.Micros // how long the board may hold a poll
+	silence       gateway.Micros // after a poll, from which a connection is considered dead
+	stall         gateway.Micros // between two parts of an answer, from which it is considered dead
+	redialAfter   gateway.Micros // from which another connect is started beside one that hangs
+	maxRetryPause gateway.Micros // between two connects
 }
 
-// Within gives the times for a grace; 0 stands for the least that a site has been
-// seen with.
+// TimeoutsFor returns the timeouts for a grace, which it raises to minGrace. 0 or less
+// stands for 300 ms, the shortest grace seen at a site.
 func TimeoutsFor(grace gateway.Micros) Timeouts {
 	g := max(minGrace, cmp.Or(max(0, grace), 300_000))
 	linger := min(maxLinger, g/2)
@@ -45,14 +45,14 @@
 
 var limits = httpwire.Limits{Head: 16 << 10, Body: maxAnswerBytes}
 
-// Sink is told what the board holds.
+// Sink receives what the board holds, on the loop.
 type Sink interface {
 	Members(full bool, list []gateway.Member)
 	Purge(p gateway.Purge)
 	BoardAnswered()
 }
 
-// Board is a client of the notice board.
+// Client follows the notice board.
 type Client struct {
 	loop       *loop.Loop
 	log        *slog.Logger
@@ -60,36 +60,36 @@
 	sink       Sink
 	timeouts   Timeouts
 	lastEvent  int64
-	link       *link   // the one that counts; nil while none is up
-	search     *search // for one
+	link       *link   // the current one; nil while none is up
+	search     *search // the search for a link
 	retryPause loop.Micros
 	warnedAt   loop.Micros
 	memory     transport.Gauge
-	answered   bool // a whole answer has come once
+	answered   bool // a whole answer has arrived since the start
 }
 
-// Answered tells whether the board has given a whole answer since the start.
+// Answered reports whether a whole answer has arrived since the start.
 func (client *Client) Answered() bool { return client.answered }
 
-// search is one search for a connection to an address; dials of it run beside each
-// other, and the first to come up ends it.
+// search looks for a connection to an address. Its dials run concurrently, and the first
+// to connect ends it.
 type search struct {
 	dials    int
 	over     bool
-	nextDial *loop.Deadline // when one more begins, if none has come up
+	nextDial *loop.Deadline // starts one more dial if none has connected
 }
 
-// link is one connection to the board. What an older one still brings is passed
-// over: its events come again under their numbers.
+// link is one connection to the board. What an older link still receives is ignored: its
+// events come again under the same numbers.
 type link struct {
 	client       *Client
-	conn         *transport.Conn // nil where another came up first
-	answered     bool            // it has brought an answer
-	polledAt     loop.Micros     // when the last poll went out
+	conn         *transport.Conn // nil if another dial connected first
+	answered     bool            // its last answer could be used
+	polledAt     loop.Micros     // when the last poll was sent
 	silenceTimer *loop.Deadline
 }
 
-// New makes a client that starts from what is known.
+// New makes a client that starts from the events already known; known may be nil.
 func New(l *loop.Loop, log *slog.Logger, address string, timeouts Timeouts, known *Update, sink Sink) *Client {
 	client := &Client{loop: l, log: log, address: address, timeouts: timeouts, sink: sink, retryPause: initialRetryPause}
 	if known != nil {
@@ -98,13 +98,14 @@
 	return client
 }
 
-// Start begins to follow the board.
+// Start starts following the board.
 func (client *Client) Start() { client.startSearch() }
 
-// Renew takes other times over, for what begins from now on.
+// SetTimeouts replaces the timeouts, for timers that start from now on.
 func (client *Client) SetTimeouts(timeouts Timeouts) { client.timeouts = timeouts }
 
-// Move follows the board at another address, at once and from the last event known.
+// SetAddress connects to the board at another address, at once, and resumes from the last
+// event known.
 func (client *Client) SetAddress(address string) {
 	if address == client.address {
 		return
@@ -118,7 +119,7 @@
 	client.startSearch()
 }
 
-// take passes on the events that are new.
+// apply passes new events to the sink.
 func (client *Client) apply(update *Update) {
 	for _, e := range update.Events {
 		if e.Number <= client.lastEvent {
@@ -135,7 +136,7 @@
 	client.lastEvent = max(client.lastEvent, update.Last)
 }
 
-// seek begins to look for a connection, in place of any search under way.
+// startSearch starts a search for a connection in place of any current one.
 func (client *Client) startSearch() {
 	if client.search != nil {
 		client.search.over = true
@@ -151,7 +152,7 @@
 		func(c *transport.Conn, err error) {
 			search.dials--
 			switch {
-			case search.over: // another came up first, or the board has moved
+			case search.over: // another dial connected first, or the address has changed
 				if err == nil {
 					c.Close()
 				}
@@ -168,13 +169,13 @@
 		})
 	client.loop.Stop(search.nextDial)
 	search.nextDial = client.loop.At(client.loop.Now()+client.timeouts.redialAfter, func() {
-		if !search.over && search.dials > 0 { // it hangs: the board may be back by now
+		if !search.over && search.dials > 0 { // the connect hangs; the board may be back by now
 			client.dial(search)
 		}
 	})
 }
 
-// again connects anew after a pause, unless the search is over by then.
+// retryLater dials again after a pause, unless the search is over by then.
 func (client *Client) retryLater(search *search) {
 	client.loop.At(client.loop.Now()+client.retryPause, func() {
 		if !search.over && search.dials == 0 {
@@ -184,7 +185,7 @@
 	client.retryPause = min(2*client.retryPause, client.timeouts.maxRetryPause)
 }
 
-// warn logs trouble, but not each time where it repeats.
+// warn logs a warning, one per warnInterval at most.
 func (client *Client) warn(text string, args ...any) {
 	if now := client.loop.Now(); now-client.warnedAt > warnInterval {
 		client.warnedAt = now
@@ -192,7 +193,7 @@
 	}
 }
 
-// end leaves a connection.
+// close stops the link's timer and closes its connection.
 func (l *link) close() {
 	l.client.loop.Stop(l.silenceTimer)
 	if l.conn != nil {
@@ -200,8 +201,8 @@
 	}
 }
 
-// fail leaves a connection that is of no more use and connects anew: at once if
-// it has been good.
+// fail closes a link and, if it was the current one, starts another search: at once if
+// its last answer could be used, else after a pause.
 func (l *link) fail() {
 	client := l.client
 	l.close()
@@ -233,7 +234,7 @@
 	}
 }
 
-// Readable takes an answer and asks for the next.
+// Readable reads an answer, applies it and polls again.
 func (l *link) Readable(c *transport.Conn) {
 	client := l.client
 	if client.link != l {
@@ -246,11 +247,11 @@
 		return used
 	})
 	if err == nil && response == nil {
-		if !c.Overflowed() { // it is coming: long ones take their time
+		if !c.Overflowed() { // still arriving: long answers take a while
 			client.loop.Set(l.silenceTimer, min(l.polledAt+maxAnswerTime, max(l.polledAt+client.timeouts.silence, client.loop.Now()+client.timeouts.stall)))
 			return
 		}
-		err = errors.New("board: answer is too long")
+		err = errors.New("board: answer too long")
 	}
 	var update *Update
 	if err == nil && response.Status != 200 {
@@ -276,8 +277,8 @@
 	l.poll()
 }
 
-// Drained has nothing to do: one request is out at a time.
+// Drained does nothing: one request is outstanding at a time.
 func (l *link) Drained(*transport.Conn) {}
 
-// Closed connects anew.
+// Closed handles the end of the connection.
 func (l *link) Closed(*transport.Conn) { l.fail() }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -34,7 +34,7 @@
 
 const maxWait = 10 * time.Second
 
-// told is a sink that hands on the states it is told.
+// memberSink is a sink that sends the members it receives to a channel.
 type memberSink struct{ members chan gateway.Member }
 
 func (s memberSink) Members(_ bool, list []gateway.Member) {
@@ -45,7 +45,8 @@
 func (memberSink) Purge(gateway.Purge) {}
 func (memberSink) BoardAnswered()      {}
 
-// follow begins to follow a board at an address, on a running loop.
+// follow starts a client of a board at an address. The function returned runs another
+// one on the client's loop and waits for it.
 func follow(t *testing.T, address string) (*Client, memberSink, func(func())) {
 	t.Helper()
 	l := loop.New(func() {})
@@ -62,7 +63,7 @@
 	}
 }
 
-// watch accepts one connection and reads its first poll.
+// boardConn is the board's side of one connection.
 type boardConn struct {
 	t *testing.T
 	c net.Conn
@@ -81,7 +82,7 @@
 	return &boardConn{t, c, bufio.NewReader(c)}
 }
 
-// poll reads a poll and tells the number after which it asks.
+// poll reads a poll and returns the event number after which it asks.
 func (w *boardConn) poll() string {
 	w.t.Helper()
 	r, err := http.ReadRequest(w.r)
@@ -105,9 +106,10 @@
 	}
 }
 
-// Guards against a draining server that is still sent to because the watch that would have
-// told of it fell silent: silent from the first moment on, after a whole answer, or in the middle of
-// an event. Each time the board is asked on another connection, from the last whole event on.
+// Guards against requests that still go to a draining server because the connection that
+// would have delivered the event fell silent: from the start, in the middle of an event,
+// or after a whole answer. Each time the board must be polled on another connection, from
+// the last whole event on.
 func TestSilentWatches(t *testing.T) {
 	ln, err := loopbacktest.Listen()
 	if err != nil {
@@ -115,35 +117,35 @@
 	}
 	defer func() { _ = ln.Close() }()
 	_, sink, _ := follow(t, ln.Addr().String())
-	if n := accept(t, ln).poll(); n != "0" { // and never a word
-		t.Errorf("asked after %s", n)
+	if n := accept(t, ln).poll(); n != "0" { // never answered
+		t.Errorf("polled after event %s", n)
 	}
 	cut := accept(t, ln)
 	cut.poll()
 	cut.send(httpAnswer(drainingAnswer)[:120])
 	w := accept(t, ln)
 	if n := w.poll(); n != "0" {
-		t.Errorf("after half an event it asks after %s", n)
+		t.Errorf("after half an event it polls after event %s", n)
 	}
 	w.send(httpAnswer(drainingAnswer))
 	select {
 	case m := <-sink.members:
 		if m.Name != "s-1" {
-			t.Errorf("told of %+v", m)
+			t.Errorf("received %+v", m)
 		}
 	case <-time.After(maxWait):
-		t.Fatal("not told")
+		t.Fatal("no member received")
 	}
 	if n := w.poll(); n != "1" {
-		t.Errorf("the next poll asks after %s", n)
+		t.Errorf("the next poll polls after event %s", n)
 	}
 	if n := accept(t, ln).poll(); n != "1" {
-		t.Errorf("on another connection it asks after %s", n)
+		t.Errorf("on another connection it polls after event %s", n)
 	}
 }
 
-// Guards against an answer that is taken for silence because it is long: it comes in parts,
-// all of them together slower than the board may be silent.
+// Guards against a long answer taken for silence: it arrives in small parts that together
+// take longer than the silence timeout.
 func TestLongAnswerIsNotSilence(t *testing.T) {
 	ln, err := loopbacktest.Listen()
 	if err != nil {
@@ -164,15 +166,15 @@
 	select {
 	case <-sink.members:
 	case <-time.After(maxWait):
-		t.Fatal("not told")
+		t.Fatal("no member received")
 	}
 	if n := w.poll(); n != "1" { // still the same connection
-		t.Errorf("asks after %s", n)
+		t.Errorf("polls after event %s", n)
 	}
 }
 
-// Guards against a board that is back and not asked, since a connect from before hangs:
-// others are begun beside it, and few.
+// Guards against a board that is back but not polled because an earlier connect hangs:
+// others must be started beside it, but few.
 func TestHangingConnects(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -182,7 +184,7 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Listen(fd, 0); err != nil { // one connection fills it, and connects hang from then on
+	if err := syscall.Listen(fd, 0); err != nil { // one connection fills the backlog, after which connects hang
 		t.Fatal(err)
 	}
 	listenAddr, err := syscall.Getsockname(fd)
@@ -208,7 +210,7 @@
 			t.Fatalf("%d connects at a time", maxDials)
 		}
 	}
-	// It is back: whichever comes up first is asked, and those that come up behind it are closed.
+	// The board is back: the first to connect is polled, and later ones are closed.
 	asked, closed := make(chan int, 100), make(chan int, 100)
 	go func() {
 		for {
@@ -221,26 +223,27 @@
 				buf := make([]byte, 1000)
 				if n, _ := syscall.Read(c, buf); n > 0 {
 					asked <- c
-					_, _ = syscall.Read(c, buf) // until it is left
+					_, _ = syscall.Read(c, buf) // until the client closes it
 				}
 				closed <- c
 			}()
 		}
 	}()
 	defer func() { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) }()
-	for range 3 { // silent ones are left, and others come up, beside connects that still hang
+	for range 3 { // silent ones are closed and others connect, beside connects that still hang
 		select {
 		case <-asked:
 		case <-time.After(maxWait):
-			t.Fatal("the board is not asked")
+			t.Fatal("the board is not polled")
 		}
 	}
-	on(func() {}) // the loop lives
+	on(func() {}) // the loop still runs
 }
 
-// Whatever grace the settings give: a watch that falls silent right after its poll is
-// noticed, and another connect that hangs at first is begun again, with time left to be told and
-// to act; polls are not so short that they make up most of the work.
+// Guards against timeouts that exceed the grace: whatever it is, a connection that falls
+// silent right after its poll is detected, and a connect that hangs is repeated, with time
+// left to receive the event and act on it. Polls must not be so short that they make up
+// most of the work.
 func TestTimeoutsFitTheGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Int64Range(minGrace, 10_000_000).Draw(t, "grace")
@@ -259,8 +262,8 @@
 	}
 }
 
-// Guards against a front that ends because two connects, one begun beside the other, both come up:
-// one is asked, the other is closed.
+// Guards against a crash of the front when several concurrent connects succeed: one is
+// polled, the others are closed.
 func TestBothConnectsComeUp(t *testing.T) {
 	ln, err := loopbacktest.Listen()
 	if err != nil {
@@ -270,7 +273,7 @@
 	b, sink, on := follow(t, ln.Addr().String())
 	on(func() { b.startSearch(); b.dial(b.search); b.dial(b.search) })
 	ended, asked := make(chan bool, 100), make(chan *boardConn, 100)
-	for range 4 { // with the first search's
+	for range 4 { // including the first search's
 		w := accept(t, ln)
 		go func() {
 			if _, err := w.r.Peek(1); err != nil {
@@ -293,6 +296,6 @@
 	select {
 	case <-sink.members:
 	case <-time.After(maxWait):
-		t.Fatal("not told")
+		t.Fatal("no member received")
 	}
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -1,6 +1,6 @@
-// Package discovery follows the notice board: a long poll whose numbered events
-// become members and purges. It starts from the events that the configuration
-// knows and resumes from the last number it has.
+// Package discovery follows the notice board by long polls, whose numbered events become
+// members and purges. It starts from the events in the configuration and resumes after
+// the last number that it has.
 package discovery
 
 import (
@@ -11,20 +11,20 @@
 	"cherryramp/rules"
 )
 
-// News is a run of events.
+// Update is a sequence of events, up to number Last.
 type Update struct {
 	Last   int64
 	Events []Event
 }
 
-// Event is one notice: news of the list, a purge, or neither.
+// Event is one notice: a change of the list, a purge, or neither.
 type Event struct {
 	Number int64
 	List   *List
 	Purge  *gateway.Purge
 }
 
-// List is the whole list of servers or what changed in it.
+// List is the whole list of servers, or the entries of it that changed.
 type List struct {
 	Full    bool
 	Members []gateway.Member
@@ -71,8 +71,7 @@
 		State: state, Weight: w.Size, StartedAt: w.UpSinceMS * 1000}, nil
 }
 
-// ParseMember reads one member in the same words, under a name that is told
-// elsewhere.
+// ParseMember parses one member in the board's format, under a name given separately.
 func ParseMember(data []byte, name string) (gateway.Member, error) {
 	var w wireMember
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -82,7 +81,7 @@
 	return w.member()
 }
 
-// ParseNews reads {"rev":LAST,"notices":[...]}.
+// ParseUpdate parses {"rev":LAST,"notices":[...]}.
 func ParseUpdate(data []byte) (*Update, error) {
 	var wire wireUpdate
 	if err := json.Unmarshal(data, &wire); err != nil {
--- a/internal/discovery/update_test.go
+++ b/internal/discovery/update_test.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// Guards against news that is cut off or altered making the follower panic.
+// Guards against a panic on an update that is cut off or altered.
 func TestParseUpdateOfGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(updateText)[:rapid.IntRange(0, len(updateText)-1).Draw(t, "cut")]
 		if _, err := ParseUpdate(b); err == nil {
-			t.Fatalf("cut news was taken: %s", b)
+			t.Fatalf("a cut update was accepted: %s", b)
 		}
 		b = []byte(updateText)
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "place")] = rapid.Byte().Draw(t, "byte")
