--- a/internal/ephemeral/changes.go
+++ b/internal/ephemeral/changes.go
@@ -7,20 +7,20 @@
 	"github.com/go-zookeeper/zk"
 )
 
-// changes collects what has to be read again: events add to it on the client library's
-// goroutines, the follower takes from it. It holds a name for each node that was read at most.
+// changes collects what has to be read again. Events add to it on the client library's
+// goroutines, the follower takes from it. It holds at most one name for each node read.
 type changes struct {
-	root string        // path whose children are the nodes
-	wake chan struct{} // holds one: there is something to take
+	root string        // path of the parent node
+	wake chan struct{} // of capacity 1: signals that something is pending
 
 	mu      sync.Mutex
 	pending changeSet
 }
 
-// marks say what has changed.
+// changeSet says what has changed.
 type changeSet struct {
 	all   bool // the list and every node
-	list  bool // which nodes there are
+	list  bool // the list of children
 	nodes map[string]struct{}
 }
 
@@ -28,12 +28,12 @@
 	return &changes{root: root, wake: make(chan struct{}, 1)}
 }
 
-// everything marks all as changed: no watch of an earlier connection counts any more.
+// markAll marks everything as changed: watches of earlier connections are not relied on.
 func (c *changes) markAll() {
 	c.mark(func(m *changeSet) { m.all = true })
 }
 
-// add marks what the event of a watch is about.
+// add marks what a watch event is about.
 func (c *changes) add(e zk.Event) {
 	child, isNode := strings.CutPrefix(e.Path, c.root+"/")
 	switch {
@@ -59,7 +59,7 @@
 	}
 }
 
-// take gives what was marked since the last time.
+// take returns and clears what was marked since the last call.
 func (c *changes) take() changeSet {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ephemeral/ephemeral.go
+++ b/internal/ephemeral/ephemeral.go
@@ -1,11 +1,10 @@
-// Package ephemeral follows the list of servers where it is kept as ZooKeeper
-// ephemeral nodes: each child of a configured path is a member, named by the
-// child and described by its data, in the notice board's words. It stands in
-// for the board's list.
+// Package ephemeral follows a list of servers kept as ZooKeeper ephemeral nodes: each
+// child of a configured path is a member, named by the child and described by its data in
+// the notice board's format. It takes the place of the board's list.
 //
-// A lost connection keeps the last list. A node that vanishes is gone. Whenever a
-// connection to the ensemble is up again, everything is read again, which sets every
-// watch anew: no watch of an earlier connection is relied on.
+// While the connection is lost the last list stays. A member whose node is deleted is
+// gone. Whenever a session is established, everything is read again, which sets every
+// watch again: no watch of an earlier connection is relied on.
 package ephemeral
 
 import (
@@ -25,25 +24,25 @@
 )
 
 const (
-	retryInterval = time.Second // between reads while something is wrong
+	retryInterval = time.Second // between reads after an error
 	maxPacket     = 1 << 20
-	maxReaders    = 16 // nodes that are read at once
+	maxReaders    = 16 // nodes read concurrently
 )
 
-// Config says where the nodes are.
+// Config is the address and path of the nodes.
 type Config struct {
 	Servers []string
 	Path    string
-	Session time.Duration // a node outlives its owner's silence by this
+	Session time.Duration // session timeout: a node outlives its owner's silence by this
 }
 
-// Sink is told the whole list whenever it has changed, on the loop.
+// Sink receives the whole list on the loop whenever it has changed.
 type Sink interface {
 	Members(full bool, list []gateway.Member)
 }
 
-// Follower keeps a list up to date. It has one goroutine, since the client
-// library's calls block, and a few more while nodes are read.
+// Follower keeps a list up to date. It runs in a goroutine, since the client library's
+// calls block, and reads nodes in a few more.
 type Follower struct {
 	cfg       Config
 	loop      *loop.Loop
@@ -51,20 +50,20 @@
 	log       *slog.Logger
 	conn      *zk.Conn
 	changes   *changes
-	staleList bool             // which nodes there are is to be read again
+	staleList bool             // the list of children has to be read again
 	nodes     map[string]*node // by child
 	lastList  []gateway.Member
 }
 
-// node is a child and what was last read of it.
+// node is a child and the last usable data read of it.
 type node struct {
 	member gateway.Member
 	usable bool
-	stale  bool // to be read again
+	stale  bool // has to be read again
 }
 
-// Start begins to follow the nodes. Errors of the connection are logged and
-// tried again; only a configuration that can't work is returned.
+// Start starts following the nodes. Connection errors are logged and retried; only an
+// error of the configuration is returned.
 func Start(cfg Config, l *loop.Loop, sink Sink, log *slog.Logger) error {
 	f := &Follower{cfg: cfg, loop: l, sink: sink, log: log.With("path", cfg.Path),
 		changes: newChanges(cfg.Path), staleList: true, nodes: map[string]*node{}}
@@ -78,14 +77,14 @@
 	return nil
 }
 
-// printer passes the library's lines to the log.
+// zkLogger passes the client library's messages to the log.
 type zkLogger struct{ log *slog.Logger }
 
 func (p zkLogger) Printf(format string, args ...any) {
 	p.log.Info("zookeeper client", "text", fmt.Sprintf(format, args...))
 }
 
-// event is called by the library and must not block.
+// event is the client library's event callback and must not block.
 func (f *Follower) event(e zk.Event) {
 	if e.Type != zk.EventSession {
 		f.changes.add(e)
@@ -102,8 +101,8 @@
 	}
 }
 
-// run reads, tells and waits, for as long as the program lives. It begins once a session is up, or
-// after a while, to say that there is none.
+// run reads, publishes and waits for the lifetime of the process. It starts once a
+// session is up, or after retryInterval, to log that there is none.
 func (f *Follower) run() {
 	f.wait(true)
 	for {
@@ -118,7 +117,7 @@
 	}
 }
 
-// expire notes what has to be read again.
+// markStale marks what has to be read again.
 func (f *Follower) markStale(changed changeSet) {
 	f.staleList = f.staleList || changed.all || changed.list
 	for child, n := range f.nodes {
@@ -128,7 +127,7 @@
 	}
 }
 
-// read brings in what has changed: which nodes there are, and the data of each that is stale.
+// read reads the list of children if it is stale, and the data of each stale node.
 func (f *Follower) read() error {
 	if f.staleList {
 		children, _, err := f.conn.Children(f.cfg.Path)
@@ -141,7 +140,7 @@
 	return f.readNodes()
 }
 
-// keep has just these nodes.
+// setChildren replaces the set of nodes, keeping what is known of those that remain.
 func (f *Follower) setChildren(children []string) {
 	nodes := make(map[string]*node, len(children))
 	for _, child := range children {
@@ -152,7 +151,7 @@
 	f.nodes = nodes
 }
 
-// readNodes reads every node that is stale, some at once, and gives the first error.
+// readNodes reads every stale node, several concurrently, and returns the first error.
 func (f *Follower) readNodes() error {
 	type result struct {
 		child string
@@ -192,7 +191,7 @@
 	return firstErr
 }
 
-// take notes what was read of a node.
+// update takes over the result of reading a node. A node that does not exist is removed.
 func (f *Follower) update(child string, data []byte, err error) error {
 	if errors.Is(err, zk.ErrNoNode) {
 		delete(f.nodes, child)
@@ -204,7 +203,7 @@
 	n := f.nodes[child]
 	n.stale = false
 	member, err := discovery.ParseMember(data, child)
-	if err != nil { // what was read of it before stays
+	if err != nil { // the data read before stays in use
 		f.log.Warn("member node can't be used", "node", child, "error", err)
 		return nil
 	}
@@ -212,7 +211,7 @@
 	return nil
 }
 
-// tell passes on the list, if it is not the one told last.
+// publish passes the list to the sink unless it is the same as the last one.
 func (f *Follower) publish() {
 	var list []gateway.Member
 	for _, n := range f.nodes {
@@ -227,11 +226,11 @@
 	f.lastList = list
 	f.loop.Post(func() {
 		f.sink.Members(true, list)
-		f.log.Info("member nodes read", "members", len(list)) // whoever reads it finds them in use
+		f.log.Info("member nodes read", "members", len(list)) // logged once the list is in use
 	})
 }
 
-// wait returns when something has changed, and with retry after a while.
+// wait returns when something has changed or, with retry, after retryInterval.
 func (f *Follower) wait(retry bool) {
 	var retryAfter <-chan time.Time
 	if retry {
--- a/internal/ephemeral/ephemeral_test.go
+++ b/internal/ephemeral/ephemeral_test.go
@@ -21,7 +21,8 @@
 	return fmt.Sprintf(`{"host_port":"127.0.0.1:9","locality":"edge-1","flavor":"box","phase":"%s","size":4}`, phase)
 }
 
-// sink hands lists over as words.
+// sink sends each list to a channel as text: whether it is full, then each member's name
+// with + if ready and - if draining.
 type sink struct{ lists chan string }
 
 func (s *sink) Members(full bool, list []gateway.Member) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// awaitLast waits for a list that ends so.
+// awaitSuffix waits for a list whose text ends with want.
 func (s *sink) awaitSuffix(t *testing.T, want string) {
 	t.Helper()
 	end := time.After(maxWait)
@@ -62,12 +63,12 @@
 	}
 }
 
-// said hands over the log's word of a list in line with the lists.
+// logSink sends "logged" to the sink's channel when the log reports a list as read.
 type logSink struct{ *sink }
 
 func (s logSink) Write(line []byte) (int, error) {
 	if strings.Contains(string(line), "member nodes read") {
-		s.lists <- "said"
+		s.lists <- "logged"
 	}
 	return len(line), nil
 }
@@ -92,13 +93,13 @@
 	}
 }
 
-// Guards against a list that is logged as read while requests still meet the one before.
+// Guards against a list that is logged as read before it is in use.
 func TestLogsListOnceInUse(t *testing.T) {
 	server := zookeepertest.New(t)
 	server.Set("s-1", box("SERVING"))
 	s := &sink{lists: make(chan string, 100)}
 	startWith(t, server, s, logSink{s})
-	for _, want := range []string{"true s-1+", "said"} {
+	for _, want := range []string{"true s-1+", "logged"} {
 		select {
 		case got := <-s.lists:
 			if got != want {
@@ -121,14 +122,14 @@
 	s.await(t, "true s-1- s-2+")
 	server.Set("s-1", "")
 	s.await(t, "true s-2+")
-	// Data that can't be used keeps what was known of the node.
+	// Unusable data leaves the last usable data of the node in force.
 	server.Set("s-2", "garbage")
 	server.Set("s-3", box("SERVING"))
 	s.await(t, "true s-2+ s-3+")
 }
 
-// Guards against a lost connection emptying the list, and against changes made
-// meanwhile that are never heard of.
+// Guards against a lost connection that empties the list, and against changes made
+// meanwhile that are never read.
 func TestLostConnectionKeepsTheList(t *testing.T) {
 	server := zookeepertest.New(t)
 	server.Set("s-1", box("SERVING"))
@@ -139,20 +140,17 @@
 	s.await(t, "true s-1+ s-2+")
 	select {
 	case got := <-s.lists:
-		t.Errorf("told %q after that", got)
+		t.Errorf("got %q after that", got)
 	default:
 	}
 }
 
-// What happens: a front sends requests to a server that was told as draining, for as long as nothing
-// else changes.
-//
-// Why: the drain was told while the connection was lost. The client library then sets its old watches
-// again, with the number of the last change that it has heard of, and the follower waited for them to
-// fire. Where that number is too new, as when another answer overtakes it, or the service fires no
-// watch, nothing is ever read again.
-//
-// What showed it: "member nodes: session" stands in the log after the cut, and no "member nodes read" behind it.
+// Guards against a front that keeps sending requests to a draining server because the
+// drain was set while the connection was lost. The client library then sets its old
+// watches again with the last zxid it has seen, and the follower waited for them to fire.
+// If that zxid is too new, as when another reply overtakes it, or if the server fires no
+// watch, nothing is read again. In the log, "member nodes: session" after the disconnect
+// is not followed by "member nodes read".
 func TestDrainDuringALostConnectionIsRead(t *testing.T) {
 	server := zookeepertest.New(t)
 	server.Set("s-1", box("SERVING"))
@@ -166,15 +164,13 @@
 	s.await(t, "true s-1+ s-2+")
 }
 
-// What happens: a data race inside the client library (conn.go:614 reads what conn.go:849 writes), and by it
-// a number of the last change that is too new in the call that sets old watches again.
-//
-// Why: at each connection the library's main goroutine looks for watches to set again after it has started
-// the receiver, which may have added some by then and goes on counting.
-//
-// What showed it: 64,000 first connections to a server in memory, with four reads that set watches each, under
-// the race detector: reported in 6 of 6 plays; with four reads without watches in none of 6. So
-// the library must be left without watches, and then asks for none to be set again.
+// Guards against a data race inside the client library (conn.go:614 reads what conn.go:849
+// writes), which puts a too new zxid into the request that sets old watches again. At each
+// connection the library's main goroutine looks for watches to set again after it started
+// the receiver, which may have added some by then and goes on counting. Under the race
+// detector, 64,000 first connections to an in-memory server with four reads that set
+// watches each showed it in 6 of 6 runs, with four reads without watches in 0 of 6. So the
+// library must know of no watches; then it sets none again.
 func TestLibraryHasNoWatchesToSetAgain(t *testing.T) {
 	server := zookeepertest.New(t)
 	server.Set("s-1", box("SERVING"))
@@ -191,8 +187,8 @@
 	}
 }
 
-// Guards against watches that die with their session: the new one must read
-// all again and hear of what comes later.
+// Guards against watches that are lost with an expired session: after the new session
+// everything must be read again, and later changes too.
 func TestNewSessionReadsAllAgain(t *testing.T) {
 	server := zookeepertest.New(t)
 	server.Set("s-1", box("SERVING"))
--- a/internal/ephemeral/watched.go
+++ b/internal/ephemeral/watched.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// Requests of ZooKeeper's published protocol, as a packet has them: its length and the request's
-// number (4 bytes each), the operation (4 bytes), and its fields.
+// Requests of ZooKeeper's published protocol. A packet is its length, the request's number
+// and the operation (4 bytes each), and the operation's fields.
 const (
 	operationOffset = 8
 	fieldsOffset    = 12
-	opGetData       = 4  // a path, and whether to set a watch
+	opGetData       = 4  // fields: a path, and whether to set a watch
 	opGetChildren   = 12 // the same
 )
 
-// watchedConn is a connection on which every read of a node's data or children sets a watch at the
-// service. The client library is told of no watch: it would set those that it knows again at each connection,
-// with a number of the last change that it reads while its receiver writes it. Events of
-// watches that it does not know it hands to its event callback, which is all that is needed.
+// watchedConn is a connection on which every read of a node's data or children sets a
+// watch at the server. The client library knows of no watches: it would set those it knows
+// again at each connection, with a last change number (zxid) that it reads while its
+// receiver writes it, which is a data race. Events of watches that it does not know go to
+// its event callback, which is all that is needed.
 type watchedConn struct {
 	net.Conn
-	started bool // the packet that begins the session, which holds no operation, was written
+	started bool // the connect request, which has no operation, was written
 }
 
-// dialWatched is the library's dialer.
+// dialWatched is the client library's dialer.
 func dialWatched(network, address string, timeout time.Duration) (net.Conn, error) {
 	c, err := net.DialTimeout(network, address, timeout)
 	if err != nil {
@@ -43,14 +44,14 @@
 	return c.Conn.Write(withWatch(packet))
 }
 
-// withWatch sets the watch of a read; other packets are as they were.
+// withWatch sets the watch flag of a read; it returns other packets unchanged.
 func withWatch(packet []byte) []byte {
 	if len(packet) <= fieldsOffset {
 		return packet
 	}
 	switch binary.BigEndian.Uint32(packet[operationOffset:]) {
 	case opGetData, opGetChildren:
-		packet = slices.Clone(packet) // it is the caller's
+		packet = slices.Clone(packet) // the caller's must not change
 		packet[len(packet)-1] = 1
 	}
 	return packet
--- a/internal/ephemeral/watched_test.go
+++ b/internal/ephemeral/watched_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// packet is one of the protocol's, with its length before it.
+// packet makes a packet of the protocol, with its length first.
 func packet(words []uint32, rest ...byte) []byte {
 	var b []byte
 	for _, w := range words {
@@ -18,8 +18,9 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)
 }
 
-// Guards against reads without a watch, after which a change is never heard of, and against
-// other packets that are altered: the one that begins a session may hold any number at an operation's place.
+// Guards against reads without a watch, after which a change is never seen, and against
+// changes to other packets: the connect request may hold any number at the operation's
+// offset.
 func TestOnlyReadsSetWatches(t *testing.T) {
 	connectPacket := packet([]uint32{0, opGetData, 7, 2000}, 0, 0)
 	for name, c := range map[string]struct{ packet, want []byte }{
@@ -42,7 +43,7 @@
 			t.Errorf("%s: got %v, %v, want %v", name, got, err, c.want)
 		}
 		if !bytes.Equal(c.packet, before) {
-			t.Errorf("%s: the caller's packet was altered", name)
+			t.Errorf("%s: the caller's packet was changed", name)
 		}
 	}
 }
--- a/internal/ephemeral/zookeepertest/zookeepertest.go
+++ b/internal/ephemeral/zookeepertest/zookeepertest.go
@@ -1,6 +1,5 @@
-// Package zookeepertest is for tests and the laboratory: a stand-in for a ZooKeeper server
-// that speaks the part of its published protocol that reading children and data
-// with watches takes.
+// Package zookeepertest provides a fake ZooKeeper server for tests and the lab. It speaks
+// the part of the published protocol that reads children and data with watches.
 package zookeepertest
 
 import (
@@ -15,8 +14,7 @@
 	"cherryramp/internal/loopbacktest"
 )
 
-// Keeper is a stand-in that speaks the part of ZooKeeper's published protocol
-// that reading children and data with watches takes.
+// Server is a fake ZooKeeper server with the children of one node, Root.
 type Server struct {
 	ln       net.Listener
 	mu       sync.Mutex
@@ -28,19 +26,19 @@
 	frozen   bool
 	unfrozen sync.Cond
 
-	setWatches int // calls that set watches of an older connection again
+	setWatches int // requests that set watches of an earlier connection again
 }
 
-// node is what the keeper holds under a name.
+// node is a child of Root.
 type node struct {
 	data      string
-	changedAt int64 // number of the change that made it so
+	changedAt int64 // zxid of its last change
 }
 
-// Root is the path whose children are the nodes.
+// Root is the path of the nodes' parent.
 const Root = "/padma/boxes"
 
-// New starts a keeper without nodes, which ends with the test.
+// New starts a server without nodes, which is closed at the end of the test.
 func New(t testing.TB) *Server {
 	t.Helper()
 	server, err := Open("")
@@ -51,12 +49,12 @@
 	return server
 }
 
-// Open starts a keeper without nodes at an address, or at one of this process's own if it
-// is empty. It must be closed.
+// Open starts a server without nodes at an address or, if that is empty, at one of this
+// process's own. The caller must close it.
 func Open(address string) (*Server, error) {
 	ln, err := loopbacktest.ListenAt(address)
 	if err != nil {
-		return nil, fmt.Errorf("keeper: %w", err)
+		return nil, fmt.Errorf("zookeepertest: %w", err)
 	}
 	server := &Server{ln: ln, nodes: map[string]node{}, session: 100, conns: map[net.Conn]bool{},
 		watches: map[net.Conn]map[string]bool{}}
@@ -73,15 +71,15 @@
 	return server, nil
 }
 
-// Close ends a keeper and its connections.
+// Close closes the server and its connections.
 func (s *Server) Close() {
 	_ = s.ln.Close()
 	s.Disconnect(false)
 	s.Freeze(false)
 }
 
-// Freeze has the keeper say nothing until it is thawed: connections come up and
-// stay, and what is asked meanwhile is answered then.
+// Freeze stops the server from replying until it is called with false: connections are
+// accepted and stay open, and pending requests are answered afterwards.
 func (s *Server) Freeze(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,14 +171,14 @@
 	for s.frozen {
 		s.unfrozen.Wait()
 	}
-	if s.watches[c] == nil { // it was cut
+	if s.watches[c] == nil { // disconnected
 		return
 	}
 	xid, op := request.take32(), request.take32()
 	var body packet
 	code := int32(0)
 	switch op {
-	case 12: // the children of a node
+	case 12: // get the children of a node
 		if request.takeText() != Root {
 			code = -101
 			break
@@ -191,7 +189,7 @@
 			body.putText(child)
 		}
 		body.putStat()
-	case 4: // the data of a node
+	case 4: // get the data of a node
 		child := strings.TrimPrefix(request.takeText(), Root+"/")
 		found, known := s.nodes[child]
 		if !known {
@@ -201,7 +199,7 @@
 		s.watches[c][child] = request.b[0] == 1
 		body.putText(found.data)
 		body.putStat()
-	case 101: // watches of an older connection, set again; what changed since fires at once
+	case 101: // set watches of an earlier connection again; those with a change since fire at once
 		s.setWatches++
 		seen := request.take64()
 		for _, list := range []bool{false, false, true} {
@@ -233,7 +231,7 @@
 	send(c, &reply)
 }
 
-// notify sends a watch's event: 2 deleted, 3 data changed, 4 children changed.
+// notify sends a watch event: 2 deleted, 3 data changed, 4 children changed.
 func notify(c net.Conn, kind int32, path string) {
 	var event packet
 	event.putInt32(-1)
@@ -245,7 +243,7 @@
 	send(c, &event)
 }
 
-// Set makes, changes or, with empty data, removes a node.
+// Set creates or changes a node or, with empty data, deletes it.
 func (s *Server) Set(child, data string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,7 +268,7 @@
 	}
 }
 
-// Cut ends all connections, and the session too where it is to expire.
+// Disconnect closes all connections and, with expire, expires the session.
 func (s *Server) Disconnect(expire bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,12 +281,13 @@
 	s.conns, s.watches = map[net.Conn]bool{}, map[net.Conn]map[string]bool{}
 }
 
-// WatchesSetAgain counts the calls in which clients set watches of an older connection again.
+// SetWatchesCalls returns the number of requests by which clients set watches of an
+// earlier connection again.
 func (s *Server) SetWatchesCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.setWatches
 }
 
-// Addr is where the keeper listens.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
