--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,12 +1,11 @@
-// Package journal keeps records on disk before what they tell of happens: a
-// write-ahead log in one file, with a checksum a record, that is begun anew from a
-// snapshot when it has grown. Many records that come together are made durable
+// Package journal is a write-ahead log in one file, with checksums, that its owner
+// replaces by a snapshot when it has grown. Records that arrive together are made durable
 // together (group commit).
 //
-// A record is whatever bytes its owner makes of it. What was made durable together
-// is one frame, which is there whole or not at all, in whatever order the disk had
-// its pages. A file ends where its last whole frame does: what a crash tore off there
-// is cut away. Damage before that is an error and is never passed over.
+// Records are arbitrary bytes. Those made durable together form one frame, which is
+// recovered whole or not at all, in whatever order the disk wrote its pages. The file ends
+// with its last whole frame: a torn end left by a crash is cut off. Damage before that is
+// an error and is never skipped.
 package journal
 
 import (
@@ -22,31 +21,31 @@
 	"slices"
 )
 
-// The file is a header and frames. A frame is its length and the CRC-32C (Castagnoli)
-// of length and bytes, then records, each after its length; all figures are of 4
-// bytes, little-endian.
+// The file is a header followed by frames. A frame is the length of its body, the CRC-32C
+// (Castagnoli) of length and body, and the body: records, each after its length. All
+// numbers are 4 bytes, little-endian.
 const (
 	magic        = "cherryramp journal 1\n"
 	frameHeader  = 8
 	recordHeader = 4
-	// MostRecord bounds a record's bytes.
+	// MaxRecord is the maximum length of a record in bytes.
 	MaxRecord = 1 << 20
-	// mostBatch is how many bytes of records a frame has at most, before its last one.
+	// maxBatch is the length from which a frame takes no further record.
 	maxBatch = 4 << 20
 	maxFrame = maxBatch + MaxRecord + 2*recordHeader
 )
 
 var (
-	// ErrFull tells that more waits to be written than may.
-	ErrFull = errors.New("journal: too much waits to be written")
-	// ErrClosed tells that the journal was closed, or could not be repaired after a
-	// failed write.
+	// ErrFull means that too many records are waiting to be written.
+	ErrFull = errors.New("journal: too many records wait to be written")
+	// ErrClosed means that the journal takes no more records: a sync failed, or the file
+	// could not be restored after a failed write.
 	ErrClosed = errors.New("journal: closed")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// file is what the journal needs of one; tests have files that fill up and fail.
+// file is the part of os.File that the journal needs, so that tests can inject faults.
 type file interface {
 	io.Writer
 	io.Closer
@@ -55,33 +54,33 @@
 	Seek(offset int64, whence int) (int64, error)
 }
 
-// Journal is an open journal. One goroutine of its own writes and waits for the
-// disk; Append and Rewrite never do.
+// Journal is an open journal. Its own goroutine writes and waits for the disk; Append and
+// Rewrite don't block.
 type Journal struct {
 	path   string
 	jobs   chan job
-	closed chan error // of the writer's end
+	closed chan error // receives the error of closing the file
 	post   func(func())
 
-	reportedSize int64 // of size; its owner's
+	reportedSize int64 // size as last reported; used by the owner only
 
-	// The writer's.
+	// Used by the writer only.
 	f      file
-	size   int64 // of whole records that are durable
-	failed error // after which nothing is written any more
+	size   int64 // of the durable frames and the header
+	failed error // if set, nothing more is written
 	create func(path string) (file, error)
 }
 
-// job is a record, or a snapshot to begin anew from.
+// job is a record to append, or a snapshot to replace the file with.
 type job struct {
 	record   []byte
 	snapshot [][]byte
 	done     func(error)
 }
 
-// Open opens a journal, or makes one, and hands over each of its records in order;
-// they may be kept. A torn end is cut off and told in bytes. Up to most records may
-// wait to be written. What is to be told later is posted, as to a loop.
+// Open opens or creates a journal and calls each with its records in order; each may keep
+// them. It cuts off a torn end and returns its length in bytes. Up to maxWaiting records
+// may wait to be written. Results are passed to post, which runs them, as on a loop.
 func Open(path string, maxWaiting int, post func(func()), each func(record []byte) error) (j *Journal, torn int64, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -109,8 +108,8 @@
 	return j, torn, nil
 }
 
-// Scan hands over the records of a journal that may be open and being written: what
-// is not whole at its end yet is left out.
+// Scan calls each with the records of a journal, which may be open and being written: an
+// incomplete frame at the end is left out.
 func Scan(path string, each func(record []byte) error) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -123,8 +122,8 @@
 	return nil
 }
 
-// read goes through a file's records, and tells where the whole ones end and how
-// much stands behind them.
+// read calls each with a file's records and returns the length up to the last whole frame
+// and the number of bytes after it.
 func read(f *os.File, each func([]byte) error) (size, torn int64, err error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -136,13 +135,13 @@
 		return 0, 0, err
 	}
 	if string(header) != magic[:len(header)] {
-		return 0, 0, errors.New("this is no journal of this version")
+		return 0, 0, errors.New("no journal of this version")
 	}
-	if len(header) < len(magic) { // a crash at its making
+	if len(header) < len(magic) { // a crash while the file was created
 		return 0, fileSize, nil
 	}
 	size = int64(len(magic))
-	reader := bufio.NewReaderSize(io.LimitReader(f, fileSize-size), 1<<20) // it may be growing meanwhile
+	reader := bufio.NewReaderSize(io.LimitReader(f, fileSize-size), 1<<20) // the file may grow meanwhile
 	var frameStart [frameHeader]byte
 	var buf []byte
 	for {
@@ -170,7 +169,7 @@
 				return 0, 0, err
 			}
 			if next > 0 {
-				return 0, 0, fmt.Errorf("the frame at byte %d is damaged, and a whole one stands behind it, at byte %d", size, next)
+				return 0, 0, fmt.Errorf("the frame at byte %d is damaged, and a whole one follows at byte %d", size, next)
 			}
 			return size, fileSize - size, nil
 		}
@@ -181,11 +180,11 @@
 	}
 }
 
-// records hands over a frame's records, each in memory of its own.
+// eachRecord calls each with a copy of every record of a frame.
 func eachRecord(body []byte, each func([]byte) error) error {
 	for len(body) > 0 {
 		if len(body) < recordHeader || int(binary.LittleEndian.Uint32(body)) > len(body)-recordHeader {
-			return errors.New("its checksum is right, and its records are not whole")
+			return errors.New("the checksum matches, but the records are incomplete")
 		}
 		n := recordHeader + int(binary.LittleEndian.Uint32(body))
 		if err := each(bytes.Clone(body[recordHeader:n])); err != nil {
@@ -196,13 +195,13 @@
 	return nil
 }
 
-// leastWhole is how long a frame must be for its checksum to be no chance, where one
-// is looked for at every byte.
+// minFoundFrame is the minimum length of a frame found by searching at every byte; a
+// shorter one could match its checksum by chance.
 const minFoundFrame = recordHeader
 
-// wholeAfter finds a whole frame that begins at a byte or later, which a torn end
-// does not have; 0: there is none. It looks as far as one write may have torn, and
-// a frame more.
+// findFrame returns the offset of a whole frame that starts at from or later, or 0 if
+// there is none. A torn end contains no such frame. It searches as far as one torn write
+// may reach, and one frame more.
 func findFrame(f *os.File, from, fileSize int64) (int64, error) {
 	if from >= fileSize {
 		return 0, nil
@@ -223,15 +222,15 @@
 	return 0, nil
 }
 
-// sum is the checksum of a frame's length and bytes.
+// checksum returns the checksum of a frame's length and body.
 func checksum(body []byte) uint32 {
 	var header [4]byte
 	binary.LittleEndian.PutUint32(header[:], uint32(len(body)))
 	return crc32.Update(crc32.Checksum(header[:], castagnoli), castagnoli, body)
 }
 
-// begin and seal make a frame behind what stands in dst: begin leaves room for its
-// head, which seal fills in once the records are there.
+// beginFrame and sealFrame append a frame to dst: beginFrame reserves its header, which
+// sealFrame fills in once the records are appended.
 func beginFrame(dst []byte) []byte { return append(dst, make([]byte, frameHeader)...) }
 
 func appendRecord(dst, record []byte) []byte {
@@ -244,13 +243,12 @@
 	return dst
 }
 
-// Size is the bytes of the file as far as the owner of post knows: it is told with
-// what was kept.
+// Size returns the length of the file in bytes as of the last result posted. It must be
+// called where post runs.
 func (j *Journal) Size() int64 { return j.reportedSize }
 
-// Append has a record written; kept is posted once it is durable, or is not. The
-// bytes must stay as they are until then. A record that is told not to be kept does
-// not come back at the next start.
+// Append queues a record; done is posted once it is durable, or with an error. The bytes
+// must not change until then. A record with an error is not recovered at the next start.
 func (j *Journal) Append(record []byte, done func(error)) {
 	if len(record) > MaxRecord {
 		j.post(func() { done(fmt.Errorf("journal: a record of %d bytes, %d at most", len(record), MaxRecord)) })
@@ -259,8 +257,9 @@
 	j.enqueue(job{record: record, done: done})
 }
 
-// Rewrite begins the file anew with a snapshot's records; those appended before are
-// dropped, those after stand behind it. Until it is durable the old file stays.
+// Rewrite replaces the file by a snapshot's records: those appended before are dropped,
+// those appended later follow it. Until the snapshot is durable the old file stays. done
+// is posted as with Append.
 func (j *Journal) Rewrite(snapshot [][]byte, done func(error)) {
 	if snapshot == nil {
 		snapshot = [][]byte{}
@@ -276,14 +275,15 @@
 	}
 }
 
-// Close writes what waits and closes the file. Nothing may be appended any more.
+// Close writes the waiting records and closes the file. Append and Rewrite must not be
+// called afterwards.
 func (j *Journal) Close() error {
 	close(j.jobs)
 	return <-j.closed
 }
 
-// write is the writer: it takes all that waits, writes it at once and waits for the
-// disk once.
+// run is the writer: it writes all waiting records as one frame, up to maxBatch, and syncs
+// once.
 func (j *Journal) run() {
 	var buf []byte
 	for current := range j.jobs {
@@ -327,9 +327,9 @@
 	})
 }
 
-// commit makes bytes durable, or has the file be as it was before. Where not even
-// that succeeds, or the disk's own word can't be trusted any more (a failed sync may
-// have dropped what it did not write), nothing more is taken.
+// commit makes a frame durable or restores the file to its length before. If that fails
+// too, or after a failed sync, which may have dropped pages that it did not write, the
+// journal takes nothing more.
 func (j *Journal) commit(frame []byte) error {
 	if j.failed != nil {
 		return j.failed
@@ -349,7 +349,7 @@
 	return nil
 }
 
-// rewrite puts a new file in the old one's place.
+// rewrite replaces the file by a new one with a snapshot.
 func (j *Journal) rewrite(snapshot [][]byte) (err error) {
 	if j.failed != nil {
 		return j.failed
@@ -398,9 +398,9 @@
 	placed = true
 	old := j.f
 	j.f, j.size = f, size
-	_ = old.Close() // the snapshot stands for all that was in it
-	// The new file holds from here on; without the directory's word it may be the old
-	// one again after a crash, so nothing more is promised.
+	_ = old.Close() // the snapshot replaces all that was in it
+	// The new file is in use from here on. If the directory was not synced, the old file
+	// may be back after a crash, so no further record may be reported as durable.
 	if err := syncDir(j.path); err != nil {
 		j.failed = errors.Join(ErrClosed, err)
 		return j.failed
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -29,7 +29,7 @@
 	return j, got, torn, err
 }
 
-// write puts records into a journal and gives those that were kept.
+// appendAll appends records one by one and returns those reported as durable.
 func appendAll(t testing.TB, j *Journal, list []string) (kept []string) {
 	t.Helper()
 	for _, r := range list {
@@ -42,8 +42,8 @@
 	return kept
 }
 
-// What was kept comes back in order, wherever the file was torn: all whole records
-// before that, and new ones behind them.
+// Guards against records lost or reordered when the file is torn at any byte: all records
+// of whole frames before it are recovered, and new ones are appended after them.
 func TestTornEnds(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// One by one each is a frame; together they are frames as it comes.
+		// One by one, each record is a frame; together, frames hold any number of them.
 		if oneByOne := rapid.Bool().Draw(t, "alone"); oneByOne {
 			for _, r := range list {
 				done := make(chan error, 1)
@@ -107,7 +107,8 @@
 	})
 }
 
-// Damage before the end is an error that names the byte, and nothing is changed.
+// Guards against damage before the end that is skipped or cut off: opening fails with an
+// error that names the byte, and the file stays as it is.
 func TestDamageIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
@@ -141,8 +142,8 @@
 	}
 }
 
-// A snapshot takes the place of what was before it, what comes after stands behind
-// it, and one that was not finished is not seen.
+// Guards against records from before a snapshot that come back, records after it that are
+// lost, and an unfinished snapshot that is read.
 func TestRewrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
@@ -169,8 +170,8 @@
 	_ = j.Close()
 }
 
-// A snapshot that is durable is told as kept, and what comes after it is kept too, whatever the
-// old file's close says: nobody needs that any more.
+// Guards against a durable snapshot reported as failed because closing the old file, which
+// nothing needs any more, fails; later records must be durable too.
 func TestRewriteWhenTheOldFileFailsToClose(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
@@ -181,10 +182,10 @@
 	done := make(chan error, 1)
 	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { done <- err })
 	if err := <-done; err != nil {
-		t.Errorf("the snapshot: %v", err)
+		t.Errorf("snapshot: %v", err)
 	}
 	if kept := appendAll(t, j, []string{"c"}); !slices.Equal(kept, []string{"c"}) {
-		t.Errorf("kept after it: %q", kept)
+		t.Errorf("durable after it: %q", kept)
 	}
 	_ = j.Close()
 	if _, got, _, err := open(path); err != nil || !slices.Equal(got, []string{"ab", "c"}) {
@@ -192,7 +193,7 @@
 	}
 }
 
-// shaky is a file on a disk that fills up, or whose sync or close fails.
+// faultyFile is a file on a disk that fills up, or whose sync or close fails.
 type faultyFile struct {
 	*os.File
 	room              int
@@ -215,8 +216,9 @@
 
 func (f *faultyFile) Sync() error { return errors.Join(f.syncErr, f.File.Sync()) }
 
-// On a full disk what does not fit is told not to be kept and does not come back;
-// once there is room, records are kept again. After a sync that failed none is.
+// Guards against a record that was reported as failed on a full disk and is recovered,
+// against a journal that stays failed once there is room, and against records reported as
+// durable after a failed sync.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
@@ -224,7 +226,7 @@
 		t.Fatal(err)
 	}
 	s := &faultyFile{File: j.f.(*os.File), room: 65}
-	j.f = s // the writer has nothing to do yet
+	j.f = s // the writer is idle
 	list := []string{strings.Repeat("a", 30), strings.Repeat("b", 30), "c"}
 	kept := appendAll(t, j, list)
 	if !slices.Equal(kept, []string{list[0]}) && !slices.Equal(kept, []string{list[0], "c"}) {
@@ -239,11 +241,11 @@
 	_ = j.Close()
 	_, got, _, err := open(path)
 	if err != nil || !slices.Equal(got[:len(kept)], kept) || slices.Contains(got, list[1]) || slices.Contains(got, "after that") {
-		t.Errorf("%q, kept were %q: %v", got, kept, err)
+		t.Errorf("recovered %q, durable were %q: %v", got, kept, err)
 	}
 }
 
-// More than may wait is told at once.
+// Guards against an unbounded queue and unbounded records: both fail at once.
 func TestQueueBound(t *testing.T) {
 	j := &Journal{jobs: make(chan job, 1), post: runNow}
 	var errs []error
@@ -256,7 +258,8 @@
 	}
 }
 
-// FuzzOpen reads anything without falling over, and reads the same again.
+// FuzzOpen guards against panics on arbitrary files and against records that differ when
+// the file is opened again.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(magic))
 	f.Add(sealFrame(appendRecord(beginFrame([]byte(magic)), []byte("record")), len(magic)))
@@ -279,7 +282,7 @@
 	})
 }
 
-// BenchmarkAppend is records made durable a second, one by one and by groups.
+// BenchmarkAppend measures records made durable per second, one by one and in groups.
 func BenchmarkAppend(b *testing.B) {
 	record, _ := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: 1 << 60, Attempt: 1, Epoch: 1 << 60, At: 1 << 50})
 	for _, together := range []int{1, 64, 1024} {
@@ -305,7 +308,7 @@
 	}
 }
 
-// BenchmarkRecover is the time to take in a million records.
+// BenchmarkRecover measures the time to recover a million records.
 func BenchmarkRecover(b *testing.B) {
 	path := filepath.Join(b.TempDir(), "j")
 	text := []byte(magic)
