--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -6,32 +6,32 @@
 	"cherryramp/internal/decide/counters"
 )
 
-// readyAfter is how long after its start a front says that it can serve even
-// where the notice board has not answered yet, in us: members then come as the
-// board answers, as they would after a break.
-const readyAfter = 2_000_000
+// readyTimeout is the time after the start, in us, at which a front reports ready even
+// if the notice board has not answered yet. Members are then added once the board
+// answers, as after an outage of the board.
+const readyTimeout = 2_000_000
 
-// The program is the handler of the admin endpoint. Readiness and the figures are
-// state of their own (internal/decide); the program carries out what they say,
-// and internal/admin only formats it.
+// program implements admin.Handler. The readiness state and the counters are kept in
+// packages under internal/decide, and internal/admin formats the replies.
 
-// Ready tells whether the front takes clients.
+// Ready reports whether the front accepts clients and, if not, the reason.
 func (p *program) Ready() (bool, string) {
-	if ok, why := p.ready.Ready(p.loop.Now(), p.news.Answered()); !ok {
+	if ok, why := p.ready.Ready(p.loop.Now(), p.board.Answered()); !ok {
 		return false, why
 	}
-	return p.allowed()
+	return p.servingAllowed()
 }
 
-// allowed tells whether anything but the front's own state keeps it from serving.
-func (p *program) allowed() (bool, string) {
+// servingAllowed reports whether the listeners and the fleet allow the front to serve,
+// regardless of its readiness state.
+func (p *program) servingAllowed() (bool, string) {
 	if p.drain.reopening {
 		return false, "a listener can't be opened yet"
 	}
 	return p.fleetAllows()
 }
 
-// fleetAllows tells whether the front's part in a fleet lets it serve.
+// fleetAllows reports whether the fleet, if the front belongs to one, allows it to serve.
 func (p *program) fleetAllows() (bool, string) {
 	if p.fleet == nil {
 		return true, ""
@@ -45,29 +45,30 @@
 	return true, ""
 }
 
-// takesClients tells whether the front takes clients, as their health check asks. A start
-// that is not over is no reason against it: the configuration holds a list to serve by.
+// takesClients reports whether the front accepts clients, for their health check. Unlike
+// Ready it does not require the start to be finished, because the front can serve by the
+// member list in its configuration.
 func (p *program) takesClients() (bool, string) {
 	if ok, why := p.ready.Accepting(); !ok {
 		return false, why
 	}
-	return p.allowed()
+	return p.servingAllowed()
 }
 
-// Drain has the front say no to readiness and empty itself. It goes on accepting for
-// acceptGrace; idle connections end now, others with their next answer; what is open is
-// answered.
+// Drain makes the front report that it is not ready and starts to drain it. New
+// connections are accepted for another acceptGrace. Idle connections are closed at once,
+// the others with their next response. Open requests are still answered.
 func (p *program) Drain() { p.startDrain("operator") }
 
-// startDrain is Drain, for a reason that the log tells.
+// startDrain drains the front and logs the reason.
 func (p *program) startDrain(reason string) {
 	if p.ready.Drain() {
 		p.drain.begin(reason, acceptGrace)
 	}
 }
 
-// Rejoin is a person's word to take clients again. It goes before what the fleet
-// wants: a permit under which the front is out is given back.
+// Rejoin makes the front accept clients again at an operator's request, which takes
+// precedence over the fleet: a permit under which the front is out of service is returned.
 func (p *program) Rejoin() error {
 	if err := p.rejoin(); err != nil {
 		return err
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// rejoin listens and takes clients again after Drain.
+// rejoin cancels the drain and reopens the listeners.
 func (p *program) rejoin() error {
 	if err := p.ready.Rejoin(); err != nil {
 		return err
@@ -90,12 +91,12 @@
 	return nil
 }
 
-// Info appends the figures.
+// Info appends the counters as JSON.
 func (p *program) Info(b []byte) []byte {
 	open := 0
 	for _, f := range p.fronts {
 		open += f.Busy()
 	}
 	known, avoided := p.gate.Servers()
-	return p.figures.AppendJSON(b, counters.Gauges{InProgress: open, KnownNodes: known, SkippedNodes: avoided})
+	return p.counters.AppendJSON(b, counters.Gauges{InProgress: open, KnownNodes: known, SkippedNodes: avoided})
 }
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	acceptGrace  = 750_000   // us from being told to drain or end during which clients are still accepted
-	drainPoll    = 20_000    // us between looks at whether all is answered
-	reopenRetry  = 50_000    // us until a listener is opened again for which the machine lacked room
-	drainWarning = 4_000_000 // us after which a drain that is not over is told
+	acceptGrace  = 750_000   // us after a request to drain or shut down in which clients are still accepted
+	drainPoll    = 20_000    // us between checks whether everything is answered
+	reopenRetry  = 50_000    // us until another try to open a listener that failed for lack of resources
+	drainWarning = 4_000_000 // us after which an unfinished drain is logged
 )
 
-// drain empties a front of its clients' connections: at first it still accepts clients,
-// since those who route them hear of the drain later than it does; then it closes its
-// listeners; and it is over once no request and no connection is left. It carries out what
-// draining decides, on the loop; its owner says who must not be ready meanwhile.
+// drain removes the client connections of all fronts. It first goes on accepting clients,
+// because load balancers learn of the drain later than the front does, then closes the
+// listeners, and is finished once no request and no connection is left. It carries out
+// what package draining decides and runs on the loop. The caller is responsible for
+// reporting the front as not ready.
 type drain struct {
 	loop   *loop.Loop
 	fronts []*session.Server
 	gate   *gateway.Gateway
 	log    *slog.Logger
 
-	state draining.State
-	poll  *loop.Deadline // the next look
-	over  func()         // what follows; nil: nothing
+	state      draining.State
+	poll       *loop.Deadline // the next update
+	onFinished func()         // called when the drain is finished, if not nil
 
-	reopening bool // a listener is not open again yet
-	retry     *loop.Deadline
-	failed    func() // told where a listener can't be opened again
+	reopening      bool // a listener could not be opened again yet
+	retry          *loop.Deadline
+	onReopenFailed func() // called when a listener can't be opened again
 }
 
-// begin has idle connections end at once and the others with their next answer, and
-// closes the listeners after a span in us. Once it has begun it does nothing.
+// begin closes idle connections at once and the others with their next response, and
+// closes the listeners after acceptFor us. It does nothing if the drain has begun already.
 func (d *drain) begin(reason string, acceptFor loop.Micros) {
 	if !d.state.Begin(d.loop.Now(), acceptFor, drainWarning) {
 		return
@@ -47,20 +48,20 @@
 	d.reopening = false
 	d.log.Info("drain: begins", "reason", reason, "requests", d.gate.OpenCalls(), "connections", d.connections(),
 		"accepting_ms", acceptFor/1000)
-	d.look()
+	d.update()
 }
 
-// end drains without accepting any more, and then does what follows. A drain that has
-// begun goes on.
-func (d *drain) end(reason string, then func()) {
-	d.over = then
+// finish drains without accepting any more clients, also if a drain has already begun, and
+// calls onFinished at its end.
+func (d *drain) finish(reason string, onFinished func()) {
+	d.onFinished = onFinished
 	d.begin(reason, 0)
 	d.state.StopAccepting(d.loop.Now())
-	d.look()
+	d.update()
 }
 
-// look ends the connections that have nothing to bring, and takes the next step.
-func (d *drain) look() {
+// update closes idle connections and carries out the next step of the drain.
+func (d *drain) update() {
 	d.loop.Stop(d.poll)
 	observed := draining.Observation{Pending: d.gate.OpenCalls()}
 	for _, f := range d.fronts {
@@ -70,36 +71,36 @@
 	}
 	now := d.loop.Now()
 	step := d.state.Advance(now, observed)
-	spent := d.state.Elapsed(now) / 1000
+	elapsed := d.state.Elapsed(now) / 1000
 	if step.Finished {
-		d.log.Info("drain: over", "after_ms", spent, "closed_outright", transport.ForceClosed(),
+		d.log.Info("drain: over", "after_ms", elapsed, "closed_outright", transport.ForceClosed(),
 			"poller_gave_up", transport.Adopted())
-		if d.over != nil {
-			d.over()
+		if d.onFinished != nil {
+			d.onFinished()
 		}
 		return
 	}
 	if step.CloseListeners {
-		d.log.Info("drain: listeners close", "after_ms", spent, "connections", d.connections())
+		d.log.Info("drain: listeners close", "after_ms", elapsed, "connections", d.connections())
 		for _, f := range d.fronts {
 			f.Stop()
 		}
 	}
 	if step.Warn {
-		d.log.Warn("drain: not over", "after_ms", spent, "accepting", observed.Accepting, "requests", d.gate.OpenCalls(),
+		d.log.Warn("drain: not over", "after_ms", elapsed, "accepting", observed.Accepting, "requests", d.gate.OpenCalls(),
 			"connections", d.connections())
 	}
-	d.poll = d.loop.At(now+drainPoll, d.look)
+	d.poll = d.loop.At(now+drainPoll, d.update)
 }
 
-// cancel takes a drain back: the front listens, and answers keep their connections. Where the
-// machine lacks room for a listener, reopening holds until there is. Any other error is a
-// listener's; the drain then goes on.
+// cancel ends a drain: the front listens again, and connections stay open after a response.
+// If resources for a listener are lacking, reopening stays true until it can be opened. On
+// any other error, which is returned, the drain goes on.
 func (d *drain) cancel() error {
 	d.loop.Stop(d.poll)
-	spent := d.state.Elapsed(d.loop.Now()) / 1000
+	elapsed := d.state.Elapsed(d.loop.Now()) / 1000
 	if d.state.Cancel() {
-		d.log.Info("drain: taken back", "after_ms", spent)
+		d.log.Info("drain: taken back", "after_ms", elapsed)
 	}
 	for _, f := range d.fronts {
 		f.CancelDrain()
@@ -107,7 +108,7 @@
 	return d.reopen()
 }
 
-// reopen opens the listeners that are closed.
+// reopen opens closed listeners, and tries again later if resources are lacking.
 func (d *drain) reopen() error {
 	d.loop.Stop(d.retry)
 	var err error
@@ -122,13 +123,13 @@
 		return nil
 	case err != nil:
 		d.log.Error("drain: a listener can't be opened, the front does not take clients", "error", err)
-		d.failed()
+		d.onReopenFailed()
 		d.begin("a listener could not be opened again", 0)
 	}
 	return err
 }
 
-// connections counts all that clients hold.
+// connections returns the number of client connections.
 func (d *drain) connections() (n int) {
 	for _, f := range d.fronts {
 		n += f.Connections()
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -15,107 +15,111 @@
 	"cherryramp/internal/loop"
 )
 
-// FleetPart is the front's part in a fleet. It is used on the loop only.
+// FleetParticipant is the front's membership of a fleet. It is used on the loop only.
 type FleetParticipant interface {
-	// Call carries out a call of the operators' door; the answer is told once, now or later.
+	// Call carries out a FLEET call of the admin endpoint. It calls answer once, now or
+	// later.
 	Call(call string, answer func(line string))
-	// Holds tells whether the front may act now, and if not, after how many us to come
-	// back. It is asked before each act.
-	MayAct() (ok bool, away int64)
-	// Warm tells whether the front is a full machine again after it was shut out.
+	// MayAct reports whether the front may serve requests now and, if not, the time in us
+	// after which clients should retry. It is called before every attempt.
+	MayAct() (ok bool, retryAfter int64)
+	// WarmedUp reports whether the front has warmed up again after it was fenced.
 	WarmedUp() bool
-	// Came tells of a request that came, and gives the version that it is under.
+	// RequestStarted records a received request and returns the version it runs under.
 	RequestStarted() (version uint64)
-	// Answered tells how one was ended; Left that its client has gone.
+	// RequestAnswered records the outcome of a request.
 	RequestAnswered(version uint64, class int, o counters.Outcome, id string)
+	// RequestAbandoned records that the client of a request has disconnected.
 	RequestAbandoned(version uint64)
-	// Rejoin tells that a person has the front take clients again.
+	// Rejoin records that an operator has made the front accept clients again.
 	Rejoin()
-	// Close ends the part, after the loop has.
+	// Close ends the membership. It is called after the loop has ended.
 	Close() error
 }
 
-// FleetHost is the front as its part in a fleet sees it.
+// FleetHost is the interface of the front to its FleetParticipant.
 type FleetHost interface {
-	// Takes tells whether it takes clients, whether it holds no request, and whether it
-	// is in trouble.
-	ServiceState() (clients, empty, hurt bool)
-	// GoOut has it take no clients and empty itself, or take them again.
+	// ServiceState reports whether the front accepts clients, whether it holds no request,
+	// and whether it is unhealthy.
+	ServiceState() (clients, empty, unhealthy bool)
+	// SetOutOfService drains the front, or makes it accept clients again.
 	SetOutOfService(out bool, permit uint64)
-	// Leave has it send nothing new to boxes; it tells of each whether anything is
+	// LeaveBoxes stops new requests to boxes, and reports for each whether requests are
 	// still open there.
 	LeaveBoxes(boxes []string) (open map[string]bool)
-	// Share tells where a box stands and which part of its hub's pace it has, in
-	// percent; known is false where the front has a list and the box is not on it.
+	// BoxShare returns the zone of a box and its share of its hub's capacity in percent.
+	// known is false if the front has a member list and the box is not on it.
 	BoxShare(box string) (zone string, percent int, known bool)
-	// Check looks through a version's file whole, with this front's own files beneath
-	// it, and tells later whether it can act on it.
+	// CheckVersion validates the file of a version on top of this front's own files, and
+	// later calls done with the reason why the front can't activate it, or nil.
 	CheckVersion(content []byte, done func(error))
-	// TakeUp has it act on a version that was checked; nil: on its own files alone.
+	// ActivateVersion makes the front act on a version that was checked, or, with nil
+	// content, on its own files alone.
 	ActivateVersion(n uint64, content []byte) error
-	// Fares is how many percent of its requests were refused or failed lately; seen is
-	// false where they are too few to tell.
-	FailurePercent() (bad int, seen bool)
-	// Classes names the classes of requests by their places.
+	// FailurePercent returns the percentage of recent requests that were refused or
+	// failed. seen is false if there were too few of them.
+	FailurePercent() (percent int, seen bool)
+	// Classes returns the names of the request classes by index.
 	Classes() []string
 }
 
-// Fleet begins a front's part in a fleet, under a name. It is set by the command
-// that has the part linked in; nil: this one has not.
+// JoinFleet starts a front's membership of a fleet, under a name. It is set by the command
+// that links the fleet code, and nil in others.
 var JoinFleet func(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host FleetHost, log *slog.Logger) (FleetParticipant, error)
 
-// Sibling is the command beside this one that has the part in a fleet.
+// FleetCommand is the name of the executable that links the fleet code. It lies in the same
+// folder as this one.
 const FleetCommand = "cherryramp-fleet"
 
-// HandOver has the sibling run in this process's place, with the same arguments and
-// environment.
+// ExecFleetCommand replaces this process with FleetCommand, with the same arguments and
+// environment. It returns only on failure.
 func ExecFleetCommand() error {
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	path := filepath.Join(filepath.Dir(own), FleetCommand)
+	path := filepath.Join(filepath.Dir(executable), FleetCommand)
 	if err := syscall.Exec(path, append([]string{path}, os.Args[1:]...), os.Environ()); err != nil {
 		return fmt.Errorf("fleet: %s, which a fleet needs beside this program: %w", path, err)
 	}
 	return nil
 }
 
-// startFleet has the front take part in the fleet of the operator's file.
+// startFleet joins the fleet of the operator's file.
 func (p *program) startFleet(c *config.Fleet, shared *config.Exchange) (err error) {
 	if p.fleet, err = JoinFleet(c, shared, cmp.Or(c.Front, p.cfg.Name), p.loop, fleetHost{p}, p.log); err != nil {
 		return err
 	}
-	if part, ok := p.fleet.(ExchangeRecorder); ok && p.shared != nil {
-		p.shared.part = part
+	if recorder, ok := p.fleet.(ExchangeRecorder); ok && p.policy != nil {
+		p.policy.recorder = recorder
 	}
 	p.gate.SetGuard(p.fleet.MayAct)
 	return nil
 }
 
-// fleetHost is the front as its part in the fleet sees it.
+// fleetHost implements FleetHost and, for the exchange, fleet.ExchangeHost.
 type fleetHost struct{ p *program }
 
-// Takes is part of FleetHost.
-func (h fleetHost) ServiceState() (clients, empty, troubled bool) {
+// ServiceState implements FleetHost.
+func (h fleetHost) ServiceState() (clients, empty, unhealthy bool) {
 	ready, _ := h.p.Ready()
 	busy := h.p.gate.OpenCalls()
 	for _, f := range h.p.fronts {
 		busy += f.Busy() + f.Receiving()
 	}
-	c := health.Counts{}
-	c.Known, c.Avoided = h.p.gate.Servers()
-	c.Served, c.Failed = h.p.figures.Totals()
-	was := h.p.hurt
-	var why string
-	if h.p.hurt, why = h.p.watched.Update(c, h.p.loop.Now()); h.p.hurt != was {
-		h.p.log.Info("fleet: trouble of this front", "hurt", h.p.hurt, "why", why)
+	counts := health.Counts{}
+	counts.Known, counts.Avoided = h.p.gate.Servers()
+	counts.Served, counts.Failed = h.p.counters.Totals()
+	wasUnhealthy := h.p.unhealthy
+	var reason string
+	if h.p.unhealthy, reason = h.p.healthDetector.Update(counts, h.p.loop.Now()); h.p.unhealthy != wasUnhealthy {
+		h.p.log.Info("fleet: trouble of this front", "hurt", h.p.unhealthy, "why", reason)
 	}
-	return ready, busy == 0, h.p.hurt
+	return ready, busy == 0, h.p.unhealthy
 }
 
-// GoOut is part of FleetHost. What a person ordered by LAMEDUCK stays until a
-// person takes it back.
+// SetOutOfService implements FleetHost. A drain that an operator has ordered by LAMEDUCK
+// lasts until an operator cancels it.
 func (h fleetHost) SetOutOfService(out bool, permit uint64) {
 	p := h.p
 	switch {
@@ -137,30 +141,31 @@
 	}
 }
 
-// Leave is part of FleetHost.
+// LeaveBoxes implements FleetHost.
 func (h fleetHost) LeaveBoxes(boxes []string) (open map[string]bool) {
-	return h.p.bars.SetDrained(h.p.away(boxes))
+	return h.p.drainOverride.SetDrained(h.p.boxesToDrain(boxes))
 }
 
-// away is the boxes that nothing new goes to: those in work, those that the version in
-// force names, and those that the fleet has found to fail.
-func (p *program) away(boxes []string) []string {
+// boxesToDrain returns the boxes that get no new requests: those under maintenance, those
+// that the version in force names, and those that the fleet has found failing.
+func (p *program) boxesToDrain(boxes []string) []string {
 	if v := p.versions.current; v != nil && len(v.Drain) > 0 {
 		boxes = append(slices.Clone(boxes), v.Drain...)
 	}
-	if p.shared != nil {
-		boxes = p.shared.away(boxes)
+	if p.policy != nil {
+		boxes = p.policy.addFailingBoxes(boxes)
 	}
 	return boxes
 }
 
-// Share is part of FleetHost.
+// BoxShare implements FleetHost.
 func (h fleetHost) BoxShare(box string) (zone string, percent int, known bool) {
-	zone, percent, known = h.p.bars.CapacityShare(box)
-	return zone, percent, known || h.p.bars.Listed() == 0
+	zone, percent, known = h.p.drainOverride.CapacityShare(box)
+	return zone, percent, known || h.p.drainOverride.Listed() == 0
 }
 
-// Fleet carries out a call to the fleet.
+// Fleet passes a FLEET call of the admin endpoint to the fleet. It returns false if the
+// front belongs to none.
 func (p *program) Fleet(call string, answer func(line string)) bool {
 	if p.fleet == nil {
 		return false
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -1,9 +1,9 @@
-// Package program is one real front: it reads its configuration, wires the parts
-// together round the event loop, and ends on SIGTERM when all is answered. It
-// decides nothing.
+// Package program runs one front: it reads the configuration, connects the components
+// with the event loop, and ends on SIGTERM once all requests are answered. Decisions are
+// made in other packages.
 //
-// A front's part in a fleet is not linked in here, since the agreement library
-// would cost every front 6 MB of pages; the command that has it sets Fleet.
+// The fleet code is not imported here, because the consensus library would cost every
+// front 6 MB of memory. The command that links it sets JoinFleet.
 package program
 
 import (
@@ -38,26 +38,26 @@
 )
 
 const (
-	memoryShare   = 0.6                    // part of the memory limit that the heap may fill before it is swept harder
-	copyShare     = 0.25                   // part of the memory limit for copies of our own
-	clientShare   = 0.55                   // part of the descriptors for clients; the usual ones hold a third at most
-	signedShare   = 0.1                    // part of them for the clients of the signed front, where it is on
-	poolShare     = 0.25                   // part of them for cache nodes
-	inputShare    = 0.125                  // part of the memory limit that answers on one connection may fill unseen
-	refusedRoom   = 16                     // descriptors for clients of both fronts that only get a refusal
-	nodesLeast    = 4                      // descriptors for cache nodes at the least
-	poolMost      = 8                      // connections to one node at most
-	idleShare     = 0.8                    // part of the nodes' idle time after which we close first
-	logFlush      = 100 * time.Millisecond // for the last lines of the log at the end
-	startPatience = 5 * time.Second        // for a listener at the start, while the machine lacks room for it
-	startRetry    = 100 * time.Millisecond // between its tries
-	fewestPooled  = 16                     // nodes that the connections must suffice for
+	memoryShare       = 0.6                    // share of the memory limit that is the Go runtime's soft limit
+	cacheShare        = 0.25                   // share of the memory limit for the front's own copies of objects
+	clientShare       = 0.55                   // share of the descriptors for clients, who usually need a third at most
+	signedShare       = 0.1                    // share of the descriptors for clients of the signed front, if it is on
+	poolShare         = 0.25                   // share of the descriptors for cache nodes
+	inputShare        = 0.125                  // share of the memory limit for unprocessed answers on one connection
+	rejectDescriptors = 16                     // descriptors for clients of both fronts that are only rejected
+	minNodeConns      = 4                      // minimum of descriptors for cache nodes
+	maxConnsPerNode   = 8                      // maximum of connections to one node
+	idleShare         = 0.8                    // share of the nodes' idle timeout after which the front closes first
+	logFlushTimeout   = 100 * time.Millisecond // for the last log lines at exit
+	listenTimeout     = 5 * time.Second        // for opening a listener at the start while resources are lacking
+	listenRetry       = 100 * time.Millisecond // between tries to open it
+	minPooledNodes    = 16                     // minimum of nodes among which connections are divided
 )
 
-// Serve is one front, until SIGTERM. What ends it otherwise is in the log.
+// Serve runs one front until SIGTERM. An error that ends it earlier is also logged.
 func Serve() error {
 	out := logging.NewWriter(os.Stderr)
-	defer out.Flush(logFlush)
+	defer out.Flush(logFlushTimeout)
 	if err := run(out); err != nil {
 		slog.Error("cherryramp ends", "error", err)
 		return err
@@ -70,10 +70,10 @@
 	if err != nil {
 		return err
 	}
-	// A channel that is full drops signals, so each kind has its own: one of a kind that waits
-	// stands for all that follow.
-	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	// A full channel drops signals, so each kind has a channel of its own, in which one
+	// pending signal stands for all that follow.
+	shutdowns, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
 	log := logging.New(out, level)
 	slog.SetDefault(log)
@@ -86,7 +86,7 @@
 		return err
 	}
 	if operator.Fleet != nil && JoinFleet == nil {
-		out.Flush(logFlush)
+		out.Flush(logFlushTimeout)
 		return ExecFleetCommand()
 	}
 	debug.SetMemoryLimit(int64(memoryShare * float64(cfg.MemoryMB) * (1 << 20)))
@@ -97,8 +97,8 @@
 	if err != nil {
 		return err
 	}
-	go p.heedEnds(ends)
-	go p.heedReloads(reloads)
+	go p.handleShutdownSignals(shutdowns)
+	go p.handleReloadSignals(reloads)
 	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "ops", cfg.AdminAddress, "board", cfg.Board)
 	p.loop.Run()
 	if p.fleet != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// program is the wired parts.
+// program holds the components of a front.
 type program struct {
 	log            *slog.Logger
 	cfg            *config.Config // in force
@@ -119,45 +119,45 @@
 	pools          *upstream.Pools
 	loop           *loop.Loop
 	gate           *gateway.Gateway
-	news           *discovery.Client
+	board          *discovery.Client
 	fronts         []*session.Server
 	operator       *config.Operator
-	signed         *signed.Front  // nil: off
-	links          *config.Signed // by which it judges
-	held           *balance       // nil: no account of bytes is kept
-	queue          *session.Queue // nil: no limit is learnt
-	figures        *counters.Counters
+	signed         *signed.Front   // nil: off
+	signedConfig   *config.Signed  // configuration of the signed front
+	memory         *memoryBalancer // nil: memory of clients is not limited
+	queue          *session.Queue  // nil: no admission control
+	counters       *counters.Counters
 	ready          *readiness.State
 	drain          *drain
-	fleet          FleetParticipant       // nil: the front acts alone
-	bars           *gateway.DrainOverride // nil without fleet
-	watched        health.Detector        // of what the fleet must know of this front
-	hurt           bool
-	drainedByFleet bool // it takes no clients, as the fleet wants
-	drainedByHand  bool // nor did it before, as a person wanted
+	fleet          FleetParticipant       // nil: the front belongs to no fleet
+	drainOverride  *gateway.DrainOverride // nil without a fleet
+	healthDetector health.Detector        // health of this front as reported to the fleet
+	unhealthy      bool
+	drainedByFleet bool // out of service by the fleet's order
+	drainedByHand  bool // already drained by an operator before that
 	versions       versions
-	shared         *shared // limits and purges of the whole fleet; nil: off
+	policy         *fleetPolicy // limits and purges of the whole fleet; nil: off
 }
 
-// build wires the parts and starts to serve.
+// build creates and connects the components and starts to serve.
 func build(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*program, error) {
 	p := &program{log: log, cfg: cfg, operator: operator}
 	var err error
-	if p.table, err = generations.New(classesMost, cfg.Digest, cfg.Settings.Classes); err != nil {
+	if p.table, err = generations.New(maxClasses, cfg.Digest, cfg.Settings.Classes); err != nil {
 		return nil, err
 	}
-	p.figures = counters.New(lanes(cfg.Settings.Classes))
-	p.held = newBalance(cfg, operator.Clients)
+	p.counters = counters.New(classNames(cfg.Settings.Classes))
+	p.memory = newMemoryBalancer(cfg, operator.Clients)
 	p.loop = loop.New(func() {
 		p.gate.ProcessEvents()
-		p.balance()
+		p.balanceMemory()
 	})
 	p.gate, err = gateway.New(gateway.Config{Settings: cfg.Settings, Zones: cfg.Zones, Kinds: cfg.Kinds,
-		Seed: cfg.Seed, LocalCache: copies(cfg), Counters: p.figures}, p.loop, log)
+		Seed: cfg.Seed, LocalCache: localCacheLimits(cfg), Counters: p.counters}, p.loop, log)
 	if err != nil {
 		return nil, err
 	}
-	nodes := fewestPooled
+	nodes := minPooledNodes
 	if cfg.InitialUpdate != nil {
 		for _, e := range cfg.InitialUpdate.Events {
 			if e.List != nil {
@@ -166,82 +166,82 @@
 		}
 	}
 	tcp := upstream.NewTCP(p.loop)
-	to := towards(cfg, cfg.Settings.Classes)
-	to.InputBuffer = min(to.Streams*upstream.MaxAnswerBytes, int(inputShare*float64(cfg.MemoryMB)*(1<<20)))
-	to.MaxConns = max(1, min(poolMost, int(poolShare*float64(cfg.Sockets))/nodes))
-	to.MaxTotalConns = nodesRoom(cfg, operator)
-	p.pools = upstream.New(to, tcp, p.loop, p.gate, log)
+	poolConfig := upstreamConfig(cfg, cfg.Settings.Classes)
+	poolConfig.InputBuffer = min(poolConfig.Streams*upstream.MaxAnswerBytes, int(inputShare*float64(cfg.MemoryMB)*(1<<20)))
+	poolConfig.MaxConns = max(1, min(maxConnsPerNode, int(poolShare*float64(cfg.Sockets))/nodes))
+	poolConfig.MaxTotalConns = maxNodeConns(cfg, operator)
+	p.pools = upstream.New(poolConfig, tcp, p.loop, p.gate, log)
 	p.gate.SetUpstream(p.pools)
-	if p.held != nil {
-		p.held.nodes, p.held.tcp = p.pools, tcp
+	if p.memory != nil {
+		p.memory.pools, p.memory.tcp = p.pools, tcp
 	}
 	var sink discovery.Sink = p.gate
 	var members ephemeral.Sink = p.gate
 	if operator.Fleet != nil {
-		p.bars = gateway.NewDrainOverride(p.gate)
-		sink, members = p.bars, p.bars
+		p.drainOverride = gateway.NewDrainOverride(p.gate)
+		sink, members = p.drainOverride, p.drainOverride
 	}
 	if e := operator.Ephemeral; e != nil {
-		sink = purgesOnly{p.gate}
+		sink = purgeSink{p.gate}
 		err := ephemeral.Start(ephemeral.Config{Servers: e.Servers, Path: e.Path,
 			Session: time.Duration(e.SessionMS) * time.Millisecond}, p.loop, members, log)
 		if err != nil {
 			return nil, err
 		}
 	}
-	p.news = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(grace(cfg)), cfg.InitialUpdate, sink)
-	limits := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
-	bound(&limits, operator.Clients)
-	limits.MaxConns, limits.RetryAfter = held(cfg, operator.Clients), away(cfg)
-	p.held.apply(&limits, cfg.Sockets)
-	p.queue = limiter(p.loop, cfg, operator.Clients)
-	limits.Admission, limits.Counters = p.queue, p.figures
+	p.board = discovery.New(p.loop, log, cfg.Board, discovery.TimeoutsFor(minGrace(cfg)), cfg.InitialUpdate, sink)
+	platformSession := session.Config{Name: "platform", Listen: cfg.Listen, Limits: platform.Limits}
+	applyClientLimits(&platformSession, operator.Clients)
+	platformSession.MaxConns, platformSession.RetryAfter = maxClientConns(cfg, operator.Clients), clientRetryAfter(cfg)
+	p.memory.apply(&platformSession, cfg.Sockets)
+	p.queue = newAdmissionQueue(p.loop, cfg, operator.Clients)
+	platformSession.Admission, platformSession.Counters = p.queue, p.counters
 	if operator.Fleet != nil {
-		limits.Audit = auditor{p}
+		platformSession.Audit = auditor{p}
 	}
-	p.platform = platform.New(p.named(), p.takesClients, log)
-	p.fronts = append(p.fronts, session.New(limits, p.loop, p.platform, p.gate, log))
+	p.platform = platform.New(p.currentClasses(), p.takesClients, log)
+	p.fronts = append(p.fronts, session.New(platformSession, p.loop, p.platform, p.gate, log))
 	if operator.Exchange != nil {
-		p.shared = newShared(p, operator.Exchange)
-		p.gate.SetFleetPolicy(p.shared)
+		p.policy = newFleetPolicy(p, operator.Exchange)
+		p.gate.SetFleetPolicy(p.policy)
 	}
 	if operator.Signed != nil {
-		o := operator.Signed
-		p.links = o
-		p.signed, err = signed.New(signed.Config{MaxQueue: o.Pool.Queue, MaxRates: o.Tables.Rates, MaxUses: o.Tables.Uses,
-			EncodedBytes: *o.EncodedMB << 20}, p.signedPolicy(o), workers.New(p.loop, o.Pool.Workers), p.loop.Now, loop.Wall, log)
+		section := operator.Signed
+		p.signedConfig = section
+		p.signed, err = signed.New(signed.Config{MaxQueue: section.Pool.Queue, MaxRates: section.Tables.Rates, MaxUses: section.Tables.Uses,
+			EncodedBytes: *section.EncodedMB << 20}, p.signedPolicy(section), workers.New(p.loop, section.Pool.Workers), p.loop.Now, loop.Wall, log)
 		if err != nil {
 			return nil, err
 		}
-		if p.shared != nil {
-			p.signed.SetSharedLimits(p.shared)
+		if p.policy != nil {
+			p.signed.SetSharedLimits(p.policy)
 		}
-		links := session.Config{Name: "signed", Listen: operator.Signed.Listen, Limits: signed.Limits,
-			InputBuffer: signed.InputBuffer, MaxConns: int(signedShare * float64(cfg.Sockets)), RetryAfter: limits.RetryAfter, Admission: limits.Admission,
-			Counters: p.figures, Audit: limits.Audit}
-		bound(&links, operator.Clients)
-		p.held.apply(&links, cfg.Sockets)
-		p.fronts = append(p.fronts, session.New(links, p.loop, p.signed, p.gate, log))
+		signedSession := session.Config{Name: "signed", Listen: operator.Signed.Listen, Limits: signed.Limits,
+			InputBuffer: signed.InputBuffer, MaxConns: int(signedShare * float64(cfg.Sockets)), RetryAfter: platformSession.RetryAfter, Admission: platformSession.Admission,
+			Counters: p.counters, Audit: platformSession.Audit}
+		applyClientLimits(&signedSession, operator.Clients)
+		p.memory.apply(&signedSession, cfg.Sockets)
+		p.fronts = append(p.fronts, session.New(signedSession, p.loop, p.signed, p.gate, log))
 	}
 	for _, f := range p.fronts {
-		if err := startPatiently(f.Start, log); err != nil {
+		if err := listenWithRetry(f.Start, log); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
-	wait := int64(0)
+	boardTimeout := int64(0)
 	if cfg.Board != "" {
-		wait = readyAfter
+		boardTimeout = readyTimeout
 	}
-	p.ready = readiness.New(p.loop.Now(), wait)
+	p.ready = readiness.New(p.loop.Now(), boardTimeout)
 	p.drain = &drain{loop: p.loop, fronts: p.fronts, gate: p.gate, log: log,
-		failed: func() { p.ready.Drain() }}
+		onReopenFailed: func() { p.ready.Drain() }}
 	if cfg.AdminAddress != "" {
 		if err := admin.New(p.loop, p, operator.Fleet != nil, log).Listen(cfg.AdminAddress); err != nil {
 			return nil, fmt.Errorf("ops: %w", err)
 		}
 	}
 	if cfg.Board != "" {
-		p.news.Start()
+		p.board.Start()
 	}
 	if operator.Fleet != nil {
 		if err := p.startFleet(operator.Fleet, operator.Exchange); err != nil {
@@ -251,21 +251,21 @@
 	return p, nil
 }
 
-// startPatiently opens a listener at the program's start, and tries again for a while where
-// this machine lacks room for it.
-func startPatiently(listen func() error, log *slog.Logger) error {
-	for end := time.Now().Add(startPatience); ; time.Sleep(startRetry) {
+// listenWithRetry opens a listener at the start of the program. While resources are lacking
+// it tries again, for listenTimeout.
+func listenWithRetry(listen func() error, log *slog.Logger) error {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetry) {
 		err := listen()
-		if err == nil || !transport.IsResourceShortage(err) || time.Now().After(end) {
+		if err == nil || !transport.IsResourceShortage(err) || time.Now().After(deadline) {
 			return err
 		}
 		log.Warn("a listener can't be opened yet", "error", err)
 	}
 }
 
-// grace is the shortest that the settings give to act on what the notice board tells; 0
-// where they give none.
-func grace(cfg *config.Config) loop.Micros {
+// minGrace returns the shortest time that the settings allow for acting on an event of the
+// notice board, or 0 if they set none.
+func minGrace(cfg *config.Config) loop.Micros {
 	drain, purge := cfg.Settings.DrainGrace, cfg.Settings.PurgeGrace
 	if drain == 0 || purge == 0 {
 		return max(drain, purge)
@@ -273,80 +273,82 @@
 	return min(drain, purge)
 }
 
-// away is how long a client that finds no place is told to stay away, where the settings
-// allow that: half of what it heeds.
-func away(cfg *config.Config) loop.Micros {
+// clientRetryAfter returns the time after which rejected clients may retry: half of the maximum
+// that clients obey, or 0 if the settings don't allow it.
+func clientRetryAfter(cfg *config.Config) loop.Micros {
 	if !cfg.Settings.RetryAfter {
 		return 0
 	}
 	return cfg.Settings.MaxAway / 2
 }
 
-// held is the connections of the platform's front.
-func held(cfg *config.Config, c *config.Clients) int {
+// maxClientConns returns the maximum of connections of the platform front.
+func maxClientConns(cfg *config.Config, c *config.Clients) int {
 	if c != nil && c.MaxConns > 0 {
 		return c.MaxConns
 	}
-	return max(1, min(int(clientShare*float64(cfg.Sockets)), cfg.Sockets-spareFiles-nodesLeast))
+	return max(1, min(int(clientShare*float64(cfg.Sockets)), cfg.Sockets-spareDescriptors-minNodeConns))
 }
 
-// nodesRoom is the descriptors for cache nodes: those that neither clients may hold nor the
-// program itself needs, for the notice board before all. Whatever clients do while the board is
-// down, it is found again, and nodes are reached.
-func nodesRoom(cfg *config.Config, o *config.Operator) int {
-	clients := held(cfg, o.Clients) + refusedRoom
+// maxNodeConns returns the number of descriptors for cache nodes: all but those that clients
+// may hold and those that the program itself needs, above all for the notice board. So
+// clients can't keep the front from reaching nodes, or the board after an outage.
+func maxNodeConns(cfg *config.Config, o *config.Operator) int {
+	clients := maxClientConns(cfg, o.Clients) + rejectDescriptors
 	if o.Signed != nil {
 		clients += int(signedShare * float64(cfg.Sockets))
 	}
-	return max(nodesLeast, cfg.Sockets-spareFiles-clients)
+	return max(minNodeConns, cfg.Sockets-spareDescriptors-clients)
 }
 
-// bound takes over what the operator's file says of the connections of both fronts.
-func bound(s *session.Config, c *config.Clients) {
+// applyClientLimits sets the connection limits that the operator's file gives for both fronts.
+func applyClientLimits(sessionConfig *session.Config, c *config.Clients) {
 	if c == nil {
 		return
 	}
-	s.IdleTimeout, s.RequestTimeout, s.MaxPerPrefix, s.AdaptiveIdle, s.Park = int64(c.IdleTimeoutMS)*1000, int64(c.RequestTimeoutMS)*1000, c.MaxPerPrefix, true, true
+	sessionConfig.IdleTimeout, sessionConfig.RequestTimeout, sessionConfig.MaxPerPrefix, sessionConfig.AdaptiveIdle, sessionConfig.Park = int64(c.IdleTimeoutMS)*1000, int64(c.RequestTimeoutMS)*1000, c.MaxPerPrefix, true, true
 }
 
 const (
-	admitLeast = 8       // requests that the limiter always lets be open
-	admitStart = 64      // and before it has learnt anything
-	admitAway  = 500_000 // us to stay away at most, where the settings give no time
-	admitQueue = 1 << 15 // requests that wait at most
+	minAdmitted         = 8       // concurrent requests that the limiter always admits
+	initialAdmitted     = 64      // initial limit of concurrent requests
+	maxAdmissionBackoff = 500_000 // us after which rejected clients may retry at most, if the settings give no maximum
+	maxAdmissionQueue   = 1 << 15 // maximum of queued requests
 )
 
-// limiter makes the limiter of requests, where the operator's file asks for one.
-func limiter(l *loop.Loop, cfg *config.Config, c *config.Clients) *session.Queue {
+// newAdmissionQueue returns the limiter of concurrent requests, or nil if the operator's file
+// doesn't ask for one.
+func newAdmissionQueue(l *loop.Loop, cfg *config.Config, c *config.Clients) *session.Queue {
 	if c == nil || c.Admission == "" {
 		return nil
 	}
-	law := admission.AIMD
+	algorithm := admission.AIMD
 	if c.Admission == "gradient" {
-		law = admission.Gradient
+		algorithm = admission.Gradient
 	}
-	return session.NewQueue(l, admission.New(admission.Config{Algorithm: law, MinLimit: admitLeast, InitialLimit: admitStart,
-		MaxLimit: max(admitStart, cfg.Settings.MaxHeld), MaxQueued: admitQueue, MaxBackoff: cmp.Or(cfg.Settings.MaxAway, admitAway),
-		Worth: worth(cfg.Settings.Classes), Seed: cfg.Seed}))
+	return session.NewQueue(l, admission.New(admission.Config{Algorithm: algorithm, MinLimit: minAdmitted, InitialLimit: initialAdmitted,
+		MaxLimit: max(initialAdmitted, cfg.Settings.MaxHeld), MaxQueued: maxAdmissionQueue, MaxBackoff: cmp.Or(cfg.Settings.MaxAway, maxAdmissionBackoff),
+		Worth: classWorths(cfg.Settings.Classes), Seed: cfg.Seed}))
 }
 
-// purgesOnly is a gateway whose members come from elsewhere than the board.
-type purgesOnly struct{ *gateway.Gateway }
+// purgeSink is a gateway that takes only purges from the notice board, because its members
+// come from another source.
+type purgeSink struct{ *gateway.Gateway }
 
-// Members passes over the board's list.
-func (purgesOnly) Members(bool, []gateway.Member) {}
+// Members ignores the board's list.
+func (purgeSink) Members(bool, []gateway.Member) {}
 
-// copies bounds the gateway's own copies; without the figures of the link, or a
-// notice board to tell of purges, there are none.
-func copies(cfg *config.Config) gateway.LocalCacheLimits {
+// localCacheLimits returns the limits of the gateway's local cache. The cache is off if
+// the capacity of the link is unknown, or if there is no notice board to announce purges.
+func localCacheLimits(cfg *config.Config) gateway.LocalCacheLimits {
 	if cfg.Flow == 0 || cfg.Link == 0 || cfg.Board == "" {
 		return gateway.LocalCacheLimits{}
 	}
-	return gateway.LocalCacheLimits{Bytes: int(copyShare * float64(cfg.MemoryMB) * (1 << 20)), Flow: cfg.Flow,
+	return gateway.LocalCacheLimits{Bytes: int(cacheShare * float64(cfg.MemoryMB) * (1 << 20)), Flow: cfg.Flow,
 		Link: cfg.Link, MaxPurgeDelay: cfg.Settings.PurgeGrace}
 }
 
-// signedPolicy is what the operator's file says of signed links.
+// signedPolicy returns the policy for signed links from the operator's file.
 func (p *program) signedPolicy(s *config.Signed) signed.Policy {
 	policy := signed.Policy{Set: s.GrantSet, Uses: map[string]signed.UseLimit{}, Tenants: map[string]signed.Tenant{}, Revoked: s.RevokedList}
 	for name, x := range s.ProfilesByName {
@@ -358,10 +360,10 @@
 	if c := s.CORS; c != nil {
 		policy.CORS = &signed.CORS{Origins: c.Origins, Headers: c.Headers, Credentials: c.Credentials, MaxAge: *c.MaxAgeS}
 	}
-	for _, place := range p.table.InForce() {
-		c := &p.table.Classes()[place]
+	for _, index := range p.table.InForce() {
+		c := &p.table.Classes()[index]
 		a := s.Classes[c.Name]
-		policy.Classes = append(policy.Classes, signed.Class{Name: c.Name, Index: place, Write: c.Write, GiveUp: c.GiveUp, Fresh: c.Fresh,
+		policy.Classes = append(policy.Classes, signed.Class{Name: c.Name, Index: index, Write: c.Write, GiveUp: c.GiveUp, Fresh: c.Fresh,
 			Type: a.Type, Compress: a.Compress, MaxAge: int64(a.MaxAgeS) * 1_000_000})
 	}
 	return policy
--- a/internal/program/settings.go
+++ b/internal/program/settings.go
@@ -10,15 +10,15 @@
 	"cherryramp/rules"
 )
 
-// classesMost is how many classes, of all generations of settings, a process
-// holds: about 700 bytes each, over all parts that keep something by class.
-const classesMost = 1024
+// maxClasses bounds the classes of all generations of settings in a process. Each takes
+// about 700 bytes in all components that keep state by class.
+const maxClasses = 1024
 
-// settle has all parts take the settings of a configuration, or none: requests
-// that come from now on are under them, and open ones stay with the class and
-// number of attempts under which they came.
-func (p *program) settle(cfg *config.Config) error {
-	table, err := generations.Restore(classesMost, p.table.State())
+// applySettings makes all parts use the settings of a configuration, or none of them if
+// they are invalid. They hold for requests received from now on. Open requests keep the
+// class and the number of attempts with which they were received.
+func (p *program) applySettings(cfg *config.Config) error {
+	table, err := generations.Restore(maxClasses, p.table.State())
 	if err != nil {
 		return err
 	}
@@ -36,48 +36,48 @@
 		return err
 	}
 	p.table = table
-	p.pools.UpdateConfig(towards(cfg, classes))
-	p.figures.UpdateClasses(lanes(classes))
+	p.pools.UpdateConfig(upstreamConfig(cfg, classes))
+	p.counters.UpdateClasses(classNames(classes))
 	if p.queue != nil {
-		p.queue.UpdateClasses(worth(classes))
+		p.queue.UpdateClasses(classWorths(classes))
 	}
-	p.platform.Reload(p.named())
+	p.platform.Reload(p.currentClasses())
 	return nil
 }
 
-// named is the classes that requests may name now.
-func (p *program) named() (out []platform.Class) {
-	for _, place := range p.table.InForce() {
-		c := &p.table.Classes()[place]
-		out = append(out, platform.Class{Name: c.Name, Index: place, Write: c.Write, Keyed: c.Effect == rules.Keyed})
+// currentClasses returns the classes that requests may name now.
+func (p *program) currentClasses() (out []platform.Class) {
+	for _, index := range p.table.InForce() {
+		c := &p.table.Classes()[index]
+		out = append(out, platform.Class{Name: c.Name, Index: index, Write: c.Write, Keyed: c.Effect == rules.Keyed})
 	}
 	return out
 }
 
-// towards is what the connections to nodes are told of settings and of all classes.
-func towards(cfg *config.Config, classes []rules.Class) upstream.Config {
-	c := upstream.Config{Lanes: lanes(classes), Streams: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
+// upstreamConfig returns the configuration of node connections for the settings and classes.
+func upstreamConfig(cfg *config.Config, classes []rules.Class) upstream.Config {
+	c := upstream.Config{Lanes: classNames(classes), Streams: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
 		IdleTimeout: int64(idleShare * float64(cfg.ConnIdleTimeout)), Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges}
-	for _, x := range classes {
-		c.SilentTimeout = max(c.SilentTimeout, x.Aim/2) // long work says nothing for long
+	for _, class := range classes {
+		c.SilentTimeout = max(c.SilentTimeout, class.Aim/2) // long requests send nothing for a long time
 	}
-	for _, x := range classes { // what must not run twice does not suffer from others' answers
-		c.Exclusive = append(c.Exclusive, x.Effect == rules.Unsafe)
-		c.Repeatable = append(c.Repeatable, x.Effect == rules.Safe)
+	for _, class := range classes { // unsafe requests get a connection of their own, so that other answers don't affect them
+		c.Exclusive = append(c.Exclusive, class.Effect == rules.Unsafe)
+		c.Repeatable = append(c.Repeatable, class.Effect == rules.Safe)
 	}
 	return c
 }
 
-// lanes is the classes' names, by place.
-func lanes(classes []rules.Class) (names []string) {
+// classNames returns the names of the classes by index.
+func classNames(classes []rules.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
 	}
 	return names
 }
 
-// worth is the classes' worth, by place.
-func worth(classes []rules.Class) (out []float64) {
+// classWorths returns the worth of the classes by index.
+func classWorths(classes []rules.Class) (out []float64) {
 	for _, c := range classes {
 		out = append(out, c.Worth)
 	}
--- a/internal/program/versions.go
+++ b/internal/program/versions.go
@@ -13,55 +13,55 @@
 	"cherryramp/internal/gateway"
 )
 
-// laid is what a fleet's version makes of this front's files.
-type laid struct {
+// checkedVersion is a version of the fleet combined with this front's own files.
+type checkedVersion struct {
 	sum      [sha256.Size]byte
 	version  *config.Version
 	cfg      *config.Config
 	operator *config.Operator
 }
 
-// versions is the program's side of what the fleet's fronts act on.
+// versions is the state of the fleet's versions on this front.
 type versions struct {
-	ready   []laid // found good, the newest last
-	current *config.Version
-	purged  map[uint64]bool // versions whose purges this process has carried out
-	looks   []look          // of its figures, a second apart
+	checked   []checkedVersion // valid versions, the newest last
+	current   *config.Version
+	purged    map[uint64]bool   // numbers of versions whose purges this process has carried out
+	snapshots []outcomeSnapshot // of the request counters, a second apart
 }
 
-// look is what had been answered at a moment.
-type look struct {
-	at        int64
-	good, bad uint64
+// outcomeSnapshot is the number of served and failed requests at a time.
+type outcomeSnapshot struct {
+	at             int64
+	served, failed uint64
 }
 
-// Bounds.
+// Bounds of checked versions and of the failure percentage.
 const (
-	mostReady  = 4
-	faresOver  = 10_000_000 // us over which a front tells how its requests fare
-	faresEvery = 1_000_000
-	faresLeast = 20 // requests that tell anything
-	faresStep  = 5  // percent
+	maxCheckedVersions    = 4
+	failureWindow         = 10_000_000 // us of requests that the percentage covers
+	failureSampleInterval = 1_000_000
+	minFailureSample      = 20 // requests below which no percentage is given
+	failurePercentStep    = 5  // percentages are rounded down to a multiple of this
 )
 
-// Check is part of FleetHost. Files are read beside the loop.
+// CheckVersion implements FleetHost. Files are read on a goroutine of its own.
 func (h fleetHost) CheckVersion(content []byte, done func(error)) {
 	p, sum := h.p, sha256.Sum256(content)
 	go func() {
-		x := laid{sum: sum}
+		checked := checkedVersion{sum: sum}
 		var err error
-		if x.version, err = config.ParseVersion(content); err == nil {
-			x.cfg, x.operator, err = config.LoadVersion(os.Getenv, x.version)
+		if checked.version, err = config.ParseVersion(content); err == nil {
+			checked.cfg, checked.operator, err = config.LoadVersion(os.Getenv, checked.version)
 		}
 		p.loop.Post(func() {
 			if err == nil {
-				err = p.fits(&x)
+				err = p.checkApplicable(&checked)
 			}
 			if err == nil {
 				v := &p.versions
-				v.ready = slices.DeleteFunc(v.ready, func(y laid) bool { return y.sum == sum })
-				if v.ready = append(v.ready, x); len(v.ready) > mostReady {
-					v.ready = slices.Delete(v.ready, 0, 1)
+				v.checked = slices.DeleteFunc(v.checked, func(y checkedVersion) bool { return y.sum == sum })
+				if v.checked = append(v.checked, checked); len(v.checked) > maxCheckedVersions {
+					v.checked = slices.Delete(v.checked, 0, 1)
 				}
 			}
 			done(err)
@@ -69,40 +69,41 @@
 	}()
 }
 
-// fits tells what of a version this process can't take up as it runs.
-func (p *program) fits(x *laid) error {
+// checkApplicable returns what prevents this process from applying a version without a
+// restart, or nil.
+func (p *program) checkApplicable(candidate *checkedVersion) error {
 	var errs []error
-	_, fixed := p.cfg.Reload(x.cfg)
-	if fixed = append(fixed, p.operator.RestartKeys(x.operator)...); len(fixed) > 0 {
+	_, fixed := p.cfg.Reload(candidate.cfg)
+	if fixed = append(fixed, p.operator.RestartKeys(candidate.operator)...); len(fixed) > 0 {
 		errs = append(errs, fmt.Errorf("%s: a restart is needed for that", strings.Join(fixed, ", ")))
 	}
-	for _, name := range x.version.Drain {
-		if _, _, known := p.bars.CapacityShare(name); !known && p.bars.Listed() > 0 {
+	for _, name := range candidate.version.Drain {
+		if _, _, known := p.drainOverride.CapacityShare(name); !known && p.drainOverride.Listed() > 0 {
 			errs = append(errs, fmt.Errorf("drain: no server %s is listed", name))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// TakeUp is part of FleetHost.
+// ActivateVersion implements FleetHost.
 func (h fleetHost) ActivateVersion(n uint64, content []byte) error {
 	p := h.p
 	v := &p.versions
-	x := laid{}
+	x := checkedVersion{}
 	if content != nil {
 		sum := sha256.Sum256(content)
-		i := slices.IndexFunc(v.ready, func(x laid) bool { return x.sum == sum })
+		i := slices.IndexFunc(v.checked, func(x checkedVersion) bool { return x.sum == sum })
 		if i < 0 {
 			return errors.New("it was not checked")
 		}
-		x = v.ready[i]
+		x = v.checked[i]
 	} else {
 		var err error
 		if x.cfg, x.operator, err = config.LoadVersion(os.Getenv, nil); err != nil {
 			return err
 		}
 	}
-	if err := p.take(x.cfg, x.operator); err != nil {
+	if err := p.apply(x.cfg, x.operator); err != nil {
 		return err
 	}
 	v.current = x.version
@@ -123,47 +124,47 @@
 	return nil
 }
 
-// Fares is part of FleetHost.
-func (h fleetHost) FailurePercent() (bad int, seen bool) {
+// FailurePercent implements FleetHost.
+func (h fleetHost) FailurePercent() (percent int, seen bool) {
 	v, now := &h.p.versions, h.p.loop.Now()
-	good, ill := h.p.figures.Totals()
-	if n := len(v.looks); n == 0 || now-v.looks[n-1].at >= faresEvery {
-		v.looks = append(v.looks, look{now, good, ill})
+	served, failed := h.p.counters.Totals()
+	if n := len(v.snapshots); n == 0 || now-v.snapshots[n-1].at >= failureSampleInterval {
+		v.snapshots = append(v.snapshots, outcomeSnapshot{now, served, failed})
 	}
-	for len(v.looks) > 1 && now-v.looks[0].at > faresOver {
-		v.looks = slices.Delete(v.looks, 0, 1)
+	for len(v.snapshots) > 1 && now-v.snapshots[0].at > failureWindow {
+		v.snapshots = slices.Delete(v.snapshots, 0, 1)
 	}
-	good, ill = good-v.looks[0].good, ill-v.looks[0].bad
-	if good+ill < faresLeast {
+	served, failed = served-v.snapshots[0].served, failed-v.snapshots[0].failed
+	if served+failed < minFailureSample {
 		return 0, false
 	}
-	return int(100*ill/(good+ill)) / faresStep * faresStep, true
+	return int(100*failed/(served+failed)) / failurePercentStep * failurePercentStep, true
 }
 
-// Classes is part of FleetHost.
-func (h fleetHost) Classes() []string { return lanes(h.p.table.Classes()) }
+// Classes implements FleetHost.
+func (h fleetHost) Classes() []string { return classNames(h.p.table.Classes()) }
 
-// auditor passes calls on to the fleet's audit, once there is one.
+// auditor passes calls on to the fleet's audit, once the fleet is joined.
 type auditor struct{ p *program }
 
-// Came is part of session.Audit.
+// Received implements session.Audit.
 func (a auditor) Received(c *gateway.Call) {
 	if a.p.fleet != nil {
 		c.Version = a.p.fleet.RequestStarted()
 	}
 }
 
-// Answered is part of session.Audit.
+// Answered implements session.Audit.
 func (a auditor) Answered(c *gateway.Call, o counters.Outcome) {
 	if a.p.fleet != nil {
 		a.p.fleet.RequestAnswered(c.Version, c.Class, o, c.ID)
 	}
-	if a.p.shared != nil {
-		a.p.shared.answered(o)
+	if a.p.policy != nil {
+		a.p.policy.recordOutcome(o)
 	}
 }
 
-// Left is part of session.Audit.
+// ClientGone implements session.Audit.
 func (a auditor) ClientGone(c *gateway.Call) {
 	if a.p.fleet != nil {
 		a.p.fleet.RequestAbandoned(c.Version)
