--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,20 +1,20 @@
-// Package admin is the admin endpoint of a front: one more address, apart from the
-// clients', where a connection carries one call on one line and gets one answer, a line
-// that starts with "ok" or "fail".
+// Package admin is the admin endpoint of a front. It listens at an address of its own, where
+// a connection carries one call on one line and gets one reply, a line that starts with "ok"
+// or "fail".
 //
 //	PING       ok ready | fail lame duck | fail ending | fail starting
-//	INFO       the figures as JSON on one line, then a line eof
-//	LAMEDUCK   ok lame duck: the front drains and says no to PING
-//	REJOIN     ok rejoined: it takes clients again
-//	FLEET ...  what the fleet is asked, where the front is of one; else an unknown call
+//	INFO       the counters as JSON on one line, then a line eof
+//	LAMEDUCK   ok lame duck: the front drains and answers PING with fail
+//	REJOIN     ok rejoined: it accepts clients again
+//	FLEET ...  a call to the fleet, if the front belongs to one; else an unknown call
 //
-// Inputs are the calls, output what the Handler makes of them on the event loop; this
-// package decides nothing. Every caller that has sent a whole line is answered, also one
-// that has shut its sending side. What is not a whole line is never carried out.
+// The Handler carries out the calls on the event loop; this package makes no decisions.
+// Every caller that has sent a whole line gets a reply, even if it has closed its sending
+// side. An incomplete line is never carried out.
 //
-// A session is a goroutine for as long as its connection lasts; sessionsMost bounds them.
-// Where more wait for their callers the oldest of these is ended. The address belongs to
-// one process: it is not shared, so that no call reaches another process than the one
+// Each connection has a session with a goroutine of its own. maxSessions bounds the sessions
+// that wait for a call: when there are more, the oldest is closed. The address is not shared
+// between processes (no SO_REUSEPORT), so that no call reaches another process than the one
 // that answered before.
 package admin
 
@@ -37,42 +37,42 @@
 )
 
 const (
-	callMost      = 256                    // bytes of a call with its line end
-	fleetCallMost = 4096                   // and where the front is of a fleet
-	callTime      = 5 * time.Second        // that a caller may take to send its whole call
-	answerTime    = time.Second            // that it may take to take its answer
-	writeTry      = 50 * time.Millisecond  // for one try to write it
-	writePause    = 5 * time.Millisecond   // between two tries
-	linger        = 500 * time.Millisecond // for the caller to end its side behind the answer
-	sessionsMost  = 64                     // at once; where more come the oldest that waits for its caller makes room
-	openRetry     = 200 * time.Millisecond // until an address that can't be had yet is tried again
-	acceptRetry   = 20 * time.Millisecond  // until accepting is tried again after a failure
+	maxCallBytes        = 256                    // bytes of a call with its line ending
+	maxFleetCallBytes   = 4096                   // the same for a front that belongs to a fleet
+	callTimeout         = 5 * time.Second        // for a caller to send its whole call
+	answerTimeout       = time.Second            // for a caller to receive its reply
+	writeAttemptTimeout = 50 * time.Millisecond  // for one attempt to write the reply
+	writePause          = 5 * time.Millisecond   // between two attempts
+	lingerTimeout       = 500 * time.Millisecond // for the caller to close its side after the reply
+	maxSessions         = 64                     // sessions that wait for a call; beyond that the oldest is closed
+	listenRetry         = 200 * time.Millisecond // until another try to listen at an address that is not available
+	acceptRetry         = 20 * time.Millisecond  // until another try to accept after a failure
 )
 
 // Handler carries out the calls, on the loop.
 type Handler interface {
-	// Ready tells whether the front takes clients, and if not, why, in a few words.
-	Ready() (ok bool, why string)
-	// Info appends the figures, one line of JSON without its line end.
+	// Ready reports whether the front accepts clients and, if not, gives a short reason.
+	Ready() (ok bool, reason string)
+	// Info appends the counters as one line of JSON without its line ending.
 	Info(b []byte) []byte
-	// Drain has the front empty itself and say no to Ready.
+	// Drain drains the front, which is not ready from then on.
 	Drain()
-	// Rejoin has it take clients again; the error tells why it can't.
+	// Rejoin makes the front accept clients again, or returns why it can't.
 	Rejoin() error
-	// Fleet carries out a call to the fleet, whose answer is told now or later, once;
-	// false: the front is of none.
+	// Fleet carries out a call to the fleet and calls answer once, now or later. It returns
+	// false, and doesn't call answer, if the front belongs to no fleet.
 	Fleet(call string, answer func(line string)) bool
 }
 
-// Server answers calls at one address.
+// Server answers admin calls at one address.
 type Server struct {
 	loop    *loop.Loop
 	handler Handler
 	log     *slog.Logger
-	most    int // bytes of a call
+	maxCall int // maximum bytes of a call
 
 	mu       sync.Mutex
-	sessions []*session // those that wait for their callers, oldest first
+	sessions []*session // sessions that wait for a call, oldest first
 }
 
 // session is one caller's connection.
@@ -81,19 +81,19 @@
 	conn   *net.TCPConn
 }
 
-// New makes a server whose calls the handler carries out; fleet tells that those to the
-// fleet are among them, which are longer.
+// New returns a server whose calls the handler carries out. fleet tells that the front
+// belongs to a fleet, whose calls are longer.
 func New(l *loop.Loop, handler Handler, fleet bool, log *slog.Logger) *Server {
-	s := &Server{loop: l, handler: handler, log: log.With("part", "admin"), most: callMost}
+	s := &Server{loop: l, handler: handler, log: log.With("part", "admin"), maxCall: maxCallBytes}
 	if fleet {
-		s.most = fleetCallMost
+		s.maxCall = maxFleetCallBytes
 	}
 	return s
 }
 
-// Listen serves an address for as long as the process lives. Where it is still another
-// process's, or the machine lacks room for a listener, it is opened later; any other error
-// is the address's.
+// Listen serves an address for the lifetime of the process. If another process still holds
+// the address, or resources for a listener are lacking, it is opened later. Any other error
+// is returned.
 func (s *Server) Listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	switch {
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// listenLater opens an address as soon as it can be had.
+// listenLater tries until an address can be opened, and serves it.
 func (s *Server) listenLater(address string) {
 	for {
-		time.Sleep(openRetry)
+		time.Sleep(listenRetry)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -122,7 +122,7 @@
 	}
 }
 
-// accept starts a session for each caller.
+// accept starts a session for each connection.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -131,82 +131,82 @@
 			time.Sleep(acceptRetry)
 			continue
 		}
-		x := &session{server: s, conn: conn.(*net.TCPConn)}
-		s.enter(x)
-		go x.serve()
+		sess := &session{server: s, conn: conn.(*net.TCPConn)}
+		s.register(sess)
+		go sess.serve()
 	}
 }
 
-// enter counts a session in, and has the oldest that waits make room where there are too many.
-func (s *Server) enter(x *session) {
+// register adds a session to those that wait for a call. At maxSessions it closes the oldest.
+func (s *Server) register(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sessions) >= sessionsMost {
+	if len(s.sessions) >= maxSessions {
 		_ = s.sessions[0].conn.Close()
 		s.sessions = slices.Delete(s.sessions, 0, 1)
 	}
-	s.sessions = append(s.sessions, x)
+	s.sessions = append(s.sessions, sess)
 }
 
-// leave counts out a session whose caller has sent its call, or never will.
-func (s *Server) leave(x *session) {
+// unregister removes a session that no longer waits for a call.
+func (s *Server) unregister(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sessions = slices.DeleteFunc(s.sessions, func(y *session) bool { return y == x })
+	s.sessions = slices.DeleteFunc(s.sessions, func(other *session) bool { return other == sess })
 }
 
 // serve reads one call and answers it.
-func (x *session) serve() {
-	defer x.conn.Close()
-	_ = x.conn.SetReadDeadline(time.Now().Add(callTime)) // it fails for a connection that has ended
-	line, err := bufio.NewReaderSize(x.conn, x.server.most).ReadSlice('\n')
-	x.server.leave(x)
+func (sess *session) serve() {
+	defer sess.conn.Close()
+	_ = sess.conn.SetReadDeadline(time.Now().Add(callTimeout)) // fails only if the connection is closed
+	line, err := bufio.NewReaderSize(sess.conn, sess.server.maxCall).ReadSlice('\n')
+	sess.server.unregister(sess)
 	var answer []byte
 	switch {
 	case err == nil:
-		answer = x.server.carryOut(bytes.TrimSpace(line))
+		answer = sess.server.execute(bytes.TrimSpace(line))
 	case errors.Is(err, bufio.ErrBufferFull):
 		answer = []byte("fail call too long\n")
 	case errors.Is(err, io.EOF) && len(line) > 0:
 		answer = []byte("fail the call is cut short: its line end is missing\n")
-	default: // it said nothing, took too long, or made room
+	default: // nothing was sent, the call timed out, or the session was closed as the oldest
 		return
 	}
-	x.reply(answer)
+	sess.reply(answer)
 }
 
-// reply writes an answer and waits for the caller to end its side, so that no reset for what
-// it may still have sent overtakes the answer.
-func (x *session) reply(answer []byte) {
-	if err := x.write(answer); err != nil {
-		x.server.log.Info("a caller has not taken its answer", "peer", x.conn.RemoteAddr().String(), "error", err)
+// reply writes an answer and waits for the caller to close its side. Closing at once could
+// cause a reset, if the caller has sent more data, that overtakes the answer.
+func (sess *session) reply(answer []byte) {
+	if err := sess.write(answer); err != nil {
+		sess.server.log.Info("a caller has not taken its answer", "peer", sess.conn.RemoteAddr().String(), "error", err)
 		return
 	}
-	if err := x.conn.CloseWrite(); err != nil {
+	if err := sess.conn.CloseWrite(); err != nil {
 		return
 	}
-	_ = x.conn.SetReadDeadline(time.Now().Add(linger))
-	_, _ = io.Copy(io.Discard, io.LimitReader(x.conn, 1<<20))
+	_ = sess.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(sess.conn, 1<<20))
 }
 
-// write writes a whole answer within answerTime, also where the machine lacks room for a
-// while, or does not tell that there is room again.
-func (x *session) write(answer []byte) error {
-	end := time.Now().Add(answerTime)
+// write writes a whole answer within answerTimeout. Attempts are short and repeated, because
+// the kernel may lack memory for a while, or fail to signal that the socket is writable.
+func (sess *session) write(answer []byte) error {
+	deadline := time.Now().Add(answerTimeout)
 	for {
-		_ = x.conn.SetWriteDeadline(time.Now().Add(writeTry)) // it fails for a connection that has ended
-		n, err := x.conn.Write(answer)
+		_ = sess.conn.SetWriteDeadline(time.Now().Add(writeAttemptTimeout)) // fails only if the connection is closed
+		n, err := sess.conn.Write(answer)
 		answer = answer[n:]
-		again := transport.IsResourceShortage(err) || errors.Is(err, os.ErrDeadlineExceeded)
-		if err == nil || !again || time.Now().After(end) {
+		retry := transport.IsResourceShortage(err) || errors.Is(err, os.ErrDeadlineExceeded)
+		if err == nil || !retry || time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(writePause)
 	}
 }
 
-// carryOut has the loop carry out a call and gives its answer.
-func (s *Server) carryOut(call []byte) []byte {
+// execute carries out a call on the loop and returns its answer.
+func (s *Server) execute(call []byte) []byte {
 	answer := make(chan []byte, 1)
 	s.loop.Post(func() {
 		if fleetCall, ok := bytes.CutPrefix(call, []byte("FLEET")); ok && (len(fleetCall) == 0 || fleetCall[0] == ' ') &&
@@ -218,7 +218,7 @@
 	return <-answer
 }
 
-// answer is the answer to a call that is not the fleet's.
+// answer carries out a call that is not for the fleet and returns its answer.
 func (s *Server) answer(call []byte) []byte {
 	switch string(call) {
 	case "PING":
