--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,9 +1,9 @@
-// Package loop is the program's one event loop: a queue of callbacks that other
-// goroutines fill, and one timer that serves every deadline. Whatever runs on
-// the loop needs no locks against anything else that runs there.
+// Package loop implements the program's event loop: a queue of callbacks that other
+// goroutines fill, and one timer for all deadlines. Code that runs on the loop needs no
+// locks against other code that runs there.
 //
-// The loop has its clock from outside: the system's, or one that only moves when
-// nothing is left to be done, for tests and the laboratory.
+// The loop runs on the system's clock, or on a virtual one that only advances when nothing
+// is left to be done, for tests and simulations.
 package loop
 
 import (
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// Micros is a moment, in microseconds. On the system's clock moments are those of the Unix
-// clock as it stood when the loop was made, and go on monotonically from there: a step of the
-// wall clock moves none of them, so that spans hold. What has to follow the wall clock, such
-// as the expiry of a link, asks Wall.
+// Micros is a time in microseconds. On the system's clock times start at the Unix time at
+// which the loop was made and advance monotonically from there, so steps of the wall clock
+// don't change any duration. Code that has to follow the wall clock, such as the expiry of
+// a link, uses Wall.
 type Micros = int64
 
-// Clock tells the time and waits.
+// Clock gives the time and waits.
 type Clock interface {
-	// Now may be called from anywhere.
+	// Now returns the current time. It may be called from any goroutine.
 	Now() Micros
-	// Wait returns at a moment, or earlier when wake has something.
+	// Wait returns at a time, or earlier if wake receives a value.
 	Wait(until Micros, wake <-chan struct{})
 }
 
-// forever is waited for where nothing is due.
+// forever is the time to wait for when no deadline is set.
 const forever Micros = 1<<63 - 1
 
-// system is the system's clock.
-type system struct {
-	began time.Time // with its monotonic reading
+// systemClock is the system's clock.
+type systemClock struct {
+	start time.Time // includes the monotonic clock reading
 	timer *time.Timer
 }
 
-func (s *system) Now() Micros { return s.began.UnixMicro() + time.Since(s.began).Microseconds() }
+func (s *systemClock) Now() Micros { return s.start.UnixMicro() + time.Since(s.start).Microseconds() }
 
-// Wall is the moment that the system's wall clock shows now, steps and all.
+// Wall returns the time of the system's wall clock, which may step.
 func Wall() Micros { return time.Now().UnixMicro() }
 
-// Wait is part of Clock.
-func (s *system) Wait(until Micros, wake <-chan struct{}) {
+// Wait implements Clock.
+func (s *systemClock) Wait(until Micros, wake <-chan struct{}) {
 	if until == forever {
 		<-wake
 		return
@@ -57,24 +57,24 @@
 	}
 }
 
-// Virtual is a clock that stands still while something is done, and goes to the
-// next deadline when all is. Only the loop that it was given to may move it.
+// Virtual is a clock that stands still while callbacks run, and jumps to the next deadline
+// when none is left. Only the loop that runs on it may advance it.
 type Virtual struct {
 	mu sync.Mutex
 	at Micros
 }
 
-// NewVirtual makes a clock that stands at a moment.
+// NewVirtual returns a clock that starts at a time.
 func NewVirtual(at Micros) *Virtual { return &Virtual{at: at} }
 
-// Now is part of Clock.
+// Now implements Clock.
 func (v *Virtual) Now() Micros {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.at
 }
 
-// Wait is part of Clock.
+// Wait implements Clock.
 func (v *Virtual) Wait(until Micros, wake <-chan struct{}) {
 	if until == forever {
 		<-wake
@@ -91,30 +91,30 @@
 
 // Loop runs callbacks one after another on the goroutine that calls Run.
 type Loop struct {
-	clock  Clock
-	mu     sync.Mutex
-	queue  []func()
-	wake   chan struct{}
-	wheel  wheel
-	settle func()
-	done   bool
+	clock      Clock
+	mu         sync.Mutex
+	queue      []func()
+	wake       chan struct{}
+	wheel      wheel
+	afterBatch func()
+	quit       bool
 }
 
-// New makes a loop on the system's clock that calls settle after each batch of
+// New returns a loop on the system's clock that calls afterBatch after each batch of
 // callbacks.
-func New(settle func()) *Loop { return NewOn(&system{began: time.Now()}, settle) }
+func New(afterBatch func()) *Loop { return NewOn(&systemClock{start: time.Now()}, afterBatch) }
 
-// NewOn makes a loop on a clock.
-func NewOn(clock Clock, settle func()) *Loop {
-	l := &Loop{clock: clock, wake: make(chan struct{}, 1), settle: settle}
+// NewOn returns a loop on a clock; see New.
+func NewOn(clock Clock, afterBatch func()) *Loop {
+	l := &Loop{clock: clock, wake: make(chan struct{}, 1), afterBatch: afterBatch}
 	l.wheel.now = clock.Now()
 	return l
 }
 
-// Now reads the loop's clock. It may be called from anywhere.
+// Now returns the time of the loop's clock. It may be called from any goroutine.
 func (l *Loop) Now() Micros { return l.clock.Now() }
 
-// Post queues a callback. It never blocks and may be called from anywhere.
+// Post queues a callback. It never blocks and may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -125,8 +125,7 @@
 	}
 }
 
-// At has something done at a moment. Only the loop's own callbacks may call it,
-// as all that follows.
+// At calls do at a time. Like all methods below, it may only be called on the loop.
 func (l *Loop) At(at Micros, do func()) *Deadline {
 	d := &Deadline{do: do}
 	l.wheel.set(d, at)
@@ -136,24 +135,24 @@
 // Set sets or moves a deadline.
 func (l *Loop) Set(d *Deadline, at Micros) { l.wheel.set(d, at) }
 
-// SetCoarse is as Set, for what may come late by a 32nd of its span: many such
-// deadlines come together and cost one wake-up.
+// SetCoarse is like Set, but the deadline may be late by up to a 32nd of its duration, so
+// that many such deadlines share one wake-up.
 func (l *Loop) SetCoarse(d *Deadline, at Micros) { l.wheel.set(d, coarse(l.wheel.now, at)) }
 
-// Stop takes a deadline back; one that has passed, or nil, is left alone.
+// Stop cancels a deadline. It does nothing if the deadline is nil or has passed.
 func (l *Loop) Stop(d *Deadline) {
-	if d != nil && d.place != 0 {
+	if d != nil && d.position != 0 {
 		l.wheel.stop(d)
 	}
 }
 
-// Quit ends Run after the batch at hand.
-func (l *Loop) Quit() { l.done = true }
+// Quit makes Run return after the current batch.
+func (l *Loop) Quit() { l.quit = true }
 
-// Run serves callbacks and deadlines until Quit.
+// Run runs callbacks and deadlines until Quit is called.
 func (l *Loop) Run() {
 	var batch []func()
-	for !l.done {
+	for !l.quit {
 		l.mu.Lock()
 		batch, l.queue = l.queue, batch[:0]
 		l.mu.Unlock()
@@ -162,8 +161,8 @@
 			batch[i] = nil
 		}
 		l.wheel.advance(l.clock.Now())
-		l.settle()
-		if l.done || len(batch) > 0 {
+		l.afterBatch()
+		if l.quit || len(batch) > 0 {
 			continue
 		}
 		until, ok := l.wheel.due()
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Guards against deadlines that fire out of order, twice, or after they were
-// stopped, and against callbacks that overtake each other.
-func TestOrder(t *testing.T) {
+// Guards against deadlines that fire out of order, twice, or after they were stopped, and
+// against callbacks that run out of order.
+func TestCallbackAndDeadlineOrder(t *testing.T) {
 	var got []string
 	add := func(s string) func() { return func() { got = append(got, s) } }
-	settled := 0
-	l := New(func() { settled++ })
+	batches := 0
+	l := New(func() { batches++ })
 	l.Post(add("first"))
 	l.Post(add("second"))
 	l.Post(func() {
@@ -23,7 +23,7 @@
 		l.Stop(nil)
 	})
 	l.Run()
-	if want := []string{"first", "second", "overdue", "early", "late"}; !slices.Equal(got, want) || settled < 3 {
-		t.Errorf("got %v after %d batches, want %v", got, settled, want)
+	if want := []string{"first", "second", "overdue", "early", "late"}; !slices.Equal(got, want) || batches < 3 {
+		t.Errorf("got %v after %d batches, want %v", got, batches, want)
 	}
 }
--- a/internal/loop/wheel.go
+++ b/internal/loop/wheel.go
@@ -2,66 +2,66 @@
 
 import "math/bits"
 
-// The wheel has 64 slots a level, and a level's slot is as long as the whole
-// level below it. A slot of the lowest level is one microsecond, so that
-// deadlines are met exactly and in order; 9 levels reach 570 years.
+// The wheel has 64 slots per level, and a slot is as long as the whole level below it.
+// A slot of the lowest level is one microsecond, so that deadlines are met exactly and in
+// order. Nine levels cover 570 years.
 const (
 	slotBits = 6
 	slots    = 1 << slotBits
 	levels   = 9
 )
 
-// mostLooked is how many entries of a slot are looked at for the first of them.
-// In a longer slot the beginning of the slot stands for it, which wakes the loop
-// once for nothing.
-const mostLooked = 16
+// maxScanned is the number of entries of a slot that are searched for the earliest one.
+// For a slot with more entries the start of the slot is used instead, which costs one
+// needless wake-up of the loop.
+const maxScanned = 16
 
-// coarseBits is the precision of a coarse deadline: a 32nd of its span.
+// coarseBits is the precision of a coarse deadline: a 32nd of its duration.
 const coarseBits = 5
 
-// Deadline is something to be done at a moment, unless it is stopped before. It
-// may be embedded in what it times; then Init gives it what is to be done, and
-// to set, move and stop it allocates nothing.
+// Deadline is a callback to be run at a time unless it is stopped before. It may be
+// embedded in another struct and given its callback by Init. Setting, moving and stopping
+// it then allocates nothing.
 type Deadline struct {
 	at         Micros
 	do         func()
 	prev, next *Deadline
-	place      int16 // slot and level, plus one; 0 when it is not set
+	position   int16 // slot and level, plus one; 0 if it is not set
 }
 
-// Init says what is to be done. The deadline is not set by that.
+// Init sets the callback. It does not set the deadline.
 func (d *Deadline) Init(do func()) { d.do = do }
 
-// Pending tells whether the deadline is set and has not come.
-func (d *Deadline) Pending() bool { return d.place != 0 }
+// Pending reports whether the deadline is set and has not passed.
+func (d *Deadline) Pending() bool { return d.position != 0 }
 
 // wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and
-// hierarchical timing wheels", 1987). Which level an entry is on follows from
-// the highest digit, of 6 bits, in which its moment differs from now; a bit a
-// slot tells which are used, so that no empty slot is ever visited.
+// hierarchical timing wheels", 1987). The level of an entry is the highest 6-bit digit in
+// which its time differs from now. A bitmap per level marks the used slots, so that empty
+// ones are never visited.
 type wheel struct {
-	now   Micros // all that was due until then has been done
+	now   Micros // everything due until then has run
 	used  [levels]uint64
-	lists [levels][slots]Deadline // heads of rings; next is nil while unused
+	lists [levels][slots]Deadline // heads of circular lists; next is nil until first used
 	count int
 }
 
 func (w *wheel) set(d *Deadline, at Micros) {
-	if d.place != 0 {
+	if d.position != 0 {
 		w.stop(d)
 	}
 	d.at = at
-	w.put(d)
+	w.insert(d)
 	w.count++
 }
 
-// put links an entry where it belongs as seen from now; one that is overdue
-// comes with what is due now.
-func (w *wheel) put(d *Deadline) {
+// insert links an entry into its slot relative to now. An overdue entry goes into the slot
+// that is due now.
+func (w *wheel) insert(d *Deadline) {
 	at := max(d.at, w.now)
 	level := 0
-	if differ := uint64(at ^ w.now); differ != 0 {
-		level = min((63-bits.LeadingZeros64(differ))/slotBits, levels-1)
+	if diff := uint64(at ^ w.now); diff != 0 {
+		level = min((63-bits.LeadingZeros64(diff))/slotBits, levels-1)
 	}
 	slot := int(at>>(level*slotBits)) & (slots - 1)
 	head := &w.lists[level][slot]
@@ -70,7 +70,7 @@
 	}
 	d.prev, d.next = head.prev, head
 	d.prev.next, head.prev = d, d
-	d.place = int16(level<<slotBits|slot) + 1
+	d.position = int16(level<<slotBits|slot) + 1
 	w.used[level] |= 1 << slot
 }
 
@@ -80,17 +80,17 @@
 }
 
 func (w *wheel) unlink(d *Deadline) {
-	level, slot := int(d.place-1)>>slotBits, int(d.place-1)&(slots-1)
+	level, slot := int(d.position-1)>>slotBits, int(d.position-1)&(slots-1)
 	d.prev.next, d.next.prev = d.next, d.prev
-	d.prev, d.next, d.place = nil, nil, 0
+	d.prev, d.next, d.position = nil, nil, 0
 	if head := &w.lists[level][slot]; head.next == head {
 		w.used[level] &^= 1 << slot
 	}
 }
 
-// first is the first used slot and the moment at which it begins. All slots of a
-// level lie before those of the levels above it.
-func (w *wheel) first() (level, slot int, begins Micros, ok bool) {
+// firstSlot returns the earliest used slot and the time at which it starts. All slots of a
+// level come before those of the levels above.
+func (w *wheel) firstSlot() (level, slot int, start Micros, ok bool) {
 	for level, used := range w.used {
 		if used == 0 {
 			continue
@@ -103,28 +103,28 @@
 	return 0, 0, 0, false
 }
 
-// due is when to look again: when the next entry is due, or a little before.
+// due returns when to call advance again: when the next entry is due, or somewhat earlier.
 func (w *wheel) due() (at Micros, ok bool) {
-	level, slot, begins, ok := w.first()
+	level, slot, start, ok := w.firstSlot()
 	if !ok || level == 0 {
-		return begins, ok
+		return start, ok
 	}
 	head, n := &w.lists[level][slot], 0
 	at = head.next.at
 	for d := head.next; d != head; d = d.next {
-		if n++; n > mostLooked || d.at == begins {
-			return begins, true
+		if n++; n > maxScanned || d.at == start {
+			return start, true
 		}
 		at = min(at, d.at)
 	}
 	return at, true
 }
 
-// steppedBack is how far the clock must have gone back to count as set anew.
-const steppedBack = 1000
+// minBackwardStep is the shortest step back of the clock, in us, that makes the wheel rebase.
+const minBackwardStep = 1000
 
-// rebase goes back to a moment with a clock that was set back: what is set from
-// now on is due by the new time, and what was set keeps its moment.
+// rebase moves the wheel back after the clock was set back. Deadlines that are set from now
+// on are due by the new time, and existing ones keep their times.
 func (w *wheel) rebase(to Micros) {
 	var all []*Deadline
 	for level := range w.lists {
@@ -138,27 +138,27 @@
 	}
 	w.now = to
 	for _, d := range all {
-		w.put(d)
+		w.insert(d)
 	}
 }
 
-// advance does all that is due until a moment, in order.
+// advance runs everything that is due until a time, in order.
 func (w *wheel) advance(to Micros) {
-	if to < w.now-steppedBack {
+	if to < w.now-minBackwardStep {
 		w.rebase(to)
 	}
 	for {
-		level, slot, begins, ok := w.first()
-		if !ok || begins > to {
+		level, slot, start, ok := w.firstSlot()
+		if !ok || start > to {
 			break
 		}
-		w.now = max(w.now, begins)
+		w.now = max(w.now, start)
 		head := &w.lists[level][slot]
 		for head.next != head {
 			d := head.next
 			w.unlink(d)
 			if level > 0 {
-				w.put(d)
+				w.insert(d)
 				continue
 			}
 			w.count--
@@ -168,8 +168,8 @@
 	w.now = max(w.now, to)
 }
 
-// coarse puts a moment off by a 32nd of its span at most, to one that many
-// others share, and at which a whole slot falls due at once.
+// coarse delays a time by at most a 32nd of its distance from now, to a multiple of a power
+// of two that many deadlines share, so that a whole slot is due at once.
 func coarse(now, at Micros) Micros {
 	if at <= now {
 		return at
--- a/internal/loop/wheel_test.go
+++ b/internal/loop/wheel_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// The wheel does what a sorted list does: each set deadline comes once, in
-// order, not before its time and not after the wheel has gone past it, and none
-// that was stopped; due never lies behind the first one.
-func TestWheelAgainstAList(t *testing.T) {
+// The wheel must behave like a sorted list: each deadline fires once, in order, not before
+// its time and not after the wheel has advanced past it, and never if it was stopped. due
+// must not be later than the first deadline.
+func TestWheelMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &wheel{now: 1_800_000_000_000_000}
 		want := map[*Deadline]Micros{}
@@ -73,14 +73,14 @@
 	})
 }
 
-// The clock is set back by a minute, then forward by two: what is set from then
-// on comes by the new time, and nothing is lost or comes twice.
-func TestClockIsSet(t *testing.T) {
+// Guards against deadlines that are lost, late or fire twice when the clock is set back by a
+// minute and then forward by two. Deadlines set after the step must fire by the new time.
+func TestClockSteps(t *testing.T) {
 	const minute = 60_000_000
 	w := &wheel{now: 1_800_000_000_000_000}
-	start, came := w.now, map[string]int{}
+	start, fired := w.now, map[string]int{}
 	set := func(name string, at Micros) {
-		d := &Deadline{do: func() { came[name]++ }}
+		d := &Deadline{do: func() { fired[name]++ }}
 		w.set(d, at)
 	}
 	set("before", start+minute/2)
@@ -88,18 +88,18 @@
 	w.advance(start - minute)
 	set("after", start-minute+1000)
 	w.advance(start - minute + 1000)
-	if came["after"] != 1 || came["before"] != 0 {
-		t.Errorf("set back: %v", came)
+	if fired["after"] != 1 || fired["before"] != 0 {
+		t.Errorf("set back: %v", fired)
 	}
 	w.advance(start + minute)
-	if came["after"] != 1 || came["before"] != 1 || w.count != 0 {
-		t.Errorf("set forward: %v", came)
+	if fired["after"] != 1 || fired["before"] != 1 || w.count != 0 {
+		t.Errorf("set forward: %v", fired)
 	}
 }
 
-// A loop on a virtual clock goes through a day without waiting, and wakes no
-// more often than something is due, but for the coarse steps of far ones.
-func TestVirtualDay(t *testing.T) {
+// A loop on a virtual clock must run through a day without waiting, and wake up only when a
+// deadline is due or when a distant one moves to a lower level of the wheel.
+func TestVirtualClockDay(t *testing.T) {
 	const day = 24 * 3600 * 1_000_000
 	v := NewVirtual(1_800_000_000_000_000)
 	batches := 0
@@ -121,8 +121,8 @@
 	}
 }
 
-// Coarse deadlines come late by a 32nd at most, and fall together.
-func TestCoarse(t *testing.T) {
+// Coarse deadlines must be late by at most a 32nd and share a few times.
+func TestCoarseDeadlines(t *testing.T) {
 	now, moments := Micros(1_800_000_000_000_000), map[Micros]bool{}
 	for i := range Micros(10_000) {
 		at := now + i*10 + 4_500_000
@@ -137,10 +137,10 @@
 	}
 }
 
-// heapDeadlines is the binary heap that the wheel took the place of.
+// heapDeadline is an entry of the binary heap that the benchmark compares the wheel with.
 type heapDeadline struct {
 	at    Micros
-	place int
+	index int
 }
 type heapDeadlines []*heapDeadline
 
@@ -148,11 +148,11 @@
 func (h heapDeadlines) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h heapDeadlines) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].index, h[j].index = i, j
 }
 func (h *heapDeadlines) Push(x any) {
 	d := x.(*heapDeadline)
-	d.place = len(*h)
+	d.index = len(*h)
 	*h = append(*h, d)
 }
 func (h *heapDeadlines) Pop() any {
@@ -167,9 +167,9 @@
 	id int
 }
 
-// Run with -bench Timers: the wheel against a heap and a B-tree, with so many
-// deadlines 0 to 5 s ahead. move sets one anew, as a connection that was used;
-// fire goes on until one comes and sets that anew.
+// BenchmarkTimers compares the wheel with a heap and a B-tree, with n deadlines 0 to 5 s
+// ahead. Run it with -bench Timers. move resets a deadline, as a connection does on activity;
+// fire advances to the next deadline, which sets itself again.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		r := rand.New(rand.NewPCG(7, 7))
@@ -228,7 +228,7 @@
 				for i := range b.N {
 					d := &all[which[i&0xffff]]
 					d.at = now + spans[i&0xffff]
-					heap.Fix(&h, d.place)
+					heap.Fix(&h, d.index)
 				}
 				b.ReportMetric(bytes, "B/entry")
 			})
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,13 +1,12 @@
-// Package workers is a small fixed pool for what takes longer than the event
-// loop may be held: signatures and compression. It has no queue. Whoever has
-// work asks whether a worker is free and keeps its own order of what waits, so
-// that a worker always waits for the loop between two jobs and the loop comes
-// in between, on one core as well.
+// Package workers provides a small fixed pool of goroutines for work that would block the
+// event loop for too long: signatures and compression. It has no queue. Callers check
+// whether a worker is free and queue pending jobs themselves. A worker therefore waits for
+// the loop between two jobs, so that the loop gets to run even on a single core.
 package workers
 
 import "cherryramp/internal/loop"
 
-// Pool is the workers. It is used on the loop only.
+// Pool is a fixed number of workers. It is used on the loop only.
 type Pool struct {
 	loop *loop.Loop
 	jobs chan job
@@ -19,7 +18,7 @@
 	done func()
 }
 
-// New starts so many workers, which run as long as the program.
+// New starts a number of workers, which run for the lifetime of the process.
 func New(l *loop.Loop, workers int) *Pool {
 	p := &Pool{loop: l, jobs: make(chan job, workers), free: workers}
 	for range workers {
@@ -36,16 +35,16 @@
 	return p
 }
 
-// Free counts the workers that wait.
+// Free returns the number of idle workers.
 func (p *Pool) Free() int { return p.free }
 
-// Do has work done by a free worker, then done on the loop. It tells whether
-// there was one; it never blocks.
+// Do runs work on an idle worker and then done on the loop. It never blocks, and returns
+// false if no worker is idle.
 func (p *Pool) Do(work, done func()) bool {
 	if p.free == 0 {
 		return false
 	}
 	p.free--
-	p.jobs <- job{work, done} // as much room as workers
+	p.jobs <- job{work, done} // never blocks: the channel's capacity is the number of workers
 	return true
 }
