--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,6 +1,6 @@
-// Package httpwire is the program's one parser of HTTP/1.1. It reads whole
-// messages from the front of a buffer and keeps no state between calls, so that
-// a message cut anywhere gives the same result once its last byte is there.
+// Package httpwire parses and writes HTTP/1.1 messages. It parses whole messages at the
+// start of a buffer and keeps no state between calls, so that the result does not depend on
+// how the network splits a message.
 package httpwire
 
 import (
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// Limits bound what one message may hold.
+// Limits are the maximum sizes of a message's head and body in bytes.
 type Limits struct {
 	Head, Body int
 }
 
-// Error is a message that can't be read. Status is what its sender, if it is a
-// client, is to be told.
+// Error is the error for a message that can't be parsed. Status is the HTTP status to send
+// if the sender is a client.
 type Error struct {
 	Status int
 	Reason string
@@ -24,15 +24,15 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("httpwire: %s (%d)", e.Reason, e.Status) }
 
-func bad(reason string) error { return &Error{Status: 400, Reason: reason} }
+func badRequest(reason string) error { return &Error{Status: 400, Reason: reason} }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Header is the fields of a message, in their order.
+// Header holds the header fields of a message in their order.
 type Header []Field
 
-// Get gives the first field of a name, whatever its case.
+// Get returns the value of the first field with a name, ignoring case, or "".
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// Count tells how many fields have a name.
+// Count returns the number of fields with a name, ignoring case.
 func (h Header) Count(name string) (n int) {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -52,15 +52,15 @@
 	return n
 }
 
-// Request is a client's message.
+// Request is an HTTP request.
 type Request struct {
 	Method, Target string
 	Header         Header
 	Body           []byte
-	Close          bool // the client wants the connection closed after the answer
+	Close          bool // the client asks to close the connection after the response
 }
 
-// Response is a server's message.
+// Response is an HTTP response.
 type Response struct {
 	Status int
 	Header Header
@@ -68,8 +68,8 @@
 	Close  bool
 }
 
-// ParseRequest reads a request from the front of b. It gives nil and 0 while
-// the request is not whole, and the bytes used once it is.
+// ParseRequest parses a request at the start of b and returns it with its size in bytes.
+// While the request is incomplete it returns nil and 0. Errors are of type *Error.
 func ParseRequest(b []byte, limits Limits) (*Request, int, error) {
 	head, err := parseHead(b, limits)
 	if head == nil || err != nil {
@@ -79,11 +79,11 @@
 	target, version, ok2 := strings.Cut(rest, " ")
 	switch {
 	case head.chunked:
-		return nil, 0, bad("Transfer-Encoding is not taken")
+		return nil, 0, badRequest("Transfer-Encoding is not taken")
 	case !ok || !ok2 || !isToken(method) || !isTarget(target):
-		return nil, 0, bad("request line is malformed")
+		return nil, 0, badRequest("request line is malformed")
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return nil, 0, bad("version is not HTTP/1.1")
+		return nil, 0, badRequest("version is not HTTP/1.1")
 	}
 	if len(b) < head.size+head.body {
 		return nil, 0, nil
@@ -96,7 +96,7 @@
 	return r, head.size + head.body, nil
 }
 
-// ParseResponse reads a response from the front of b, as ParseRequest does.
+// ParseResponse parses a response at the start of b; see ParseRequest.
 func ParseResponse(b []byte, limits Limits) (*Response, int, error) {
 	head, err := parseHead(b, limits)
 	if head == nil || err != nil {
@@ -106,7 +106,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if !strings.HasPrefix(version, "HTTP/1.") || err != nil || len(code) != 3 || status < 100 {
-		return nil, 0, bad("status line is malformed")
+		return nil, 0, badRequest("status line is malformed")
 	}
 	r := &Response{Status: status, Header: head.fields, Close: head.close || version == "HTTP/1.0"}
 	if status == 204 || status == 304 {
@@ -129,24 +129,24 @@
 	return r, head.size + head.body, nil
 }
 
-// mostChunkLine bounds a chunk's line with its extensions, which are dropped.
-const mostChunkLine = 256
+// maxChunkLine bounds the size line of a chunk, with its extensions, which are ignored.
+const maxChunkLine = 256
 
-// parseChunks puts a body together that came in chunks (RFC 9112, 7.1). It uses 0
-// bytes while that is not whole. Trailers are dropped.
+// parseChunks decodes a chunked body (RFC 9112, 7.1). used is 0 while it is incomplete.
+// Trailers are ignored.
 func parseChunks(b []byte, limits Limits) (body []byte, used int, err error) {
 	for {
-		line, _, ok := bytes.Cut(b[used:min(len(b), used+mostChunkLine)], []byte("\r\n"))
+		line, _, ok := bytes.Cut(b[used:min(len(b), used+maxChunkLine)], []byte("\r\n"))
 		if !ok {
-			if len(b)-used >= mostChunkLine {
-				return nil, 0, bad("chunk's line is too long")
+			if len(b)-used >= maxChunkLine {
+				return nil, 0, badRequest("chunk's line is too long")
 			}
 			return nil, 0, nil
 		}
 		digits, _, _ := bytes.Cut(line, []byte(";"))
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 		if err != nil {
-			return nil, 0, bad("chunk's size is malformed")
+			return nil, 0, badRequest("chunk's size is malformed")
 		}
 		used += len(line) + 2
 		if size == 0 {
@@ -160,12 +160,12 @@
 		}
 		body = append(body, b[used:used+int(size)]...)
 		if used += int(size) + 2; string(b[used-2:used]) != "\r\n" {
-			return nil, 0, bad("chunk is longer than its size")
+			return nil, 0, badRequest("chunk is longer than its size")
 		}
 	}
-	for begin := used; ; {
+	for trailerStart := used; ; {
 		line, _, ok := bytes.Cut(b[used:], []byte("\r\n"))
-		if used-begin+len(line) > limits.Head {
+		if used-trailerStart+len(line) > limits.Head {
 			return nil, 0, &Error{Status: 431, Reason: "trailer is too long"}
 		}
 		if !ok {
@@ -177,17 +177,17 @@
 	}
 }
 
-// head is what stands before a body.
+// head is the part of a message before its body.
 type head struct {
 	start  string
 	fields Header
-	size   int // bytes of it, with the blank line
-	body   int // bytes that follow
+	size   int // bytes of the head, with the blank line
+	body   int // bytes of the body
 
 	chunked, close bool
 }
 
-// parseHead gives nil while the head is not whole.
+// parseHead returns nil while the head is incomplete.
 func parseHead(b []byte, limits Limits) (*head, error) {
 	end := bytes.Index(b[:min(len(b), limits.Head)], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -205,23 +205,23 @@
 		line, rest, more = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return nil, bad("header field is malformed")
+			return nil, badRequest("header field is malformed")
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\r\n\x00") {
-			return nil, bad("header field is malformed")
+			return nil, badRequest("header field is malformed")
 		}
 		h.fields = append(h.fields, Field{name, value})
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
 			if lengths++; err != nil || lengths > 1 {
-				return nil, bad("Content-Length is malformed")
+				return nil, badRequest("Content-Length is malformed")
 			}
 			h.body = int(n)
 		case strings.EqualFold(name, "Transfer-Encoding"):
 			if h.chunked || !strings.EqualFold(value, "chunked") {
-				return nil, bad("Transfer-Encoding is not taken")
+				return nil, badRequest("Transfer-Encoding is not taken")
 			}
 			h.chunked = true
 		case strings.EqualFold(name, "Connection"):
@@ -231,7 +231,7 @@
 		}
 	}
 	if h.chunked && lengths > 0 {
-		return nil, bad("Content-Length beside Transfer-Encoding")
+		return nil, badRequest("Content-Length beside Transfer-Encoding")
 	}
 	if h.body > limits.Body {
 		return nil, &Error{Status: 413, Reason: "body is too long"}
@@ -239,19 +239,19 @@
 	return h, nil
 }
 
-// checkStart refuses early what can't become a message, so that garbage with no
-// end of line gets its answer at once.
+// checkStart rejects bytes that can't become a message, so that garbage without a line
+// ending is answered at once.
 func checkStart(b []byte) error {
 	for _, x := range b[:min(len(b), 16)] {
 		if x == '\r' || x == '\n' {
 			break
 		}
 		if x < ' ' || x >= 0x7f {
-			return bad("not a message")
+			return badRequest("not a message")
 		}
 	}
 	if len(b) > 0 && (b[0] == '\r' || b[0] == '\n' || b[0] == ' ') {
-		return bad("not a message")
+		return badRequest("not a message")
 	}
 	return nil
 }
@@ -275,7 +275,7 @@
 	return s != "" && s[0] == '/'
 }
 
-// reasons are the phrases of the statuses that the fronts use.
+// reasons are the reason phrases of the status codes that the fronts use.
 var reasons = map[int]string{200: "OK", 204: "No Content", 206: "Partial Content",
 	304: "Not Modified", 400: "Bad Request", 403: "Forbidden",
 	404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 413: "Content Too Large",
@@ -283,8 +283,8 @@
 	431: "Request Header Fields Too Large", 502: "Bad Gateway", 503: "Service Unavailable",
 	504: "Gateway Timeout"}
 
-// AppendResponse writes a response. An answer to HEAD tells the length of the
-// body that it leaves out; a 204 and a 304 have neither.
+// AppendResponse appends a response to dst. The response to a HEAD request has the
+// Content-Length of the body but no body. A 204 or 304 has neither.
 func AppendResponse(dst []byte, r *Response, head bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(r.Status), 10)
@@ -297,8 +297,8 @@
 		dst = append(dst, f.Value...)
 		dst = append(dst, "\r\n"...)
 	}
-	bodiless := r.Status == 304 || r.Status == 204
-	if !bodiless {
+	noBody := r.Status == 304 || r.Status == 204
+	if !noBody {
 		dst = append(dst, "Content-Length: "...)
 		dst = strconv.AppendInt(dst, int64(len(r.Body)), 10)
 		dst = append(dst, "\r\n"...)
@@ -307,7 +307,7 @@
 		dst = append(dst, "Connection: close\r\n"...)
 	}
 	dst = append(dst, "\r\n"...)
-	if head || bodiless {
+	if head || noBody {
 		return dst
 	}
 	return append(dst, r.Body...)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -16,7 +16,7 @@
 
 var limits = Limits{Head: 512, Body: 256}
 
-func TestParseRequestRefuses(t *testing.T) {
+func TestParseRequestMalformed(t *testing.T) {
 	for _, x := range []struct {
 		text   string
 		status int
@@ -44,9 +44,9 @@
 	}
 }
 
-// A response in chunks is read wherever it is cut, and nothing behind it is touched;
-// what is no chunk, or too much, is refused.
-func TestChunks(t *testing.T) {
+// A chunked response must parse the same wherever it is cut, without the bytes after it.
+// Malformed chunks, and bodies or trailers over the limits, must be rejected.
+func TestChunkedResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text, want := "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n", ""
 		for _, part := range rapid.SliceOfN(rapid.StringMatching(`[a-z\r\n0]{1,20}`), 0, 8).Draw(t, "parts") {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against a message whose meaning depends on where the network cut it.
-func TestCutsChangeNothing(t *testing.T) {
+// Guards against a message whose meaning depends on where the network splits it.
+func TestTruncatedMessages(t *testing.T) {
 	word := rapid.StringMatching(`[A-Za-z0-9-]{1,12}`)
 	rapid.Check(t, func(t *rapid.T) {
 		want := &Request{Method: "PUT", Target: "/" + word.Draw(t, "target")}
@@ -118,9 +118,9 @@
 	})
 }
 
-// Guards against garbage that panics, is waited on for ever, or is taken as more
-// bytes than there are.
-func TestGarbage(t *testing.T) {
+// Guards against arbitrary bytes that cause a panic, are never rejected, or are counted as
+// more bytes than there are.
+func TestArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "garbage")
 		if r, n, err := ParseRequest(b, limits); n > len(b) || (r == nil) != (n == 0) ||
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the frames of protocol zephyr-ea25 and the
-// types of package rules. It decides nothing.
+// Package wire translates between the frames of protocol zephyr-ea25 and the types of package
+// rules.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"cherryramp/rules"
 )
 
-// MaxFrame bounds the length a batch may claim.
+// MaxFrame is the maximum length of a batch's frame in bytes.
 const MaxFrame = 1 << 30
 
 const (
@@ -50,15 +50,15 @@
 	acProbe   = 92
 )
 
-// Event is one record of a batch: something for a gateway.
+// Event is one record of a batch, addressed to a gateway.
 type Event struct {
 	Gateway uint16
-	Start   *Start      // the gateway begins anew
-	Stop    bool        // the gateway is dead
-	Event   rules.Event // otherwise; nil for records the module has no use for
+	Start   *Start      // the gateway starts
+	Stop    bool        // the gateway has stopped
+	Event   rules.Event // otherwise; nil for records that are ignored
 }
 
-// Start is what a gateway is told at its start.
+// Start holds the seed and the settings of a gateway that starts.
 type Start struct {
 	Seed     uint64
 	Settings string
@@ -71,8 +71,8 @@
 	Events []Event
 }
 
-// ReadBatch reads one frame. It returns io.EOF when the input ends between
-// frames, and another error where a frame is malformed.
+// ReadBatch reads one frame, with buf as scratch space. It returns io.EOF if the input ends
+// between frames, and another error if a frame is malformed.
 func ReadBatch(r io.Reader, buf *bytes.Buffer) (*Batch, error) {
 	var head [batchHeader]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -92,7 +92,7 @@
 	return decode(head[:], buf.Bytes())
 }
 
-// Decode reads the batch that frame holds, no more and no less.
+// Decode decodes a frame. It returns an error if anything follows the batch.
 func Decode(frame []byte) (*Batch, error) {
 	r := bytes.NewReader(frame)
 	b, err := ReadBatch(r, new(bytes.Buffer))
@@ -113,7 +113,7 @@
 		at := c.at
 		code := c.u8()
 		ev, err := c.event(code)
-		if err == nil && c.short {
+		if err == nil && c.truncated {
 			err = errors.New("record is truncated")
 		}
 		if err != nil {
@@ -128,16 +128,16 @@
 	return b, nil
 }
 
-// cursor reads fields one by one; past the end it gives zeros and sets short.
+// cursor reads fields one by one. Past the end it returns zeros and sets truncated.
 type cursor struct {
-	data  []byte
-	at    int
-	short bool
+	data      []byte
+	at        int
+	truncated bool
 }
 
 func (c *cursor) take(n int) []byte {
-	if c.short || n > len(c.data)-c.at {
-		c.short = true
+	if c.truncated || n > len(c.data)-c.at {
+		c.truncated = true
 		return nil
 	}
 	c.at += n
@@ -156,7 +156,7 @@
 func (c *cursor) u32() uint32 { return uint32(c.uint(4)) }
 func (c *cursor) u64() uint64 { return c.uint(8) }
 
-// f32 gives 0 for what is not a number.
+// f32 returns 0 for NaN and infinities.
 func (c *cursor) f32() float64 {
 	f := float64(math.Float32frombits(c.u32()))
 	if math.IsNaN(f) || math.IsInf(f, 0) {
@@ -165,8 +165,8 @@
 	return f
 }
 
-// small turns a number carried as f32 into a whole one.
-func (c *cursor) small() int {
+// smallInt reads an integer that is encoded as f32, and clamps it to -1 to 1<<30.
+func (c *cursor) smallInt() int {
 	return int(math.Max(-1, math.Min(c.f32(), 1<<30)))
 }
 
@@ -175,8 +175,8 @@
 
 func (c *cursor) load() []float64 {
 	n := int(c.u8())
-	if c.short || n*4 > len(c.data)-c.at {
-		c.short = true
+	if c.truncated || n*4 > len(c.data)-c.at {
+		c.truncated = true
 		return nil
 	}
 	var out []float64
@@ -192,18 +192,18 @@
 	case evStop:
 		e.Stop = true
 	case evInit:
-		s := &Start{Seed: c.u64()}
-		s.Settings = string(c.take(int(c.u32())))
-		e.Start = s
+		started := &Start{Seed: c.u64()}
+		started.Settings = string(c.take(int(c.u32())))
+		e.Start = started
 	case evOutcome:
-		o := rules.Outcome{ID: rules.RequestID(c.u32()), Attempt: int(c.u16()), Server: c.server()}
-		o.Code = rules.Code(c.u16())
-		o.Elapsed = c.micros()
-		o.Closed = c.u8() != 0
-		o.Note = rules.Note(min(c.u32(), 255))
-		o.SourceWait = c.micros()
+		outcome := rules.Outcome{ID: rules.RequestID(c.u32()), Attempt: int(c.u16()), Server: c.server()}
+		outcome.Code = rules.Code(c.u16())
+		outcome.Elapsed = c.micros()
+		outcome.Closed = c.u8() != 0
+		outcome.Note = rules.Note(min(c.u32(), 255))
+		outcome.SourceWait = c.micros()
 		c.load()
-		e.Event = o
+		e.Event = outcome
 	case evMemo:
 		c.take(4)
 		c.take(int(c.u16()))
@@ -212,28 +212,28 @@
 	case evTimer:
 		e.Event = rules.Timer{Tag: c.u32()}
 	case evRequest:
-		q := rules.Request{ID: rules.RequestID(c.u32()), Class: int(c.u8())}
+		request := rules.Request{ID: rules.RequestID(c.u32()), Class: int(c.u8())}
 		c.u32() // the tenant
-		q.Object = c.u64()
-		q.Expires = c.micros()
-		q.Size = math.Max(0, c.f32())
-		q.Group = c.small()
-		q.Part = c.small()
-		q.Repeat = c.u8()&2 != 0
-		e.Event = q
+		request.Object = c.u64()
+		request.Expires = c.micros()
+		request.Size = math.Max(0, c.f32())
+		request.Group = c.smallInt()
+		request.Part = c.smallInt()
+		request.Repeat = c.u8()&2 != 0
+		e.Event = request
 	case evPurge:
 		e.Event = rules.Purge{Object: c.u64(), Group: int(c.u16()), Age: c.micros()}
 	case evMembers:
 		return c.members(e)
 	case evStarted:
-		s := rules.Started{ID: rules.RequestID(c.u32())}
+		started := rules.Started{ID: rules.RequestID(c.u32())}
 		c.take(10)
-		s.Attempt = int(c.u16())
-		e.Event = s
+		started.Attempt = int(c.u16())
+		e.Event = started
 	case evReport:
-		r := rules.Report{Server: c.server(), Elapsed: c.micros(), Code: rules.Code(c.u16())}
-		r.Load = c.load()
-		e.Event = r
+		report := rules.Report{Server: c.server(), Elapsed: c.micros(), Code: rules.Code(c.u16())}
+		report.Load = c.load()
+		e.Event = report
 	default:
 		return e, errors.New("unknown code")
 	}
@@ -247,42 +247,42 @@
 	if scope > scopeFailed {
 		return e, fmt.Errorf("unknown scope %d", scope)
 	}
-	if c.short || n > (len(c.data)-c.at)/entrySize {
-		c.short = true
+	if c.truncated || n > (len(c.data)-c.at)/entrySize {
+		c.truncated = true
 		return e, nil
 	}
 	m := rules.Members{Full: scope == 1 || scope == 2, Failed: scope == scopeFailed}
 	m.List = make([]rules.Member, 0, n)
 	for range n {
-		x := rules.Member{ID: c.server(), Kind: int(c.u16()), StartedAt: int64(c.u64())}
+		member := rules.Member{ID: c.server(), Kind: int(c.u16()), StartedAt: int64(c.u64())}
 		state := c.u8()
 		if state > uint8(rules.Draining) {
 			return e, fmt.Errorf("unknown status %d", state)
 		}
-		x.State = rules.MemberState(state)
-		x.Cell = int(c.u16())
-		x.Zone = int(c.u8())
-		x.Weight = c.f32()
-		m.List = append(m.List, x)
+		member.State = rules.MemberState(state)
+		member.Cell = int(c.u16())
+		member.Zone = int(c.u8())
+		member.Weight = c.f32()
+		m.List = append(m.List, member)
 	}
 	e.Event = m
 	return e, nil
 }
 
-// Reply is the frame that answers one batch.
+// Reply builds the frame that answers one batch.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset begins the reply to a batch.
+// Reset starts the reply to the batch of a number.
 func (r *Reply) Reset(number uint32) {
 	r.buf = append(r.buf[:0], make([]byte, 8)...)
 	r.buf = binary.BigEndian.AppendUint32(r.buf, number)
 	r.count = 0
 }
 
-// Bytes gives the finished frame.
+// Bytes returns the finished frame, which is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)))
 	binary.BigEndian.PutUint32(r.buf[4:], r.count)
@@ -303,7 +303,7 @@
 	r.u16(uint16(s))
 }
 
-// micros writes a span, cut to what the field holds.
+// micros writes a duration, clamped to the range of the field.
 func (r *Reply) micros(v rules.Micros) { r.u32(uint32(max(0, min(v, math.MaxInt32)))) }
 
 func (r *Reply) text(s string) {
@@ -312,13 +312,13 @@
 	r.buf = append(r.buf, s...)
 }
 
-// BailOut reports that the decision code of a gateway failed.
+// BailOut reports that the decision code of a gateway has failed.
 func (r *Reply) BailOut(gateway uint16, text string) {
 	r.begin(acBailOut, gateway)
 	r.text(text)
 }
 
-// Add writes one action of a gateway.
+// Add appends one action of a gateway. It panics for an unknown type of action.
 func (r *Reply) Add(gateway uint16, action rules.Action) {
 	switch a := action.(type) {
 	case rules.Get:
@@ -329,13 +329,13 @@
 		r.server(a.Source)
 		r.buf = append(r.buf, uint8(a.KeepRank))
 		r.micros(a.MaxAge)
-		var how uint8
+		var flags uint8
 		for bit, set := range []bool{a.Join, a.HeldOnly, a.PassThrough, a.Revalidate} {
 			if set {
-				how |= 1 << bit
+				flags |= 1 << bit
 			}
 		}
-		r.buf = append(r.buf, how)
+		r.buf = append(r.buf, flags)
 	case rules.Cancel:
 		r.begin(acCancel, gateway)
 		r.u32(uint32(a.ID))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestDecodeRefusesWhatIsMalformed(t *testing.T) {
+func TestDecodeMalformed(t *testing.T) {
 	good := unhex(t, sample)
 	cut := append([]byte(nil), good[:len(good)-1]...)
 	shorter := append([]byte(nil), cut...)
