--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the program's log: log/slog's text form, with a bound on
-// how often one message stands in it, since peers can provoke lines at will.
+// Package logging provides the program's log: log/slog's text format, with a limit on how
+// often one message is written, since peers can provoke messages at will.
 package logging
 
 import (
@@ -11,75 +11,75 @@
 )
 
 const (
-	mostLines = 50          // of one message in a span
-	span      = time.Second // after which it may stand there again
+	maxLines = 50          // of one message per window
+	window   = time.Second // after which a message may be written again
 )
 
-// New makes a log of lines at a level and above.
+// New returns a logger that writes lines at a level and above.
 func New(w io.Writer, level slog.Level) *slog.Logger {
 	text := slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})
-	return slog.New(&limiter{Handler: text, counts: &counts{byText: map[string]*count{}}})
+	return slog.New(&limiter{Handler: text, counts: &messageCounts{byMessage: map[string]*count{}}})
 }
 
-// limiter passes on what is not too much. Errors always pass. A line that is
-// passed on again tells how many were left out before it.
+// limiter drops lines in excess of maxLines per message and window. Errors are never
+// dropped. The first line after a window reports how many were dropped in it.
 type limiter struct {
 	slog.Handler
-	counts *counts
+	counts *messageCounts
 }
 
-// counts is shared by all loggers made from one. Messages are constants of the
-// program, so it does not grow.
-type counts struct {
-	mu     sync.Mutex
-	byText map[string]*count
+// messageCounts is shared by all loggers derived from one. Messages are constants of the
+// program, so the map does not grow without bound.
+type messageCounts struct {
+	mu        sync.Mutex
+	byMessage map[string]*count
 }
 
 type count struct {
-	since       time.Time
-	lines, left int
+	windowStart    time.Time
+	lines, omitted int
 }
 
-// Handle writes a line, or counts it as left out.
+// Handle writes a line, or counts it as omitted.
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelError {
-		left, pass := l.counts.take(r.Message, r.Time)
+		omitted, pass := l.counts.add(r.Message, r.Time)
 		if !pass {
 			return nil
 		}
-		if left > 0 {
-			r.AddAttrs(slog.Int("left_out", left))
+		if omitted > 0 {
+			r.AddAttrs(slog.Int("left_out", omitted))
 		}
 	}
 	return l.Handler.Handle(ctx, r)
 }
 
-func (c *counts) take(text string, now time.Time) (left int, pass bool) {
+func (c *messageCounts) add(message string, now time.Time) (omitted int, pass bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.byText[text]
-	if x == nil {
-		x = &count{since: now}
-		c.byText[text] = x
+	entry := c.byMessage[message]
+	if entry == nil {
+		entry = &count{windowStart: now}
+		c.byMessage[message] = entry
 	}
-	if now.Sub(x.since) >= span {
-		left = x.left
-		*x = count{since: now}
+	if now.Sub(entry.windowStart) >= window {
+		omitted = entry.omitted
+		*entry = count{windowStart: now}
 	}
-	if x.lines >= mostLines {
-		x.left++
+	if entry.lines >= maxLines {
+		entry.omitted++
 		return 0, false
 	}
-	x.lines++
-	return left, true
+	entry.lines++
+	return omitted, true
 }
 
-// WithAttrs is part of slog.Handler.
+// WithAttrs implements slog.Handler.
 func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &limiter{Handler: l.Handler.WithAttrs(attrs), counts: l.counts}
 }
 
-// WithGroup is part of slog.Handler.
+// WithGroup implements slog.Handler.
 func (l *limiter) WithGroup(name string) slog.Handler {
 	return &limiter{Handler: l.Handler.WithGroup(name), counts: l.counts}
 }
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// linesMost is how many lines may wait for whoever takes the log; more are dropped.
-const linesMost = 1024
+// maxPendingLines bounds the lines that wait to be written. Beyond that they are dropped.
+const maxPendingLines = 1024
 
-// Writer passes lines on to another writer without ever waiting for it. It is bounded: where
-// the other takes nothing, lines are dropped and counted, and the count is written once it does.
+// Writer passes lines to another writer without blocking the caller. While that writer
+// blocks, up to maxPendingLines lines are buffered. Further ones are dropped, and their number
+// is written as soon as the writer accepts lines again.
 type Writer struct {
 	to      io.Writer
 	entries chan entry
 	dropped atomic.Int64
 }
 
-// entry is a line, or the request to tell that all before it have been passed on.
+// entry is a line, or a request to be notified once all lines before it are written.
 type entry struct {
 	line    []byte
 	flushed chan<- struct{}
 }
 
-// NewWriter starts to pass lines on, for as long as the process lives.
+// NewWriter returns a Writer whose goroutine runs for the lifetime of the process.
 func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, entries: make(chan entry, linesMost)}
+	w := &Writer{to: to, entries: make(chan entry, maxPendingLines)}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never fails.
+// Write queues one line, or drops it. It never blocks or fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.entries <- entry{line: bytes.Clone(line)}:
@@ -48,25 +49,25 @@
 			close(e.flushed)
 			continue
 		}
-		_, _ = w.to.Write(e.line) // there is nobody to tell of an error
+		_, _ = w.to.Write(e.line) // there is nowhere to report an error
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(w.to, "level=WARN msg=\"log lines dropped: nobody took them\" lines=%d\n", n)
 		}
 	}
 }
 
-// Flush waits until all lines so far are passed on, or for a span.
-func (w *Writer) Flush(within time.Duration) {
-	end := time.NewTimer(within)
-	defer end.Stop()
+// Flush waits until all lines so far are written, or until a timeout.
+func (w *Writer) Flush(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	flushed := make(chan struct{})
 	select {
 	case w.entries <- entry{flushed: flushed}:
-	case <-end.C:
+	case <-timer.C:
 		return
 	}
 	select {
 	case <-flushed:
-	case <-end.C:
+	case <-timer.C:
 	}
 }
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// stuck is a writer that takes nothing until it is let go.
-type stuck struct {
-	letGo chan struct{}
-	got   strings.Builder
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	got     strings.Builder
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.letGo
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	return s.got.Write(p)
 }
 
-// Lines beyond the bound are dropped, nobody waits, and the count is told once there is somebody
-// to tell.
-func TestWriterNeverWaits(t *testing.T) {
-	to := &stuck{letGo: make(chan struct{})}
+// Guards against a log that blocks the program when its reader stops reading. Lines beyond the
+// bound must be dropped, and reported once the writer accepts lines again.
+func TestWriterNeverBlocks(t *testing.T) {
+	to := &blockedWriter{release: make(chan struct{})}
 	w := NewWriter(to)
-	const lines = 3 * linesMost
+	const lines = 3 * maxPendingLines
 	for range lines {
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
@@ -33,14 +33,14 @@
 	if spent := time.Since(began); spent > time.Second {
 		t.Errorf("a flush took %v", spent)
 	}
-	close(to.letGo)
-	for got, end := 0, time.Now().Add(10*time.Second); got < linesMost; got = strings.Count(to.got.String(), "line\n") {
+	close(to.release)
+	for got, end := 0, time.Now().Add(10*time.Second); got < maxPendingLines; got = strings.Count(to.got.String(), "line\n") {
 		w.Flush(10 * time.Second)
 		if time.Now().After(end) {
 			t.Fatalf("%d lines", got)
 		}
 	}
 	if !strings.Contains(to.got.String(), "log lines dropped") {
-		t.Error("nothing is said of those that were dropped")
+		t.Error("dropped lines are not reported")
 	}
 }
--- a/internal/loopbacktest/loopbacktest.go
+++ b/internal/loopbacktest/loopbacktest.go
@@ -1,7 +1,7 @@
-// Package loopbacktest gives the servers of a laboratory or a test a loopback address
-// that is their process's own, and ports that it has not given before. What still
-// dials an address whose server has gone thereby reaches nobody, where a port that
-// the system picks anew may belong to another process, or another test, by then.
+// Package loopbacktest gives servers in tests and simulations a loopback address of their
+// own process, with ports that it has not used before. A client that still dials the address
+// of a stopped server then reaches nobody. A port picked by the system could by then belong
+// to another process or another test.
 package loopbacktest
 
 import (
@@ -14,25 +14,25 @@
 	"syscall"
 )
 
-// Ports stay below those that systems commonly give to clients.
+// Ports stay below the usual ranges of ephemeral ports.
 const firstPort, lastPort = 10_000, 32_000
 
 var (
-	mu   sync.Mutex
-	last = firstPort - 1
+	mu           sync.Mutex
+	previousPort = firstPort - 1
 )
 
-// Host is the loopback address of this process.
+// Host returns the loopback address of this process, which is derived from its PID.
 func Host() string {
 	pid := os.Getpid()
 	return net.IPv4(127, byte(192+pid>>16&63), byte(pid>>8), byte(pid)).String()
 }
 
-// Listen listens at an address that has not been given before.
+// Listen listens at an address that has not been used before.
 func Listen() (net.Listener, error) {
 	for {
-		ln, err := net.Listen("tcp", next())
-		if errors.Is(err, syscall.EADDRINUSE) { // all have been given once, or a port is open at every address
+		ln, err := net.Listen("tcp", nextAddress())
+		if errors.Is(err, syscall.EADDRINUSE) { // all ports have been used once, or another process listens on the port at every address
 			continue
 		}
 		if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// ListenAt listens at an address; at one of Listen's if it is empty.
+// ListenAt listens at an address, or like Listen if it is empty.
 func ListenAt(address string) (net.Listener, error) {
 	if address == "" {
 		return Listen()
@@ -50,7 +50,7 @@
 	return net.Listen("tcp", address)
 }
 
-// Free is an address at which nobody listens; whoever asked may.
+// FreeAddress returns an address at which nobody listens and which no other call returns.
 func FreeAddress() (string, error) {
 	ln, err := Listen()
 	if err != nil {
@@ -59,11 +59,11 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-func next() string {
+func nextAddress() string {
 	mu.Lock()
 	defer mu.Unlock()
-	if last++; last > lastPort {
-		last = firstPort
+	if previousPort++; previousPort > lastPort {
+		previousPort = firstPort
 	}
-	return net.JoinHostPort(Host(), strconv.Itoa(last))
+	return net.JoinHostPort(Host(), strconv.Itoa(previousPort))
 }
--- a/internal/loopbacktest/loopbacktest_test.go
+++ b/internal/loopbacktest/loopbacktest_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// An address that was given once is nobody else's afterwards, also when its
-// server has gone.
-func TestAddressesAreGivenOnce(t *testing.T) {
+// Guards against an address that is given out twice, or at which somebody listens after its
+// server has stopped.
+func TestAddressesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		free, err := FreeAddress()
@@ -32,8 +32,8 @@
 	}
 }
 
-// Clients still come from the address that tests and cases know.
-func TestClientsKeepTheirAddress(t *testing.T) {
+// Guards against clients that dial from the process's own address: tests expect 127.0.0.1.
+func TestClientsUseDefaultAddress(t *testing.T) {
 	ln, err := Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/seededtest/seededtest.go
+++ b/internal/seededtest/seededtest.go
@@ -1,5 +1,5 @@
-// Package seededtest runs a package's tests with a fixed seed for rapid, so that
-// every run tries the same cases and leaves no files behind.
+// Package seededtest runs a package's tests with a fixed seed for rapid, so that every run
+// checks the same cases, and without rapid's files for failed ones.
 package seededtest
 
 import (
@@ -11,11 +11,10 @@
 	_ "pgregory.net/rapid" // defines the flags
 )
 
-// Main is for a package's TestMain.
+// Main runs the tests and exits. It is called by a package's TestMain.
 func Main(m *testing.M) { os.Exit(Run(m)) }
 
-// Run is for a TestMain that has something to do after the tests; it gives the
-// exit code.
+// Run runs the tests and returns the exit code, for a TestMain that has cleanup to do.
 func Run(m *testing.M) (code int) {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
