--- a/internal/link/frame/frame_test.go
+++ b/internal/link/frame/frame_test.go
@@ -13,11 +13,10 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// A frame is read as it was written, wherever it is cut, and nothing behind it is
-// touched.
-func TestCuts(t *testing.T) {
+// A frame must parse as it was written, wherever it is cut, without the bytes after it.
+func TestTruncatedFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Frame{Kind: Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind")), Sent: rapid.Uint64().Draw(t, "sent"),
+		f := Frame{Kind: Kind(rapid.IntRange(1, int(numKinds)-1).Draw(t, "kind")), Sent: rapid.Uint64().Draw(t, "sent"),
 			Body: rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "body")}
 		if f.Kind != KindHello && f.Kind < KindOffer {
 			f.Stream = rapid.Uint32Min(1).Draw(t, "stream")
@@ -38,9 +37,9 @@
 	})
 }
 
-// What is no frame is refused by name, as soon as that is seen, and is not written
-// either.
-func TestRefused(t *testing.T) {
+// Malformed frames must be rejected with the right error, as early as possible, and must not
+// be encoded either.
+func TestMalformedFrames(t *testing.T) {
 	head := func(length uint32, kind Kind, stream byte) []byte {
 		return []byte{byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length), byte(kind), 0, 0, 0, stream, 0, 0, 0, 0, 0, 0, 0, 0}
 	}
@@ -48,9 +47,9 @@
 		text []byte
 		want error
 	}{
-		{[]byte{0xff, 0, 0, 0}, ErrLength}, {[]byte{0, 0, 0, 3}, ErrLength}, {head(fixed+MaxData+1, KindData, 1), ErrLength},
-		{head(fixed+MaxHead+1, KindOpen, 1), ErrLength}, {head(fixed, 0, 1), ErrKind}, {head(fixed, kinds, 0), ErrKind},
-		{head(fixed, KindOpen, 0), ErrStream}, {head(fixed, KindHello, 1), ErrStream}, {head(fixed, KindPing, 3), ErrStream},
+		{[]byte{0xff, 0, 0, 0}, ErrLength}, {[]byte{0, 0, 0, 3}, ErrLength}, {head(fixedSize+MaxData+1, KindData, 1), ErrLength},
+		{head(fixedSize+MaxHead+1, KindOpen, 1), ErrLength}, {head(fixedSize, 0, 1), ErrKind}, {head(fixedSize, numKinds, 0), ErrKind},
+		{head(fixedSize, KindOpen, 0), ErrStream}, {head(fixedSize, KindHello, 1), ErrStream}, {head(fixedSize, KindPing, 3), ErrStream},
 	} {
 		if _, used, err := Parse(x.text); !errors.Is(err, x.want) || used != 0 {
 			t.Errorf("%x: %d, %v, want %v", x.text, used, err, x.want)
@@ -59,13 +58,13 @@
 	for _, f := range []Frame{{Kind: KindData, Stream: 1, Body: make([]byte, MaxData+1)}, {Kind: KindStatus, Stream: 1, Body: make([]byte, MaxHead+1)},
 		{Kind: KindData}, {}} {
 		if _, err := Append(nil, f); err == nil {
-			t.Errorf("kind %d is written", f.Kind)
+			t.Errorf("kind %d was encoded", f.Kind)
 		}
 	}
 }
 
-// Heads come back as they were; what is not as agreed is refused.
-func TestHeads(t *testing.T) {
+// Heads must decode as they were encoded, and malformed ones must be rejected.
+func TestHeadEncoding(t *testing.T) {
 	for _, x := range []any{&Hello{[]uint16{1, 2}, "north", 1 << 63, 1, 2, 3}, &Open{ID: 1 << 60, Attempt: 1, Epoch: 9, Class: "guide-video", Object: "9f3a", Part: -1,
 		Group: 255, Remaining: 5_000_000, Hops: 1, Length: 3, Offset: 4, Tag: "t", MaxAge: 8}, &Answer{1, 240_000, "t", 3, 4}, &Query{1, 2, 3, 4}, &Status{3, 1, true, 9, 7},
 		&Credit{1}, &Offer{1000}} {
@@ -78,13 +77,13 @@
 			t.Errorf("%+v: got %+v, %v", x, again, err)
 		}
 		if err := DecodeHead(Frame{Body: append(body, 0)}, again); err == nil {
-			t.Errorf("%T: something behind it is taken", x)
+			t.Errorf("%T: trailing bytes were accepted", x)
 		}
 	}
-	for name, body := range map[string][]byte{"twice the same field": {0xa2, 1, 1, 1, 2}, "a field that is not known": {0xa1, 0x18, 0x63, 1},
-		"an open length": {0xbf, 1, 1, 0xff}, "a tag": {0xc1, 0xa0}, "less than nothing": {0xa1, 1, 0x20}, "no map": {1}, "nothing": {}} {
+	for name, body := range map[string][]byte{"a duplicate field": {0xa2, 1, 1, 1, 2}, "an unknown field": {0xa1, 0x18, 0x63, 1},
+		"an indefinite length": {0xbf, 1, 1, 0xff}, "a tag": {0xc1, 0xa0}, "a negative number": {0xa1, 1, 0x20}, "no map": {1}, "nothing": {}} {
 		if err := DecodeHead(Frame{Kind: KindCredit, Body: body}, &Credit{}); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 	if v, err := NegotiateVersion([]uint16{0, 7, 1}); v != 1 || err != nil {
@@ -95,7 +94,8 @@
 	}
 }
 
-// FuzzParse reads anything without falling over; what is read is written the same.
+// FuzzParse checks that arbitrary bytes cause no panic, and that parsed frames encode to the
+// same bytes.
 func FuzzParse(f *testing.F) {
 	text, err := Append(nil, Frame{Kind: KindData, Stream: 7, Sent: 9, Body: []byte("bytes")})
 	if err != nil {
@@ -125,7 +125,7 @@
 	})
 }
 
-// BenchmarkOpen is a request's frame, written and read.
+// BenchmarkOpen measures encoding and decoding the open frame of a request.
 func BenchmarkOpen(b *testing.B) {
 	open := Open{ID: 1 << 60, Attempt: 1, Epoch: 1 << 60, Class: "guide-video", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Remaining: 1_500_000, Hops: 1}
 	var buf []byte
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,10 +1,10 @@
-// Package link is a connection between two sites' fronts: many streams on one
-// connection, each with credit, watched by frames of its own.
+// Package link implements the connections between two sites' fronts. A connection carries
+// many streams with credit-based flow control, and pings that detect its failure.
 //
-// A connection has two goroutines, since TLS reads and writes block; nothing is
-// started for a stream. All that is decided and told happens on the event loop. What
-// waits in either direction is bounded: bytes by credit, frames by one batch on its
-// way to the loop and by what may wait to be written.
+// A connection has two goroutines, since TLS reads and writes block; streams have none.
+// Decisions are made and callbacks are called on the event loop. Queues are bounded in both
+// directions: data by credit, received frames by one batch on its way to the loop, and frames
+// to be written by highWater.
 package link
 
 import (
@@ -20,196 +20,201 @@
 	"cherryramp/internal/loop"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = loop.Micros
 
-// Config is what a side wants of its connections.
+// Config configures one side of a connection.
 type Config struct {
-	Hello        frame.Hello // Window, Total and Streams are what this side allows
+	Hello        frame.Hello // Window, Total and Streams are the limits of this side
 	Weights      []int       // by class
-	PingInterval Micros      // a frame is sent at least so often
-	DeadTimeout  Micros      // a connection on which nothing came for so long is given up
+	PingInterval Micros      // time between two pings
+	DeadTimeout  Micros      // time without a received frame after which the connection is closed
 }
 
 // Reasons for which a connection ends.
 var (
-	ErrSilent     = errors.New("link: the other side says nothing")
-	ErrNotReading = errors.New("link: the other side reads nothing")
-	ErrFrameOrder = errors.New("link: a frame out of order")
+	ErrSilent     = errors.New("link: nothing received from the peer")
+	ErrNotReading = errors.New("link: the peer does not read")
+	ErrFrameOrder = errors.New("link: frame out of order")
 	ErrClosed     = errors.New("link: closed")
 )
 
-// Handler is told what happens on a connection, always on the loop.
+// Handler receives the events of a connection, always on the loop.
 type Handler interface {
-	// Up comes once, first: what both sides agreed on. The epoch is the other's.
+	// Up is called once, before all others, with the limits that both sides agreed on and the
+	// peer's site and epoch.
 	Up(c *Conn, agreed frame.Hello)
-	// Frame is a frame but for data and what the connection itself takes. It was held
-	// for so long on its way, more than the quickest. The body is the handler's own.
-	Frame(c *Conn, f frame.Frame, held Micros)
-	// Data is bytes of a stream, also of one that has just ended. Consumed tells once
-	// they are no longer held.
+	// Frame is called for a frame that is neither data nor handled by the connection itself.
+	// delay is the time that the frame took in excess of the fastest one. The handler may
+	// keep the body.
+	Frame(c *Conn, f frame.Frame, delay Micros)
+	// Data is called with bytes of a stream, also of one that has just ended. The handler
+	// calls Consumed once it no longer holds them.
 	Data(c *Conn, stream uint32, b []byte)
-	// Down comes once, last.
+	// Down is called once, after all others, with the reason for the end.
 	Down(c *Conn, err error)
 }
 
-// Bounds of what waits to be written, in bytes: data is only added below the first;
-// where the second is reached the other side does not read.
+// Bounds of the output that waits to be written, in bytes. Data is added only below
+// lowWater. Above highWater the connection is closed, because the peer does not read.
 const (
 	lowWater  = 64 << 10
 	highWater = 1 << 20
 )
 
-// Conn is a connection. Its methods are for the loop alone.
+// Conn is a connection. Its methods may only be called on the loop.
 type Conn struct {
-	loop  *loop.Loop
-	conn  net.Conn
-	cfg   Config
-	h     Handler
-	mux   *flowcontrol.Mux // nil until both have said hello
-	held  clockoffset.DelayEstimator
-	data  map[uint32][]byte // waits for its stream's turn
-	began Micros
-	came  Micros
-	watch loop.Deadline
-	over  bool
+	loop         *loop.Loop
+	conn         net.Conn
+	cfg          Config
+	handler      Handler
+	mux          *flowcontrol.Mux // nil until the peer's hello is received
+	delay        clockoffset.DelayEstimator
+	pending      map[uint32][]byte // data that waits for its stream's turn, by stream
+	start        Micros
+	lastReceived Micros
+	pingTimer    loop.Deadline
+	ended        bool
 
-	mu     sync.Mutex
-	wake   *sync.Cond
-	out    []byte // to be written
-	wants  bool   // the loop is to be told once there is room
-	closed bool
+	mu        sync.Mutex
+	wake      *sync.Cond
+	output    []byte // frames to be written
+	wantsPump bool   // pump is to be called once output is taken for writing
+	closed    bool
 }
 
-// New takes a connection over, whose handshake is done or will be by its first read.
-// It says hello at once.
-func New(l *loop.Loop, conn net.Conn, cfg Config, h Handler) *Conn {
-	c := &Conn{loop: l, conn: conn, cfg: cfg, h: h, data: map[uint32][]byte{}, began: l.Now(), came: l.Now()}
+// New takes ownership of conn, whose handshake is done or happens at the first read, and
+// sends hello.
+func New(l *loop.Loop, conn net.Conn, cfg Config, handler Handler) *Conn {
+	c := &Conn{loop: l, conn: conn, cfg: cfg, handler: handler, pending: map[uint32][]byte{}, start: l.Now(), lastReceived: l.Now()}
 	c.wake = sync.NewCond(&c.mu)
-	c.watch.Init(c.look)
+	c.pingTimer.Init(c.checkAlive)
 	hello := cfg.Hello
 	hello.Versions = frame.Versions
-	c.head(frame.KindHello, 0, hello)
-	l.Set(&c.watch, c.began+cfg.PingInterval)
+	c.sendHead(frame.KindHello, 0, hello)
+	l.Set(&c.pingTimer, c.start+cfg.PingInterval)
 	go c.read()
 	go c.write()
 	return c
 }
 
-// look sends a ping, and gives up a connection that is silent.
-func (c *Conn) look() {
-	if c.over {
+// checkAlive sends a ping, or ends the connection if nothing was received for DeadTimeout.
+func (c *Conn) checkAlive() {
+	if c.ended {
 		return
 	}
 	now := c.loop.Now()
-	if now-c.came >= c.cfg.DeadTimeout {
+	if now-c.lastReceived >= c.cfg.DeadTimeout {
 		c.end(ErrSilent)
 		return
 	}
-	c.put(frame.Frame{Kind: frame.KindPing})
-	c.loop.Set(&c.watch, min(now+c.cfg.PingInterval, c.came+c.cfg.DeadTimeout))
+	c.enqueue(frame.Frame{Kind: frame.KindPing})
+	c.loop.Set(&c.pingTimer, min(now+c.cfg.PingInterval, c.lastReceived+c.cfg.DeadTimeout))
 }
 
-// Open opens a stream of ours and sends what opens it.
+// Open opens a stream of this side and sends its open frame. It returns ErrClosed if the
+// connection is not up.
 func (c *Conn) Open(stream uint32, class int, head any) error {
-	if c.over || c.mux == nil {
+	if c.ended || c.mux == nil {
 		return ErrClosed
 	}
 	if err := c.mux.Open(stream, class); err != nil {
 		return err
 	}
-	c.head(frame.KindOpen, stream, head)
+	c.sendHead(frame.KindOpen, stream, head)
 	return nil
 }
 
-// Accept takes a stream in that the other side has opened.
+// Accept accepts a stream that the peer has opened. It returns ErrClosed if the connection
+// is not up.
 func (c *Conn) Accept(stream uint32, class int) error {
-	if c.over || c.mux == nil {
+	if c.ended || c.mux == nil {
 		return ErrClosed
 	}
 	return c.mux.Open(stream, class)
 }
 
-// Send sends a frame other than data.
+// Send sends a frame other than data. It does nothing after the end of the connection.
 func (c *Conn) Send(kind frame.Kind, stream uint32, head any) {
-	if !c.over {
-		c.head(kind, stream, head)
+	if !c.ended {
+		c.sendHead(kind, stream, head)
 	}
 }
 
-// Write has bytes sent on a stream as its turn comes and its credit lets it. They
-// are kept as they are until then.
+// Write queues bytes to be sent on a stream as its turn and its credit allow.
 func (c *Conn) Write(stream uint32, b []byte) {
-	if c.over || c.mux == nil || len(b) == 0 {
+	if c.ended || c.mux == nil || len(b) == 0 {
 		return
 	}
-	c.data[stream] = append(c.data[stream], b...)
+	c.pending[stream] = append(c.pending[stream], b...)
 	c.mux.Queue(stream, len(b))
 	c.pump()
 }
 
-// Consumed tells that bytes of a stream are no longer held, so that more may come.
+// Consumed reports that n bytes of a stream are no longer held, and grants the peer credit
+// to send more.
 func (c *Conn) Consumed(stream uint32, n int) {
-	if c.over || c.mux == nil {
+	if c.ended || c.mux == nil {
 		return
 	}
-	one, all := c.mux.Consumed(stream, n)
-	c.grant(stream, one)
-	c.grant(0, all)
+	streamCredit, connCredit := c.mux.Consumed(stream, n)
+	c.grant(stream, streamCredit)
+	c.grant(0, connCredit)
 }
 
 func (c *Conn) grant(stream uint32, n int) {
 	if n > 0 {
-		c.head(frame.KindCredit, stream, frame.Credit{Bytes: uint32(n)})
+		c.sendHead(frame.KindCredit, stream, frame.Credit{Bytes: uint32(n)})
 	}
 }
 
-// Done ends a stream; what it has not sent is dropped.
+// CloseStream ends a stream and drops its unsent bytes.
 func (c *Conn) CloseStream(stream uint32) {
-	if c.over || c.mux == nil {
+	if c.ended || c.mux == nil {
 		return
 	}
-	delete(c.data, stream)
+	delete(c.pending, stream)
 	c.grant(0, c.mux.Close(stream))
 }
 
-// Waits tells how many bytes a stream has not sent yet.
-func (c *Conn) Pending(stream uint32) int { return len(c.data[stream]) }
+// Pending returns the number of unsent bytes of a stream.
+func (c *Conn) Pending(stream uint32) int { return len(c.pending[stream]) }
 
-// Close ends the connection. Down follows.
+// Close ends the connection. Handler.Down is called later.
 func (c *Conn) Close() { c.end(ErrClosed) }
 
 func (c *Conn) end(err error) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	c.loop.Stop(&c.watch)
+	c.ended = true
+	c.loop.Stop(&c.pingTimer)
 	c.mu.Lock()
 	c.closed = true
 	c.wake.Broadcast()
 	c.mu.Unlock()
-	// Closing a TLS connection may wait to write its end; nobody here does.
+	// Closing a TLS connection may block while it writes its close_notify alert, and the
+	// loop must not block.
 	go func() { _ = c.conn.Close() }()
-	c.loop.Post(func() { c.h.Down(c, err) })
+	c.loop.Post(func() { c.handler.Down(c, err) })
 }
 
-func (c *Conn) head(kind frame.Kind, stream uint32, head any) {
+func (c *Conn) sendHead(kind frame.Kind, stream uint32, head any) {
 	body, err := frame.EncodeHead(head)
 	if err != nil {
 		c.end(err)
 		return
 	}
-	c.put(frame.Frame{Kind: kind, Stream: stream, Body: body})
+	c.enqueue(frame.Frame{Kind: kind, Stream: stream, Body: body})
 }
 
-// put queues a frame to be written.
-func (c *Conn) put(f frame.Frame) {
-	f.Sent = uint64(c.loop.Now() - c.began)
+// enqueue queues a frame to be written.
+func (c *Conn) enqueue(f frame.Frame) {
+	f.Sent = uint64(c.loop.Now() - c.start)
 	c.mu.Lock()
 	var err error
-	c.out, err = frame.Append(c.out, f)
-	if err == nil && len(c.out) > highWater {
+	c.output, err = frame.Append(c.output, f)
+	if err == nil && len(c.output) > highWater {
 		err = ErrNotReading
 	}
 	c.wake.Signal()
@@ -219,13 +224,13 @@
 	}
 }
 
-// pump adds data to what is to be written, while little waits there: so what comes
-// later and matters more is not behind much.
+// pump adds data to the output, up to lowWater, so that later frames of higher priority do
+// not wait behind much.
 func (c *Conn) pump() {
-	for !c.over {
+	for !c.ended {
 		c.mu.Lock()
-		full := len(c.out) >= lowWater
-		c.wants = full
+		full := len(c.output) >= lowWater
+		c.wantsPump = full
 		c.mu.Unlock()
 		if full {
 			return
@@ -234,12 +239,12 @@
 		if !ok {
 			return
 		}
-		b := c.data[id]
-		c.put(frame.Frame{Kind: frame.KindData, Stream: id, Body: b[:n]})
+		b := c.pending[id]
+		c.enqueue(frame.Frame{Kind: frame.KindData, Stream: id, Body: b[:n]})
 		if n == len(b) {
-			delete(c.data, id)
+			delete(c.pending, id)
 		} else {
-			c.data[id] = b[n:]
+			c.pending[id] = b[n:]
 		}
 	}
 }
@@ -248,18 +253,18 @@
 	var b []byte
 	for {
 		c.mu.Lock()
-		for len(c.out) == 0 && !c.closed {
+		for len(c.output) == 0 && !c.closed {
 			c.wake.Wait()
 		}
 		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		b, c.out = c.out, b[:0]
-		wants := c.wants
-		c.wants = false
+		b, c.output = c.output, b[:0]
+		wantsPump := c.wantsPump
+		c.wantsPump = false
 		c.mu.Unlock()
-		if wants {
+		if wantsPump {
 			c.loop.Post(c.pump)
 		}
 		if _, err := c.conn.Write(b); err != nil {
@@ -269,63 +274,63 @@
 	}
 }
 
-// read brings frames to the loop, a batch at a time: it reads on once the last was
-// taken, so that no more than one is ever on its way.
+// read passes received frames to the loop, a batch at a time. It reads on once the loop has
+// handled a batch, so that at most one is pending.
 func (c *Conn) read() {
 	var buf []byte
-	taken := make(chan struct{}, 1) // so that the loop never waits for this
+	taken := make(chan struct{}, 1) // buffered, so that the loop never blocks on it
 	for {
 		buf = slices.Grow(buf, 32<<10)
 		n, err := c.conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		var batch []frame.Frame
-		used, bad := 0, error(nil)
+		used, failure := 0, error(nil)
 		for {
 			f, n, err := frame.Parse(buf[used:])
 			if n == 0 || err != nil {
-				bad = err
+				failure = err
 				break
 			}
 			f.Body = slices.Clone(f.Body)
 			batch, used = append(batch, f), used+n
 		}
 		buf = buf[:copy(buf, buf[used:])]
-		if bad == nil && err != nil {
-			bad = fmt.Errorf("link: %w", err)
+		if failure == nil && err != nil {
+			failure = fmt.Errorf("link: %w", err)
 		}
 		c.loop.Post(func() {
 			for _, f := range batch {
-				if !c.over {
-					c.take(f)
+				if !c.ended {
+					c.receive(f)
 				}
 			}
-			if bad != nil {
-				c.end(bad)
+			if failure != nil {
+				c.end(failure)
 			}
 			taken <- struct{}{}
 		})
-		// The loop may have ended with the program; then so does this.
+		// If the loop has ended, this blocks until the process exits.
 		<-taken
-		if bad != nil {
+		if failure != nil {
 			return
 		}
 	}
 }
 
-// take takes a frame in.
-func (c *Conn) take(f frame.Frame) {
+// receive handles a received frame.
+func (c *Conn) receive(f frame.Frame) {
 	now := c.loop.Now()
-	c.came = now
-	held := c.held.Observe(Micros(f.Sent), now)
+	c.lastReceived = now
+	delay := c.delay.Observe(Micros(f.Sent), now)
 	if c.mux == nil {
-		c.hello(f)
+		c.negotiate(f)
 		return
 	}
 	switch f.Kind {
 	case frame.KindHello:
 		c.end(ErrFrameOrder)
 	case frame.KindPing:
-		c.put(frame.Frame{Kind: frame.KindPong})
+		c.enqueue(frame.Frame{Kind: frame.KindPong})
 	case frame.KindPong:
 	case frame.KindCredit:
 		var x frame.Credit
@@ -343,27 +348,27 @@
 			c.end(err)
 			return
 		}
-		c.h.Data(c, f.Stream, f.Body)
+		c.handler.Data(c, f.Stream, f.Body)
 	default:
-		c.h.Frame(c, f, held)
+		c.handler.Frame(c, f, delay)
 	}
 }
 
-// hello agrees with the other side: the lesser of each bound.
-func (c *Conn) hello(f frame.Frame) {
+// negotiate handles the peer's hello. The lesser of both sides' limits holds.
+func (c *Conn) negotiate(f frame.Frame) {
 	if f.Kind != frame.KindHello {
 		c.end(ErrFrameOrder)
 		return
 	}
-	var x frame.Hello
-	err := frame.DecodeHead(f, &x)
+	var remote frame.Hello
+	err := frame.DecodeHead(f, &remote)
 	var version uint16
 	if err == nil {
-		version, err = frame.NegotiateVersion(x.Versions)
+		version, err = frame.NegotiateVersion(remote.Versions)
 	}
-	own := c.cfg.Hello
-	agreed := frame.Hello{Versions: []uint16{version}, Site: x.Site, Epoch: x.Epoch, Window: min(own.Window, x.Window),
-		Total: min(own.Total, x.Total), Streams: min(own.Streams, x.Streams)}
+	local := c.cfg.Hello
+	agreed := frame.Hello{Versions: []uint16{version}, Site: remote.Site, Epoch: remote.Epoch, Window: min(local.Window, remote.Window),
+		Total: min(local.Total, remote.Total), Streams: min(local.Streams, remote.Streams)}
 	if err == nil {
 		c.mux, err = flowcontrol.New(flowcontrol.Config{Weights: c.cfg.Weights, StreamWindow: int(agreed.Window), ConnWindow: int(agreed.Total),
 			MaxStreams: int(agreed.Streams), Quantum: frame.MaxData})
@@ -372,5 +377,5 @@
 		c.end(err)
 		return
 	}
-	c.h.Up(c, agreed)
+	c.handler.Up(c, agreed)
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,38 +19,38 @@
 	"cherryramp/lab/faultproxy"
 )
 
-// end is a side: it answers each stream that is opened with so many bytes, and
-// counts what comes.
-type end struct {
-	up      chan frame.Hello
-	down    chan error
-	got     map[uint32]int
-	want    int
-	full    chan uint32
-	sends   int
-	hoards  uint32 // a stream whose bytes it keeps
-	mostGot int
+// side is the handler of one side of a connection. It answers each opened stream with
+// answerSize bytes and counts the bytes received.
+type side struct {
+	up          chan frame.Hello
+	down        chan error
+	received    map[uint32]int
+	want        int
+	complete    chan uint32
+	answerSize  int
+	stalled     uint32 // a stream whose bytes it does not consume
+	maxReceived int
 }
 
-func newEnd(want, sends int) *end {
-	return &end{up: make(chan frame.Hello, 1), down: make(chan error, 2), got: map[uint32]int{}, want: want, full: make(chan uint32, 100), sends: sends}
+func newSide(want, answerSize int) *side {
+	return &side{up: make(chan frame.Hello, 1), down: make(chan error, 2), received: map[uint32]int{}, want: want, complete: make(chan uint32, 100), answerSize: answerSize}
 }
 
-func (e *end) Up(_ *Conn, agreed frame.Hello) { e.up <- agreed }
-func (e *end) Down(_ *Conn, err error)        { e.down <- err }
-func (e *end) Frame(c *Conn, f frame.Frame, _ Micros) {
+func (e *side) Up(_ *Conn, agreed frame.Hello) { e.up <- agreed }
+func (e *side) Down(_ *Conn, err error)        { e.down <- err }
+func (e *side) Frame(c *Conn, f frame.Frame, _ Micros) {
 	if f.Kind == frame.KindOpen && c.Accept(f.Stream, 0) == nil {
-		c.Write(f.Stream, make([]byte, e.sends))
+		c.Write(f.Stream, make([]byte, e.answerSize))
 	}
 }
 
-func (e *end) Data(c *Conn, stream uint32, b []byte) {
-	e.got[stream] += len(b)
-	if stream != e.hoards {
+func (e *side) Data(c *Conn, stream uint32, b []byte) {
+	e.received[stream] += len(b)
+	if stream != e.stalled {
 		c.Consumed(stream, len(b))
 	}
-	if e.got[stream] == e.want {
-		e.full <- stream
+	if e.received[stream] == e.want {
+		e.complete <- stream
 	}
 }
 
@@ -58,29 +58,31 @@
 	return Config{Hello: frame.Hello{Site: site, Epoch: 7, Window: 64 << 10, Total: 256 << 10, Streams: 50}, Weights: []int{1, 4}, PingInterval: 50_000, DeadTimeout: 400_000}
 }
 
-// joined are two ends on one loop, with a stand-in line between.
-type joined struct {
-	l        *loop.Loop
-	line     *faultproxy.Line
-	a, b     *Conn
-	from, to *end
+// connectedPair is two connected sides on one loop, with a fault proxy between them.
+type connectedPair struct {
+	loop           *loop.Loop
+	line           *faultproxy.Line
+	a, b           *Conn
+	client, server *side
 }
 
-func join(t testing.TB, from, to *end) *joined { return joinOver(t, from, to, nil) }
+func connect(t testing.TB, client, server *side) *connectedPair {
+	return connectTLS(t, client, server, nil)
+}
 
-// joinOver has both sides speak TLS where there is a configuration.
-func joinOver(t testing.TB, from, to *end, secure *tls.Config) *joined {
+// connectTLS connects both sides, with TLS unless tlsConfig is nil.
+func connectTLS(t testing.TB, client, server *side, tlsConfig *tls.Config) *connectedPair {
 	t.Helper()
 	ln, err := loopbacktest.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	j := &joined{l: loop.New(func() {}), from: from, to: to}
-	if j.line, err = faultproxy.Open("", ln.Addr().String(), 1); err != nil {
+	pair := &connectedPair{loop: loop.New(func() {}), client: client, server: server}
+	if pair.line, err = faultproxy.Open("", ln.Addr().String(), 1); err != nil {
 		t.Fatal(err)
 	}
-	x, err := net.Dial("tcp", j.line.Addr())
+	x, err := net.Dial("tcp", pair.line.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,119 +90,127 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if secure != nil {
-		x, y = tls.Client(x, secure), tls.Server(y, secure)
+	if tlsConfig != nil {
+		x, y = tls.Client(x, tlsConfig), tls.Server(y, tlsConfig)
 	}
 	ended := make(chan struct{})
-	go func() { j.l.Run(); close(ended) }()
+	go func() { pair.loop.Run(); close(ended) }()
 	t.Cleanup(func() {
-		j.do(func() { j.a.Close(); j.b.Close() })
-		_ = j.line.Close()
-		j.l.Post(j.l.Quit)
+		pair.onLoop(func() { pair.a.Close(); pair.b.Close() })
+		_ = pair.line.Close()
+		pair.loop.Post(pair.loop.Quit)
 		<-ended
 	})
-	j.do(func() { j.a, j.b = New(j.l, x, config("north"), from), New(j.l, y, config("south"), to) })
-	return j
+	pair.onLoop(func() {
+		pair.a, pair.b = New(pair.loop, x, config("north"), client), New(pair.loop, y, config("south"), server)
+	})
+	return pair
 }
 
-func (j *joined) do(f func()) {
+func (j *connectedPair) onLoop(f func()) {
 	done := make(chan struct{})
-	j.l.Post(func() { f(); close(done) })
+	j.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 func await[T any](t testing.TB, c <-chan T, what string) (x T) {
 	t.Helper()
 	select {
 	case x = <-c:
-	case <-time.After(patience):
-		t.Fatal("it does not come: ", what)
+	case <-time.After(waitTimeout):
+		t.Fatal("timeout waiting for ", what)
 	}
 	return x
 }
 
-// Many streams come whole on one connection, and one that nobody reads stops alone.
-func TestStreams(t *testing.T) {
+// Guards against a stream that nobody reads holding up the other streams of its connection,
+// and against bytes sent beyond its window.
+func TestStreamsAndStalledReader(t *testing.T) {
 	const size, stalled = 300_000, 3
-	from, to := newEnd(size, 0), newEnd(0, size)
-	from.hoards = stalled
-	j := join(t, from, to)
-	if h := await(t, from.up, "hello"); h.Site != "south" || h.Epoch != 7 || h.Window != 64<<10 || h.Versions[0] != 1 {
+	client, server := newSide(size, 0), newSide(0, size)
+	client.stalled = stalled
+	pair := connect(t, client, server)
+	if h := await(t, client.up, "hello"); h.Site != "south" || h.Epoch != 7 || h.Window != 64<<10 || h.Versions[0] != 1 {
 		t.Errorf("%+v", h)
 	}
-	j.do(func() {
+	pair.onLoop(func() {
 		for id := uint32(1); id <= 20; id++ {
-			if err := j.a.Open(id, int(id)%2, frame.Open{ID: uint64(id), Attempt: 1}); err != nil {
+			if err := pair.a.Open(id, int(id)%2, frame.Open{ID: uint64(id), Attempt: 1}); err != nil {
 				t.Error(err)
 			}
 		}
 	})
 	for range 19 {
-		if id := await(t, from.full, "a whole stream"); id == stalled {
-			t.Error("the stream that nobody reads went on")
+		if id := await(t, client.complete, "a whole stream"); id == stalled {
+			t.Error("the stalled stream was completed")
 		}
 	}
-	j.do(func() {
-		if from.got[stalled] != 64<<10 || j.b.Pending(stalled) != size-64<<10 {
-			t.Errorf("of the stream that nobody reads %d bytes came, %d wait", from.got[stalled], j.b.Pending(stalled))
+	pair.onLoop(func() {
+		if client.received[stalled] != 64<<10 || pair.b.Pending(stalled) != size-64<<10 {
+			t.Errorf("stalled stream: %d bytes received, %d pending", client.received[stalled], pair.b.Pending(stalled))
 		}
-		j.a.CloseStream(stalled)
-		if err := j.a.Open(99, 0, frame.Open{ID: 99, Attempt: 1}); err != nil {
+		pair.a.CloseStream(stalled)
+		if err := pair.a.Open(99, 0, frame.Open{ID: 99, Attempt: 1}); err != nil {
 			t.Error(err)
 		}
 	})
-	await(t, from.full, "a stream after that")
+	await(t, client.complete, "a stream after that")
 }
 
-// A connection that stands still in either direction is given up by both sides, as
-// each hears nothing or its own pings fail; one that is cut ends at once. Each side is
-// told once.
-func TestEnds(t *testing.T) {
-	for name, x := range map[string]struct {
-		do   func(j *joined)
+// A connection that stalls in either direction must be closed by both sides, because one
+// receives nothing or can't send its pings. A reset connection ends at once. Both sides must
+// be notified, once each.
+func TestConnectionEnds(t *testing.T) {
+	for name, test := range map[string]struct {
+		do   func(pair *connectedPair)
 		want error // of the side that connected
 	}{
-		"the way back stands still": {func(j *joined) { j.line.Freeze(faultproxy.Back, true) }, ErrSilent},
-		"both ways do":              {func(j *joined) { j.line.Freeze(faultproxy.Back, true); j.line.Freeze(faultproxy.There, true) }, ErrSilent},
-		"the far side is gone":      {func(j *joined) { j.line.Half(faultproxy.Back) }, ErrSilent},
-		"it is cut":                 {func(j *joined) { j.line.Cut() }, nil},
-		"it is closed":              {func(j *joined) { j.do(j.a.Close) }, ErrClosed},
-		"a second hello":            {func(j *joined) { j.do(func() { j.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrFrameOrder},
-		"credit without end":        {func(j *joined) { j.do(func() { j.b.Send(frame.KindCredit, 0, frame.Credit{Bytes: 1 << 30}) }) }, flowcontrol.ErrCreditExceeded},
-		"bytes without credit": {func(j *joined) {
-			j.do(func() {
+		"one direction stalls": {func(pair *connectedPair) { pair.line.Freeze(faultproxy.Back, true) }, ErrSilent},
+		"both directions stall": {func(pair *connectedPair) {
+			pair.line.Freeze(faultproxy.Back, true)
+			pair.line.Freeze(faultproxy.There, true)
+		}, ErrSilent},
+		"the peer is gone": {func(pair *connectedPair) { pair.line.Half(faultproxy.Back) }, ErrSilent},
+		"it is reset":      {func(pair *connectedPair) { pair.line.Cut() }, nil},
+		"it is closed":     {func(pair *connectedPair) { pair.onLoop(pair.a.Close) }, ErrClosed},
+		"a second hello":   {func(pair *connectedPair) { pair.onLoop(func() { pair.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrFrameOrder},
+		"too much credit": {func(pair *connectedPair) {
+			pair.onLoop(func() { pair.b.Send(frame.KindCredit, 0, frame.Credit{Bytes: 1 << 30}) })
+		}, flowcontrol.ErrCreditExceeded},
+		"data without credit": {func(pair *connectedPair) {
+			pair.onLoop(func() {
 				for range 17 {
-					j.b.put(frame.Frame{Kind: frame.KindData, Stream: 5, Body: make([]byte, frame.MaxData)})
+					pair.b.enqueue(frame.Frame{Kind: frame.KindData, Stream: 5, Body: make([]byte, frame.MaxData)})
 				}
 			})
 		}, flowcontrol.ErrNoCredit},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			from, to := newEnd(0, 0), newEnd(0, 0)
-			from.hoards = 5
-			j := join(t, from, to)
-			await(t, from.up, "hello")
-			await(t, to.up, "hello")
-			x.do(j)
-			if err := await(t, from.down, "its end"); err == nil || x.want != nil && !errors.Is(err, x.want) {
-				t.Errorf("it ended by %v, want %v", err, x.want)
+			client, server := newSide(0, 0), newSide(0, 0)
+			client.stalled = 5
+			pair := connect(t, client, server)
+			await(t, client.up, "hello")
+			await(t, server.up, "hello")
+			test.do(pair)
+			if err := await(t, client.down, "its end"); err == nil || test.want != nil && !errors.Is(err, test.want) {
+				t.Errorf("ended with %v, want %v", err, test.want)
 			}
-			j.line.Freeze(faultproxy.Back, false)
-			j.line.Freeze(faultproxy.There, false)
-			await(t, to.down, "the other side's end")
-			j.do(func() { j.a.Close(); j.b.Close() })
-			if len(from.down) > 0 || len(to.down) > 0 {
-				t.Error("an end is told twice")
+			pair.line.Freeze(faultproxy.Back, false)
+			pair.line.Freeze(faultproxy.There, false)
+			await(t, server.down, "the other side's end")
+			pair.onLoop(func() { pair.a.Close(); pair.b.Close() })
+			if len(client.down) > 0 || len(server.down) > 0 {
+				t.Error("Down was called twice")
 			}
 		})
 	}
 }
 
-// mutual is a configuration for both sides, with one certificate.
-func mutual(t testing.TB) *tls.Config {
+// mutualTLS returns a TLS configuration for both sides, with one certificate.
+func mutualTLS(t testing.TB) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -215,37 +225,37 @@
 		ClientAuth: tls.RequireAnyClientCert, InsecureSkipVerify: true}
 }
 
-// BenchmarkRequests is requests of 10 KB a second through a connection, both ends on
-// one loop, 40 at a time.
+// BenchmarkRequests measures requests per second, with answers of 10 KB, over a connection
+// with both sides on one loop and 40 concurrent requests.
 func BenchmarkRequests(b *testing.B) {
-	b.Run("plain", func(b *testing.B) { requests(b, nil) })
-	b.Run("TLS", func(b *testing.B) { requests(b, mutual(b)) })
+	b.Run("plain", func(b *testing.B) { benchmarkRequests(b, nil) })
+	b.Run("TLS", func(b *testing.B) { benchmarkRequests(b, mutualTLS(b)) })
 }
 
-func requests(b *testing.B, secure *tls.Config) {
-	from, to := newEnd(10_000, 0), newEnd(0, 10_000)
-	j := joinOver(b, from, to, secure)
-	await(b, from.up, "hello")
-	await(b, to.up, "hello")
+func benchmarkRequests(b *testing.B, tlsConfig *tls.Config) {
+	client, server := newSide(10_000, 0), newSide(0, 10_000)
+	pair := connectTLS(b, client, server, tlsConfig)
+	await(b, client.up, "hello")
+	await(b, server.up, "hello")
 	next := uint32(0)
 	start := func() {
 		next++
-		if err := j.a.Open(next, 0, frame.Open{ID: uint64(next), Attempt: 1, Class: "guide-video", Object: "7f3a9c21e0b4d655"}); err != nil {
+		if err := pair.a.Open(next, 0, frame.Open{ID: uint64(next), Attempt: 1, Class: "guide-video", Object: "7f3a9c21e0b4d655"}); err != nil {
 			b.Error(err)
 		}
 	}
 	b.ResetTimer()
-	j.do(func() {
+	pair.onLoop(func() {
 		for range min(40, b.N) {
 			start()
 		}
 	})
 	for range b.N {
-		id := await(b, from.full, "an answer")
-		j.do(func() {
-			delete(from.got, id)
-			j.a.CloseStream(id)
-			j.b.CloseStream(id)
+		id := await(b, client.complete, "an answer")
+		pair.onLoop(func() {
+			delete(client.received, id)
+			pair.a.CloseStream(id)
+			pair.b.CloseStream(id)
 			if int(next) < b.N {
 				start()
 			}
--- a/internal/link/peers/peers_test.go
+++ b/internal/link/peers/peers_test.go
@@ -72,7 +72,7 @@
 	return key, c, write(a.t, filepath.Join(a.dir, name+".pem"), "CERTIFICATE", der)
 }
 
-// files are those of a peer of a name.
+// files creates the files of a peer with a name.
 func (a *authority) files(name string, span time.Duration, lets ...string) Files {
 	a.t.Helper()
 	key, _, cert := a.sign(name, []string{name}, false, span)
@@ -83,7 +83,7 @@
 	return Files{Certificate: cert, Key: write(a.t, filepath.Join(a.dir, name+".key"), "PRIVATE KEY", der), Authorities: a.file, Names: lets}
 }
 
-// connect shakes hands; each side sends a byte.
+// connect completes a handshake, after which each side sends a byte.
 func connect(server, client *Keys) (s, c *tls.Conn, err error) {
 	ln, err := loopbacktest.Listen()
 	if err != nil {
@@ -121,9 +121,9 @@
 
 const day = 24 * time.Hour
 
-// Who may talk to whom: by name, authority, time and what was taken back; and what
-// changes when the files do, while a connection is up.
-func TestPeers(t *testing.T) {
+// Peers must be accepted or rejected by name, authority, validity and revocation, for new
+// connections and, by Check, for open ones after the files have changed.
+func TestPeerAuthentication(t *testing.T) {
 	var now atomic.Pointer[time.Time]
 	set := func(x time.Time) { now.Store(&x) }
 	set(begin)
@@ -147,10 +147,10 @@
 	foreign.Authorities = ours.file
 	for name, f := range map[string]Files{"another name": ours.files("west", 30*day, "north"), "another authority": foreign} {
 		if _, _, err := connect(north, load(f)); err == nil {
-			t.Errorf("%s is let in", name)
+			t.Errorf("%s was accepted", name)
 		}
 		if _, _, err := connect(load(f), north); err == nil {
-			t.Errorf("%s is connected to", name)
+			t.Errorf("%s was accepted as server", name)
 		}
 	}
 	short := load(ours.files("south", day, "north"))
@@ -159,12 +159,12 @@
 	}
 	set(begin.Add(2 * day))
 	if _, _, err := connect(north, short); err == nil {
-		t.Error("an expired peer is let in")
+		t.Error("an expired peer was accepted")
 	}
-	if err := north.Check(s.ConnectionState()); err != nil { // the first is good for longer
+	if err := north.Check(s.ConnectionState()); err != nil { // the first certificate is valid for longer
 		t.Error(err)
 	}
-	// New files with a connection up: it goes on, and a new one has the new keys.
+	// After a reload the open connection must keep working, and a new one must use the new keys.
 	southFiles := ours.files("south", 60*day, "north")
 	before := c.ConnectionState().PeerCertificates[0].SerialNumber
 	newNorth := ours.files("north", 60*day, "south")
@@ -182,13 +182,13 @@
 	if err != nil || c2.ConnectionState().PeerCertificates[0].SerialNumber.Cmp(before) == 0 {
 		t.Fatal(err)
 	}
-	// What is taken back gets nothing any more, and who has a connection is found.
+	// A revoked certificate must be rejected, and Check must find its open connections.
 	newNorth.Revoked = []string{s2.ConnectionState().PeerCertificates[0].SerialNumber.Text(16)}
 	if err := north.Reload(newNorth); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := connect(north, south); err == nil {
-		t.Error("who was taken back is let in")
+		t.Error("a revoked peer was accepted")
 	}
 	if err := north.Check(s2.ConnectionState()); !errors.Is(err, ErrRevoked) || north.Name(s2.ConnectionState()) != "" {
 		t.Error(err)
@@ -201,8 +201,8 @@
 	}
 }
 
-// All that is wrong with the files is told at once, and what was read stays.
-func TestFilesAreChecked(t *testing.T) {
+// All errors in the files must be reported together, and the previous keys must stay in use.
+func TestInvalidFiles(t *testing.T) {
 	a := newAuthority(t, "ours")
 	clock := func() time.Time { return begin }
 	good := a.files("north", 30*day, "south")
@@ -217,13 +217,13 @@
 			t.Errorf("%v lacks %q", err, want)
 		}
 	}
-	if k.in.Load().names[0] != "south" {
-		t.Error("what was read before is gone")
+	if k.current.Load().names[0] != "south" {
+		t.Error("the previous keys are gone")
 	}
 	if _, err := Load(Files{}, clock); err == nil {
-		t.Error("nothing is taken")
+		t.Error("empty files were accepted")
 	}
-	if _, err := Load(a.files("old", -2*time.Hour/4, "south"), clock); err == nil || !strings.Contains(err.Error(), "good from") {
+	if _, err := Load(a.files("old", -2*time.Hour/4, "south"), clock); err == nil || !strings.Contains(err.Error(), "valid only from") {
 		t.Error(err)
 	}
 }
