--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -192,9 +192,9 @@
 	case evStop:
 		e.Stop = true
 	case evInit:
-		started := &Start{Seed: c.u64()}
-		started.Settings = string(c.take(int(c.u32())))
-		e.Start = started
+		start := &Start{Seed: c.u64()}
+		start.Settings = string(c.take(int(c.u32())))
+		e.Start = start
 	case evOutcome:
 		outcome := rules.Outcome{ID: rules.RequestID(c.u32()), Attempt: int(c.u16()), Server: c.server()}
 		outcome.Code = rules.Code(c.u16())
