--- a/cmd/cherryramp/links.go
+++ b/cmd/cherryramp/links.go
@@ -90,7 +90,7 @@
 
 // signFlags is what a link is to be.
 type signFlags struct {
-	wish                       grants.Wish
+	wish                       grants.LinkSpec
 	operator                   *string
 	profile, until, from, data string
 	last, renew                time.Duration
@@ -107,12 +107,12 @@
 	f.operator = operatorFlag(c)
 	l := c.Flags()
 	l.StringVar(&f.profile, "profile", "", "a profile of the operator's file; url_keys and token_keys are profiles too")
-	l.StringVar(&f.wish.Key, "key", "", "the key; by default the one that signs")
+	l.StringVar(&f.wish.KeyName, "key", "", "the key; by default the one that signs")
 	l.DurationVar(&f.last, "for", 10*time.Minute, "how long the link lasts")
 	l.StringVar(&f.until, "until", "", "when it ends, in place of --for")
 	l.StringVar(&f.from, "from", "", "when it begins")
-	l.StringVar(&f.wish.Covers, "covers", "", "what it lets in, as the format has it: patterns, a prefix, a resource, a container; by default the target alone")
-	l.StringVar(&f.wish.Nets, "address", "", "the address or prefix that may use it")
+	l.StringVar(&f.wish.Scope, "covers", "", "what it lets in, as the format has it: patterns, a prefix, a resource, a container; by default the target alone")
+	l.StringVar(&f.wish.Address, "address", "", "the address or prefix that may use it")
 	l.StringVar(&f.wish.Subject, "subject", "", "whom it is for")
 	l.StringVar(&f.wish.ID, "id", "", "the token's own id, or the nonce of a timed digest")
 	l.StringVar(&f.data, "data", "", "the branch, of edgeauth; by default the file's")
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	w.Expires, w.Begins, w.Renew = until.UnixMicro(), from.UnixMicro(), int64(f.renew/time.Second)
+	w.Expires, w.NotBefore, w.RenewSeconds = until.UnixMicro(), from.UnixMicro(), int64(f.renew/time.Second)
 	if p.Bound {
 		w.Data = s.Branch
 	}
@@ -152,7 +152,7 @@
 	if w.Issuer == "" && len(p.Issuers) > 0 {
 		w.Issuer = p.Issuers[0]
 	}
-	m, err := p.Grants.Mint(*w, rand.Reader)
+	m, err := p.Grants.SignLink(*w, rand.Reader)
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return fmt.Errorf("--address: %w", err)
 	}
-	r := &grants.Request{Target: target, Peer: peer, Now: now.UnixMicro()}
+	r := &grants.Request{Target: target, Peer: peer, ReceivedAt: now.UnixMicro()}
 	for _, line := range header {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
@@ -197,10 +197,10 @@
 		}
 		r.Header = append(r.Header, httpwire.Field{Name: name, Value: strings.TrimSpace(value)})
 	}
-	v := s.GrantSet.Judge(r)
-	if v.Proof != nil {
-		s.GrantSet.Settle(v.Proof, v.Proof.Check(), r.Now)
-		v = s.GrantSet.Judge(r)
+	v := s.GrantSet.Authorize(r)
+	if v.Pending != nil {
+		s.GrantSet.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
+		v = s.GrantSet.Authorize(r)
 	}
 	reason := string(v.Refusal)
 	if reason == "" {
@@ -208,7 +208,7 @@
 			reason = what + " is revoked"
 		}
 		if t := s.TenantsByName[v.Profile.Tenant]; len(t.Paths) > 0 && !slices.ContainsFunc(t.Paths, func(p string) bool { return strings.HasPrefix(v.Path, p) }) {
-			reason = string(grants.Path)
+			reason = string(grants.PathNotCovered)
 		}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -68,7 +68,7 @@
 
 	EncodedMB *int `json:"encoded_mb"`
 
-	GrantSet       *grants.Set              `json:"-"` // of all profiles
+	GrantSet       *grants.ProfileSet       `json:"-"` // of all profiles
 	RevokedList    *revoked.List            `json:"-"`
 	ProfilesByName map[string]*Profile      `json:"-"`
 	TenantsByName  map[string]*Tenant       `json:"-"`
@@ -264,7 +264,7 @@
 	if f.err() != nil {
 		return
 	}
-	if s.GrantSet, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, Remember: s.Verdicts}); err != nil {
+	if s.GrantSet, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, MaxCachedVerdicts: s.Verdicts}); err != nil {
 		f.add("profiles", err)
 	}
 }
@@ -468,7 +468,7 @@
 		return
 	}
 	if p.Format == grants.CDNI {
-		p.Query, p.Cookie = cmp.Or(p.Query, grants.PackageName), cmp.Or(p.Cookie, grants.PackageName)
+		p.Query, p.Cookie = cmp.Or(p.Query, grants.DefaultCDNITokenName), cmp.Or(p.Cookie, grants.DefaultCDNITokenName)
 	}
 	if p.Format == grants.EdgeAuth && p.Query+p.Cookie+p.Header == "" {
 		p.Query, p.Cookie = defaultTokenName, defaultTokenName
@@ -496,12 +496,12 @@
 		f.addf("ring", "%q is no ring that can be used", p.Ring)
 		return
 	}
-	g := &grants.Profile{Name: p.Name, Tenant: p.Tenant, Format: p.Format, Ring: ring, Base: p.Base,
-		Skew: int64(skew) * 1000, Query: p.Query, Cookie: p.Cookie, Header: p.Header, Bound: p.Bound,
-		AllowUnbound: p.AllowUnbound, Digest: p.Digest, Salt: p.Salt, AllowEndless: p.AllowEndless,
-		Issuers: p.Issuers, Audience: p.Audience, Describe: grants.Description{Message: p.Describe.Message,
-			Token: p.Describe.Token, Separate: p.Describe.Separator, Digest: p.Describe.Digest,
-			Encoding: p.Describe.Encoding, Base: p.Describe.Base, Life: int64(p.Describe.LifetimeS) * 1_000_000}}
+	g := &grants.Profile{Name: p.Name, Tenant: p.Tenant, Format: p.Format, Ring: ring, BaseURL: p.Base,
+		Skew: int64(skew) * 1000, Query: p.Query, Cookie: p.Cookie, Header: p.Header, RequireBranch: p.Bound,
+		AllowMissingBranch: p.AllowUnbound, Digest: p.Digest, Salt: p.Salt, AllowNoExpiry: p.AllowEndless,
+		Issuers: p.Issuers, Audience: p.Audience, TimedFormat: grants.TimedFormat{Message: p.Describe.Message,
+			Token: p.Describe.Token, TimeParam: p.Describe.Separator, Digest: p.Describe.Digest,
+			Encoding: p.Describe.Encoding, TimeBase: p.Describe.Base, Lifetime: int64(p.Describe.LifetimeS) * 1_000_000}}
 	if err := g.Check(); err != nil {
 		if p.short {
 			err = errors.New(strings.Replace(err.Error(), "base:", "url_base:", 1))
--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -26,7 +26,7 @@
 type cdni struct{}
 
 // PackageName is the usual name of the field that carries the token.
-const PackageName = "URISigningPackage"
+const DefaultCDNITokenName = "URISigningPackage"
 
 var cdniAlgorithms = []jose.SignatureAlgorithm{jose.HS256, jose.RS256, jose.ES256, jose.EdDSA}
 
@@ -121,15 +121,15 @@
 func (cdni) read(c *credential) (*token, Refusal) {
 	text := c.values[0]
 	if text == "" || len(text) > mostToken {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	jws, err := jose.ParseSignedCompact(text, cdniAlgorithms)
 	var wrong *jose.ErrUnexpectedSignatureAlgorithm
 	if errors.As(err, &wrong) && wrong.Got != "" {
-		return nil, Algorithm
+		return nil, WrongAlgorithm
 	}
 	if err != nil || len(jws.Signatures) != 1 {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	head := jws.Signatures[0].Protected
 	t := &token{}
@@ -144,25 +144,25 @@
 	}
 	switch {
 	case t.key == nil:
-		return nil, UnknownK
+		return nil, UnknownKey
 	case t.key.Alg != head.Algorithm:
-		return nil, Algorithm
+		return nil, WrongAlgorithm
 	}
 	var m claims
 	payload := jws.UnsafePayloadWithoutVerification()
 	if json.Unmarshal(payload, &m) != nil {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	if refusal := t.claim(&m, payload); refusal != "" {
 		return nil, refusal
 	}
 	dot := strings.LastIndexByte(text, '.')
 	if _, err := base64.RawURLEncoding.Strict().DecodeString(text[dot+1:]); err != nil {
-		return nil, Malformed // the library takes signatures with loose last bits
+		return nil, MalformedSignature // the library takes signatures with loose last bits
 	}
 	t.signed = text[:dot]
 	if t.key.Kind.Costly() {
-		t.proof = Proof{token: t, public: t.key.Public, jws: jws}
+		t.proof = PendingSignature{token: t, public: t.key.Public, jws: jws}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
@@ -178,32 +178,32 @@
 func (t *token) claim(m *claims, payload []byte) Refusal {
 	p := t.profile
 	if m.Version != nil && *m.Version != 1 {
-		return Critical
+		return UnknownCriticalClaim
 	}
 	var all map[string]json.RawMessage
 	if json.Unmarshal(payload, &all) != nil {
-		return Malformed
+		return MalformedSignature
 	}
 	for name := range all { // names are compared as they stand; the decoder is laxer
 		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniKnown, lower) {
-			return Malformed
+			return MalformedSignature
 		}
 	}
 	if m.Critical != "" {
 		for name := range strings.SplitSeq(m.Critical, ",") {
 			if !slices.Contains(cdniKnown, name) || all[name] == nil {
-				return Critical
+				return UnknownCriticalClaim
 			}
 		}
 	}
 	if len(p.Issuers) > 0 && !slices.Contains(p.Issuers, m.Issuer) {
-		return Issuer
+		return UntrustedIssuer
 	}
 	if len(m.Audience) > 0 && !slices.Contains(m.Audience, p.Audience) {
-		return Audience
+		return WrongAudience
 	}
-	if m.Expires == nil && !p.AllowEndless {
-		return Malformed
+	if m.Expires == nil && !p.AllowNoExpiry {
+		return MalformedSignature
 	}
 	t.expires, t.begins, t.id = m.Expires.micros(), m.NotBefore.micros(), m.ID
 	var refusal Refusal
@@ -216,13 +216,13 @@
 			t.nets, ok = readNets([]string{text})
 		}
 		if !ok {
-			return Address
+			return WrongAddress
 		}
 	}
 	if m.Subject != "" {
 		var ok bool
 		if t.subject, ok = t.decrypt(m.Subject); !ok {
-			return Malformed
+			return MalformedSignature
 		}
 	}
 	transport := noTransport
@@ -231,9 +231,9 @@
 	}
 	switch {
 	case transport < noTransport || transport > byQuery || m.Depth != nil && *m.Depth < 0:
-		return Malformed
+		return MalformedSignature
 	case transport != noTransport && (m.Renew == nil || *m.Renew <= 0 || *m.Renew > mostRenewal):
-		return Malformed
+		return MalformedSignature
 	case transport == byCookie:
 		t.renew = &renewal{claims: *m}
 	}
@@ -264,14 +264,14 @@
 func container(text string) (scope, Refusal) {
 	kind, value, ok := strings.Cut(text, ":")
 	if !ok || value == "" || len(value) > mostPattern {
-		return scope{}, Malformed
+		return scope{}, MalformedSignature
 	}
 	switch kind {
 	case "hash": // RFC 6920, section 5: the algorithm and the digest
 		name, sum, _ := strings.Cut(value, ";")
 		hash, err := base64.RawURLEncoding.Strict().DecodeString(sum)
 		if name != "sha-256" || err != nil || len(hash) != sha256.Size {
-			return scope{}, Malformed
+			return scope{}, MalformedSignature
 		}
 		return scope{kind: urlHash, hash: hash}, ""
 	case "regex":
@@ -279,11 +279,11 @@
 		// bounds them at 1000 and their product as well.
 		x, err := regexp.CompilePOSIX("^(" + value + ")$")
 		if err != nil {
-			return scope{}, Malformed
+			return scope{}, MalformedSignature
 		}
 		return scope{kind: urlRegex, regex: x}, ""
 	}
-	return scope{}, Malformed
+	return scope{}, MalformedSignature
 }
 
 func hashes(want, url []byte) bool {
--- a/internal/decide/grants/cloudfront.go
+++ b/internal/decide/grants/cloudfront.go
@@ -83,7 +83,7 @@
 	const must = 1<<cfSignature | 1<<cfKey
 	canned := c.have&(1<<cfExpires) != 0
 	if c.have&must != must || canned == (c.have&(1<<cfPolicy) != 0) {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	var hash crypto.Hash
 	switch {
@@ -92,11 +92,11 @@
 	case c.values[cfHash] == "SHA256":
 		hash = crypto.SHA256
 	default:
-		return nil, Algorithm
+		return nil, WrongAlgorithm
 	}
 	signature, err := cfEncoding.DecodeString(c.values[cfSignature])
 	if err != nil || len(signature) == 0 || len(signature) > keyring.MaxRSABits/8 {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	t := &token{}
 	for _, p := range c.profiles {
@@ -106,22 +106,22 @@
 		}
 	}
 	if t.key == nil {
-		return nil, UnknownK
+		return nil, UnknownKey
 	}
 	var policy []byte
 	if canned {
 		var ok bool
 		if t.expires, ok = seconds(c.values[cfExpires]); !ok {
-			return nil, Malformed
+			return nil, MalformedSignature
 		}
-		policy = cannedPolicy(c.url(t.profile.Base), c.values[cfExpires])
+		policy = cannedPolicy(c.url(t.profile.BaseURL), c.values[cfExpires])
 	} else if policy, err = cfEncoding.DecodeString(c.values[cfPolicy]); err != nil || !t.policy(policy) {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	t.signed = string(policy)
 	h := hash.New()
 	h.Write(policy)
-	t.proof = Proof{token: t, public: t.key.Public, hash: hash, message: h.Sum(nil), signature: signature}
+	t.proof = PendingSignature{token: t, public: t.key.Public, hash: hash, message: h.Sum(nil), signature: signature}
 	return t, ""
 }
 
--- a/internal/decide/grants/edgeauth.go
+++ b/internal/decide/grants/edgeauth.go
@@ -51,7 +51,7 @@
 	text := c.values[0]
 	var values [eaFields]string
 	if len(text) > mostToken {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	next := 0
 	for rest, more := text, true; more; {
@@ -62,7 +62,7 @@
 			next++
 		}
 		if !ok || next == eaFields || value == "" {
-			return nil, Malformed
+			return nil, MalformedSignature
 		}
 		values[next] = value
 		next++
@@ -71,7 +71,7 @@
 	var ok, ok2 bool
 	t.expires, ok = seconds(values[eaExpires])
 	if t.begins, ok2 = seconds(values[eaStart]); values[eaStart] != "" && !ok2 {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	acl, bad := url.PathUnescape(values[eaACL])
 	data, bad2 := url.QueryUnescape(values[eaData])
@@ -80,15 +80,15 @@
 	n := hex.DecodedLen(len(values[eaMAC]))
 	if !ok || bad != nil || bad2 != nil || bad3 != nil || bad4 != nil || n == 0 || n > len(t.mac) ||
 		len(acl) > mostPattern {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	var digits [2 * len(t.mac)]byte
 	if _, err := hex.Decode(t.mac[:], digits[:copy(digits[:], values[eaMAC])]); err != nil {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	if ip != "" {
 		if t.nets, ok = readNets([]string{ip}); !ok {
-			return nil, Malformed
+			return nil, MalformedSignature
 		}
 	}
 	t.data, t.subject, t.scope = data, id, scope{kind: pathLists, pattern: acl}
--- a/internal/decide/grants/google.go
+++ b/internal/decide/grants/google.go
@@ -67,7 +67,7 @@
 	t := &token{}
 	var ok2 bool
 	if t.expires, ok2 = seconds(values[gExpires]); !ok || !ok2 || len(values[gKey]) > keyring.MaxNameBytes {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	for _, p := range c.profiles {
 		if t.key = p.Ring.Find(values[gKey]); t.key != nil && g.carried(p, c) {
@@ -76,33 +76,33 @@
 		}
 	}
 	if t.profile == nil {
-		return nil, UnknownK
+		return nil, UnknownKey
 	}
 	p, k, media := t.profile, t.key, t.profile.Format == MediaCDN
 	signature, ok := g.decode(values[gSignature], media)
 	if !ok {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	before, signed := "", "Expires="+values[gExpires]+sep+"KeyName="+values[gKey]
 	switch {
 	case values[gPrefix] != "":
 		prefix, ok := g.text(values[gPrefix])
 		if !ok || strings.ContainsAny(prefix, "?#") || len(prefix) > mostPattern {
-			return nil, Malformed
+			return nil, MalformedSignature
 		}
 		t.scope = scope{kind: urlPrefix, pattern: prefix}
 		signed = "URLPrefix=" + values[gPrefix] + sep + signed
 	case c.carrier == inPath:
 		// What stands before the token is covered, and all that is below it.
-		before = p.Base + c.path[:c.first+1]
+		before = p.BaseURL + c.path[:c.first+1]
 		t.scope = scope{kind: urlPrefix, pattern: before}
 		signed = gToken + "=" + signed
 	default:
-		before, signed = p.Base, c.target[:len(c.target)-len("&Signature=")-len(values[gSignature])]
+		before, signed = p.BaseURL, c.target[:len(c.target)-len("&Signature=")-len(values[gSignature])]
 	}
 	t.signed = signed
 	if media {
-		t.proof = Proof{token: t, public: k.Public, message: []byte(before + signed), signature: signature}
+		t.proof = PendingSignature{token: t, public: k.Public, message: []byte(before + signed), signature: signature}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -48,32 +48,32 @@
 
 // The refusals.
 const (
-	Missing   Refusal = "no signature"
-	Twice     Refusal = "more than one signature"
-	Malformed Refusal = "signature is malformed"
-	UnknownK  Refusal = "key is unknown"
-	EarlyK    Refusal = "key is not in use yet"
-	RetiredK  Refusal = "key has retired"
-	RevokedK  Refusal = "key is revoked"
-	Forged    Refusal = "signature does not match"
-	Expired   Refusal = "expired"
-	Early     Refusal = "not valid yet"
-	Path      Refusal = "path is not covered"
-	Branch    Refusal = "not for this branch"
-	Address   Refusal = "not for this address"
-	Algorithm Refusal = "algorithm does not fit the key"
-	Critical  Refusal = "a critical claim is not understood"
-	Issuer    Refusal = "issuer is not trusted"
-	Audience  Refusal = "not for this audience"
-	Target    Refusal = "target can't be used"
+	MissingSignature     Refusal = "no signature"
+	MultipleSignatures   Refusal = "more than one signature"
+	MalformedSignature   Refusal = "signature is malformed"
+	UnknownKey           Refusal = "key is unknown"
+	KeyNotYetValid       Refusal = "key is not in use yet"
+	KeyRetired           Refusal = "key has retired"
+	KeyRevoked           Refusal = "key is revoked"
+	SignatureMismatch    Refusal = "signature does not match"
+	Expired              Refusal = "expired"
+	NotYetValid          Refusal = "not valid yet"
+	PathNotCovered       Refusal = "path is not covered"
+	WrongBranch          Refusal = "not for this branch"
+	WrongAddress         Refusal = "not for this address"
+	WrongAlgorithm       Refusal = "algorithm does not fit the key"
+	UnknownCriticalClaim Refusal = "a critical claim is not understood"
+	UntrustedIssuer      Refusal = "issuer is not trusted"
+	WrongAudience        Refusal = "not for this audience"
+	UnusableTarget       Refusal = "target can't be used"
 )
 
 // Request is what a client sent.
 type Request struct {
-	Target string // as it stands in the request line
-	Header httpwire.Header
-	Peer   netip.Addr
-	Now    Micros // when its last byte was here
+	Target     string // as it stands in the request line
+	Header     httpwire.Header
+	Peer       netip.Addr
+	ReceivedAt Micros // when its last byte was here
 }
 
 // Grant is what a good signature lets in.
@@ -92,7 +92,7 @@
 type Verdict struct {
 	Grant
 	Refusal Refusal
-	Proof   *Proof // to be checked first; then Settle gives the verdict
+	Pending *PendingSignature // to be checked first; then Settle gives the verdict
 }
 
 // carrier is where in a request a grant stands.
@@ -107,7 +107,7 @@
 )
 
 // Set judges requests by a set of profiles. It belongs to one goroutine.
-type Set struct {
+type ProfileSet struct {
 	families []*family
 	names    [carriers]map[string][]ref // of fields; of headers in lower case
 	begin    [carriers][256]bool        // first bytes of the names
@@ -192,15 +192,15 @@
 
 // Config is what a set is made of.
 type Config struct {
-	Profiles []*Profile
-	Branch   string // own name, which a grant's data must give
-	Remember int    // verdicts held at most, half of them for forged ones
+	Profiles          []*Profile
+	Branch            string // own name, which a grant's data must give
+	MaxCachedVerdicts int    // verdicts held at most, half of them for forged ones
 }
 
 // New makes a set; it names the profile that can't be used.
-func New(cfg Config) (*Set, error) {
-	s := &Set{branch: cfg.Branch}
-	s.memory.init(cfg.Remember)
+func New(cfg Config) (*ProfileSet, error) {
+	s := &ProfileSet{branch: cfg.Branch}
+	s.memory.init(cfg.MaxCachedVerdicts)
 	for c := range s.names {
 		s.names[c] = map[string][]ref{}
 	}
@@ -222,7 +222,7 @@
 }
 
 // add puts a profile to those that are carried alike, or into a family of its own.
-func (s *Set) add(p *Profile) error {
+func (s *ProfileSet) add(p *Profile) error {
 	n := p.format.names(p)
 	for _, f := range s.families {
 		if f.format.kin(p.format) && sameNames(f.names, n) {
@@ -277,14 +277,14 @@
 }
 
 // Judge gives the verdict on a request, or a Proof that must be checked first.
-func (s *Set) Judge(r *Request) Verdict {
+func (s *ProfileSet) Authorize(r *Request) Verdict {
 	c := &s.one
 	*c = credential{scratch: &s.url, peer: r.Peer}
 	if refusal := s.locate(r, c); refusal != "" {
 		return Verdict{Refusal: refusal}
 	}
 	s.key = c.appendKey(s.key[:0])
-	if t := s.memory.find(s.key, r.Now); t != nil {
+	if t := s.memory.find(s.key, r.ReceivedAt); t != nil {
 		return s.judge(t, c, r)
 	}
 	t, refusal := c.format.read(c)
@@ -307,14 +307,14 @@
 }
 
 // Settle takes what a Proof's check gave.
-func (s *Set) Settle(p *Proof, genuine bool, now Micros) {
+func (s *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
 	p.token.settle(genuine)
 	s.memory.settle(p.token, now)
 }
 
 // Forget drops a Proof that nobody will check; whoever comes with the same
 // credential later gets a new one.
-func (s *Set) Forget(p *Proof) {
+func (s *ProfileSet) Discard(p *PendingSignature) {
 	if p.token.state == pending {
 		s.memory.drop(p.token)
 	}
@@ -322,45 +322,45 @@
 
 // judge holds a token's claims against a request. The token's signature is
 // good, or not yet known, or known to be forged.
-func (s *Set) judge(t *token, c *credential, r *Request) Verdict {
+func (s *ProfileSet) judge(t *token, c *credential, r *Request) Verdict {
 	v := Verdict{Grant: Grant{Path: c.path, Query: c.query, Profile: t.profile, Key: t.key,
 		Subject: t.subject, ID: t.id, Expires: t.expires, token: t}}
 	v.Refusal = s.refusal(t, c, r)
 	if v.Refusal == "" && t.state == pending {
-		v.Proof = &t.proof
+		v.Pending = &t.proof
 	}
 	return v
 }
 
-func (s *Set) refusal(t *token, c *credential, r *Request) Refusal {
+func (s *ProfileSet) refusal(t *token, c *credential, r *Request) Refusal {
 	if t.state == forged {
-		return Forged
+		return SignatureMismatch
 	}
 	skew := t.profile.Skew
 	if t.key != nil {
-		switch t.key.ValidityAt(r.Now) {
+		switch t.key.ValidityAt(r.ReceivedAt) {
 		case keyring.NotYetValid:
-			return EarlyK
+			return KeyNotYetValid
 		case keyring.Retired:
-			return RetiredK
+			return KeyRetired
 		case keyring.Withdrawn:
-			return RevokedK
+			return KeyRevoked
 		}
 		if t.key.Skew >= 0 {
 			skew = t.key.Skew
 		}
 	}
 	switch {
-	case t.expires > 0 && r.Now > t.expires+skew:
+	case t.expires > 0 && r.ReceivedAt > t.expires+skew:
 		return Expired
-	case t.begins > 0 && r.Now < t.begins-skew:
-		return Early
+	case t.begins > 0 && r.ReceivedAt < t.begins-skew:
+		return NotYetValid
 	case !t.covers(c):
-		return Path
+		return PathNotCovered
 	case !t.takes(r.Peer):
-		return Address
-	case t.profile.Bound && t.data != s.branch && !(t.data == "" && t.profile.AllowUnbound):
-		return Branch
+		return WrongAddress
+	case t.profile.RequireBranch && t.data != s.branch && !(t.data == "" && t.profile.AllowMissingBranch):
+		return WrongBranch
 	}
 	return ""
 }
@@ -411,7 +411,7 @@
 
 // Ends is the moment from which the grant can let nothing in, skew and all; the
 // end of time where it never runs out.
-func (g *Grant) Ends() Micros {
+func (g *Grant) ExpiresWithSkew() Micros {
 	if g.Expires == 0 {
 		return 1<<63 - 1
 	}
@@ -424,7 +424,7 @@
 
 // Renews tells whether the grant is one of a chain of tokens, and whether the
 // next one costs a signature that takes long.
-func (g *Grant) Renews() (costly, renews bool) {
+func (g *Grant) Renewable() (costly, renews bool) {
 	if g.token == nil || g.token.renew == nil {
 		return false, false
 	}
--- a/internal/decide/grants/grants_test.go
+++ b/internal/decide/grants/grants_test.go
@@ -70,26 +70,26 @@
 }
 
 // world is one profile of each format, by name.
-func world(t testing.TB) (*Set, map[string]*Profile) {
+func world(t testing.TB) (*ProfileSet, map[string]*Profile) {
 	t.Helper()
 	hs := ring(t, secretKey("old", "0123456789abcdef"), secretKey("new", "fedcba9876543210"))
 	all := map[string]*Profile{
-		"edge":  {Format: EdgeAuth, Ring: hs, Query: "hdnts", Cookie: "hdnts", Header: "X-Edge-Token", Bound: true},
+		"edge":  {Format: EdgeAuth, Ring: hs, Query: "hdnts", Cookie: "hdnts", Header: "X-Edge-Token", RequireBranch: true},
 		"cloud": {Format: CloudCDN, Ring: hs},
 		"media": {Format: MediaCDN, Ring: ring(t, signing("ed", keyring.Ed25519, pairs.ed))},
 		"front": {Format: CloudFront, Ring: ring(t, signing("KRSA", keyring.RSA, pairs.rsa), signing("KEC", keyring.P256, pairs.ec))},
-		"cdni": {Format: CDNI, Query: PackageName, Cookie: PackageName, Issuers: []string{"uCDN"}, Audience: "dCDN",
+		"cdni": {Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, Issuers: []string{"uCDN"}, Audience: "dCDN",
 			Ring: ring(t, secretKey("hs", long), signing("rs", keyring.RSA, pairs.rsa),
 				signing("es", keyring.P256, pairs.ec), signing("ed", keyring.Ed25519, pairs.ed))},
-		"timed": {Format: Timed, Ring: hs, Query: "verify", Describe: Description{Message: "{path}{expires}",
+		"timed": {Format: Timed, Ring: hs, Query: "verify", TimedFormat: TimedFormat{Message: "{path}{expires}",
 			Token: "{expires}-{mac}", Digest: "hmac-sha256", Encoding: "base64"}},
-		"plain": {Format: Timed, Ring: hs, Query: "md5", Describe: Description{Message: "{expires}{path}{ip} {secret}",
-			Token: "{mac}", Separate: "e", Digest: "md5", Encoding: "base64url-nopad"}},
+		"plain": {Format: Timed, Ring: hs, Query: "md5", TimedFormat: TimedFormat{Message: "{expires}{path}{ip} {secret}",
+			Token: "{mac}", TimeParam: "e", Digest: "md5", Encoding: "base64url-nopad"}},
 	}
-	cfg := Config{Branch: "edge-1", Remember: 1000}
+	cfg := Config{Branch: "edge-1", MaxCachedVerdicts: 1000}
 	for _, name := range []string{"edge", "cloud", "media", "front", "cdni", "timed", "plain"} {
 		p := all[name]
-		p.Name, p.Tenant, p.Base, p.Skew = name, "padma", base, 2_000_000
+		p.Name, p.Tenant, p.BaseURL, p.Skew = name, "padma", base, 2_000_000
 		cfg.Profiles = append(cfg.Profiles, p)
 	}
 	s, err := New(cfg)
@@ -100,17 +100,17 @@
 }
 
 // ask judges a request through to its end.
-func ask(s *Set, r Request) Verdict {
-	if r.Now == 0 {
-		r.Now = now
+func ask(s *ProfileSet, r Request) Verdict {
+	if r.ReceivedAt == 0 {
+		r.ReceivedAt = now
 	}
 	if !r.Peer.IsValid() {
 		r.Peer = peer
 	}
-	v := s.Judge(&r)
-	if v.Proof != nil {
-		s.Settle(v.Proof, v.Proof.Check(), r.Now)
-		v = s.Judge(&r)
+	v := s.Authorize(&r)
+	if v.Pending != nil {
+		s.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
+		v = s.Authorize(&r)
 	}
 	return v
 }
@@ -122,16 +122,16 @@
 func TestMintedLinksAreLetInAndAlteredOnesAreNot(t *testing.T) {
 	s, all := world(t)
 	exp := (at + 60) * 1_000_000
-	wishes := map[string][]Wish{
-		"edge": {{Data: "edge-1"}, {Covers: "/files/*", Data: "edge-1"}, {Covers: "/files/*", Nets: "192.0.2.0/24",
-			Subject: "member 7", Begins: now, Data: "edge-1"}},
-		"cloud": {{}, {Covers: base + "/files/"}},
-		"media": {{}, {Covers: base + "/files/"}},
-		"front": {{Key: "KRSA"}, {Key: "KEC", SHA256: true}, {Covers: anyFile, Nets: "192.0.2.0/24", Begins: now, Key: "KEC"}},
-		"cdni": {{Key: "hs"}, {Key: "rs", Covers: "regex:https://files\\.example/files/.*"}, {Key: "es", Subject: "member 7",
-			Nets: "192.0.2.0/24"}, {Key: "ed", To: []string{"other", "dCDN"}, ID: "one"}},
+	wishes := map[string][]LinkSpec{
+		"edge": {{Data: "edge-1"}, {Scope: "/files/*", Data: "edge-1"}, {Scope: "/files/*", Address: "192.0.2.0/24",
+			Subject: "member 7", NotBefore: now, Data: "edge-1"}},
+		"cloud": {{}, {Scope: base + "/files/"}},
+		"media": {{}, {Scope: base + "/files/"}},
+		"front": {{KeyName: "KRSA"}, {KeyName: "KEC", SHA256: true}, {Scope: anyFile, Address: "192.0.2.0/24", NotBefore: now, KeyName: "KEC"}},
+		"cdni": {{KeyName: "hs"}, {KeyName: "rs", Scope: "regex:https://files\\.example/files/.*"}, {KeyName: "es", Subject: "member 7",
+			Address: "192.0.2.0/24"}, {KeyName: "ed", Audience: []string{"other", "dCDN"}, ID: "one"}},
 		"timed": {{}},
-		"plain": {{Nets: "192.0.2.7"}},
+		"plain": {{Address: "192.0.2.7"}},
 	}
 	for name, list := range wishes {
 		for i, w := range list {
@@ -139,7 +139,7 @@
 			if name == "cdni" {
 				w.Issuer = "uCDN"
 			}
-			m, err := all[name].Mint(w, rand.Reader)
+			m, err := all[name].SignLink(w, rand.Reader)
 			if err != nil {
 				t.Fatalf("%s %d: %v", name, i, err)
 			}
@@ -163,7 +163,7 @@
 					}
 				}
 				late := r
-				late.Now = exp + 2_000_001
+				late.ReceivedAt = exp + 2_000_001
 				if v := ask(s, late); v.Refusal != Expired {
 					t.Errorf("%s %d: %q after the skew", name, i, v.Refusal)
 				}
@@ -173,7 +173,7 @@
 	}
 }
 
-func alter(t *testing.T, s *Set, r Request) {
+func alter(t *testing.T, s *ProfileSet, r Request) {
 	t.Helper()
 	rapid.Check(t, func(t *rapid.T) {
 		x := r
@@ -247,13 +247,13 @@
 		}{
 			{"custom", Request{Target: link}, ""},
 			{"cookies", Request{Target: target, Header: cookie(strings.Join(jar, "; "))}, ""},
-			{"other address", Request{Target: link, Peer: netip.MustParseAddr("192.0.3.7")}, Address},
+			{"other address", Request{Target: link, Peer: netip.MustParseAddr("192.0.3.7")}, WrongAddress},
 			{"mapped address", Request{Target: link, Peer: netip.MustParseAddr("::ffff:192.0.2.9")}, ""},
-			{"other part", Request{Target: strings.Replace(link, "seg=3", "seg=33", 1)}, Path},
-			{"early", Request{Target: link, Now: now - 63_000_000}, Early},
-			{"both", Request{Target: link, Header: cookie(strings.Join(jar, "; "))}, Twice},
-			{"SHA-256 claimed", Request{Target: link + "&Hash-Algorithm=SHA256"}, Forged},
-			{"MD5 claimed", Request{Target: link + "&Hash-Algorithm=MD5"}, Algorithm},
+			{"other part", Request{Target: strings.Replace(link, "seg=3", "seg=33", 1)}, PathNotCovered},
+			{"early", Request{Target: link, ReceivedAt: now - 63_000_000}, NotYetValid},
+			{"both", Request{Target: link, Header: cookie(strings.Join(jar, "; "))}, MultipleSignatures},
+			{"SHA-256 claimed", Request{Target: link + "&Hash-Algorithm=SHA256"}, SignatureMismatch},
+			{"MD5 claimed", Request{Target: link + "&Hash-Algorithm=MD5"}, WrongAlgorithm},
 		} {
 			if v := ask(s, x.r); v.Refusal != x.want {
 				t.Errorf("%s %s: %q, want %q", id, x.what, v.Refusal, x.want)
@@ -291,35 +291,35 @@
 		{"RS256", mint("rs", jwt.SigningMethodRS256, pairs.rsa, same), ""},
 		{"ES256", mint("es", jwt.SigningMethodES256, pairs.ec, same), ""},
 		{"EdDSA", mint("ed", jwt.SigningMethodEdDSA, pairs.ed, same), ""},
-		{"none", mint("hs", jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType, same), Algorithm},
-		{"HS384", mint("hs", jwt.SigningMethodHS384, secret, same), Algorithm},
-		{"public key as secret", mint("rs", jwt.SigningMethodHS256, public, same), Algorithm},
-		{"another kind's kid", mint("es", jwt.SigningMethodRS256, pairs.rsa, same), Algorithm},
-		{"unknown kid", mint("x", jwt.SigningMethodRS256, pairs.rsa, same), UnknownK},
-		{"no kid, many keys", mint("", jwt.SigningMethodRS256, pairs.rsa, same), UnknownK},
-		{"other secret", mint("hs", jwt.SigningMethodHS256, []byte(strings.ToUpper(long)), same), Forged},
+		{"none", mint("hs", jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType, same), WrongAlgorithm},
+		{"HS384", mint("hs", jwt.SigningMethodHS384, secret, same), WrongAlgorithm},
+		{"public key as secret", mint("rs", jwt.SigningMethodHS256, public, same), WrongAlgorithm},
+		{"another kind's kid", mint("es", jwt.SigningMethodRS256, pairs.rsa, same), WrongAlgorithm},
+		{"unknown kid", mint("x", jwt.SigningMethodRS256, pairs.rsa, same), UnknownKey},
+		{"no kid, many keys", mint("", jwt.SigningMethodRS256, pairs.rsa, same), UnknownKey},
+		{"other secret", mint("hs", jwt.SigningMethodHS256, []byte(strings.ToUpper(long)), same), SignatureMismatch},
 		{"expired", mint("hs", jwt.SigningMethodHS256, secret, put("exp", at-3)), Expired},
-		{"early", mint("hs", jwt.SigningMethodHS256, secret, put("nbf", at+3)), Early},
-		{"other issuer", mint("hs", jwt.SigningMethodHS256, secret, put("iss", "x")), Issuer},
-		{"other audience", mint("hs", jwt.SigningMethodHS256, secret, put("aud", []string{"x", "y"})), Audience},
-		{"no expiry", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { delete(m, "exp") }), Malformed},
-		{"no container", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "")), Malformed},
-		{"expiry as text", mint("hs", jwt.SigningMethodHS256, secret, put("exp", "later")), Malformed},
-		{"claim in capitals", mint("hs", jwt.SigningMethodHS256, secret, put("EXP", at+99)), Malformed},
-		{"version 2", mint("hs", jwt.SigningMethodHS256, secret, put("cdniv", 2)), Critical},
+		{"early", mint("hs", jwt.SigningMethodHS256, secret, put("nbf", at+3)), NotYetValid},
+		{"other issuer", mint("hs", jwt.SigningMethodHS256, secret, put("iss", "x")), UntrustedIssuer},
+		{"other audience", mint("hs", jwt.SigningMethodHS256, secret, put("aud", []string{"x", "y"})), WrongAudience},
+		{"no expiry", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { delete(m, "exp") }), MalformedSignature},
+		{"no container", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "")), MalformedSignature},
+		{"expiry as text", mint("hs", jwt.SigningMethodHS256, secret, put("exp", "later")), MalformedSignature},
+		{"claim in capitals", mint("hs", jwt.SigningMethodHS256, secret, put("EXP", at+99)), MalformedSignature},
+		{"version 2", mint("hs", jwt.SigningMethodHS256, secret, put("cdniv", 2)), UnknownCriticalClaim},
 		{"known critical", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "exp,cdniuc")), ""},
-		{"unknown critical", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "exp,geo")), Critical},
-		{"critical but absent", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "sub")), Critical},
+		{"unknown critical", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "exp,geo")), UnknownCriticalClaim},
+		{"critical but absent", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "sub")), UnknownCriticalClaim},
 		{"hash", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "hash:sha-256;"+hash)), ""},
-		{"other hash", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "hash:sha-256;"+strings.Repeat("A", 43))), Path},
-		{"expression for a part of the URI", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:/files/")), Path},
-		{"expression made to explode", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:(x+x+)+y|((a*)*)*b")), Path},
-		{"expression too large", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:((a{999}){999}){9}")), Malformed},
-		{"address not encrypted", mint("hs", jwt.SigningMethodHS256, secret, put("cdniip", "192.0.2.7")), Address},
-		{"renewal without a span", mint("hs", jwt.SigningMethodHS256, secret, put("cdnistt", 1)), Malformed},
-		{"unknown transport", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { m["cdnistt"], m["cdniets"] = 9, 5 }), Malformed},
+		{"other hash", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "hash:sha-256;"+strings.Repeat("A", 43))), PathNotCovered},
+		{"expression for a part of the URI", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:/files/")), PathNotCovered},
+		{"expression made to explode", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:(x+x+)+y|((a*)*)*b")), PathNotCovered},
+		{"expression too large", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:((a{999}){999}){9}")), MalformedSignature},
+		{"address not encrypted", mint("hs", jwt.SigningMethodHS256, secret, put("cdniip", "192.0.2.7")), WrongAddress},
+		{"renewal without a span", mint("hs", jwt.SigningMethodHS256, secret, put("cdnistt", 1)), MalformedSignature},
+		{"unknown transport", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { m["cdnistt"], m["cdniets"] = 9, 5 }), MalformedSignature},
 	} {
-		if v := ask(s, Request{Target: target + "&" + PackageName + "=" + x.token}); v.Refusal != x.want {
+		if v := ask(s, Request{Target: target + "&" + DefaultCDNITokenName + "=" + x.token}); v.Refusal != x.want {
 			t.Errorf("%s: %q, want %q", x.what, v.Refusal, x.want)
 		}
 	}
@@ -331,26 +331,26 @@
 func TestRenewalChain(t *testing.T) {
 	first := secretKey("first", long)
 	second := secretKey("second", strings.ToUpper(long))
-	set := func(keys ...*keyring.Key) (*Set, *Profile) {
-		p := &Profile{Name: "c", Format: CDNI, Query: PackageName, Cookie: PackageName, Base: base, Ring: ring(t, keys...)}
-		s, err := New(Config{Profiles: []*Profile{p}, Remember: 10})
+	set := func(keys ...*keyring.Key) (*ProfileSet, *Profile) {
+		p := &Profile{Name: "c", Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, BaseURL: base, Ring: ring(t, keys...)}
+		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s, p
 	}
 	s, p := set(first)
-	m, err := p.Mint(Wish{Target: target, Covers: "regex:" + base + "/files/.*", Expires: now + 10_000_000,
-		Renew: 10, Depth: 2, ID: "chain"}, rand.Reader)
+	m, err := p.SignLink(LinkSpec{Target: target, Scope: "regex:" + base + "/files/.*", Expires: now + 10_000_000,
+		RenewSeconds: 10, Depth: 2, ID: "chain"}, rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r, seen := Request{Target: m.Target}, map[string]bool{}
 	for i := range 6 {
-		r.Now = now + int64(i)*8_000_000
+		r.ReceivedAt = now + int64(i)*8_000_000
 		if i == 2 {
 			retiring := *first
-			retiring.State, retiring.TransitionAt = keyring.Retiring, r.Now+9_000_000
+			retiring.State, retiring.TransitionAt = keyring.Retiring, r.ReceivedAt+9_000_000
 			s, _ = set(&retiring, second)
 		}
 		if i == 4 {
@@ -361,8 +361,8 @@
 			t.Fatalf("segment %d: %q, id %q", i, v.Refusal, v.ID)
 		}
 		seen[v.ID] = true
-		c, err := v.Renew(r.Now)
-		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (r.Now/1_000_000+10)*1_000_000 {
+		c, err := v.Renew(r.ReceivedAt)
+		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (r.ReceivedAt/1_000_000+10)*1_000_000 {
 			t.Fatalf("segment %d: renewed as %+v, %v", i, c, err)
 		}
 		r = Request{Target: target, Header: cookie(c.Name + "=" + c.Value)}
@@ -380,21 +380,21 @@
 		key  *keyring.Key
 		want Refusal
 	}{
-		{key(keyring.Next, 0), ""}, {key(keyring.Next, now+1), EarlyK}, {key(keyring.Retiring, now+1), ""},
-		{key(keyring.Retiring, now), RetiredK}, {key(keyring.Revoked, 0), RevokedK},
+		{key(keyring.Next, 0), ""}, {key(keyring.Next, now+1), KeyNotYetValid}, {key(keyring.Retiring, now+1), ""},
+		{key(keyring.Retiring, now), KeyRetired}, {key(keyring.Revoked, 0), KeyRevoked},
 	} {
-		p := &Profile{Name: "g", Format: CloudCDN, Base: base, Ring: ring(t, x.key)}
-		s, err := New(Config{Profiles: []*Profile{p}, Remember: 10})
+		p := &Profile{Name: "g", Format: CloudCDN, BaseURL: base, Ring: ring(t, x.key)}
+		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, _ := p.Mint(Wish{Target: target, Key: "k", Expires: now + 9_000_000}, nil)
+		m, _ := p.SignLink(LinkSpec{Target: target, KeyName: "k", Expires: now + 9_000_000}, nil)
 		if v := ask(s, Request{Target: m.Target}); v.Refusal != x.want {
 			t.Errorf("%v %d: %q, want %q", x.key.State, x.key.TransitionAt-now, v.Refusal, x.want)
 		}
 		x.key.Skew = 4_000_000
 		for late, want := range map[Micros]Refusal{4_000_000: "", 4_000_001: Expired} {
-			if v := ask(s, Request{Target: m.Target, Now: now + 9_000_000 + late}); x.want == "" && x.key.State == keyring.Next && v.Refusal != want {
+			if v := ask(s, Request{Target: m.Target, ReceivedAt: now + 9_000_000 + late}); x.want == "" && x.key.State == keyring.Next && v.Refusal != want {
 				t.Errorf("skew of its own: %q at %d", v.Refusal, late)
 			}
 		}
@@ -419,7 +419,7 @@
 	if v := ask(s, Request{Target: target, Header: cookie(jar)}); v.Refusal != "" {
 		t.Error("signed cookie:", v.Refusal)
 	}
-	if v := ask(s, Request{Target: "/files/page-asset/1/2", Header: cookie(jar)}); v.Refusal != Path {
+	if v := ask(s, Request{Target: "/files/page-asset/1/2", Header: cookie(jar)}); v.Refusal != PathNotCovered {
 		t.Error("signed cookie elsewhere:", v.Refusal)
 	}
 	sum := md5.Sum([]byte(fmt.Sprintf("%d/files/guide-video/17/9f3a192.0.2.7 fedcba9876543210", at+9)))
@@ -427,7 +427,7 @@
 	if v := ask(s, Request{Target: link}); v.Refusal != "" {
 		t.Error("secure link:", v.Refusal)
 	}
-	if v := ask(s, Request{Target: link, Peer: netip.MustParseAddr("192.0.2.8")}); v.Refusal != Forged {
+	if v := ask(s, Request{Target: link, Peer: netip.MustParseAddr("192.0.2.8")}); v.Refusal != SignatureMismatch {
 		t.Error("secure link, other address:", v.Refusal)
 	}
 }
@@ -436,7 +436,7 @@
 // cover a place or an order that was never judged.
 func TestMemoryKeepsPlacesApart(t *testing.T) {
 	s, all := world(t)
-	m, err := all["media"].Mint(Wish{Target: target, Covers: base + "/files/", Expires: now + 9_000_000}, rand.Reader)
+	m, err := all["media"].SignLink(LinkSpec{Target: target, Scope: base + "/files/", Expires: now + 9_000_000}, rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -445,10 +445,10 @@
 	}
 	segment := m.InPath[len("/files/"):strings.Index(m.InPath, "/guide-video")]
 	moved := strings.Replace("/files/guide-video/TOKEN/17/9f3a?seg=3", "TOKEN", segment, 1)
-	if v := ask(s, Request{Target: moved}); v.Refusal != Forged {
+	if v := ask(s, Request{Target: moved}); v.Refusal != SignatureMismatch {
 		t.Errorf("moved in the path: %q", v.Refusal)
 	}
-	g, _ := all["cloud"].Mint(Wish{Target: target, Expires: now + 9_000_000}, nil)
+	g, _ := all["cloud"].SignLink(LinkSpec{Target: target, Expires: now + 9_000_000}, nil)
 	ask(s, Request{Target: g.Target})
 	q := strings.Split(strings.SplitN(g.Target, "?", 2)[1], "&")
 	for _, order := range [][4]int{{0, 2, 1, 3}, {1, 0, 2, 3}, {1, 2, 3, 0}} {
@@ -466,45 +466,45 @@
 // good one out.
 func TestMemoryBounds(t *testing.T) {
 	s, all := world(t)
-	good, _ := all["front"].Mint(Wish{Target: target, Expires: now + 99_000_000, Key: "KEC"}, rand.Reader)
+	good, _ := all["front"].SignLink(LinkSpec{Target: target, Expires: now + 99_000_000, KeyName: "KEC"}, rand.Reader)
 	ask(s, Request{Target: good.Target})
 	for i := range 2000 {
 		ask(s, Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+100), 1)})
 	}
-	if g, f, p := s.Remembered(); g != 1 || f != 250 || p != 0 {
+	if g, f, p := s.CachedVerdicts(); g != 1 || f != 250 || p != 0 {
 		t.Errorf("remembers %d, %d, %d", g, f, p)
 	}
-	if v := s.Judge(&Request{Target: good.Target, Peer: peer, Now: now}); v.Refusal != "" || v.Proof != nil {
+	if v := s.Authorize(&Request{Target: good.Target, Peer: peer, ReceivedAt: now}); v.Refusal != "" || v.Pending != nil {
 		t.Error("the good one was driven out")
 	}
 	var last Verdict
 	for i := range 400 {
-		last = s.Judge(&Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+9000), 1), Peer: peer, Now: now})
+		last = s.Authorize(&Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+9000), 1), Peer: peer, ReceivedAt: now})
 	}
-	again := s.Judge(&Request{Target: strings.Replace(good.Target, "seg=3", "seg=9399", 1), Peer: peer, Now: now})
-	if again.Proof != last.Proof {
+	again := s.Authorize(&Request{Target: strings.Replace(good.Target, "seg=3", "seg=9399", 1), Peer: peer, ReceivedAt: now})
+	if again.Pending != last.Pending {
 		t.Error("two proofs of one credential")
 	}
-	s.Forget(last.Proof)
-	if _, _, p := s.Remembered(); p != 249 {
+	s.Discard(last.Pending)
+	if _, _, p := s.CachedVerdicts(); p != 249 {
 		t.Errorf("%d proofs are out", p)
 	}
 }
 
-func benchmark(b *testing.B, name string, w Wish, fresh, forge bool) {
+func benchmark(b *testing.B, name string, w LinkSpec, fresh, forge bool) {
 	s, all := world(b)
 	w.Target, w.Expires = target, now+60_000_000
 	if name == "cdni" {
 		w.Issuer = "uCDN"
 	}
-	m, err := all[name].Mint(w, rand.Reader)
+	m, err := all[name].SignLink(w, rand.Reader)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := Request{Target: m.Target, Peer: peer, Now: now}
+	r := Request{Target: m.Target, Peer: peer, ReceivedAt: now}
 	if forge { // the last sign but two of the signature, so that it can still be read
 		i := len(r.Target) - 3
-		for _, mark := range []string{"Signature=", PackageName + "=", "hmac=", "verify="} {
+		for _, mark := range []string{"Signature=", DefaultCDNITokenName + "=", "hmac=", "verify="} {
 			if at := strings.Index(r.Target, mark); at >= 0 {
 				i = at + len(mark)
 			}
@@ -525,9 +525,9 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		v := s.Judge(&r)
-		if v.Proof != nil {
-			s.Settle(v.Proof, v.Proof.Check(), now)
+		v := s.Authorize(&r)
+		if v.Pending != nil {
+			s.Resolve(v.Pending, v.Pending.Verify(), now)
 			continue
 		}
 		if (v.Refusal != "") != forge {
@@ -539,12 +539,12 @@
 func BenchmarkVerdict(b *testing.B) {
 	for _, x := range []struct {
 		name, format string
-		wish         Wish
+		wish         LinkSpec
 	}{
-		{"edgeauth", "edge", Wish{Covers: "/files/*", Data: "edge-1"}}, {"cloudcdn", "cloud", Wish{}}, {"mediacdn", "media", Wish{}},
-		{"cloudfront-canned-rsa", "front", Wish{Key: "KRSA"}}, {"cloudfront-custom-p256", "front", Wish{Key: "KEC", Covers: anyFile}},
-		{"cdni-hs256", "cdni", Wish{Key: "hs"}}, {"cdni-es256", "cdni", Wish{Key: "es"}}, {"cdni-rs256", "cdni", Wish{Key: "rs"}},
-		{"timed", "timed", Wish{}},
+		{"edgeauth", "edge", LinkSpec{Scope: "/files/*", Data: "edge-1"}}, {"cloudcdn", "cloud", LinkSpec{}}, {"mediacdn", "media", LinkSpec{}},
+		{"cloudfront-canned-rsa", "front", LinkSpec{KeyName: "KRSA"}}, {"cloudfront-custom-p256", "front", LinkSpec{KeyName: "KEC", Scope: anyFile}},
+		{"cdni-hs256", "cdni", LinkSpec{KeyName: "hs"}}, {"cdni-es256", "cdni", LinkSpec{KeyName: "es"}}, {"cdni-rs256", "cdni", LinkSpec{KeyName: "rs"}},
+		{"timed", "timed", LinkSpec{}},
 	} {
 		b.Run(x.name+"/first", func(b *testing.B) { benchmark(b, x.format, x.wish, true, false) })
 		b.Run(x.name+"/remembered", func(b *testing.B) { benchmark(b, x.format, x.wish, false, false) })
@@ -555,19 +555,19 @@
 // Two described profiles under one name could not be told apart, and a described
 // token's subject is read back as it was named.
 func TestDescribedProfiles(t *testing.T) {
-	d := Description{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
+	d := TimedFormat{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
 	profile := func(name string) *Profile {
-		return &Profile{Name: name, Format: Timed, Ring: ring(t, secretKey(name, "0123456789abcdef")), Query: "t", Describe: d}
+		return &Profile{Name: name, Format: Timed, Ring: ring(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: d}
 	}
 	if _, err := New(Config{Profiles: []*Profile{profile("a"), profile("b")}}); err == nil || !strings.Contains(err.Error(), `"a" is carried alike`) {
 		t.Error(err)
 	}
 	p := profile("a")
-	s, err := New(Config{Profiles: []*Profile{p}, Remember: 10})
+	s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := p.Mint(Wish{Target: target, Expires: now + 9_000_000, Subject: "member 13"}, nil)
+	m, err := p.SignLink(LinkSpec{Target: target, Expires: now + 9_000_000, Subject: "member 13"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/grants/locate.go
+++ b/internal/decide/grants/locate.go
@@ -6,9 +6,9 @@
 )
 
 // locate finds the one credential of a request and parts it from the target.
-func (s *Set) locate(r *Request, c *credential) Refusal {
+func (s *ProfileSet) locate(r *Request, c *credential) Refusal {
 	if len(r.Target) > mostTarget {
-		return Target
+		return UnusableTarget
 	}
 	for _, x := range s.touched {
 		*x = found{family: x.family, at: x.at}
@@ -20,7 +20,7 @@
 		return refusal
 	}
 	if !plainPath(path) {
-		return Target
+		return UnusableTarget
 	}
 	if refusal := s.inQuery(query); refusal != "" {
 		return refusal
@@ -51,15 +51,15 @@
 	}
 	switch {
 	case many == 0 && stray:
-		return Malformed
+		return MalformedSignature
 	case many == 0:
-		return Missing
+		return MissingSignature
 	case many > 1 || c.twice && (c.names.alone[c.carrier] || len(c.names.fields[c.carrier]) == 1):
-		return Twice
+		return MultipleSignatures
 	case c.twice:
-		return Malformed
+		return MalformedSignature
 	case stray && !s.shared(c):
-		return Twice
+		return MultipleSignatures
 	}
 	c.query = s.rest(query, c)
 	return ""
@@ -67,7 +67,7 @@
 
 // shared tells whether all stray fields are names that the chosen credential
 // has as well, in the same carrier.
-func (s *Set) shared(c *credential) bool {
+func (s *ProfileSet) shared(c *credential) bool {
 	for _, x := range s.touched {
 		if x == c.found {
 			continue
@@ -93,7 +93,7 @@
 	return false
 }
 
-func (s *Set) take(at carrier, refs []ref, value string, from, to int) {
+func (s *ProfileSet) take(at carrier, refs []ref, value string, from, to int) {
 	for _, ref := range refs {
 		x := &s.found[at][ref.family]
 		if x.have == 0 {
@@ -113,7 +113,7 @@
 }
 
 // header finds a header's name without allocating for its case.
-func (s *Set) header(name string) []ref {
+func (s *ProfileSet) header(name string) []ref {
 	if len(name) > 64 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 
 // inQuery takes the signing fields of a query. A name in another spelling than
 // the plain one is refused, so that no other reader of the URL takes it for one.
-func (s *Set) inQuery(query string) Refusal {
+func (s *ProfileSet) inQuery(query string) Refusal {
 	for at := 0; at < len(query); {
 		end := len(query)
 		if i := strings.IndexByte(query[at:], '&'); i >= 0 {
@@ -144,10 +144,10 @@
 		if refs == nil && strings.ContainsAny(name, "%+") {
 			plain, err := url.QueryUnescape(name)
 			if err != nil {
-				return Target
+				return UnusableTarget
 			}
 			if s.names[inQuery][plain] != nil {
-				return Malformed
+				return MalformedSignature
 			}
 		}
 		if refs != nil {
@@ -159,7 +159,7 @@
 }
 
 // rest is the query without the credential's fields.
-func (s *Set) rest(query string, c *credential) string {
+func (s *ProfileSet) rest(query string, c *credential) string {
 	if query == "" || c.carrier != inQuery {
 		return query
 	}
@@ -181,7 +181,7 @@
 }
 
 // inCookies takes the signing fields of a Cookie header (RFC 6265, section 5.4).
-func (s *Set) inCookies(value string) {
+func (s *ProfileSet) inCookies(value string) {
 	for value != "" {
 		pair := value
 		if i := strings.IndexByte(value, ';'); i >= 0 {
@@ -201,7 +201,7 @@
 // inPath takes signing fields that stand in the path: as a parameter of a
 // segment, ;NAME=VALUE, or as a segment of its own, /NAME=VALUE. It gives the
 // path without them.
-func (s *Set) inPath(path string) (string, Refusal) {
+func (s *ProfileSet) inPath(path string) (string, Refusal) {
 	if len(s.names[inPath]) == 0 || !strings.Contains(path, "=") {
 		return path, ""
 	}
--- a/internal/decide/grants/memory.go
+++ b/internal/decide/grants/memory.go
@@ -137,6 +137,6 @@
 
 // Remembered counts the verdicts held: on genuine and on forged signatures, and
 // those whose proof is out.
-func (s *Set) Remembered() (genuine, forged, pending int) {
+func (s *ProfileSet) CachedVerdicts() (genuine, forged, pending int) {
 	return s.memory.genuine.count, s.memory.forged.count, s.memory.pending.count
 }
--- a/internal/decide/grants/profile.go
+++ b/internal/decide/grants/profile.go
@@ -30,24 +30,24 @@
 // Profile is one way in which links are signed: a format, a ring, and what an
 // operator has to say of the format.
 type Profile struct {
-	Name   string
-	Tenant string // whose links these are
-	Format string
-	Ring   *keyring.Ring
-	Base   string // scheme and host that signed URLs begin with
-	Skew   Micros // that clocks may differ by, where the key has none of its own
+	Name    string
+	Tenant  string // whose links these are
+	Format  string
+	Ring    *keyring.Ring
+	BaseURL string // scheme and host that signed URLs begin with
+	Skew    Micros // that clocks may differ by, where the key has none of its own
 
 	Query, Cookie, Header string // names of the one field of a token; empty: not carried there
 
-	Bound        bool // a token's data must name the own branch
-	AllowUnbound bool // or may be left out
+	RequireBranch      bool // a token's data must name the own branch
+	AllowMissingBranch bool // or may be left out
 
-	Digest       string // of EdgeAuth and Timed: sha256, sha1, md5; Timed: also hmac-sha256 and so on
-	Salt         string // of EdgeAuth
-	AllowEndless bool   // of CDNI: tokens without an expiry are good
-	Issuers      []string
-	Audience     string
-	Describe     Description // of Timed
+	Digest        string // of EdgeAuth and Timed: sha256, sha1, md5; Timed: also hmac-sha256 and so on
+	Salt          string // of EdgeAuth
+	AllowNoExpiry bool   // of CDNI: tokens without an expiry are good
+	Issuers       []string
+	Audience      string
+	TimedFormat   TimedFormat // of Timed
 
 	format  format
 	macs    map[*keyring.Key]hash.Hash
@@ -85,7 +85,7 @@
 		p.format, keyed = cdni{}, ""
 		kinds = []keyring.Kind{keyring.Secret, keyring.RSA, keyring.P256, keyring.Ed25519}
 	case Timed:
-		d, err := p.Describe.compile()
+		d, err := p.TimedFormat.compile()
 		if err != nil {
 			return fmt.Errorf("describe.%w", err)
 		}
@@ -95,12 +95,12 @@
 	default:
 		return fmt.Errorf("format: %q is none of %v", p.Format, Formats)
 	}
-	if p.Base == "" && slices.Contains([]string{CloudCDN, MediaCDN, CloudFront, CDNI}, p.Format) {
+	if p.BaseURL == "" && slices.Contains([]string{CloudCDN, MediaCDN, CloudFront, CDNI}, p.Format) {
 		return errors.New("base: missing, what is signed begins with it")
 	}
-	if base, err := url.Parse(p.Base); p.Base != "" &&
-		(err != nil || base.Host == "" || base.Scheme+"://"+base.Host != p.Base) {
-		return fmt.Errorf("base: %q is not scheme://host", p.Base)
+	if base, err := url.Parse(p.BaseURL); p.BaseURL != "" &&
+		(err != nil || base.Host == "" || base.Scheme+"://"+base.Host != p.BaseURL) {
+		return fmt.Errorf("base: %q is not scheme://host", p.BaseURL)
 	}
 	p.macs = map[*keyring.Key]hash.Hash{}
 	for _, k := range p.Ring.Keys {
--- a/internal/decide/grants/timed.go
+++ b/internal/decide/grants/timed.go
@@ -29,14 +29,14 @@
 //
 // Token is what the one field carries, as "{expires}_{mac}"; where Separate
 // names a query parameter, the moment stands there instead.
-type Description struct {
-	Message  string
-	Token    string
-	Separate string // of the moment; empty: in Token
-	Digest   string // hmac-sha256, hmac-sha1, hmac-md5; plain: sha256, sha1, md5
-	Encoding string // hex, base64, base64url, base64url-nopad
-	Base     int    // of the moment, 10 or 16
-	Life     Micros // of a link whose moment is when it was issued; 0: it is when it ends
+type TimedFormat struct {
+	Message   string
+	Token     string
+	TimeParam string // of the moment; empty: in Token
+	Digest    string // hmac-sha256, hmac-sha1, hmac-md5; plain: sha256, sha1, md5
+	Encoding  string // hex, base64, base64url, base64url-nopad
+	TimeBase  int    // of the moment, 10 or 16
+	Lifetime  Micros // of a link whose moment is when it was issued; 0: it is when it ends
 }
 
 // Encodings names the encodings.
@@ -55,7 +55,7 @@
 
 // timed is a compiled description.
 type timed struct {
-	Description
+	TimedFormat
 	message, token []piece
 	keyed          bool // HMAC; else a plain digest with the secret in the message
 	peer           bool // the address is the client's, and not in the token
@@ -82,8 +82,8 @@
 	return out, nil
 }
 
-func (d Description) compile() (*timed, error) {
-	t := &timed{Description: d}
+func (d TimedFormat) compile() (*timed, error) {
+	t := &timed{TimedFormat: d}
 	var err error
 	if t.message, err = template("message", d.Message, messageFields); err != nil {
 		return nil, err
@@ -103,8 +103,8 @@
 	if !slices.Contains(Encodings, d.Encoding) {
 		return nil, fmt.Errorf("encoding: %q is none of %v", d.Encoding, Encodings)
 	}
-	if t.Base == 0 {
-		t.Base = 10
+	if t.TimeBase == 0 {
+		t.TimeBase = 10
 	}
 	inMessage := func(name string) bool {
 		return slices.ContainsFunc(t.message, func(p piece) bool { return p.field == name })
@@ -119,11 +119,11 @@
 		return n
 	}
 	switch {
-	case t.Base != 10 && t.Base != 16:
-		return nil, fmt.Errorf("base: %d is not 10 or 16", t.Base)
+	case t.TimeBase != 10 && t.TimeBase != 16:
+		return nil, fmt.Errorf("base: %d is not 10 or 16", t.TimeBase)
 	case inToken("mac") != 1:
 		return nil, errors.New("token: {mac} must stand there once")
-	case inToken("expires")+map[bool]int{true: 1}[d.Separate != ""] != 1:
+	case inToken("expires")+map[bool]int{true: 1}[d.TimeParam != ""] != 1:
 		return nil, errors.New("token: {expires} must stand there once, or separate name its parameter")
 	case !inMessage("expires"):
 		return nil, errors.New("message: {expires} is missing, so a link could be made to last")
@@ -144,8 +144,8 @@
 func (t *timed) names(p *Profile) names {
 	n := names{telling: 1}
 	n.fields[inQuery] = []string{p.Query}
-	if t.Separate != "" {
-		n.fields[inQuery] = append(n.fields[inQuery], t.Separate)
+	if t.TimeParam != "" {
+		n.fields[inQuery] = append(n.fields[inQuery], t.TimeParam)
 	}
 	n.fields[inCookie], n.fields[inHeader] = []string{p.Cookie}, []string{p.Header}
 	return n
@@ -160,7 +160,7 @@
 func (*timed) read(c *credential) (*token, Refusal) {
 	text := c.values[0]
 	if text == "" || len(text) > mostToken {
-		return nil, Malformed
+		return nil, MalformedSignature
 	}
 	x := &token{}
 	for _, p := range c.profiles {
@@ -170,10 +170,10 @@
 		if !ok {
 			continue
 		}
-		if f.Separate != "" {
+		if f.TimeParam != "" {
 			values["expires"] = c.values[1]
 		}
-		moment, err := strconv.ParseInt(values["expires"], f.Base, 64)
+		moment, err := strconv.ParseInt(values["expires"], f.TimeBase, 64)
 		mac, ok := decodeMAC(f.Encoding, values["mac"])
 		if err != nil || moment <= 0 || moment >= mostSeconds || !ok || len(mac) != digests[f.digest]().Size() {
 			continue
@@ -182,8 +182,8 @@
 		if x.subject, err = url.QueryUnescape(values["id"]); err != nil {
 			continue
 		}
-		if x.expires = moment * 1_000_000; f.Life > 0 {
-			x.begins, x.expires = x.expires, x.expires+f.Life
+		if x.expires = moment * 1_000_000; f.Lifetime > 0 {
+			x.begins, x.expires = x.expires, x.expires+f.Lifetime
 		}
 		if ip := values["ip"]; ip != "" && !f.peer {
 			if x.nets, ok = readNets([]string{ip}); !ok {
@@ -208,7 +208,7 @@
 		}
 		return x, ""
 	}
-	return nil, Malformed
+	return nil, MalformedSignature
 }
 
 // split takes a token apart by its template.
@@ -248,7 +248,7 @@
 		case "dir":
 			texts = append(texts, path[:strings.LastIndexByte(path, '/')+1])
 		case "url":
-			texts = append(texts, p.Base, path)
+			texts = append(texts, p.BaseURL, path)
 		case "key":
 			texts = append(texts, k.Name)
 		case "secret":
--- a/internal/decide/grants/token.go
+++ b/internal/decide/grants/token.go
@@ -40,7 +40,7 @@
 	scope   scope
 	nets    []netip.Prefix // empty: any
 	renew   *renewal
-	proof   Proof
+	proof   PendingSignature
 	verify  func() *keyring.Key // of keyed digests: the key under which it is genuine
 	entry   *entry              // in the memory of verdicts
 }
@@ -57,7 +57,7 @@
 	if t.state = forged; good {
 		t.state = genuine
 	}
-	t.proof = Proof{token: t} // what it was checked with is of no more use
+	t.proof = PendingSignature{token: t} // what it was checked with is of no more use
 	return good
 }
 
@@ -105,14 +105,14 @@
 	case pathLists:
 		return covers(t.scope.pattern, c.path)
 	case urlPrefix:
-		url := c.url(t.profile.Base)
-		return strings.HasPrefix(string(url[:len(t.profile.Base)+len(c.path)]), t.scope.pattern)
+		url := c.url(t.profile.BaseURL)
+		return strings.HasPrefix(string(url[:len(t.profile.BaseURL)+len(c.path)]), t.scope.pattern)
 	case urlPattern:
-		return matches(t.scope.pattern, c.url(t.profile.Base))
+		return matches(t.scope.pattern, c.url(t.profile.BaseURL))
 	case urlRegex:
-		return t.scope.regex.Match(c.url(t.profile.Base))
+		return t.scope.regex.Match(c.url(t.profile.BaseURL))
 	case urlHash:
-		return hashes(t.scope.hash, c.url(t.profile.Base))
+		return hashes(t.scope.hash, c.url(t.profile.BaseURL))
 	case exactPath:
 		return t.scope.pattern == c.path
 	}
@@ -121,7 +121,7 @@
 
 // Proof is a signature whose check takes long. It is plain data and shared with
 // nobody, so that Check may run on any goroutine, beside its set.
-type Proof struct {
+type PendingSignature struct {
 	token     *token
 	public    crypto.PublicKey
 	hash      crypto.Hash
@@ -131,10 +131,10 @@
 }
 
 // Tenant is whose link it claims to be.
-func (p *Proof) Tenant() string { return p.token.profile.Tenant }
+func (p *PendingSignature) Tenant() string { return p.token.profile.Tenant }
 
 // Check tells whether the signature is genuine.
-func (p *Proof) Check() bool {
+func (p *PendingSignature) Verify() bool {
 	if p.jws != nil {
 		_, err := p.jws.Verify(p.public)
 		return err == nil
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -49,7 +49,7 @@
 // renewed makes the next token of a chain, where the grant is one of a chain,
 // and then the answer that hands it out.
 func (f *Front) renewed(v *visit, a *gateway.Answer) *httpwire.Response {
-	costly, renews := v.grant.Renews()
+	costly, renews := v.grant.Renewable()
 	if !renews {
 		return f.answer(v, a, nil)
 	}
--- a/internal/front/signed/proofs.go
+++ b/internal/front/signed/proofs.go
@@ -19,8 +19,8 @@
 
 // proof is a signature that waits for the pool, with all who wait for it.
 type proof struct {
-	*grants.Proof
-	set    *grants.Set
+	*grants.PendingSignature
+	set    *grants.ProfileSet
 	visits []*visit
 	job    *fairqueue.Job
 	out    bool // at a worker
@@ -34,10 +34,10 @@
 
 // wait has a visit wait until its signature is checked. Several who came with
 // the same one wait for one check.
-func (f *Front) wait(v *visit, g *grants.Proof) *httpwire.Response {
+func (f *Front) wait(v *visit, g *grants.PendingSignature) *httpwire.Response {
 	p := f.proofs[g]
 	if p == nil {
-		p = &proof{Proof: g, set: f.policy.Set}
+		p = &proof{PendingSignature: g, set: f.policy.Set}
 		prefix := abuse.Prefix(v.asked.Peer)
 		p.job = &fairqueue.Job{Tenant: g.Tenant(), Prefix: prefix,
 			Suspect: f.suspects.Count(prefix, f.now()) >= suspectFrom || f.shared != nil && f.shared.Suspect(prefix), Value: p}
@@ -70,8 +70,8 @@
 }
 
 func (f *Front) forget(p *proof) {
-	delete(f.proofs, p.Proof)
-	p.set.Forget(p.Proof)
+	delete(f.proofs, p.PendingSignature)
+	p.set.Discard(p.PendingSignature)
 }
 
 // next gives free workers their work, in turn.
@@ -85,7 +85,7 @@
 		case *proof:
 			x.out = true
 			good := false
-			f.pool.Do(func() { good = x.Check() }, func() {
+			f.pool.Do(func() { good = x.Verify() }, func() {
 				f.checked(x, good)
 				f.next()
 			})
@@ -101,9 +101,9 @@
 // checked goes on with those who waited. Where the policy was changed meanwhile
 // they are judged anew, by the keys of now.
 func (f *Front) checked(p *proof, good bool) {
-	delete(f.proofs, p.Proof)
+	delete(f.proofs, p.PendingSignature)
 	now := f.now()
-	p.set.Settle(p.Proof, good, f.wall())
+	p.set.Resolve(p.PendingSignature, good, f.wall())
 	if !good {
 		f.suspects.Add(p.job.Prefix, now)
 		if f.shared != nil {
@@ -131,7 +131,7 @@
 		return f.judge(v)
 	}
 	if !good {
-		return nil, f.refuse(v, 403, string(grants.Forged), 0)
+		return nil, f.refuse(v, 403, string(grants.SignatureMismatch), 0)
 	}
 	return f.admit(v)
 }
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -75,7 +75,7 @@
 // Policy is what requests are judged by. A new one takes the place of the old
 // one whole.
 type Policy struct {
-	Set     *grants.Set
+	Set     *grants.ProfileSet
 	Uses    map[string]UseLimit // by profile
 	Tenants map[string]Tenant   // by name
 	Revoked *revoked.List
@@ -114,7 +114,7 @@
 	log      *slog.Logger
 	pool     *workers.Pool
 	turns    *fairqueue.Queue
-	proofs   map[*grants.Proof]*proof
+	proofs   map[*grants.PendingSignature]*proof
 	suspects *abuse.Sketch
 	rates    *ratelimit.Rates
 	uses     *ratelimit.Uses
@@ -132,7 +132,7 @@
 		return nil, fmt.Errorf("signed: %w", err)
 	}
 	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.MaxQueue),
-		proofs: map[*grants.Proof]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
+		proofs: map[*grants.PendingSignature]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
 		rates: ratelimit.NewRates(cfg.MaxRates), uses: ratelimit.NewUses(cfg.MaxUses), variants: encoding.New(cfg.EncodedBytes),
 		base: binary.BigEndian.Uint64(seed[:])}, nil
 }
@@ -172,14 +172,14 @@
 			Header: httpwire.Header{{Name: "Allow", Value: "GET, HEAD"}}})
 	}
 	// The last byte is here: this try is judged once, for this moment.
-	v.asked = grants.Request{Target: r.Target, Header: r.Header, Peer: x.Peer(), Now: f.wall()}
+	v.asked = grants.Request{Target: r.Target, Header: r.Header, Peer: x.Peer(), ReceivedAt: f.wall()}
 	v.ask = content.ParseRequest(r.Method, r.Header)
 	return f.judge(v)
 }
 
 // judge asks whether a request is let in, and by which grant.
 func (f *Front) judge(v *visit) (*gateway.Call, *httpwire.Response) {
-	d := f.policy.Set.Judge(&v.asked)
+	d := f.policy.Set.Authorize(&v.asked)
 	v.grant = d.Grant
 	if d.Refusal != "" {
 		return nil, f.refuse(v, 403, string(d.Refusal), 0)
@@ -190,13 +190,13 @@
 		return nil, f.refuse(v, 403, what+" is revoked", 0)
 	}
 	if tenant := f.policy.Tenants[d.Profile.Tenant]; !tenant.covers(d.Path) {
-		return nil, f.refuse(v, 403, string(grants.Path), 0)
+		return nil, f.refuse(v, 403, string(grants.PathNotCovered), 0)
 	}
 	if v.call, v.class = f.read(v); v.call == nil {
-		return nil, f.refuse(v, 403, string(grants.Target), 0)
+		return nil, f.refuse(v, 403, string(grants.UnusableTarget), 0)
 	}
-	if d.Proof != nil {
-		return nil, f.wait(v, d.Proof)
+	if d.Pending != nil {
+		return nil, f.wait(v, d.Pending)
 	}
 	return f.admit(v)
 }
@@ -276,7 +276,7 @@
 	}
 	if u := f.policy.Uses[g.Profile.Name]; u.Max > 0 {
 		v.use = g.Digest()
-		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.Ends() - f.wall(), MaxUses: u.Max,
+		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.ExpiresWithSkew() - f.wall(), MaxUses: u.Max,
 			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), RetryWindow: u.RetryWindow}, now)
 		switch refusal {
 		case "":
--- a/lab/conformance/conformance_test.go
+++ b/lab/conformance/conformance_test.go
@@ -40,16 +40,16 @@
 			continue
 		}
 		pure++
-		r := grants.Request{Target: c.Target, Peer: netip.MustParseAddr("127.0.0.1"), Now: w.Now.UnixMicro()}
+		r := grants.Request{Target: c.Target, Peer: netip.MustParseAddr("127.0.0.1"), ReceivedAt: w.Now.UnixMicro()}
 		for _, f := range c.Header {
 			name, value, _ := strings.Cut(f, ": ")
 			r.Header = append(r.Header, httpwire.Field{Name: name, Value: value})
 		}
 		for range 2 {
-			v := set.Judge(&r)
-			if v.Proof != nil {
-				set.Settle(v.Proof, v.Proof.Check(), r.Now)
-				v = set.Judge(&r)
+			v := set.Authorize(&r)
+			if v.Pending != nil {
+				set.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
+				v = set.Authorize(&r)
 			}
 			if !c.Gives(string(v.Refusal)) {
 				t.Errorf("%s: %q, want %q\n%s", c.Name, v.Refusal, c.Reason, c.Bytes())
