--- a/internal/front/session/bench_test.go
+++ b/internal/front/session/bench_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// BenchmarkCall is one request and its answer over a connection that stays, one at a time:
+// BenchmarkCall measures requests sent one at a time over a persistent connection:
 //
 //	go test -run - -bench Call -benchtime 3s -count 5 ./internal/front/session
 func BenchmarkCall(b *testing.B) {
-	h := newHall(b, Config{})
-	h.desk.atOnce = true
-	g := h.enter()
-	_ = g.c.SetDeadline(time.Time{})
+	ts := newTestServer(b, Config{})
+	ts.app.answerAtOnce = true
+	client := ts.connect()
+	_ = client.conn.SetDeadline(time.Time{})
 	b.ReportAllocs()
 	for b.Loop() {
-		g.send(request)
-		r, err := http.ReadResponse(g.r, nil)
+		client.send(request)
+		r, err := http.ReadResponse(client.reader, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -25,21 +25,21 @@
 	}
 }
 
-// BenchmarkGone is the look at whether a client has ended its side:
+// BenchmarkGone measures the check whether a client has closed its side:
 //
 //	go test -run - -bench Gone ./internal/front/session
 func BenchmarkGone(b *testing.B) {
-	h := newHall(b, Config{})
-	h.desk.atOnce = true
-	g := h.enter()
-	g.send(request)
-	if _, _, err := g.answer(); err != nil {
+	ts := newTestServer(b, Config{})
+	ts.app.answerAtOnce = true
+	client := ts.connect()
+	client.send(request)
+	if _, _, err := client.readAnswer(); err != nil {
 		b.Fatal(err)
 	}
-	c := h.only(idle)
+	c := ts.onlyConn(idle)
 	for b.Loop() {
 		if c.Gone() {
-			b.Fatal("a client that is there has gone")
+			b.Fatal("a connected client was reported as gone")
 		}
 	}
 }
--- a/internal/front/session/drain.go
+++ b/internal/front/session/drain.go
@@ -5,28 +5,30 @@
 	"cherryramp/internal/loop"
 )
 
-// Draining and ending connections: what is owed to their clients is answered first.
+// Draining and closing connections: open requests and outgoing answers are completed first.
 
 const (
-	lateOut  = 3_000_000 // us that an answer on its way may still take in a drain
-	arriving = 100_000   // us within which a connection that has said nothing may still bring a request
+	finalAnswerTimeout = 3_000_000 // us for an outgoing answer to complete before its connection is closed
+	firstRequestGrace  = 100_000   // us within which the first request of a new connection is waited for
 )
 
-// Stop accepts no more clients than the kernel holds already: new ones are refused, or go
-// to another process at the address. Those that came are served. See Accepting.
+// Stop stops accepting clients, except those that the kernel has already queued. New
+// ones are refused, or go to another process at the address. Open connections are
+// still served. See Accepting.
 func (s *Server) Stop() {
 	if s.listener != nil {
 		s.listener.Stop()
-		s.stopping, s.listener = s.listener, nil
+		s.stoppingListener, s.listener = s.listener, nil
 	}
 }
 
-// Accepting tells whether a listening socket is still open, also one that was told to stop.
+// Accepting reports whether a listening socket is still open, including one that is
+// being stopped.
 func (s *Server) Accepting() bool {
-	return s.listener != nil || s.stopping != nil && !s.stopping.Closed()
+	return s.listener != nil || s.stoppingListener != nil && !s.stoppingListener.Closed()
 }
 
-// Resume listens again after Stop; the error is the address's.
+// Resume listens again after Stop. It fails if the address can't be bound.
 func (s *Server) Resume() error {
 	if s.listener != nil {
 		return nil
@@ -34,45 +36,45 @@
 	return s.Start()
 }
 
-// Drain has every connection end with its next answer, idle ones at once, and
-// ones whose last answer is still on its way once it is out, or within lateOut.
-// Connections that are bringing a request, that came within arriving, or that
-// come meanwhile are served and end with their first answer; one that has said
-// nothing for longer ends at once.
+// Drain closes every connection after its next answer, idle ones at once, and those
+// with an outgoing answer once it is sent or after finalAnswerTimeout. Connections
+// with a partial request, those accepted within firstRequestGrace, and those accepted
+// later are served and closed after their first answer; older ones without any
+// request are closed at once.
 func (s *Server) Drain() {
-	s.closing = true
+	s.draining = true
 	now := s.loop.Now()
-	for i := silent; i < states; i++ {
+	for i := silent; i < numStates; i++ {
 		if i == busy || i == ending || i == reading {
 			continue
 		}
 		s.lists[i].each(func(c *conn) {
-			if c.brings(now) {
+			if c.mayReceiveRequest(now) {
 				return
 			}
 			if _, left := c.tc.Acknowledged(); left == 0 && !c.tc.Blocked() {
-				c.quitBy(now + lingerShort)
+				c.shutdownBy(now + idleLingerTimeout)
 				return
 			}
-			c.last = true
-			c.finish()
+			c.closeAfter = true
+			c.closeWhenSent()
 		})
 	}
 }
 
-// Rejoin takes back a Drain: answers keep their connections again.
-func (s *Server) CancelDrain() { s.closing = false }
+// CancelDrain undoes Drain: connections stay open after answers again.
+func (s *Server) CancelDrain() { s.draining = false }
 
-// Ending counts connections that are being ended: their last answer may be on its way,
-// and the program's end would reset it away where anything more has come from the client.
-// All are bounded in time.
+// Ending returns the number of connections that are being closed. Their last answer
+// may still be on its way, and exiting would reset it if the client has sent more
+// data. All of them end within a bounded time.
 func (s *Server) Ending() int { return s.lists[ending].count }
 
-// Busy counts connections whose answer is open or not all out.
+// Busy returns the number of connections with an open request or unsent output.
 func (s *Server) Busy() (n int) {
 	for i := range s.lists {
 		s.lists[i].each(func(c *conn) {
-			if c.x != nil || c.tc.Blocked() {
+			if c.exchange != nil || c.tc.Blocked() {
 				n++
 			}
 		})
@@ -80,11 +82,12 @@
 	return n
 }
 
-// Connections counts all that clients hold, with those that the loop has not heard of yet.
-func (s *Server) Connections() int { return int(s.held.Load()) }
+// Connections returns the number of open connections, including those not yet posted
+// to the loop.
+func (s *Server) Connections() int { return int(s.numConns.Load()) }
 
-// unheard counts the connections that were accepted and that the loop has not heard of yet.
-func (s *Server) unheard() int {
+// pendingAccepts returns the number of accepted connections not yet known to the loop.
+func (s *Server) pendingAccepts() int {
 	n := s.Connections()
 	for i := range s.lists {
 		n -= s.lists[i].count
@@ -92,53 +95,55 @@
 	return n
 }
 
-// Coming counts connections that are bringing a request, and those that came
-// within arriving and may be; their time bounds them.
+// Receiving returns the number of connections from which a request is arriving, or,
+// accepted within firstRequestGrace, may be. All are bounded by the request timeout.
 func (s *Server) Receiving() int {
-	n, now := s.lists[reading].count+s.unheard(), s.loop.Now()
+	n, now := s.lists[reading].count+s.pendingAccepts(), s.loop.Now()
 	s.lists[silent].each(func(c *conn) {
-		if c.brings(now) {
+		if c.mayReceiveRequest(now) {
 			n++
 		}
 	})
 	return n
 }
 
-// brings tells whether one that has brought no whole request yet may still: its first has
-// come in part, or may be on the way.
-func (c *conn) brings(now loop.Micros) bool {
-	return c.state == silent && (c.begun || c.since > now-arriving)
+// mayReceiveRequest reports whether the first request of a connection is still
+// expected: part of it has arrived, or it may be on its way.
+func (c *conn) mayReceiveRequest(now loop.Micros) bool {
+	return c.state == silent && (c.partialRequest || c.stateSince > now-firstRequestGrace)
 }
 
-// quit ends a connection without an open request. Half a request is answered.
-func (c *conn) quit() { c.quitBy(c.server.loop.Now() + linger) }
+// shutdown closes a connection without an open request. A partial request is answered
+// with status 408.
+func (c *conn) shutdown() { c.shutdownBy(c.server.loop.Now() + lingerTimeout) }
 
-// quitBy is quit for one whose place is wanted, and whose client may never end its
-// side. One on which something has just come is left, since its request is looked at next;
-// it tells whether the connection was ended.
-func (c *conn) quitBy(by loop.Micros) bool {
-	if c.begun {
-		c.write(&httpwire.Response{Status: 408, Close: true})
+// shutdownBy is shutdown with a deadline, for a client that may never close its side.
+// A connection on which data has just arrived is left open, since its request is
+// handled next. It reports whether the connection is being closed.
+func (c *conn) shutdownBy(deadline loop.Micros) bool {
+	if c.partialRequest {
+		c.writeResponse(&httpwire.Response{Status: 408, Close: true})
 		return true
 	}
 	if c.tc.Pending() && !c.Gone() {
-		c.began = c.server.loop.Now()
-		c.enter(reading)
+		c.requestStart = c.server.loop.Now()
+		c.setState(reading)
 		return false
 	}
-	c.last = true
-	c.enter(ending)
-	c.tc.HalfClose(by)
+	c.closeAfter = true
+	c.setState(ending)
+	c.tc.HalfClose(deadline)
 	return true
 }
 
-// finish ends a connection behind its last answer. A slow client's is owed whole as any
-// other: where it has not taken all of it after linger, it has until lateOut.
-func (c *conn) finish() {
+// closeWhenSent closes a connection after its last answer: once the client has
+// acknowledged all of it, checked after lingerTimeout, or after finalAnswerTimeout, so
+// that slow clients get the whole answer too.
+func (c *conn) closeWhenSent() {
 	now := c.server.loop.Now()
-	c.enter(ending)
-	c.tc.HalfClose(now + lateOut)
-	c.server.loop.At(now+linger, func() {
+	c.setState(ending)
+	c.tc.HalfClose(now + finalAnswerTimeout)
+	c.server.loop.At(now+lingerTimeout, func() {
 		if _, left := c.tc.Acknowledged(); left == 0 {
 			c.tc.Close()
 		}
--- a/internal/front/session/queue.go
+++ b/internal/front/session/queue.go
@@ -6,104 +6,105 @@
 	"cherryramp/internal/loop"
 )
 
-// Queue is where requests wait for a place, for all fronts that share it. Who
-// waits, who is taken and who is refused, the limiter decides. It is used on the
+// Queue holds requests until they are admitted, for all fronts that share it. The
+// limiter decides which are queued, admitted or refused. It must be used on the
 // loop only.
 type Queue struct {
-	loop    *loop.Loop
-	limiter *admission.Limiter
-	due     loop.Deadline
-	dueAt   loop.Micros // that it was set for
-	pumping bool
+	loop        *loop.Loop
+	limiter     *admission.Limiter
+	timer       loop.Deadline
+	dueAt       loop.Micros // time for which timer is set
+	dispatching bool
 }
 
-// NewQueue makes a queue round a limiter.
-func NewQueue(l *loop.Loop, x *admission.Limiter) *Queue {
-	q := &Queue{loop: l, limiter: x}
-	q.due.Init(q.pump)
+// NewQueue returns a queue that follows a limiter's decisions.
+func NewQueue(l *loop.Loop, limiter *admission.Limiter) *Queue {
+	q := &Queue{loop: l, limiter: limiter}
+	q.timer.Init(q.dispatch)
 	return q
 }
 
-// Renew takes the worth of further classes; those known so far keep their places.
+// UpdateClasses sets the worth of the classes. Known classes keep their indexes; new
+// ones are added behind them.
 func (q *Queue) UpdateClasses(worth []float64) { q.limiter.UpdateClasses(worth) }
 
-// ask has a connection's open call taken, or waits with it, or refuses it.
-func (q *Queue) ask(c *conn) {
+// admit starts, queues or refuses the open call of a connection.
+func (q *Queue) admit(c *conn) {
 	now := q.loop.Now()
-	c.ticket = &admission.Ticket{Class: c.call.Class, Prefix: c.origin(), Deadline: c.call.Deadline, Value: c}
-	switch v, away, yields := q.limiter.Admit(c.ticket, now); v {
+	c.ticket = &admission.Ticket{Class: c.call.Class, Prefix: c.clientPrefix(), Deadline: c.call.Deadline, Value: c}
+	switch verdict, retryAfter, displaced := q.limiter.Admit(c.ticket, now); verdict {
 	case admission.Admitted:
-		c.turn(now)
+		c.startCall(now)
 	case admission.Refused:
-		c.turnDown(away)
+		c.refuseCall(retryAfter)
 	case admission.Queued:
-		if yields != nil {
-			yields.Value.(*conn).turnDown(away)
+		if displaced != nil {
+			displaced.Value.(*conn).refuseCall(retryAfter)
 		}
-		q.watch()
+		q.schedule()
 	}
 }
 
-// turn hands over a call that has its place.
-func (c *conn) turn(now loop.Micros) {
-	c.taken = now
-	c.server.desk.Submit(c.call)
+// startCall submits an admitted call.
+func (c *conn) startCall(now loop.Micros) {
+	c.admittedAt = now
+	c.server.handler.Submit(c.call)
 }
 
-// turnDown refuses a call that has reached nothing, so that it is harmless.
-func (c *conn) turnDown(away loop.Micros) {
+// refuseCall refuses a call that was never submitted and so had no effect.
+func (c *conn) refuseCall(retryAfter loop.Micros) {
 	c.ticket = nil
-	c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: away})
+	c.finishCall(gateway.Answer{Kind: gateway.Refused, RetryAfter: retryAfter})
 }
 
-// done gives back what a connection's open call holds: its place, or its turn.
-func (q *Queue) done(c *conn, answered bool) {
+// release frees the slot of a connection's open call, or removes it from the queue.
+func (q *Queue) release(c *conn, answered bool) {
 	t, now := c.ticket, q.loop.Now()
 	c.ticket = nil
 	if t.Queued() {
 		q.limiter.Cancel(t)
 	} else {
-		q.limiter.Done(t.Class, now-c.taken, now, answered)
-		c.taken = 0
+		q.limiter.Done(t.Class, now-c.admittedAt, now, answered)
+		c.admittedAt = 0
 	}
-	if !q.pumping { // else whoever pumps goes on
-		q.pump()
+	if !q.dispatching { // otherwise the running dispatch goes on
+		q.dispatch()
 	}
 }
 
-// pump hands over calls as long as there are places, and refuses those whose time
-// has run out.
-func (q *Queue) pump() {
-	q.pumping = true
+// dispatch starts queued calls while the limiter admits them, and refuses those whose
+// time has run out.
+func (q *Queue) dispatch() {
+	q.dispatching = true
 	for {
-		t, taken, away := q.limiter.Next(q.loop.Now())
+		t, admitted, retryAfter := q.limiter.Next(q.loop.Now())
 		if t == nil {
 			break
 		}
-		if c := t.Value.(*conn); taken {
-			c.turn(q.loop.Now())
+		if c := t.Value.(*conn); admitted {
+			c.startCall(q.loop.Now())
 		} else {
-			c.turnDown(away)
+			c.refuseCall(retryAfter)
 		}
 	}
-	q.pumping = false
-	q.watch()
+	q.dispatching = false
+	q.schedule()
 }
 
-// Abandon refuses all that wait, for a program that has to end.
+// RefuseAll refuses all queued calls, for a program that is about to exit.
 func (q *Queue) RefuseAll() {
 	for t := q.limiter.Drop(); t != nil; t = q.limiter.Drop() {
-		t.Value.(*conn).turnDown(0)
+		t.Value.(*conn).refuseCall(0)
 	}
 }
 
-// watch has the next that runs out told in time.
-func (q *Queue) watch() {
+// schedule sets the timer for the limiter's next check.
+func (q *Queue) schedule() {
 	at, ok := q.limiter.NextCheck()
 	if !ok {
-		q.loop.Stop(&q.due)
-	} else if !q.due.Pending() || at < q.dueAt {
+		q.loop.Stop(&q.timer)
+	} else if !q.timer.Pending() || at < q.dueAt {
 		q.dueAt = at
-		q.loop.Set(&q.due, at)
+		q.loop.Set(&q.timer, at)
 	}
 }
--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -1,6 +1,6 @@
-// Package session holds the clients' HTTP connections for the fronts: it accepts
-// them, takes one request at a time from each, and writes the one answer. What a
-// request means, and how an outcome is told, is the front's own matter.
+// Package session manages the clients' HTTP connections of the fronts: it accepts
+// them, reads one request at a time from each and writes its one answer. What a
+// request means and how an outcome becomes a response is up to the front (App).
 package session
 
 import (
@@ -22,382 +22,384 @@
 	"cherryramp/internal/transport"
 )
 
-// parkAfter is how long a connection must have been idle for as little of it to
-// be held as can be. It is longer than most clients take between two requests,
-// since netpoll serves those that stay busy with fewer system calls.
+// parkAfter is the idle time, in us, after which a connection is parked to save
+// memory. It is longer than most clients' pause between two requests, since
+// netpoll serves busy connections with fewer system calls.
 const parkAfter = 1_000_000
 
-// The limits where a front sets none, in us.
+// Default timeouts for fronts that set none, in us.
 const (
-	idleMost    = 4_500_000 // without an open request; clients close after 4 s themselves
-	requestMost = 2_300_000 // that a whole request may take to come, from connecting or its first byte
+	defaultIdleTimeout    = 4_500_000 // without an open request; clients close after 4 s themselves
+	defaultRequestTimeout = 2_300_000 // for a whole request to arrive, from the connect or its first byte
 )
 
-// pacedFrom is the bytes from which an answer's pace is looked at. Less goes into
-// the other side's window at once.
-const pacedFrom = 16 << 10
+// minPacedAnswer is the size in bytes from which the transfer rate of an answer is
+// checked. Smaller answers fit into the client's receive window at once.
+const minPacedAnswer = 16 << 10
 
-// How long a half-closed connection may take to end, in us; the short time is for
-// one without an answer on its way, and still longer than the 50 ms in which a
-// request may cross its end.
+// How long a half-closed connection may stay open, in us. The short time is for
+// connections without an outgoing answer; it is still longer than the 50 ms within
+// which a request may cross the close.
 const (
-	linger      = 500_000
-	lingerShort = 60_000
+	lingerTimeout     = 500_000
+	idleLingerTimeout = 60_000
 )
 
 const (
-	yieldSilent  = 400_000   // us after which one that has said nothing whole yet may have to make room
-	yieldIdle    = 50_000    // us after which an idle one may
-	refusalEvery = 1_000_000 // us between log lines about clients turned away
+	silentEvictAfter   = 400_000   // us after which a connection without a complete request may be evicted
+	idleEvictAfter     = 50_000    // us after which an idle connection may be evicted
+	refusalLogInterval = 1_000_000 // us between log lines about refused clients
 )
 
-// Audit follows calls from where they came to their one answer.
+// Audit tracks every call from its arrival to its one answer.
 type Audit interface {
-	// Came notes in the call what it came under.
+	// Received records in the call the versions that apply on its arrival.
 	Received(c *gateway.Call)
-	// Answered tells that it was answered.
+	// Answered reports the outcome with which the call was answered.
 	Answered(c *gateway.Call, o counters.Outcome)
-	// Left tells that its client has gone: it gets no answer.
+	// ClientGone reports that the client has disconnected: the call gets no answer.
 	ClientGone(c *gateway.Call)
 }
 
-// Config bounds the connections.
+// Config holds the settings and limits of a Server.
 type Config struct {
-	Name             string // of the front, for the log
+	Name             string // name of the front, for the log
 	Listen           string
 	Limits           httpwire.Limits
-	InputBuffer      int                  // bytes that may wait, of requests sent behind each other; 0: as one request
-	MaxConns         int                  // held at most
-	RetryAfter       loop.Micros          // that a client refused for want of a place is told to stay away; 0: no advice
-	MaxPerPrefix     int                  // held of one prefix of addresses at most; 0: any number
-	IdleTimeout      loop.Micros          // that a connection may have no open request; 0: 4.5 s
-	RequestTimeout   loop.Micros          // that a whole request may take to come; 0: 2.3 s
-	AdaptiveIdle     bool                 // idle times shrink as places fill, and clients are told
-	Park             bool                 // connections long idle hold as little as can be
-	Pace             *slowclient.Detector // of requests that come and answers that go; nil: only whole times are bounded
-	Memory           *resources.Budget    // of all parts of the program; nil: none is kept
-	MaxDescriptors   int                  // of the process; 0: only the connections are bounded
-	SpareDescriptors int                  // of them that stay free
-	Admission        *Queue               // of requests, for all fronts that share it; nil: none
-	Counters         *counters.Counters   // where the answers to calls are counted, by class; nil: nowhere
-	Audit            Audit                // is told of each call; nil: nobody is
-}
-
-// App gives requests and outcomes their meaning.
+	InputBuffer      int                  // bytes buffered of pipelined requests; at least one request fits
+	MaxConns         int                  // limit of open connections
+	RetryAfter       loop.Micros          // advised to clients refused at the connection limit; 0: no advice
+	MaxPerPrefix     int                  // limit of connections per address prefix; 0: no limit
+	IdleTimeout      loop.Micros          // limit of the time without an open request; 0: 4.5 s
+	RequestTimeout   loop.Micros          // limit of the time for a whole request to arrive; 0: 2.3 s
+	AdaptiveIdle     bool                 // idle timeouts shrink as connections near the limit, and responses announce them
+	Park             bool                 // long idle connections release their buffers; see transport.Conn.Park
+	Pace             *slowclient.Detector // checks transfer rates of requests and answers; nil: only total times are limited
+	Memory           *resources.Budget    // budget shared by all parts of the program; nil: none
+	MaxDescriptors   int                  // descriptor limit of the process; 0: only connections are limited
+	SpareDescriptors int                  // descriptors that stay free
+	Admission        *Queue               // admission queue, shared by fronts; nil: none
+	Counters         *counters.Counters   // counts the outcomes of calls by class; nil: not counted
+	Audit            Audit                // notified of each call; nil: none
+}
+
+// App interprets requests and builds the responses.
 type App interface {
-	// Take turns a request into a call, or answers it at once. Where both are
-	// nil it keeps the request, and later calls the exchange's Submit or Reply.
+	// HandleRequest turns a request into a call, or answers it at once. If both
+	// results are nil, it keeps the request and calls Submit or Reply of the
+	// exchange later.
 	HandleRequest(r *httpwire.Request, x *Exchange) (*gateway.Call, *httpwire.Response)
-	// Reply words the final answer to a call. Where it is nil, the exchange's
-	// Reply follows.
+	// BuildResponse turns the final answer of a call into a response. If it is nil,
+	// a call of the exchange's Reply follows.
 	BuildResponse(x *Exchange, a gateway.Answer) *httpwire.Response
-	// Full words the refusal of whoever finds no place, with the time to stay away;
-	// 0: no advice.
-	OverloadResponse(away loop.Micros) *httpwire.Response
-	// Left tells that the client of an exchange has gone; nobody waits for its
-	// answer.
+	// OverloadResponse builds the refusal for clients beyond the connection limit,
+	// with the time after which to retry; 0: no advice.
+	OverloadResponse(retryAfter loop.Micros) *httpwire.Response
+	// ClientGone reports that the client of an exchange has disconnected and no
+	// longer waits for its answer.
 	ClientGone(x *Exchange)
 }
 
 // Exchange is one request, from its last byte until its answer is written. It
-// is used on the loop only.
+// must be used on the loop only.
 type Exchange struct {
-	State any // the App's own
+	State any // for use by the App
 	conn  *conn
 	open  bool
 }
 
-// Peer is the client's address.
+// Peer returns the client's address.
 func (x *Exchange) Peer() netip.Addr { return x.conn.address() }
 
 func (c *conn) address() netip.Addr { return c.tc.Peer().Addr() }
 
-// Came is when the request's last byte was read. Where requests come faster than
-// they can be looked at, that is long before the App sees them, and their clients
-// wait since then.
+// ReceivedAt returns when the last byte of the request was received. Under overload
+// this is long before the App sees the request, and the client waits since then.
 func (x *Exchange) ReceivedAt() gateway.Micros {
 	return min(x.conn.tc.LastReceived(), x.conn.server.loop.Now())
 }
 
-// Submit hands over the call that a kept request has become.
+// Submit submits the call made from a request that the App had kept.
 func (x *Exchange) Submit(call *gateway.Call) {
 	if x.open {
 		x.conn.submit(call)
 	}
 }
 
-// Reply answers a kept request.
+// Reply answers a request that the App had kept.
 func (x *Exchange) Reply(r *httpwire.Response) {
 	if x.open {
 		x.conn.reply(r)
 	}
 }
 
-// Desk serves calls.
+// CallHandler serves calls. Leave cancels a submitted call whose client has gone.
 type CallHandler interface {
 	Submit(c *gateway.Call)
 	Leave(c *gateway.Call)
 }
 
-// Server holds a front's connections.
+// Server manages the connections of one front.
 type Server struct {
-	cfg      Config
-	loop     *loop.Loop
-	app      App
-	full     []byte // what whoever finds no place is told
-	desk     CallHandler
-	log      *slog.Logger
-	lists    [states]list
-	gauge    transport.Gauge
-	account  *resources.Account
-	held     atomic.Int64 // with those that the loop has not heard of yet
-	places   atomic.Int64 // held at most
-	refused  atomic.Int64 // when one was last turned away
-	closing  bool
-	listener *transport.Listener // nil: none, or it is being stopped
-	stopping *transport.Listener // the last one that was stopped
-	buf      []byte
-}
-
-// conn is one client's connection; it carries one request at a time.
+	cfg              Config
+	loop             *loop.Loop
+	app              App
+	overloadResponse []byte // encoded refusal for clients beyond the connection limit
+	handler          CallHandler
+	log              *slog.Logger
+	lists            [numStates]list
+	gauge            transport.Gauge
+	account          *resources.Account
+	numConns         atomic.Int64 // open, including those not yet posted to the loop
+	maxConns         atomic.Int64
+	lastRefusalLog   atomic.Int64 // time of the last log line about refused clients
+	draining         bool
+	listener         *transport.Listener // nil if none or if it is being stopped
+	stoppingListener *transport.Listener // the last one stopped
+	buf              []byte
+}
+
+// conn is a client's connection. It carries one request at a time.
 type conn struct {
-	server  *Server
-	tc      *transport.Conn
-	x       *Exchange         // open
-	call    *gateway.Call     // of the open one; nil while the App keeps it
-	ticket  *admission.Ticket // of the open call; nil: not by the limiter
-	taken   loop.Micros       // when it was let in; 0: it waits
-	head    bool              // the open request wants no body
-	last    bool              // the connection ends with the answer
-	meter   *slowclient.Meter // while a request comes or an answer goes
-	began   loop.Micros       // when the request began to come; 0: none is coming
-	begun   bool              // a request has come in part
-	over    bool
-	counted bool         // in the account
-	refuse  bool         // it has no place: its request is refused, and ends it
-	prefix  netip.Prefix // where prefixes are bounded
+	server         *Server
+	tc             *transport.Conn
+	exchange       *Exchange         // the open request; nil: none
+	call           *gateway.Call     // of the open request; nil while the App keeps it
+	ticket         *admission.Ticket // of the open call; nil: not subject to admission
+	admittedAt     loop.Micros       // when the call was admitted; 0: it is queued
+	headOnly       bool              // the open request is a HEAD request
+	closeAfter     bool              // the connection closes after the answer
+	meter          *slowclient.Meter // while a request arrives or an answer is sent
+	requestStart   loop.Micros       // when the request began to arrive; 0: none is arriving
+	partialRequest bool              // part of a request has arrived
+	closed         bool
+	accounted      bool         // counted in the server's account
+	overLimit      bool         // beyond the limit: its request is refused and the connection closed
+	prefix         netip.Prefix // set if connections per prefix are limited
 
 	state      state
-	since      loop.Micros // when it came into its state
-	prev, next *conn       // of its state
+	stateSince loop.Micros // when it entered its state
+	prev, next *conn       // in the list of its state
 }
 
-// New makes a server that hands its calls to the desk.
-func New(cfg Config, l *loop.Loop, app App, desk CallHandler, log *slog.Logger) *Server {
-	cfg.IdleTimeout, cfg.RequestTimeout = cmp.Or(cfg.IdleTimeout, idleMost), cmp.Or(cfg.RequestTimeout, requestMost)
-	s := &Server{cfg: cfg, loop: l, app: app, desk: desk, log: log.With("front", cfg.Name)}
+// New returns a server that submits its calls to handler.
+func New(cfg Config, l *loop.Loop, app App, handler CallHandler, log *slog.Logger) *Server {
+	cfg.IdleTimeout, cfg.RequestTimeout = cmp.Or(cfg.IdleTimeout, defaultIdleTimeout), cmp.Or(cfg.RequestTimeout, defaultRequestTimeout)
+	s := &Server{cfg: cfg, loop: l, app: app, handler: handler, log: log.With("front", cfg.Name)}
 	s.account = resources.New(s.limits(), cfg.Memory)
-	s.places.Store(int64(cfg.MaxConns))
+	s.maxConns.Store(int64(cfg.MaxConns))
 	for i := range s.lists {
 		s.lists[i].init(s)
 	}
-	s.bound()
+	s.applyBounds()
 	return s
 }
 
-// Start begins to accept clients.
+// Start starts accepting clients.
 func (s *Server) Start() (err error) {
-	full := s.app.OverloadResponse(s.cfg.RetryAfter)
-	full.Close = true
-	s.full = httpwire.AppendResponse(nil, full, false)
+	response := s.app.OverloadResponse(s.cfg.RetryAfter)
+	response.Close = true
+	s.overloadResponse = httpwire.AppendResponse(nil, response, false)
 	s.listener, err = transport.Listen(s.loop, s.cfg.Listen, max(s.cfg.InputBuffer, s.cfg.Limits.Head+s.cfg.Limits.Body),
 		&s.gauge, s.log, s.admit)
 	return err
 }
 
-// admit runs on the poller. Where few places are left, one of the connections
-// that stand idle has to make room.
+// admit decides on an accepted connection. It runs on the poller. Near the limit
+// it has an idle connection evicted.
 func (s *Server) admit(tc *transport.Conn) transport.Handler {
-	places := s.places.Load()
-	arrival, room := resources.DecideConn(s.held.Add(1), places, tc.PeerClosed)
-	if arrival == resources.RefuseConn || arrival == resources.CloseConn {
-		s.turnAway("client turned away: too many connections", "limit", places)
+	limit := s.maxConns.Load()
+	decision, evict := resources.DecideConn(s.numConns.Add(1), limit, tc.PeerClosed)
+	if decision == resources.RefuseConn || decision == resources.CloseConn {
+		s.logRefusal("client turned away: too many connections", "limit", limit)
 	}
-	if room {
+	if evict {
 		s.loop.Post(s.evictIdle)
 	}
-	if arrival == resources.CloseConn {
-		tc.Reject(s.full)
+	if decision == resources.CloseConn {
+		tc.Reject(s.overloadResponse)
 	}
-	if arrival == resources.ClientGone || arrival == resources.CloseConn {
-		s.held.Add(-1)
+	if decision == resources.ClientGone || decision == resources.CloseConn {
+		s.numConns.Add(-1)
 		return nil
 	}
-	c := &conn{server: s, tc: tc, refuse: arrival == resources.RefuseConn}
+	c := &conn{server: s, tc: tc, overLimit: decision == resources.RefuseConn}
 	s.loop.Post(func() {
-		if c.over || c.state != outside {
+		if c.closed || c.state != unlisted {
 			return
 		}
-		if c.refuse {
-			c.enter(silent)
+		if c.overLimit {
+			c.setState(silent)
 			return
 		}
 		if s.account.TracksPrefixes() {
 			c.prefix = abuse.Prefix(c.address())
 		}
 		if !s.account.Acquire(c.prefix) {
-			s.turnAway("client turned away: too many connections of its prefix", "prefix", c.prefix)
+			s.logRefusal("client turned away: too many connections of its prefix", "prefix", c.prefix)
 			c.prefix = netip.Prefix{}
-			c.enter(ending)
-			c.last = true
-			tc.HalfClose(s.loop.Now() + lingerShort)
+			c.setState(ending)
+			c.closeAfter = true
+			tc.HalfClose(s.loop.Now() + idleLingerTimeout)
 			return
 		}
-		c.counted = true
-		c.enter(silent)
+		c.accounted = true
+		c.setState(silent)
 		if s.cfg.AdaptiveIdle {
-			s.lists[idle].watch()
-			s.lists[parked].watch()
+			s.lists[idle].schedule()
+			s.lists[parked].schedule()
 		}
 	})
 	return c
 }
 
-// turnAway says now and then that clients are turned away. It may be called from
-// anywhere.
-func (s *Server) turnAway(text string, args ...any) {
+// logRefusal logs that clients are refused, at most once per refusalLogInterval. It
+// is safe for concurrent use.
+func (s *Server) logRefusal(text string, args ...any) {
 	now := s.loop.Now()
-	if last := s.refused.Load(); now-last > refusalEvery && s.refused.CompareAndSwap(last, now) {
+	if last := s.lastRefusalLog.Load(); now-last > refusalLogInterval && s.lastRefusalLog.CompareAndSwap(last, now) {
 		s.log.Warn(text, args...)
 	}
 }
 
-// evictIdle ends the connection that is least missed: of those that have brought
-// no whole request for a while the oldest, else the one idle for longest. One
-// that has just come is left alone, since its first request may be under way.
+// evictIdle closes the connection that matters least: the oldest of those that have
+// sent no complete request for a while, else the one idle for longest. New
+// connections are spared, since their first request may be on its way.
 func (s *Server) evictIdle() {
 	now := s.loop.Now()
 	for _, x := range []struct {
 		state state
 		limit loop.Micros
-	}{{silent, s.account.SilentTimeout(yieldSilent, s.lists[silent].count)}, {parked, yieldIdle}, {idle, yieldIdle}, {reading, yieldIdle}} {
-		for range mostPassed {
-			c := s.lists[x.state].least(now - x.limit)
+	}{{silent, s.account.SilentTimeout(silentEvictAfter, s.lists[silent].count)}, {parked, idleEvictAfter}, {idle, idleEvictAfter}, {reading, idleEvictAfter}} {
+		for range maxBlockedSkipped {
+			c := s.lists[x.state].oldestUnblocked(now - x.limit)
 			if c == nil {
 				break
 			}
-			if c.quitBy(now + lingerShort) {
+			if c.shutdownBy(now + idleLingerTimeout) {
 				return
 			}
 		}
 	}
 }
 
-// Readable takes the next request, unless one is open.
+// Readable handles the next request, unless one is open.
 func (c *conn) Readable(tc *transport.Conn) {
-	for c.x == nil && !c.over && !c.last {
+	for c.exchange == nil && !c.closed && !c.closeAfter {
 		var r *httpwire.Request
 		var err error
 		tc.Consume(func(b []byte) (used int) {
 			r, used, err = httpwire.ParseRequest(b, c.server.cfg.Limits)
-			c.begun = len(b) > 0 && r == nil
+			c.partialRequest = len(b) > 0 && r == nil
 			return used
 		})
 		if r == nil && err == nil && tc.Overflowed() {
 			err = &httpwire.Error{Status: 400, Reason: "too much at once"}
 		}
-		var wrong *httpwire.Error
-		if errors.As(err, &wrong) {
-			c.server.log.Info("request can't be read", "status", wrong.Status, "reason", wrong.Reason,
+		var parseErr *httpwire.Error
+		if errors.As(err, &parseErr) {
+			c.server.log.Info("request can't be read", "status", parseErr.Status, "reason", parseErr.Reason,
 				"peer", tc.Peer().String())
-			c.write(&httpwire.Response{Status: wrong.Status, Body: []byte(wrong.Reason + "\n"), Close: true})
+			c.writeResponse(&httpwire.Response{Status: parseErr.Status, Body: []byte(parseErr.Reason + "\n"), Close: true})
 			return
 		}
 		if r == nil {
-			if c.begun {
-				c.begin()
+			if c.partialRequest {
+				c.beginRequest()
 			}
 			return
 		}
-		c.take(r)
+		c.handleRequest(r)
 	}
 }
 
-// begin notes that a request has begun to come.
-func (c *conn) begin() {
+// beginRequest notes that part of a request has arrived.
+func (c *conn) beginRequest() {
 	paced := c.server.cfg.Pace != nil
 	if c.state == reading || c.state == silent && !paced {
 		return
 	}
-	c.began = c.server.loop.Now()
-	if c.state == silent { // its time runs since it connected
-		c.began = c.since
+	c.requestStart = c.server.loop.Now()
+	if c.state == silent { // the timeout runs from the connect
+		c.requestStart = c.stateSince
 	}
-	c.enter(reading)
+	c.setState(reading)
 	if paced {
-		c.measure(c.tc.BytesReceived(), 0)
+		c.startMeter(c.tc.BytesReceived(), 0)
 	}
 }
 
-// measure begins to meter a transfer.
-func (c *conn) measure(moved, left int64) {
+// startMeter starts metering a transfer.
+func (c *conn) startMeter(moved, left int64) {
 	if c.meter == nil {
-		m := c.server.cfg.Pace.Begin(c.origin(), moved, left, c.server.loop.Now())
+		m := c.server.cfg.Pace.Begin(c.clientPrefix(), moved, left, c.server.loop.Now())
 		c.meter = &m
 	}
 }
 
-// origin is whom a connection's pace is held with.
-func (c *conn) origin() netip.Prefix { return abuse.Prefix(c.address()) }
+// clientPrefix returns the address prefix by which the client's transfer rates are tracked.
+func (c *conn) clientPrefix() netip.Prefix { return abuse.Prefix(c.address()) }
 
-// lookReading ends a connection whose request comes too slowly, or not in its time.
-func (c *conn) lookReading() {
+// checkReading closes a connection whose request arrives too slowly or not in time.
+func (c *conn) checkReading() {
 	now := c.server.loop.Now()
-	if now-c.began >= c.server.cfg.RequestTimeout {
-		c.quit()
+	if now-c.requestStart >= c.server.cfg.RequestTimeout {
+		c.shutdown()
 		return
 	}
 	if c.meter != nil {
-		if _, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), c.tc.BytesReceived(), 0, now); over {
-			c.server.slow(c, "request")
-			c.quit()
+		if _, over := c.server.cfg.Pace.Observe(c.meter, c.clientPrefix(), c.tc.BytesReceived(), 0, now); over {
+			c.server.logSlowClient(c, "request")
+			c.shutdown()
 			return
 		}
 	}
-	c.enter(reading)
+	c.setState(reading)
 }
 
-// lookSending ends a connection that takes its answer too slowly.
-func (c *conn) lookSending() {
+// checkSending aborts a connection whose client receives its answer too slowly.
+func (c *conn) checkSending() {
 	taken, left := c.tc.Acknowledged()
 	if left == 0 || c.meter == nil {
-		c.enter(idle)
+		c.setState(idle)
 		return
 	}
-	rank, over := c.server.cfg.Pace.Observe(c.meter, c.origin(), taken, int64(left), c.server.loop.Now())
+	rank, over := c.server.cfg.Pace.Observe(c.meter, c.clientPrefix(), taken, int64(left), c.server.loop.Now())
 	if over {
-		c.server.slow(c, "answer")
+		c.server.logSlowClient(c, "answer")
 		c.tc.Abort()
-		c.enter(ending)
+		c.setState(ending)
 		return
 	}
-	c.enter(sending + state(rank))
+	c.setState(sending + state(rank))
 }
 
-func (s *Server) slow(c *conn, what string) {
+func (s *Server) logSlowClient(c *conn, what string) {
 	s.log.Info("client is too slow", "what", what, "peer", c.tc.Peer().String())
 }
 
-// mostShed is how many transfers of one rank are looked at in one go.
-const mostShed = 64
+// maxShedPerRank limits the transfers of one rank that one call of shed checks, and
+// the idle connections that it evicts.
+const maxShedPerRank = 64
 
-// Shed gives bytes back: answers that wait, the slowest first, requests that have
-// come in part, the longest under way first, and the connections least missed.
+// Shed frees memory: out bytes by aborting pending answers, slowest first, in bytes
+// by closing connections with partial requests, oldest first, and records
+// connections by evicting idle ones.
 func (s *Server) Shed(out, in int64, records int) { s.shed(out, in, records, nil) }
 
-// shed is Shed, but for one connection: its answer has just been written, and nothing can
-// be known of its pace yet.
-func (s *Server) shed(out, in int64, records int, but *conn) {
+// shed is Shed that spares one connection, whose answer has just been written and
+// whose rate is not known yet.
+func (s *Server) shed(out, in int64, records int, except *conn) {
 	ended := 0
-	for i := sending; i < states && out > 0; i++ {
+	for i := sending; i < numStates && out > 0; i++ {
 		l, next := &s.lists[i], (*conn)(nil)
-		for c, seen := l.head.next, 0; c != &l.head && out > 0 && seen < mostShed; c, seen = next, seen+1 {
+		for c, seen := l.head.next, 0; c != &l.head && out > 0 && seen < maxShedPerRank; c, seen = next, seen+1 {
 			next = c.next
-			if _, n := c.tc.Acknowledged(); n > 0 && c != but {
+			if _, n := c.tc.Acknowledged(); n > 0 && c != except {
 				counted := s.cfg.Pace.PendingBytes()
 				c.tc.Abort()
-				c.enter(ending)
-				// The account knows what was left when the transfer was last looked at, which is more.
+				c.setState(ending)
+				// PendingBytes counted what was left at the transfer's last check, which is more.
 				freed := max(int64(n), counted-s.cfg.Pace.PendingBytes())
 				out -= freed
 				ended++
@@ -410,9 +412,9 @@
 	for c := s.lists[reading].head.next; in > 0 && c != &s.lists[reading].head; c = s.lists[reading].head.next {
 		in -= c.tc.BytesReceived()
 		ended++
-		c.quit()
+		c.shutdown()
 	}
-	for range min(records, mostShed) {
+	for range min(records, maxShedPerRank) {
 		s.evictIdle()
 	}
 	if ended > 0 {
@@ -420,48 +422,48 @@
 	}
 }
 
-// Held is the bytes that clients' connections hold in the program, and how many
-// there are. What the kernel holds for them the pacer knows.
+// Usage returns the bytes buffered by the program for clients' connections, and
+// their number. Bytes in kernel buffers are tracked by Config.Pace.
 func (s *Server) Usage() (in, out int64, records int) {
 	return s.gauge.In.Load(), s.gauge.Out.Load(), s.account.Held()
 }
 
-// Bounds is what may change while a server runs.
+// Bounds are the limits that may change while a server runs; see Config.
 type Bounds struct {
 	MaxConns, MaxPerPrefix      int
 	IdleTimeout, RequestTimeout loop.Micros
 }
 
-// Rebound sets the bounds anew. Where more is held than there may be now, the least
-// missed are ended, little by little.
+// UpdateBounds replaces the limits. Connections above a lowered limit are evicted in
+// small batches.
 func (s *Server) UpdateBounds(b Bounds) {
 	s.cfg.MaxConns, s.cfg.MaxPerPrefix = b.MaxConns, b.MaxPerPrefix
-	s.cfg.IdleTimeout, s.cfg.RequestTimeout = cmp.Or(b.IdleTimeout, idleMost), cmp.Or(b.RequestTimeout, requestMost)
-	s.places.Store(int64(b.MaxConns))
+	s.cfg.IdleTimeout, s.cfg.RequestTimeout = cmp.Or(b.IdleTimeout, defaultIdleTimeout), cmp.Or(b.RequestTimeout, defaultRequestTimeout)
+	s.maxConns.Store(int64(b.MaxConns))
 	s.account.SetLimits(s.limits())
-	s.bound()
+	s.applyBounds()
 	for i := range s.lists {
 		s.loop.Stop(&s.lists[i].due)
-		s.lists[i].watch()
+		s.lists[i].schedule()
 	}
 	s.trim()
 }
 
-// bound tells the lists how long one may stay.
-func (s *Server) bound() {
+// applyBounds sets the timeouts of the state lists.
+func (s *Server) applyBounds() {
 	for i := range s.lists {
-		s.lists[i].most, s.lists[i].ended = 0, (*conn).quit
+		s.lists[i].maxStay, s.lists[i].onExpire = 0, (*conn).shutdown
 	}
-	s.lists[silent].most, s.lists[idle].most, s.lists[reading].most = s.cfg.RequestTimeout, s.cfg.IdleTimeout, s.cfg.RequestTimeout
-	s.lists[parked].most = max(1, s.cfg.IdleTimeout-parkAfter)
+	s.lists[silent].maxStay, s.lists[idle].maxStay, s.lists[reading].maxStay = s.cfg.RequestTimeout, s.cfg.IdleTimeout, s.cfg.RequestTimeout
+	s.lists[parked].maxStay = max(1, s.cfg.IdleTimeout-parkAfter)
 	if p := s.cfg.Pace; p != nil {
-		s.lists[reading].most, s.lists[reading].ended = min(s.cfg.RequestTimeout, p.Window()), (*conn).lookReading
-		for i := sending; i < states; i++ {
-			s.lists[i].most, s.lists[i].ended = p.Window(), (*conn).lookSending
+		s.lists[reading].maxStay, s.lists[reading].onExpire = min(s.cfg.RequestTimeout, p.Window()), (*conn).checkReading
+		for i := sending; i < numStates; i++ {
+			s.lists[i].maxStay, s.lists[i].onExpire = p.Window(), (*conn).checkSending
 		}
 	}
 	if s.cfg.Park && s.cfg.IdleTimeout > 2*parkAfter {
-		s.lists[idle].most, s.lists[idle].ended = parkAfter, (*conn).park
+		s.lists[idle].maxStay, s.lists[idle].onExpire = parkAfter, (*conn).park
 	}
 }
 
@@ -470,45 +472,46 @@
 }
 
 const (
-	trimMost  = 64    // connections that are ended at a time when places were taken away
-	trimEvery = 5_000 // us
+	trimBatch    = 64    // connections evicted at a time after the limit was lowered
+	trimInterval = 5_000 // us
 )
 
 func (s *Server) trim() {
 	over := s.account.Held() - s.lists[ending].count - s.cfg.MaxConns
-	for range min(over, trimMost) {
+	for range min(over, trimBatch) {
 		s.evictIdle()
 	}
 	if over > 0 {
-		s.loop.At(s.loop.Now()+trimEvery, s.trim)
+		s.loop.At(s.loop.Now()+trimInterval, s.trim)
 	}
 }
 
-// Others takes over how many descriptors are held by others than clients.
+// SetOtherDescriptors sets the number of descriptors in use for other purposes than
+// clients.
 func (s *Server) SetOtherDescriptors(n int) { s.account.SetOtherDescriptors(n) }
 
-// park has as little as can be held for an idle connection.
+// park reduces the memory held for an idle connection.
 func (c *conn) park() {
-	c.enter(parked)
+	c.setState(parked)
 	c.tc.Park()
 }
 
-func (c *conn) take(r *httpwire.Request) {
-	if c.Gone() { // its end stands behind the request: nobody waits for an answer
-		c.last = true
-		c.enter(ending)
+func (c *conn) handleRequest(r *httpwire.Request) {
+	if c.Gone() { // the client closed right behind its request: it waits for no answer
+		c.closeAfter = true
+		c.setState(ending)
 		c.tc.Close()
 		return
 	}
-	c.head, c.last = r.Method == "HEAD", r.Close || c.refuse || c.tc.Overflowed()
-	c.began = 0
-	c.enter(busy)
+	c.headOnly, c.closeAfter = r.Method == "HEAD", r.Close || c.overLimit || c.tc.Overflowed()
+	c.requestStart = 0
+	c.setState(busy)
 	x := &Exchange{conn: c, open: true}
-	c.x = x
+	c.exchange = x
 	switch call, answer := c.server.app.HandleRequest(r, x); {
 	case answer != nil:
-		c.x, x.open = nil, false
-		c.write(answer)
+		c.exchange, x.open = nil, false
+		c.writeResponse(answer)
 	case call != nil && x.open:
 		c.submit(call)
 	}
@@ -521,31 +524,32 @@
 		call.Peer = c.address()
 		a.Received(call)
 	}
-	if c.refuse {
-		c.answer(gateway.Answer{Kind: gateway.Refused, RetryAfter: c.server.cfg.RetryAfter})
+	if c.overLimit {
+		c.finishCall(gateway.Answer{Kind: gateway.Refused, RetryAfter: c.server.cfg.RetryAfter})
 		return
 	}
 	if q := c.server.cfg.Admission; q != nil {
-		q.ask(c)
+		q.admit(c)
 		return
 	}
-	c.server.desk.Submit(call)
+	c.server.handler.Submit(call)
 }
 
-// Gone tells whether the client has ended its side, heard of or not.
-func (c *conn) Gone() bool { return c.over || c.tc.PeerClosed() }
+// Gone reports whether the client has closed its side, even if the loop has not been
+// notified yet.
+func (c *conn) Gone() bool { return c.closed || c.tc.PeerClosed() }
 
-// Answer words and writes the final answer of the open call.
+// Answer writes the final answer of the open call.
 func (c *conn) Answer(a gateway.Answer) {
 	if c.ticket != nil {
-		c.server.cfg.Admission.done(c, a.Kind == gateway.Served || a.Kind == gateway.NotModified)
+		c.server.cfg.Admission.release(c, a.Kind == gateway.Served || a.Kind == gateway.NotModified)
 	}
-	c.answer(a)
+	c.finishCall(a)
 }
 
-// answer is where every answer to a call passes, the gateway's and the queue's:
-// it is counted here, once.
-func (c *conn) answer(a gateway.Answer) {
+// finishCall counts and writes the answer to a call. Every answer passes here once,
+// the gateway's and the queue's.
+func (c *conn) finishCall(a gateway.Answer) {
 	if f := c.server.cfg.Counters; f != nil {
 		f.CountOutcome(c.call.Class, outcome(a.Kind))
 	}
@@ -553,53 +557,54 @@
 		x.Answered(c.call, outcome(a.Kind))
 	}
 	c.call = nil
-	if r := c.server.app.BuildResponse(c.x, a); r != nil {
+	if r := c.server.app.BuildResponse(c.exchange, a); r != nil {
 		c.reply(r)
 	}
 }
 
-// reply writes the answer of the open exchange, and looks at what came meanwhile.
+// reply writes the answer of the open exchange, and then handles what has arrived
+// meanwhile.
 func (c *conn) reply(r *httpwire.Response) {
-	c.x.open = false
-	c.x = nil
-	c.write(r)
-	if !c.last {
+	c.exchange.open = false
+	c.exchange = nil
+	c.writeResponse(r)
+	if !c.closeAfter {
 		c.server.loop.Post(func() { c.Readable(c.tc) })
 	}
 }
 
-func (c *conn) write(r *httpwire.Response) {
+func (c *conn) writeResponse(r *httpwire.Response) {
 	s := c.server
-	c.last = c.last || r.Close || s.closing || c.tc.Overflowed()
-	r.Close = c.last
-	if s.cfg.AdaptiveIdle && !c.last {
-		// Under a second there is nothing that whole seconds could promise.
+	c.closeAfter = c.closeAfter || r.Close || s.draining || c.tc.Overflowed()
+	r.Close = c.closeAfter
+	if s.cfg.AdaptiveIdle && !c.closeAfter {
+		// Keep-Alive is in whole seconds, so less than one can't be announced.
 		if left := s.account.IdleTimeout(s.cfg.IdleTimeout) / 1_000_000; left > 0 {
 			r.Header = append(r.Header, httpwire.Field{Name: "Keep-Alive", Value: "timeout=" + strconv.FormatInt(left, 10)})
 		}
 	}
-	s.buf = httpwire.AppendResponse(s.buf[:0], r, c.head)
-	c.enter(idle)
+	s.buf = httpwire.AppendResponse(s.buf[:0], r, c.headOnly)
+	c.setState(idle)
 	if _, err := c.tc.Send(s.buf); err != nil {
 		c.tc.Close()
 		return
 	}
-	if s.cfg.Pace != nil && !c.last && len(s.buf) >= pacedFrom {
+	if s.cfg.Pace != nil && !c.closeAfter && len(s.buf) >= minPacedAnswer {
 		if taken, left := c.tc.Acknowledged(); left > 0 {
-			c.enter(sending + state(slowclient.Fast))
-			c.measure(taken, int64(left))
+			c.setState(sending + state(slowclient.Fast))
+			c.startMeter(taken, int64(left))
 			if b := s.cfg.Memory; b != nil && !b.TryReserve(resources.PendingOutput, int64(left)) {
 				s.shed(int64(left), 0, 0, c)
 				b.TryReserve(resources.PendingOutput, int64(left))
 			}
 		}
 	}
-	if c.last {
-		c.finish()
+	if c.closeAfter {
+		c.closeWhenSent()
 	}
 }
 
-// outcome is what the figures count an answer as.
+// outcome returns the outcome under which an answer is counted.
 func outcome(k gateway.AnswerKind) counters.Outcome {
 	switch k {
 	case gateway.Refused:
@@ -610,33 +615,33 @@
 	return counters.Passed
 }
 
-// Drained has nothing to do: the transport has sent the rest.
+// Drained is part of transport.Handler. There is nothing to do.
 func (c *conn) Drained(*transport.Conn) {}
 
-// Closed gives up what the client no longer waits for.
+// Closed cancels the open request, whose client no longer waits.
 func (c *conn) Closed(*transport.Conn) {
-	c.over = true
-	c.server.held.Add(-1)
-	c.enter(outside)
-	if c.counted {
+	c.closed = true
+	c.server.numConns.Add(-1)
+	c.setState(unlisted)
+	if c.accounted {
 		c.server.account.Release(c.prefix)
 	}
 	if c.call != nil {
 		waits := c.ticket != nil && c.ticket.Queued()
 		if c.ticket != nil {
-			c.server.cfg.Admission.done(c, false)
+			c.server.cfg.Admission.release(c, false)
 		}
 		if !waits {
-			c.server.desk.Leave(c.call)
+			c.server.handler.Leave(c.call)
 		}
 		if a := c.server.cfg.Audit; a != nil {
 			a.ClientGone(c.call)
 		}
 		c.call = nil
 	}
-	if c.x != nil {
-		c.x.open = false
-		c.server.app.ClientGone(c.x)
-		c.x = nil
+	if c.exchange != nil {
+		c.exchange.open = false
+		c.server.app.ClientGone(c.exchange)
+		c.exchange = nil
 	}
 }
--- a/internal/front/session/target.go
+++ b/internal/front/session/target.go
@@ -7,9 +7,9 @@
 	"cherryramp/internal/gateway"
 )
 
-// ReadCopy reads what both fronts say alike of the copy that is wanted: the
-// part, as the query seg=N, and the group, a number below 256. It names what
-// can't be used.
+// ParseTarget sets the part and the group of a call from the fields that both fronts
+// share: the part as the query seg=N, and the group as a number below 256. fault
+// names the malformed field; it is empty if there is none.
 func ParseTarget(c *gateway.Call, query, group string) (fault string) {
 	number, err := strconv.ParseUint(group, 10, 8)
 	if err != nil {
