--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	acceptRetry    = 20 * time.Millisecond  // until accepting is tried again where the system lacks room for it
-	stopPoll       = 2 * time.Millisecond   // between looks at whether anybody still waits to be accepted
-	detachPatience = time.Second            // for the poller to hear of a shutdown
-	stopPatience   = 300 * time.Millisecond // for what waits to be accepted after Stop
-	reportInterval = time.Second            // between log lines about failing accepts
+	acceptRetryDelay = 20 * time.Millisecond  // until an accept is retried that failed for lack of system resources
+	stopPollInterval = 2 * time.Millisecond   // between checks for clients that wait to be accepted
+	detachTimeout    = time.Second            // for the poller to notice the shutdown of a listener
+	stopTimeout      = 300 * time.Millisecond // for accepting queued clients after Stop
+	reportInterval   = time.Second            // between log lines about failed accepts
 )
 
-// reusePort binds listeners with SO_REUSEPORT.
-var reusePort = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+// reusePortConfig binds listeners with SO_REUSEPORT.
+var reusePortConfig = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -39,208 +39,207 @@
 
 type connKey struct{}
 
-// onRequest runs on the poller when bytes have come.
+// onRequest runs on the poller when data has arrived.
 func onRequest(ctx context.Context, _ netpoll.Connection) error {
 	ctx.Value(connKey{}).(*Conn).receive()
 	return nil
 }
 
-// Listener accepts connections at one address until Stop. What Stop promises is that the
-// socket is closed: closing is what ends listening on every system, where shutdown(2) of a
-// listener is not.
+// Listener accepts connections at one address until Stop. Stop closes the socket, since
+// closing ends listening on every system, unlike shutdown(2) of a listener.
 type Listener struct {
-	log     *slog.Logger
-	address net.Addr
-	served  chan struct{} // closed when netpoll has left the socket alone
-	failed  atomic.Int64  // accepts
+	log          *slog.Logger
+	address      net.Addr
+	serveDone    chan struct{} // closed when netpoll no longer uses the socket
+	acceptErrors atomic.Int64  // number of failed accepts
 
-	mu       sync.Mutex
-	socket   int // -1: closed
-	stopped  bool
-	stopBy   time.Time // after which nothing more is accepted
-	entering int       // connections that were accepted and that admit has not heard of yet
-	retrying bool      // netpoll has taken the socket out of its poller and calls Accept elsewhere
-	reported time.Time
+	mu           sync.Mutex
+	socket       int // -1: closed
+	stopped      bool
+	stopDeadline time.Time // after which no client is accepted
+	admitting    int       // accepted connections that admit has not returned from yet
+	retrying     bool      // netpoll has removed the socket from its poller and calls Accept in a goroutine
+	lastLogged   time.Time
 }
 
-// Listen accepts connections at an address. For each, admit is called on the
-// poller and gives the connection's handler; nil turns the connection away.
-// The socket is bound with SO_REUSEPORT, so that a new process of an upgrade
-// listens beside the old one and the kernel shares new clients between both.
-// What a connection buffers is bounded by limit; see Flooded. What all hold is in
-// the gauge.
+// Listen accepts connections at an address. For each, admit is called on the poller
+// and returns the connection's handler; nil refuses the connection. The socket is
+// bound with SO_REUSEPORT, so that during an upgrade the new process listens beside
+// the old one and the kernel distributes new clients among both. limit bounds the
+// input buffer of a connection in bytes; see Overflowed. The gauge counts what all
+// connections buffer.
 func Listen(l *loop.Loop, address string, limit int, g *Gauge, log *slog.Logger, admit func(*Conn) Handler) (*Listener, error) {
-	x, err := newListener(address, log)
+	ln, err := newListener(address, log)
 	if err != nil {
 		return nil, fmt.Errorf("transport: listen on %s: %w", address, err)
 	}
 	events, err := netpoll.NewEventLoop(onRequest,
 		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
-			c := wrap(l, np, limit, g)
+			c := newConn(l, np, limit, g)
 			c.handler = admit(c)
-			x.admitted()
+			ln.admitted()
 			ctx := context.WithValue(context.Background(), connKey{}, c)
 			if c.handler == nil {
 				_ = np.Close()
 				return ctx
 			}
-			// These three only make the connection faster.
+			// Errors are ignored: these options only improve performance.
 			_ = syscall.SetsockoptInt(c.fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
-			_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
-			_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, takeBuffer)
-			_ = np.AddCloseCallback(c.ended)
+			_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, clientSendBuffer)
+			_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, clientRecvBuffer)
+			_ = np.AddCloseCallback(c.onNetpollClose)
 			return ctx
 		}))
 	if err != nil {
-		_ = unix.Close(x.socket)
+		_ = unix.Close(ln.socket)
 		return nil, fmt.Errorf("transport: %w", err)
 	}
-	go x.serve(events)
-	return x, nil
+	go ln.serve(events)
+	return ln, nil
 }
 
-// serve has the poller watch the socket until Stop. Where the system lacks memory for that, it is
-// tried again.
-func (x *Listener) serve(events netpoll.EventLoop) {
-	defer close(x.served)
+// serve has the poller watch the socket until Stop, and retries if that fails for lack of
+// memory.
+func (ln *Listener) serve(events netpoll.EventLoop) {
+	defer close(ln.serveDone)
 	for {
-		err := events.Serve(x)
-		x.mu.Lock()
-		stopped := x.stopped
-		x.mu.Unlock()
+		err := events.Serve(ln)
+		ln.mu.Lock()
+		stopped := ln.stopped
+		ln.mu.Unlock()
 		if stopped {
 			return
 		}
-		x.log.Warn("a listener can't be watched", "error", err)
-		time.Sleep(acceptRetry)
+		ln.log.Warn("a listener can't be watched", "error", err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// newListener binds the socket.
+// newListener creates a listener with a bound socket.
 func newListener(address string, log *slog.Logger) (*Listener, error) {
-	bound, err := reusePort.Listen(context.Background(), "tcp", address)
+	bound, err := reusePortConfig.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	defer bound.Close() // our own descriptor of the socket stays
+	defer bound.Close() // the duplicated descriptor stays open
 	raw, err := bound.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	x := &Listener{log: log.With("listen", address), address: bound.Addr(), served: make(chan struct{})}
-	if e := raw.Control(func(fd uintptr) { x.socket, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0) }); e != nil {
+	ln := &Listener{log: log.With("listen", address), address: bound.Addr(), serveDone: make(chan struct{})}
+	if e := raw.Control(func(fd uintptr) { ln.socket, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0) }); e != nil {
 		return nil, e
 	}
-	return x, err
+	return ln, err
 }
 
-// Stop has the listener accept what the kernel holds for it, for stopPatience at most, and
-// then close its socket; see Closed. The connections accepted stay. New clients go to the
-// other processes that listen at the address, or are refused where there are none. It may
-// be called from anywhere, and more than once.
-func (x *Listener) Stop() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.stopped {
+// Stop has the listener accept the clients that the kernel has queued, for at most stopTimeout,
+// and then closes its socket; see Closed. Accepted connections stay open. New clients go to
+// other processes that listen at the address, or are refused if there are none. It is safe
+// for concurrent use and may be called more than once.
+func (ln *Listener) Stop() {
+	ln.mu.Lock()
+	defer ln.mu.Unlock()
+	if ln.stopped {
 		return
 	}
-	x.stopped, x.stopBy = true, time.Now().Add(stopPatience)
-	go x.close()
+	ln.stopped, ln.stopDeadline = true, time.Now().Add(stopTimeout)
+	go ln.close()
 }
 
-// Closed tells whether the listening socket is closed. All that was accepted has been
-// posted to the loop by then.
-func (x *Listener) Closed() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.socket < 0
+// Closed reports whether the listening socket is closed. By then all accepted connections
+// have been passed to admit.
+func (ln *Listener) Closed() bool {
+	ln.mu.Lock()
+	defer ln.mu.Unlock()
+	return ln.socket < 0
 }
 
-// close waits until nobody waits to be accepted and closes the socket.
-func (x *Listener) close() {
-	for x.waited() {
-		time.Sleep(stopPoll)
+// close waits until no client waits to be accepted and closes the socket.
+func (ln *Listener) close() {
+	for ln.hasPending() {
+		time.Sleep(stopPollInterval)
 	}
-	x.detach()
-	x.mu.Lock()
-	err := unix.Close(x.socket) // whatever it says, the descriptor is gone (close(2))
-	x.socket = -1
-	x.mu.Unlock()
-	x.log.Info("listener closed", "accept_errors", x.failed.Load(), "close_error", err)
+	ln.detach()
+	ln.mu.Lock()
+	err := unix.Close(ln.socket) // even on an error the descriptor is released (close(2))
+	ln.socket = -1
+	ln.mu.Unlock()
+	ln.log.Info("listener closed", "accept_errors", ln.acceptErrors.Load(), "close_error", err)
 }
 
-// admitted tells that admit has heard of a connection that was accepted.
-func (x *Listener) admitted() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.entering--
+// admitted notes that admit has returned for an accepted connection.
+func (ln *Listener) admitted() {
+	ln.mu.Lock()
+	defer ln.mu.Unlock()
+	ln.admitting--
 }
 
-// waited tells whether a client may still be accepted, or is on its way to admit.
-func (x *Listener) waited() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if past := time.Since(x.stopBy); past > 0 { // Accept gives up by itself
-		return past < detachPatience && (x.retrying || x.entering > 0)
+// hasPending reports whether a client may still be accepted, or is being passed to admit.
+func (ln *Listener) hasPending() bool {
+	ln.mu.Lock()
+	defer ln.mu.Unlock()
+	if past := time.Since(ln.stopDeadline); past > 0 { // Accept accepts no more
+		return past < detachTimeout && (ln.retrying || ln.admitting > 0)
 	}
-	ready := []unix.PollFd{{Fd: int32(x.socket), Events: unix.POLLIN}}
+	ready := []unix.PollFd{{Fd: int32(ln.socket), Events: unix.POLLIN}}
 	n, err := unix.Poll(ready, 0)
-	return x.retrying || x.entering > 0 || n > 0 || err != nil
+	return ln.retrying || ln.admitting > 0 || n > 0 || err != nil
 }
 
-// detach has netpoll leave the socket alone, so that its poller never touches the
-// descriptor's next owner. The poller takes the shutdown for a hang-up, where the system
-// knows one of a listener. Where it does not, closing the socket takes it out of the poller,
-// and only netpoll's waiting goroutine is left behind.
-func (x *Listener) detach() {
-	err := unix.Shutdown(x.socket, unix.SHUT_RD)
+// detach has netpoll release the socket, so that its poller never touches a later use of
+// the descriptor. The poller handles the shutdown like a hang-up, if the system supports
+// shutdown of a listener. Otherwise closing the socket removes it from the poller, and only
+// netpoll's waiting goroutine is leaked.
+func (ln *Listener) detach() {
+	err := unix.Shutdown(ln.socket, unix.SHUT_RD)
 	if err != nil {
-		x.log.Info("listener: shutdown is not known here, its socket is closed", "error", err)
+		ln.log.Info("listener: shutdown is not known here, its socket is closed", "error", err)
 		return
 	}
 	select {
-	case <-x.served:
-	case <-time.After(detachPatience):
-		x.log.Warn("listener: the poller has not heard of its shutdown, its socket is closed")
+	case <-ln.serveDone:
+	case <-time.After(detachTimeout):
+		ln.log.Warn("listener: the poller has not heard of its shutdown, its socket is closed")
 	}
 }
 
-// Accept is part of net.Listener. The poller calls it again while anything is left. It gives
-// no connection where there is none now.
-func (x *Listener) Accept() (net.Conn, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// Accept is part of net.Listener. The poller calls it again while clients are queued. It
+// returns nil without an error if there is none.
+func (ln *Listener) Accept() (net.Conn, error) {
+	ln.mu.Lock()
+	defer ln.mu.Unlock()
 	for {
-		if x.socket < 0 || x.stopped && time.Now().After(x.stopBy) {
-			x.retrying = false
+		if ln.socket < 0 || ln.stopped && time.Now().After(ln.stopDeadline) {
+			ln.retrying = false
 			return nil, nil
 		}
-		fd, from, err := unix.Accept4(x.socket, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, from, err := unix.Accept4(ln.socket, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-			x.entering++
-			return &accepted{fd: fd, local: x.address, remote: tcpAddress(from)}, nil
+			ln.admitting++
+			return &acceptedConn{fd: fd, local: ln.address, remote: tcpAddress(from)}, nil
 		case errors.Is(err, unix.EAGAIN):
-			x.retrying = false
+			ln.retrying = false
 			return nil, nil
 		case errors.Is(err, unix.EINTR):
 		case !IsResourceShortage(err):
-			x.report(err) // of a connection that ended before it was accepted: the next may be whole
-		case !x.retrying:
-			x.report(err)
-			x.retrying = true
-			return nil, syscall.EMFILE // netpoll's sign to call Accept beside its poller until it gives none
+			ln.logAcceptError(err) // a connection that ended before it was accepted: try the next
+		case !ln.retrying:
+			ln.logAcceptError(err)
+			ln.retrying = true
+			return nil, syscall.EMFILE // has netpoll call Accept in a goroutine until it returns none
 		default:
-			x.report(err)
-			x.mu.Unlock()
-			time.Sleep(acceptRetry)
-			x.mu.Lock()
+			ln.logAcceptError(err)
+			ln.mu.Unlock()
+			time.Sleep(acceptRetryDelay)
+			ln.mu.Lock()
 		}
 	}
 }
 
-// LacksRoom tells whether this machine could not do what was asked for want of descriptors,
-// buffers, ports or leave, which it may have again later. It says nothing of the other side.
+// IsResourceShortage reports whether err means that this machine lacks descriptors, buffers,
+// memory, ports or permission. This may pass, and it says nothing about the peer.
 func IsResourceShortage(err error) bool {
 	for _, lack := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EPERM} {
 		if errors.Is(err, lack) {
@@ -250,32 +249,32 @@
 	return false
 }
 
-// report counts a failed accept and says so now and then.
-func (x *Listener) report(err error) {
-	n := x.failed.Add(1)
+// logAcceptError counts a failed accept and logs it, at most once per reportInterval.
+func (ln *Listener) logAcceptError(err error) {
+	n := ln.acceptErrors.Add(1)
 	now := time.Now()
-	if now.Sub(x.reported) < reportInterval {
+	if now.Sub(ln.lastLogged) < reportInterval {
 		return
 	}
-	x.reported = now
+	ln.lastLogged = now
 	message := "a client can't be accepted"
 	if errors.Is(err, unix.EMFILE) {
 		message = "descriptors have run out: clients wait until one is free"
 	}
-	x.log.Warn(message, "error", err, "accept_errors", n)
+	ln.log.Warn(message, "error", err, "accept_errors", n)
 }
 
 // Close is part of net.Listener.
-func (x *Listener) Close() error {
-	x.Stop()
+func (ln *Listener) Close() error {
+	ln.Stop()
 	return nil
 }
 
 // Fd is part of netpoll.Listener.
-func (x *Listener) Fd() int { return x.socket }
+func (ln *Listener) Fd() int { return ln.socket }
 
 // Addr is part of net.Listener.
-func (x *Listener) Addr() net.Addr { return x.address }
+func (ln *Listener) Addr() net.Addr { return ln.address }
 
 func tcpAddress(from unix.Sockaddr) net.Addr {
 	switch a := from.(type) {
@@ -287,19 +286,19 @@
 	return &net.TCPAddr{}
 }
 
-// accepted is a connection as netpoll takes it over: its descriptor and its addresses.
-type accepted struct {
-	net.Conn // nil: netpoll asks for nothing else
+// acceptedConn is a connection in the form that netpoll takes over: a descriptor with addresses.
+type acceptedConn struct {
+	net.Conn // nil: netpoll uses no other methods
 	fd       int
 	local    net.Addr
 	remote   net.Addr
 }
 
 // Fd is part of netpoll.Conn.
-func (a *accepted) Fd() int { return a.fd }
+func (a *acceptedConn) Fd() int { return a.fd }
 
 // LocalAddr is part of net.Conn.
-func (a *accepted) LocalAddr() net.Addr { return a.local }
+func (a *acceptedConn) LocalAddr() net.Addr { return a.local }
 
 // RemoteAddr is part of net.Conn.
-func (a *accepted) RemoteAddr() net.Addr { return a.remote }
+func (a *acceptedConn) RemoteAddr() net.Addr { return a.remote }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func descriptors(t *testing.T) int {
+func countDescriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -17,23 +17,23 @@
 	return len(entries)
 }
 
-// Guards against clients that are reset because they waited to be accepted when the listener
-// stopped: the kernel had taken their connections, and they may have sent requests.
-func TestStopAcceptsWhoWaits(t *testing.T) {
+// Guards against resetting clients that wait to be accepted when the listener stops: the kernel
+// has established their connections, and they may have sent requests.
+func TestStopAcceptsQueuedClients(t *testing.T) {
 	const waiting = 40
-	w := newWorld(t)
-	ends, hold := make(chan *end, waiting+1), make(chan struct{})
-	w.listener.Stop()
-	until(t, "the first listener closes", w.listener.Closed)
-	x, err := Listen(w.loop, w.addr, 1<<20, &w.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler {
-		<-hold // the poller is held up
-		return newEnd(c, ends)
+	server := newTestServer(t)
+	recorders, hold := make(chan *recorder, waiting+1), make(chan struct{})
+	server.listener.Stop()
+	waitFor(t, "the first listener closes", server.listener.Closed)
+	x, err := Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler {
+		<-hold // blocks the poller
+		return newRecorder(c, recorders)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range waiting {
-		c, err := net.Dial("tcp", w.addr)
+		c, err := net.Dial("tcp", server.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,32 +43,32 @@
 	close(hold)
 	for i := range waiting {
 		select {
-		case <-ends:
-		case <-time.After(patience):
+		case <-recorders:
+		case <-time.After(testTimeout):
 			t.Fatalf("%d of %d were accepted", i, waiting)
 		}
 	}
-	until(t, "the listener closes", x.Closed)
-	if c, err := net.Dial("tcp", w.addr); err == nil {
+	waitFor(t, "the listener closes", x.Closed)
+	if c, err := net.Dial("tcp", server.addr); err == nil {
 		c.Close()
-		t.Error("a stopped listener took a client")
+		t.Error("a stopped listener accepted a client")
 	}
 }
 
-// Guards against descriptors that a stopped listener keeps.
-func TestStopLetsGoOfDescriptors(t *testing.T) {
-	w := newWorld(t)
-	w.listener.Stop()
-	until(t, "the listener closes", w.listener.Closed)
+// Guards against descriptors that a stopped listener leaks.
+func TestStopReleasesDescriptors(t *testing.T) {
+	server := newTestServer(t)
+	server.listener.Stop()
+	waitFor(t, "the listener closes", server.listener.Closed)
 	before := -1
 	for range 20 {
-		x, err := Listen(w.loop, w.addr, 1<<20, &w.gauge, slog.New(slog.DiscardHandler), func(*Conn) Handler { return nil })
+		x, err := Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(*Conn) Handler { return nil })
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.Stop()
-		until(t, "it closes", x.Closed)
-		if now := descriptors(t); before < 0 {
+		waitFor(t, "the listener closes", x.Closed)
+		if now := countDescriptors(t); before < 0 {
 			before = now
 		} else if now > before {
 			t.Fatalf("%d descriptors, %d before", now, before)
--- a/internal/transport/tcpinfo.go
+++ b/internal/transport/tcpinfo.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	tcpInfoSize        = 56         // bytes of struct tcp_info up to the field and with it
-	offsetLastDataRecv = 52         // of tcpi_last_data_recv, in ms
-	longestWait        = 60_000_000 // us: what tells of more is not believed
+	tcpInfoSize        = 56         // bytes of struct tcp_info up to and including tcpi_last_data_recv
+	offsetLastDataRecv = 52         // offset of tcpi_last_data_recv, in ms
+	maxKernelWait      = 60_000_000 // us; longer times are not plausible and ignored
 )
 
-// waited is how long ago, in us, the kernel took in the last bytes of a connection. They wait
-// there where the poller is held up, or the connection was not accepted yet, and their sender's
-// time runs meanwhile. Where the kernel does not tell it is 0.
-func waited(fd int) loop.Micros {
+// kernelWait returns how long ago, in us, the kernel received the last bytes of a connection. They
+// wait there while the poller is delayed or the connection is not accepted yet, and the sender
+// waits too. It is 0 if the kernel does not report it.
+func kernelWait(fd int) loop.Micros {
 	var info [tcpInfoSize]byte
 	size := uint32(len(info))
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_GETSOCKOPT, uintptr(fd), unix.IPPROTO_TCP, unix.TCP_INFO,
@@ -27,9 +27,9 @@
 	if errno != 0 || size < tcpInfoSize {
 		return 0
 	}
-	span := loop.Micros(binary.NativeEndian.Uint32(info[offsetLastDataRecv:])) * 1000
-	if span > longestWait {
+	wait := loop.Micros(binary.NativeEndian.Uint32(info[offsetLastDataRecv:])) * 1000
+	if wait > maxKernelWait {
 		return 0
 	}
-	return span
+	return wait
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport holds TCP connections as objects with callbacks. The
-// sockets are netpoll's: its poller reads them and hands the bytes over here;
+// Package transport provides TCP connections with callbacks. The sockets belong to
+// netpoll, whose poller reads them and passes the bytes on to this package;
 // everything else happens on the event loop, which never blocks on a socket.
 package transport
 
@@ -22,65 +22,66 @@
 	"cherryramp/internal/loop"
 )
 
-// ErrClosed is the error of a write to a connection that has ended.
+// ErrClosed is returned by a write to a closed connection.
 var ErrClosed = errors.New("transport: connection is closed")
 
 const (
-	keepBuffer = 64 << 10  // an empty buffer larger than this is let go, of those that we dial
-	pollBuffer = 1 << 10   // the poller's, for each connection from its start; it grows with what comes
-	sendBuffer = 416 << 10 // asked of the kernel for clients, so that one answer fits whole
-	takeBuffer = 64 << 10  // and for what they send; the poller reads as much at once
-	peerBuffer = 256 << 10 // and for what those that we dial send
+	maxIdleBuffer    = 64 << 10  // dialed connections release an empty input buffer that is larger
+	pollBufferSize   = 1 << 10   // initial netpoll buffer of a connection; it grows with the input
+	clientSendBuffer = 416 << 10 // SO_SNDBUF of accepted connections, so that one answer fits whole
+	clientRecvBuffer = 64 << 10  // SO_RCVBUF of accepted connections; read at most at once
+	dialedRecvBuffer = 256 << 10 // SO_RCVBUF of dialed connections
 
-	writeRetry = 5 * time.Millisecond // until a write is tried again for which the system lacked room
+	writeRetryDelay = 5 * time.Millisecond // until a write is retried that failed for lack of system resources
 )
 
-// Handler is told what happens on a connection, always on the loop.
+// Handler receives the events of a connection, always on the loop.
 type Handler interface {
-	Readable(c *Conn) // bytes have come; see Consume
-	Drained(c *Conn)  // a full socket has taken all that waited
-	Closed(c *Conn)   // it has ended; told once, and nothing follows
+	Readable(c *Conn) // data has arrived; see Consume
+	Drained(c *Conn)  // all buffered output has been written to the socket
+	Closed(c *Conn)   // the connection has ended; the last event, sent once
 }
 
-// Gauge tells what connections hold, in bytes. It may be read from anywhere.
+// Gauge counts the bytes that connections buffer. It is safe for concurrent use.
 type Gauge struct {
-	In  atomic.Int64 // came and is not consumed
-	Out atomic.Int64 // waits for full sockets
+	In  atomic.Int64 // received and not consumed
+	Out atomic.Int64 // waiting for full sockets
 }
 
-// Conn is one connection with one buffer for what came in.
+// Conn is a TCP connection with an input buffer.
 type Conn struct {
-	loop    *loop.Loop
-	np      netpoll.Connection // used on the poller only; nil while parked
-	gauge   *Gauge
-	handler Handler // used on the loop only
-	peer    netip.AddrPort
-	fd      int
-	limit   int
-
-	mu       sync.Mutex
-	in       []byte      // what came and is not consumed
-	out      []byte      // what a full socket did not take
-	sent     int64       // bytes that the socket has taken
-	came     int64       // bytes that have come
-	last     loop.Micros // when the last of them did
-	retrying bool        // a push follows by timer
-	serial   int32       // in the watch
-	events   uint32      // that the watch looks for
-	dialed   bool
-	told     bool // the loop is about to look at what came
-	flushing bool // out waits
-	lost     bool // it ended while out waited
-	parked   bool // netpoll knows nothing of it any more
-	closed   bool // the poller has said its last word; the descriptor may be another's
-	shut     bool // told to end
-	discard  bool // what comes in is of no more use
-	flooded  bool // more came than the limit; the rest is dropped
-	ending   bool // to be half-closed when all is out
-}
-
-// Setup prepares the poller, before any connection. What the poller has to say goes to
-// the log's lowest level. The poller is the process's: only the first call counts.
+	loop       *loop.Loop
+	np         netpoll.Connection // used on the poller only; nil while parked
+	gauge      *Gauge
+	handler    Handler // used on the loop only
+	peer       netip.AddrPort
+	fd         int
+	inputLimit int
+
+	mu           sync.Mutex
+	in           []byte      // received and not consumed
+	out          []byte      // not yet taken by the full socket
+	sent         int64       // bytes written to the socket
+	received     int64       // bytes received
+	lastReceived loop.Micros // when the last bytes were received
+	retrying     bool        // a timer will call flush
+	serial       int32       // key in the watcher
+	events       uint32      // epoll events set in the watcher
+	dialed       bool
+	notified     bool // a call of readable is posted to the loop
+	flushing     bool // out is not empty
+	lostOutput   bool // it ended before out was written
+	parked       bool // detached from netpoll
+	closed       bool // after the poller's last event; the descriptor may have been reused
+	shutDown     bool // closed by this side
+	discard      bool // further input is dropped
+	overflowed   bool // the input limit was exceeded; the rest was dropped
+	halfClosing  bool // shut down for writing as soon as out is empty
+}
+
+// Setup configures netpoll's poller and must be called before any connection is made.
+// The poller logs at debug level. There is one poller per process, so only the first
+// call has an effect.
 func Setup(log *slog.Logger) error {
 	setup.once.Do(func() { setup.err = configure(log) })
 	return setup.err
@@ -92,27 +93,27 @@
 }
 
 func configure(log *slog.Logger) error {
-	netpoll.LinkBufferCap = pollBuffer
+	netpoll.LinkBufferCap = pollBufferSize
 	err := netpoll.Configure(netpoll.Config{
 		PollerNum:    1,
-		BufferSize:   pollBuffer,
-		LoggerOutput: printer{log},
-		// Callbacks only hand bytes over, so they run on the poller itself and
-		// nothing is started for them.
+		BufferSize:   pollBufferSize,
+		LoggerOutput: logWriter{log},
+		// Callbacks only pass bytes on, so they run on the poller itself and need no
+		// goroutine.
 		Runner:      func(_ context.Context, task func()) { task() },
 		LoadBalance: netpoll.RoundRobin,
 	})
 	if err != nil {
 		return fmt.Errorf("transport: %w", err)
 	}
-	return startWatch()
+	return startWatcher()
 }
 
-// printer passes the poller's lines to the log.
-type printer struct{ log *slog.Logger }
+// logWriter passes the poller's log lines to the log.
+type logWriter struct{ log *slog.Logger }
 
 // Write is part of io.Writer.
-func (p printer) Write(line []byte) (int, error) {
+func (p logWriter) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(syscall.EMFILE.Error())) {
 		p.log.Warn("descriptors have run out: clients wait until one is free")
 	}
@@ -120,39 +121,41 @@
 	return len(line), nil
 }
 
-// Dial connects until a deadline and then tells ready, on the loop.
-func Dial(l *loop.Loop, address string, limit int, g *Gauge, h Handler, by loop.Micros, ready func(*Conn, error)) {
+// Dial connects to an address until a deadline, and calls ready on the loop with the
+// connection or the error. limit bounds the input buffer; see Overflowed.
+func Dial(l *loop.Loop, address string, limit int, g *Gauge, h Handler, deadline loop.Micros, ready func(*Conn, error)) {
 	go func() {
-		left := time.Duration(by-l.Now()) * time.Microsecond
+		left := time.Duration(deadline-l.Now()) * time.Microsecond
 		np, err := netpoll.DialConnection("tcp", address, max(left, time.Microsecond))
-		if unwatched(err) {
+		if isWatchFailure(err) {
 			err = fmt.Errorf("%w: %w", unix.ENOMEM, err)
 		}
 		if err != nil {
 			l.Post(func() { ready(nil, fmt.Errorf("transport: dial %s: %w", address, err)) })
 			return
 		}
-		c := wrap(l, np, limit, g)
+		c := newConn(l, np, limit, g)
 		c.handler, c.dialed = h, true
-		_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, peerBuffer)
+		_ = syscall.SetsockoptInt(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, dialedRecvBuffer)
 		l.Post(func() {
 			ready(c, nil)
-			_ = np.AddCloseCallback(c.ended)
+			_ = np.AddCloseCallback(c.onNetpollClose)
 			_ = np.SetOnRequest(func(context.Context, netpoll.Connection) error {
 				c.receive()
 				return nil
 			})
-			if !np.IsActive() { // it ended before anyone could be told
+			if !np.IsActive() { // it ended before the callbacks were set
 				_ = np.Close()
-				_ = c.ended(np)
+				_ = c.onNetpollClose(np)
 			}
 		})
 	}()
 }
 
-// unwatched tells whether a connection came up and the poller could not watch it, which is a want of this
-// machine. Of the reason netpoll's error keeps the text alone.
-func unwatched(err error) bool {
+// isWatchFailure reports whether a connection was established and the poller failed to
+// watch it for lack of resources of this machine. netpoll's error keeps only the text
+// of the cause.
+func isWatchFailure(err error) bool {
 	if !errors.Is(err, netpoll.ErrConnClosed) {
 		return false
 	}
@@ -160,8 +163,8 @@
 	return strings.HasSuffix(text, unix.ENOMEM.Error()) || strings.HasSuffix(text, unix.ENOSPC.Error())
 }
 
-func wrap(l *loop.Loop, np netpoll.Connection, limit int, g *Gauge) *Conn {
-	c := &Conn{loop: l, np: np, limit: limit, gauge: g, fd: -1}
+func newConn(l *loop.Loop, np netpoll.Connection, limit int, g *Gauge) *Conn {
+	c := &Conn{loop: l, np: np, inputLimit: limit, gauge: g, fd: -1}
 	if at, err := netip.ParseAddrPort(np.RemoteAddr().String()); err == nil {
 		c.peer = at
 	}
@@ -171,7 +174,7 @@
 	return c
 }
 
-// receive takes over what the poller has read.
+// receive takes the bytes that the poller has read.
 func (c *Conn) receive() {
 	r := c.np.Reader()
 	if p, err := r.Next(r.Len()); err == nil {
@@ -180,117 +183,118 @@
 	_ = r.Release()
 }
 
-// deliver keeps what has come for the loop to look at.
+// deliver buffers received bytes and notifies the loop.
 func (c *Conn) deliver(p []byte) {
 	c.mu.Lock()
-	tell := !c.told && !c.discard
-	c.came += int64(len(p))
-	c.last = c.loop.Now()
+	notify := !c.notified && !c.discard
+	c.received += int64(len(p))
+	c.lastReceived = c.loop.Now()
 	if !c.dialed {
-		c.last -= waited(c.fd)
+		c.lastReceived -= kernelWait(c.fd)
 	}
 	if !c.discard {
-		if len(c.in)+len(p) > c.limit {
-			c.flooded, c.discard = true, true
+		if len(c.in)+len(p) > c.inputLimit {
+			c.overflowed, c.discard = true, true
 		} else {
 			if c.in == nil {
-				c.in = buffers.Get().(*buffer)[:0]
+				c.in = bufferPool.Get().(*buffer)[:0]
 			}
 			c.in = append(c.in, p...)
 			c.gauge.In.Add(int64(len(p)))
 		}
 	}
-	c.told = c.told || tell
+	c.notified = c.notified || notify
 	c.mu.Unlock()
-	if tell {
+	if notify {
 		c.loop.Post(c.readable)
 	}
 }
 
 func (c *Conn) readable() {
 	c.mu.Lock()
-	c.told = false
-	useless := c.shut || c.ending
+	c.notified = false
+	closing := c.shutDown || c.halfClosing
 	c.mu.Unlock()
-	if !useless {
+	if !closing {
 		c.handler.Readable(c)
 	}
 }
 
-// Flooded tells whether more has come than the connection may buffer. What came
-// until then stands in the buffer; nothing more will.
+// Overflowed reports whether more data arrived than the connection may buffer. The
+// buffer holds what arrived before; everything after it is dropped.
 func (c *Conn) Overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.flooded
+	return c.overflowed
 }
 
-// ended is the poller's last word on a connection; its descriptor is still open.
-func (c *Conn) ended(netpoll.Connection) error {
+// onNetpollClose is called by netpoll before it closes the descriptor of a connection.
+func (c *Conn) onNetpollClose(netpoll.Connection) error {
 	c.mu.Lock()
-	goesOn := c.parked || c.adopt() // parked: netpoll has only let go of it
+	continues := c.parked || c.adopt() // parked: it was only detached from netpoll
 	c.mu.Unlock()
-	if !goesOn {
-		c.over()
+	if !continues {
+		c.terminate()
 	}
 	return nil
 }
 
-// adopt takes over a connection that netpoll is about to close though nobody has ended it, and
-// tells whether it could: netpoll closes where the kernel lacks memory to watch the socket or
-// to read from it, which says nothing of the connection. It goes on under a descriptor of our own.
+// adopt takes over a connection that netpoll is about to close although neither side has
+// ended it, and reports whether that succeeded. netpoll closes a connection if the kernel
+// lacks memory to watch or read the socket, although the connection is intact. It
+// continues parked, under a duplicate of the descriptor.
 func (c *Conn) adopt() bool {
-	if c.closed || c.shut || c.hungUp() {
+	if c.closed || c.shutDown || c.hungUp() {
 		return false
 	}
-	fd, err := unix.FcntlInt(uintptr(c.fd), unix.F_DUPFD_CLOEXEC, 0)
+	dup, err := unix.FcntlInt(uintptr(c.fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return false
 	}
-	_ = watched.w.set(c, 0) // under the descriptor that goes
-	c.fd, c.parked, c.np = fd, true, nil
-	adopted.Add(1)
-	c.attach()
+	_ = shared.watcher.setEvents(c, 0) // under the old descriptor
+	c.fd, c.parked, c.np = dup, true, nil
+	adoptedConns.Add(1)
+	c.addToWatcher()
 	return true
 }
 
-// adopted counts the connections that netpoll gave up though they were whole.
-var adopted atomic.Int64
+// adoptedConns counts the intact connections that netpoll gave up.
+var adoptedConns atomic.Int64
 
-// Adopted counts the connections of the process that the poller could not watch or read for want
-// of memory, and that went on. It may be called from anywhere.
-func Adopted() int64 { return adopted.Load() }
+// Adopted returns the number of connections of the process that the poller failed to watch or
+// read for lack of memory, and that were continued. It is safe for concurrent use.
+func Adopted() int64 { return adoptedConns.Load() }
 
-// over ends a connection whose descriptor is about to be closed.
-func (c *Conn) over() {
+// terminate marks a connection as closed whose descriptor is about to be closed.
+func (c *Conn) terminate() {
 	c.mu.Lock()
 	first := !c.closed
 	c.closed = true
 	if first {
 		c.gauge.Out.Add(int64(-len(c.out)))
-		c.lost = c.flushing
+		c.lostOutput = c.flushing
 		c.out, c.flushing = nil, false
-		_ = watched.w.set(c, 0) // closing the descriptor takes it out as well
+		_ = shared.watcher.setEvents(c, 0) // closing the descriptor takes it out as well
 	}
 	c.mu.Unlock()
 	if first {
-		c.loop.Post(func() { // behind what came before the end
+		c.loop.Post(func() { // after the events of earlier input
 			c.handler.Closed(c)
 			c.mu.Lock()
-			c.drop()
+			c.dropInput()
 			c.mu.Unlock()
 		})
 	}
 }
 
-// drop lets go of what came in.
-func (c *Conn) drop() {
+// dropInput discards the input buffer.
+func (c *Conn) dropInput() {
 	c.gauge.In.Add(int64(-len(c.in)))
 	c.in = nil
 }
 
-// Consume shows parse all that has come and drops the bytes that it says it
-// has used. What parse keeps it must copy.
+// Consume calls parse with all buffered input and removes the bytes that it reports as
+// used. parse must copy what it keeps.
 func (c *Conn) Consume(parse func(b []byte) (used int)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -301,31 +305,32 @@
 	if rest > 0 {
 		return
 	}
-	// A client's connection holds no buffer while nothing of a request is here.
+	// A client's connection holds no buffer while no part of a request has arrived.
 	switch {
 	case cap(c.in) == len(buffer{}):
-		buffers.Put((*buffer)(c.in[:len(buffer{})]))
+		bufferPool.Put((*buffer)(c.in[:len(buffer{})]))
 		c.in = nil
-	case !c.dialed || cap(c.in) > keepBuffer:
+	case !c.dialed || cap(c.in) > maxIdleBuffer:
 		c.in = nil
 	}
 }
 
-// dismissMost is how much of what came is read for the sake of a refusal.
-const dismissMost = 64 << 10
+// maxRejectRead limits the input that Reject reads, in bytes.
+const maxRejectRead = 64 << 10
 
-// buffer is what most requests fit in.
+// buffer is an input buffer in which most requests fit.
 type buffer [1 << 10]byte
 
-// buffers are those that no connection holds.
-var buffers = sync.Pool{New: func() any { return new(buffer) }}
+// bufferPool holds unused input buffers.
+var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
-// Send writes bytes, keeping those that a full socket does not take. It tells
-// whether all are out; if not, Drained follows.
+// Send writes p to the socket and buffers what a full socket does not take. It reports
+// whether the socket took all; otherwise Drained follows. It returns ErrClosed for a
+// connection that is closed or closing.
 func (c *Conn) Send(p []byte) (whole bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.shut || c.ending {
+	if c.closed || c.shutDown || c.halfClosing {
 		return false, ErrClosed
 	}
 	if !c.flushing {
@@ -341,40 +346,41 @@
 	c.gauge.Out.Add(int64(len(p)))
 	if !c.flushing {
 		c.flushing = true
-		c.awaitRoom()
+		c.watchWritable()
 	}
 	return false, nil
 }
 
-// awaitRoom has what waits be sent once the socket takes more, or at the next try. Where the
-// system lacks room to be asked there is one.
-func (c *Conn) awaitRoom() {
-	if err := watched.w.set(c, c.wants()); err != nil {
-		c.pushLater()
+// watchWritable has the watcher flush the output once the socket is writable. If the watcher
+// can't be set for lack of system resources, flush is retried by timer.
+func (c *Conn) watchWritable() {
+	if err := shared.watcher.setEvents(c, c.wantedEvents()); err != nil {
+		c.flushLater()
 	}
 }
 
-// pushLater tries to send what waits after writeRetry.
-func (c *Conn) pushLater() {
+// flushLater calls flush after writeRetryDelay.
+func (c *Conn) flushLater() {
 	if c.retrying {
 		return
 	}
 	c.retrying = true
-	time.AfterFunc(writeRetry, func() {
+	time.AfterFunc(writeRetryDelay, func() {
 		c.mu.Lock()
 		c.retrying = false
 		c.mu.Unlock()
-		c.push()
+		c.flush()
 	})
 }
 
-// Dismiss answers what has already come on a connection that is not taken, without a wait:
-// it is read, since a close over unread bytes is a reset that may overtake the answer. Where
-// nothing has come yet there is nothing to answer. It is for admit alone.
+// Reject answers a connection that is refused, without blocking. It first reads the input that
+// has already arrived, since closing with unread bytes sends a reset that may overtake the
+// answer. If nothing has arrived, there is nothing to answer. It may be called only by the
+// admit function passed to Listen.
 func (c *Conn) Reject(answer []byte) {
 	var buf buffer
-	came := 0
-	for came < dismissMost {
+	received := 0
+	for received < maxRejectRead {
 		n, _, err := syscall.Recvfrom(c.fd, buf[:], syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.EINTR) {
 			continue
@@ -382,23 +388,23 @@
 		if err != nil || n == 0 {
 			break
 		}
-		came += n
+		received += n
 	}
-	if came == 0 {
+	if received == 0 {
 		return
 	}
-	if _, err := c.write(answer); err == nil { // so little fits, or the client has gone
+	if _, err := c.write(answer); err == nil { // the short answer fits, or the client has gone
 		_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
 	}
 }
 
-// write hands bytes to the socket and tells how many it took.
+// write writes to the socket and returns how many bytes it took.
 func (c *Conn) write(p []byte) (n int, err error) {
 	for n < len(p) {
-		some, err := syscall.Write(c.fd, p[n:])
-		if some > 0 {
-			n += some
-			c.sent += int64(some)
+		written, err := syscall.Write(c.fd, p[n:])
+		if written > 0 {
+			n += written
+			c.sent += int64(written)
 		}
 		if errors.Is(err, syscall.EINTR) {
 			continue
@@ -406,8 +412,8 @@
 		if errors.Is(err, syscall.EAGAIN) {
 			break
 		}
-		if IsResourceShortage(err) { // the socket is writable, so nothing would tell of the end of that
-			c.pushLater()
+		if IsResourceShortage(err) { // the socket is writable, so no event would follow
+			c.flushLater()
 			break
 		}
 		if err != nil {
@@ -419,21 +425,21 @@
 
 func (c *Conn) drained() { c.handler.Drained(c) }
 
-// Park asks that netpoll's part of a connection be given up, since it is worth less
-// than what it takes: the connection has long been idle.
+// Park requests that a long idle connection be detached from netpoll, whose part of it
+// takes more memory than it is worth.
 func (c *Conn) Park() {
 	c.mu.Lock()
 	parked := c.parked || c.closed
 	c.mu.Unlock()
 	if !parked {
-		watched.w.ask(c)
+		shared.watcher.requestPark(c)
 	}
 }
 
-// Taken counts the bytes of what was sent that the other side has acknowledged,
-// and those that it has not: in the kernel, or waiting here. Where the kernel does
-// not tell, those that it holds count as taken.
-func (c *Conn) Acknowledged() (taken int64, left int) {
+// Acknowledged returns how many bytes of the output the peer has acknowledged, and how
+// many it has not: in the kernel or buffered here. If the kernel does not report what it
+// holds, that counts as acknowledged.
+func (c *Conn) Acknowledged() (acked int64, left int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -443,8 +449,8 @@
 	return c.sent - int64(held), held + len(c.out)
 }
 
-// Pending tells whether bytes have come that nobody has looked at: here, or in the
-// kernel. Whoever ends a connection with some resets it, and loses a request.
+// Pending reports whether there is unread input, buffered here or in the kernel. Closing
+// a connection with unread input resets it and loses a request.
 func (c *Conn) Pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -458,32 +464,32 @@
 	return err == nil && n > 0
 }
 
-// Blocked tells whether bytes wait for a full socket.
+// Blocked reports whether output waits for a full socket.
 func (c *Conn) Blocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.flushing
 }
 
-// Came counts the bytes that have come.
+// BytesReceived returns the number of bytes received so far.
 func (c *Conn) BytesReceived() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	return c.received
 }
 
-// Last is when the last bytes came, which may be long before the loop looks at them, or the
-// poller: for a connection that was accepted it is when the kernel took them in.
+// LastReceived returns when the last bytes were received, which may be long before the loop
+// handles them. For an accepted connection it is when the kernel received them, which may
+// also be long before the poller read them.
 func (c *Conn) LastReceived() loop.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.lastReceived
 }
 
-// Close ends a connection now. Closed follows. It only shuts the socket, which
-// the poller then takes for an end by the other side: netpoll's own Close waits
-// for the poller to leave the connection, and so for ever where the poller is
-// the one that carries it out.
+// Close ends a connection now; Closed follows. It only shuts the socket down, which the
+// poller then handles like a close by the peer. netpoll's own Close would wait for the
+// poller to leave the connection, and so forever if called on the poller.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -491,20 +497,20 @@
 }
 
 func (c *Conn) close() {
-	if c.closed || c.shut {
+	if c.closed || c.shutDown {
 		return
 	}
-	c.shut, c.discard = true, true
-	c.drop()
+	c.shutDown, c.discard = true, true
+	c.dropInput()
 	if err := syscall.Shutdown(c.fd, syscall.SHUT_RDWR); err != nil && !c.hungUp() {
-		c.release()
+		c.forceClose()
 	}
 }
 
-// endOutput ends our side, behind all that was written. Where the socket can't be shut for
-// that, the connection is closed as soon as the other side has taken all: whoever is not told of
-// the end sends on, for nothing.
-func (c *Conn) endOutput() {
+// shutdownOutput shuts the socket down for writing, after all that was written. If that fails,
+// the connection is closed as soon as the peer has acknowledged all: without a notice of the
+// end the peer would go on sending in vain.
+func (c *Conn) shutdownOutput() {
 	if err := syscall.Shutdown(c.fd, syscall.SHUT_WR); err == nil || c.hungUp() {
 		return
 	}
@@ -512,16 +518,16 @@
 		c.close()
 		return
 	}
-	time.AfterFunc(writeRetry, func() {
+	time.AfterFunc(writeRetryDelay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.closed && !c.shut {
-			c.endOutput()
+		if !c.closed && !c.shutDown {
+			c.shutdownOutput()
 		}
 	})
 }
 
-// unacknowledged is the bytes that the kernel holds for the other side; 0 where it does not tell.
+// unacknowledged returns the bytes in the kernel's send buffer; 0 if it does not report them.
 func (c *Conn) unacknowledged() int {
 	held, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if err != nil {
@@ -530,34 +536,34 @@
 	return held
 }
 
-// release ends a connection whose socket can't be shut, and of whose end the poller would
-// never hear: its descriptor is closed.
-func (c *Conn) release() {
-	unshut.Add(1)
+// forceClose closes the descriptor of a connection whose socket can't be shut down, since the
+// poller would never see its end.
+func (c *Conn) forceClose() {
+	forceClosed.Add(1)
 	if c.parked {
-		watched.w.run(c.end)
+		shared.watcher.runOnPoller(c.closeParked)
 		return
 	}
 	go func(np netpoll.Connection) { _ = np.Close() }(c.np) // it may wait for the poller
 }
 
-// unshut counts the connections that were ended by closing their descriptors.
-var unshut atomic.Int64
+// forceClosed counts the calls of forceClose.
+var forceClosed atomic.Int64
 
-// Unshut counts the connections of the process whose sockets could not be shut and were closed
-// outright. It may be called from anywhere.
-func ForceClosed() int64 { return unshut.Load() }
+// ForceClosed returns the number of connections of the process whose sockets could not be shut
+// down and were closed outright. It is safe for concurrent use.
+func ForceClosed() int64 { return forceClosed.Load() }
 
-// Gone tells whether the other side has ended its side. Its last bytes may still stand
-// before the end, unread by the poller or by the loop, where either was held up.
+// PeerClosed reports whether the peer has closed its side, or the connection has ended. Input
+// from before the close may still be unread by the poller or the loop.
 func (c *Conn) PeerClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed || c.shut || c.hungUp()
+	return c.closed || c.shutDown || c.hungUp()
 }
 
-// hungUp tells whether the other side has ended its side, or the connection is broken. The
-// poller has heard of it, or is about to.
+// hungUp reports whether the peer has closed its side or the connection is broken. The
+// poller has seen it, or is about to.
 func (c *Conn) hungUp() bool {
 	fds := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
@@ -567,21 +573,21 @@
 	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Cut ends a connection now if bytes still wait for its full socket, and tells whether
-// they do: then they never leave. The poller may have sent the rest a moment ago, before the
-// loop has heard of it (Drained); then nothing is done.
+// CloseIfBlocked closes a connection if output still waits for its full socket, and reports
+// whether it does: that output is then never sent. If the poller has just sent the rest, and
+// the loop has not been notified yet (Drained), it does nothing.
 func (c *Conn) CloseIfBlocked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || !c.flushing {
-		return c.lost
+		return c.lostOutput
 	}
 	c.close()
 	return true
 }
 
-// Abort ends a connection now and has the kernel drop what it holds for it, so that
-// the other side sees a reset and not a whole end.
+// Abort closes a connection now and has the kernel discard its send buffer, so that the
+// peer sees a reset instead of a regular close.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -591,23 +597,22 @@
 	c.close()
 }
 
-// HalfClose ends a connection once all is out and the other side has seen it, or at a
-// moment: what
-// still comes in is dropped, so that no reset overtakes the last answer.
-func (c *Conn) HalfClose(by loop.Micros) {
+// HalfClose closes a connection once all output is sent and the peer has closed too, or at
+// a deadline. Input is read and dropped, so that no reset overtakes the last answer.
+func (c *Conn) HalfClose(deadline loop.Micros) {
 	c.mu.Lock()
-	if c.closed || c.shut || c.ending {
+	if c.closed || c.shutDown || c.halfClosing {
 		c.mu.Unlock()
 		return
 	}
-	c.ending, c.discard = true, true
-	c.drop()
+	c.halfClosing, c.discard = true, true
+	c.dropInput()
 	if !c.flushing {
-		c.endOutput()
+		c.shutdownOutput()
 	}
 	c.mu.Unlock()
-	c.loop.At(by, c.Close)
+	c.loop.At(deadline, c.Close)
 }
 
-// Peer is the other side's address.
+// Peer returns the peer's address.
 func (c *Conn) Peer() netip.AddrPort { return c.peer }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -20,50 +20,50 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// end is the server's side of a connection; what happens to it is told on channels.
-type end struct {
+// recorder handles the server's side of a connection and reports its events on channels.
+type recorder struct {
 	c       *Conn
 	mu      sync.Mutex
-	got     []byte
-	more    chan struct{} // something was added to got
+	input   []byte
+	more    chan struct{} // input has grown
 	drained chan struct{}
 	closed  chan struct{}
 }
 
-func (e *end) Readable(c *Conn) {
+func (rec *recorder) Readable(c *Conn) {
 	c.Consume(func(b []byte) int {
-		e.mu.Lock()
-		e.got = append(e.got, b...)
-		e.mu.Unlock()
+		rec.mu.Lock()
+		rec.input = append(rec.input, b...)
+		rec.mu.Unlock()
 		return len(b)
 	})
 	select {
-	case e.more <- struct{}{}:
+	case rec.more <- struct{}{}:
 	default:
 	}
 }
-func (e *end) Drained(*Conn) { e.drained <- struct{}{} }
-func (e *end) Closed(*Conn)  { close(e.closed) }
+func (rec *recorder) Drained(*Conn) { rec.drained <- struct{}{} }
+func (rec *recorder) Closed(*Conn)  { close(rec.closed) }
 
-// newEnd makes the server's side of a connection and tells of it.
-func newEnd(c *Conn, ends chan<- *end) *end {
-	e := &end{c: c, more: make(chan struct{}, 1), drained: make(chan struct{}, 1), closed: make(chan struct{})}
-	ends <- e
-	return e
+// newRecorder returns a recorder for a connection and sends it to recorders.
+func newRecorder(c *Conn, recorders chan<- *recorder) *recorder {
+	rec := &recorder{c: c, more: make(chan struct{}, 1), drained: make(chan struct{}, 1), closed: make(chan struct{})}
+	recorders <- rec
+	return rec
 }
 
-// world is a listener whose connections do nothing by themselves.
-type world struct {
-	loop     *loop.Loop
-	addr     string
-	gauge    Gauge
-	ends     chan *end
-	listener *Listener
+// testServer is a listener whose connections only record events.
+type testServer struct {
+	loop      *loop.Loop
+	addr      string
+	gauge     Gauge
+	recorders chan *recorder
+	listener  *Listener
 }
 
-func newWorld(t testing.TB) *world {
+func newTestServer(t testing.TB) *testServer {
 	t.Helper()
 	if err := Setup(slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 		t.Fatal(err)
@@ -72,30 +72,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{addr: ln.Addr().String(), ends: make(chan *end, 1)}
+	server := &testServer{addr: ln.Addr().String(), recorders: make(chan *recorder, 1)}
 	_ = ln.Close()
-	w.loop = loop.New(func() {})
-	go w.loop.Run()
-	t.Cleanup(func() { w.loop.Post(w.loop.Quit) })
-	w.listener, err = Listen(w.loop, w.addr, 1<<20, &w.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newEnd(c, w.ends) })
+	server.loop = loop.New(func() {})
+	go server.loop.Run()
+	t.Cleanup(func() { server.loop.Post(server.loop.Quit) })
+	server.listener, err = Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newRecorder(c, server.recorders) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return server
 }
 
-func (w *world) dial(t interface{ Fatal(...any) }) (net.Conn, *end) {
-	c, err := net.Dial("tcp", w.addr)
+func (server *testServer) dial(t interface{ Fatal(...any) }) (net.Conn, *recorder) {
+	c, err := net.Dial("tcp", server.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(patience))
-	return c, <-w.ends
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	return c, <-server.recorders
 }
 
-// until looks again and again whether something holds.
-func until(t interface{ Fatal(...any) }, what string, holds func() bool) {
-	for end := time.Now().Add(patience); !holds(); {
+// waitFor polls a condition until it holds, and fails with a message after testTimeout.
+func waitFor(t interface{ Fatal(...any) }, what string, condition func() bool) {
+	for end := time.Now().Add(testTimeout); !condition(); {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
@@ -103,33 +103,33 @@
 	}
 }
 
-func (e *end) parked() bool {
-	e.c.mu.Lock()
-	defer e.c.mu.Unlock()
-	return e.c.parked
+func (rec *recorder) parked() bool {
+	rec.c.mu.Lock()
+	defer rec.c.mu.Unlock()
+	return rec.c.parked
 }
 
-func (e *end) has(want []byte) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return bytes.Equal(e.got, want)
+func (rec *recorder) received(want []byte) bool {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return bytes.Equal(rec.input, want)
 }
 
-// What comes to a parked connection, or crosses its parking, comes once and in
-// order; so does its end.
-func TestParkLosesNothing(t *testing.T) {
-	w := newWorld(t)
+// Guards against bytes that are lost, duplicated or reordered on a parked connection or
+// while it is being parked, and against a close that is not reported.
+func TestParkLosesNoBytes(t *testing.T) {
+	server := newTestServer(t)
 	rapid.Check(t, func(t *rapid.T) {
-		client, e := w.dial(t)
+		client, rec := server.dial(t)
 		defer func() { _ = client.Close() }()
 		var sent []byte
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				e.c.Park()
-			case 1: // surely parked
-				until(t, "did not come", func() bool { return e.has(sent) })
-				until(t, "not parked", func() bool { e.c.Park(); return e.parked() })
+				rec.c.Park()
+			case 1: // parked for certain
+				waitFor(t, "bytes did not arrive", func() bool { return rec.received(sent) })
+				waitFor(t, "not parked", func() bool { rec.c.Park(); return rec.parked() })
 			}
 			p := rapid.SliceOfN(rapid.Byte(), 1, 4000).Draw(t, "bytes")
 			if _, err := client.Write(p); err != nil {
@@ -137,64 +137,66 @@
 			}
 			sent = append(sent, p...)
 		}
-		until(t, "bytes are missing", func() bool { return e.has(sent) })
+		waitFor(t, "bytes are missing", func() bool { return rec.received(sent) })
 		if rapid.Bool().Draw(t, "parked at the end") {
-			e.c.Park()
+			rec.c.Park()
 		}
 		if rapid.Bool().Draw(t, "we close") {
-			e.c.Close()
+			rec.c.Close()
 			if n, _ := client.Read(make([]byte, 1)); n != 0 {
-				t.Fatal("no end")
+				t.Fatal("the connection was not closed")
 			}
 		}
 		_ = client.Close()
 		select {
-		case <-e.closed:
-		case <-time.After(patience):
-			t.Fatal("its end is not told")
+		case <-rec.closed:
+		case <-time.After(testTimeout):
+			t.Fatal("the close was not reported")
 		}
 	})
-	until(t, "the gauge counts what has gone", func() bool { return w.gauge.In.Load() == 0 && w.gauge.Out.Load() == 0 })
+	waitFor(t, "the gauge counts bytes of closed connections", func() bool { return server.gauge.In.Load() == 0 && server.gauge.Out.Load() == 0 })
 }
 
-// A full socket takes the rest later, whole, with the other side's pace told, and
-// nothing stands there for a connection that ends before.
+// Guards against output that is lost or changed behind a full socket, against wrong counts
+// of acknowledged bytes, and against buffered output that stays counted after a connection
+// has ended.
 func TestFullSocket(t *testing.T) {
-	w := newWorld(t)
-	client, e := w.dial(t)
+	server := newTestServer(t)
+	client, rec := server.dial(t)
 	data := bytes.Repeat([]byte("0123456789abcdef"), 1<<19) // 8 MB
-	whole, err := e.c.Send(data)
+	whole, err := rec.c.Send(data)
 	if whole || err != nil {
-		t.Fatal("nobody reads, and all was taken", err)
+		t.Fatal("all was taken although nobody reads", err)
 	}
-	if taken, left := e.c.Acknowledged(); left == 0 || taken+int64(left) != int64(len(data)) || w.gauge.Out.Load() == 0 {
-		t.Errorf("%d taken and %d left of %d", taken, left, len(data))
+	if taken, left := rec.c.Acknowledged(); left == 0 || taken+int64(left) != int64(len(data)) || server.gauge.Out.Load() == 0 {
+		t.Errorf("%d acknowledged and %d left of %d", taken, left, len(data))
 	}
 	got := make([]byte, len(data))
 	if _, err := io.ReadFull(client, got); err != nil || !bytes.Equal(got, data) {
-		t.Fatal("not what was sent", err)
+		t.Fatal("received other data than was sent", err)
 	}
-	<-e.drained
-	until(t, "all was read, and not all is taken", func() bool {
-		taken, left := e.c.Acknowledged()
+	<-rec.drained
+	waitFor(t, "all was read, but not all is acknowledged", func() bool {
+		taken, left := rec.c.Acknowledged()
 		return taken == int64(len(data)) && left == 0
 	})
-	if n := w.gauge.Out.Load(); n != 0 {
-		t.Errorf("%d bytes wait", n)
+	if n := server.gauge.Out.Load(); n != 0 {
+		t.Errorf("%d bytes are buffered", n)
 	}
-	if _, err := e.c.Send(data); err != nil {
+	if _, err := rec.c.Send(data); err != nil {
 		t.Fatal(err)
 	}
 	_ = client.Close()
-	<-e.closed
-	if n := w.gauge.Out.Load(); n != 0 {
-		t.Errorf("%d bytes wait of what has ended", n)
+	<-rec.closed
+	if n := server.gauge.Out.Load(); n != 0 {
+		t.Errorf("%d bytes are buffered for a closed connection", n)
 	}
 }
 
-// Connections that come and go parked, by their end or ours, leave no descriptor and nothing in the watch behind.
-func TestParkLeaksNothing(t *testing.T) {
-	w := newWorld(t)
+// Guards against descriptors and watcher entries leaked by parked connections, whichever side
+// closes them.
+func TestParkLeaksNoDescriptors(t *testing.T) {
+	server := newTestServer(t)
 	files := func() int {
 		list, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -204,73 +206,74 @@
 	}
 	before := files()
 	for i := range 1000 {
-		client, e := w.dial(t)
-		until(t, "not parked", func() bool { e.c.Park(); return e.parked() })
+		client, rec := server.dial(t)
+		waitFor(t, "not parked", func() bool { rec.c.Park(); return rec.parked() })
 		if i%2 == 0 {
-			e.c.Close()
+			rec.c.Close()
 			_, _ = client.Read(make([]byte, 1))
 		}
 		_ = client.Close()
-		<-e.closed
+		<-rec.closed
 	}
-	watched.w.mu.Lock()
-	left := len(watched.w.conns)
-	watched.w.mu.Unlock()
+	shared.watcher.mu.Lock()
+	left := len(shared.watcher.conns)
+	shared.watcher.mu.Unlock()
 	if left != 0 {
-		t.Errorf("%d are left in the watch", left)
+		t.Errorf("%d connections are left in the watcher", left)
 	}
-	until(t, "descriptors are left", func() bool { return files() <= before+1 })
+	waitFor(t, "descriptors are leaked", func() bool { return files() <= before+1 })
 }
 
-// BenchmarkPark is a byte that comes to a connection that netpoll reads, and to a
-// parked one.
+// BenchmarkPark measures the delivery of a byte on a connection that netpoll reads, and
+// on a parked one.
 func BenchmarkPark(b *testing.B) {
 	for _, park := range []bool{false, true} {
 		b.Run(map[bool]string{false: "left", true: "parked"}[park], func(b *testing.B) {
-			client, e := newWorld(b).dial(b)
+			client, rec := newTestServer(b).dial(b)
 			defer func() { _ = client.Close() }()
 			_ = client.SetDeadline(time.Time{})
 			if park {
-				until(b, "not parked", func() bool { e.c.Park(); return e.parked() })
+				waitFor(b, "not parked", func() bool { rec.c.Park(); return rec.parked() })
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				_, _ = client.Write([]byte("x"))
-				<-e.more
+				<-rec.more
 			}
 		})
 	}
 }
 
-// What came just before the end is still there when the loop comes to it.
-func TestLastWordsAreHeard(t *testing.T) {
-	w := newWorld(t)
+// Guards against losing bytes that arrive right before the close, when the poller has seen
+// both before the loop handles the bytes.
+func TestBytesBeforeCloseAreDelivered(t *testing.T) {
+	server := newTestServer(t)
 	for range 200 {
-		client, e := w.dial(t)
+		client, rec := server.dial(t)
 		hold := make(chan struct{})
-		w.loop.Post(func() { <-hold }) // until the poller has seen both
+		server.loop.Post(func() { <-hold }) // until the poller has seen the bytes and the close
 		_, _ = client.Write([]byte("last words"))
 		_ = client.Close()
-		until(t, "the poller has not seen the end", func() bool {
-			e.c.mu.Lock()
-			defer e.c.mu.Unlock()
-			return e.c.closed
+		waitFor(t, "the poller has not seen the close", func() bool {
+			rec.c.mu.Lock()
+			defer rec.c.mu.Unlock()
+			return rec.c.closed
 		})
 		close(hold)
-		<-e.closed
-		if !e.has([]byte("last words")) {
-			t.Fatalf("got %q", e.got)
+		<-rec.closed
+		if !rec.received([]byte("last words")) {
+			t.Fatalf("got %q", rec.input)
 		}
 	}
 }
 
-// A second listener at the same address, as a new process of an upgrade opens
-// it, is let in beside the first, and clients reach one of the two.
+// Guards against a second listener that can't share the address, as the new process opens it
+// during an upgrade, and against clients that reach neither listener or a stopped one.
 func TestListenersShareAnAddress(t *testing.T) {
-	w := newWorld(t)
-	ends := make(chan *end, 1)
-	second, err := Listen(w.loop, w.addr, 1<<20, &w.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newEnd(c, ends) })
+	server := newTestServer(t)
+	recorders := make(chan *recorder, 1)
+	second, err := Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newRecorder(c, recorders) })
 	if err != nil {
 		t.Fatalf("second listener: %v", err)
 	}
@@ -279,34 +282,34 @@
 	for i := range 9 {
 		if i == 1 {
 			second.Stop()
-			until(t, "the listener closes", second.Closed)
+			waitFor(t, "the listener closes", second.Closed)
 		}
-		c, err := net.Dial("tcp", w.addr)
+		c, err := net.Dial("tcp", server.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		select {
-		case <-w.ends:
-		case <-ends:
+		case <-server.recorders:
+		case <-recorders:
 			if i > 0 {
-				t.Fatal("a stopped listener took a client")
+				t.Fatal("a stopped listener accepted a client")
 			}
-		case <-time.After(patience):
-			t.Fatal("no listener took the client")
+		case <-time.After(testTimeout):
+			t.Fatal("no listener accepted the client")
 		}
 	}
 }
 
-// Guards against small writes that the system holds back, to go out with the next or be lost
-// with a reset: both kinds of connections have TCP_NODELAY.
-func TestNothingIsHeldBack(t *testing.T) {
-	w := newWorld(t)
+// Guards against small writes that the kernel delays until the next one, or loses with a
+// reset: accepted and dialed connections have TCP_NODELAY.
+func TestNoDelayIsSet(t *testing.T) {
+	server := newTestServer(t)
 	dialled, failed := make(chan *Conn, 1), make(chan error, 1)
 	var g Gauge
-	e := &end{more: make(chan struct{}, 1), drained: make(chan struct{}, 1), closed: make(chan struct{})}
-	w.loop.Post(func() {
-		Dial(w.loop, w.addr, 1<<20, &g, e, w.loop.Now()+int64(patience/time.Microsecond), func(c *Conn, err error) {
+	rec := &recorder{more: make(chan struct{}, 1), drained: make(chan struct{}, 1), closed: make(chan struct{})}
+	server.loop.Post(func() {
+		Dial(server.loop, server.addr, 1<<20, &g, rec, server.loop.Now()+int64(testTimeout/time.Microsecond), func(c *Conn, err error) {
 			if err != nil {
 				failed <- err
 				return
@@ -319,11 +322,11 @@
 		select {
 		case c := <-dialled:
 			both = append(both, c)
-		case x := <-w.ends:
+		case x := <-server.recorders:
 			both = append(both, x.c)
 		case err := <-failed:
 			t.Fatal(err)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("no connection")
 		}
 	}
@@ -333,19 +336,19 @@
 			t.Errorf("dialled %v: TCP_NODELAY is %d, %v", c.dialed, on, err)
 		}
 	}
-	for _, c := range both { // only now: the end of one is the end of the other
+	for _, c := range both { // only now, since closing one closes the other
 		c.Close()
 	}
 }
 
-// Guards against bytes that leave although whoever sent them was told that they never will, and
-// against the contrary: a cut counts only while they wait, whatever the loop has heard.
-func TestCut(t *testing.T) {
-	w := newWorld(t)
+// Guards against bytes that are sent although CloseIfBlocked reported that they never will be,
+// and the reverse: it may report so only while they wait, whatever events the loop has handled.
+func TestCloseIfBlocked(t *testing.T) {
+	server := newTestServer(t)
 	for _, drained := range []bool{false, true} {
-		client, e := w.dial(t)
+		client, rec := server.dial(t)
 		big := make([]byte, 16<<20)
-		whole, err := e.c.Send(big)
+		whole, err := rec.c.Send(big)
 		if whole || err != nil {
 			t.Fatalf("sent whole: %v, %v", whole, err)
 		}
@@ -355,20 +358,20 @@
 			read <- n
 		}()
 		if drained {
-			<-e.drained
-			if e.c.CloseIfBlocked() {
-				t.Error("all had left")
+			<-rec.drained
+			if rec.c.CloseIfBlocked() {
+				t.Error("reported unsent bytes although all were sent")
 			}
-			e.c.Close()
+			rec.c.Close()
 			if n := <-read; n != int64(len(big)) {
-				t.Errorf("%d of %d bytes came", n, len(big))
+				t.Errorf("%d of %d bytes arrived", n, len(big))
 			}
-		} else if cut := e.c.CloseIfBlocked(); cut != (<-read < int64(len(big))) {
-			t.Errorf("cut: %v", cut)
-		} else if !cut {
-			e.c.Close()
+		} else if blocked := rec.c.CloseIfBlocked(); blocked != (<-read < int64(len(big))) {
+			t.Errorf("reported unsent bytes: %v", blocked)
+		} else if !blocked {
+			rec.c.Close()
 		}
 		_ = client.Close()
-		<-e.closed
+		<-rec.closed
 	}
 }
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -12,35 +12,35 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// watch is an epoll instance of our own that netpoll's poller watches as if it
-// were a listener: epoll descriptors can be polled themselves (epoll(7)). So its
-// Accept runs on the poller whenever something happens there, and never beside
-// what the poller does for a connection. Two kinds of descriptors stand in it:
+// watcher is an epoll instance that netpoll's poller watches as if it were a
+// listener, since epoll descriptors can be polled themselves (epoll(7)). So its
+// Accept runs on the poller whenever an event is ready, and never concurrently with
+// the poller's work for a connection. It contains two kinds of descriptors:
 //
-//   - parked connections. netpoll's part of one, some 4 KB, is given up for good;
-//     from then on the watch reads it, and ends it.
-//   - full sockets, until they take more. Nothing is started to wait for them.
-type watch struct {
-	fd, wake int // epoll instance; eventfd that has it run tasks
+//   - parked connections. netpoll's part of one, some 4 KB, is released for good;
+//     from then on the watcher reads and closes it.
+//   - full sockets, until they are writable. No goroutine waits for them.
+type watcher struct {
+	fd, wake int // epoll instance; eventfd that triggers runTasks
 	events   [128]syscall.EpollEvent
-	buf      [takeBuffer]byte
+	buf      [clientRecvBuffer]byte
 
 	mu     sync.Mutex
 	serial int32
-	conns  map[int32]*Conn // by serial; of those in the epoll instance
-	tasks  []func()        // for the poller
+	conns  map[int32]*Conn // in the epoll instance, by serial
+	tasks  []func()        // to run on the poller
 }
 
-// watched is the program's watch, as netpoll's poller is the program's.
-var watched struct{ w *watch }
+// shared holds the watcher of the process, which like netpoll's poller exists once.
+var shared struct{ watcher *watcher }
 
-// startWatch has the poller look after the watch; once for the program.
-func startWatch() (err error) {
-	watched.w, err = newWatch()
+// startWatcher creates the watcher of the process and adds it to the poller.
+func startWatcher() (err error) {
+	shared.watcher, err = newWatcher()
 	return err
 }
 
-func newWatch() (*watch, error) {
+func newWatcher() (*watcher, error) {
 	fd, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("transport: epoll: %w", err)
@@ -49,49 +49,49 @@
 	if errno != 0 {
 		return nil, fmt.Errorf("transport: eventfd: %w", errno)
 	}
-	w := &watch{fd: fd, wake: int(wake), conns: map[int32]*Conn{}}
+	w := &watcher{fd: fd, wake: int(wake), conns: map[int32]*Conn{}}
 	if err := syscall.EpollCtl(fd, syscall.EPOLL_CTL_ADD, w.wake, &syscall.EpollEvent{Events: syscall.EPOLLIN, Fd: int32(wake)}); err != nil {
 		return nil, fmt.Errorf("transport: epoll: %w", err)
 	}
-	events, err := netpoll.NewEventLoop(onRequest) // it never has a connection of its own
+	events, err := netpoll.NewEventLoop(onRequest) // no connection ever comes from it
 	if err != nil {
 		return nil, fmt.Errorf("transport: %w", err)
 	}
-	go func() { // it returns only where the system lacks memory to watch the watch
+	go func() { // Serve returns only if the system lacks memory to poll the watcher
 		for {
 			_ = events.Serve(w)
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 		}
 	}()
 	return w, nil
 }
 
 // Fd is part of netpoll.Listener.
-func (w *watch) Fd() int { return w.fd }
+func (w *watcher) Fd() int { return w.fd }
 
 // Addr is part of net.Listener.
-func (w *watch) Addr() net.Addr { return &net.UnixAddr{Name: "watch", Net: "unix"} }
+func (w *watcher) Addr() net.Addr { return &net.UnixAddr{Name: "watch", Net: "unix"} }
 
-// Close is part of net.Listener. The watch lives as long as the program.
-func (w *watch) Close() error { return nil }
+// Close is part of net.Listener. The watcher lives as long as the process.
+func (w *watcher) Close() error { return nil }
 
-// Accept runs on the poller and looks at what has happened. There is never a new
-// connection; while something is left the poller calls it again.
-func (w *watch) Accept() (net.Conn, error) {
-	n, _ := syscall.EpollWait(w.fd, w.events[:], 0) // EINTR: it is called again
+// Accept runs on the poller and handles the ready events. It never returns a
+// connection; the poller calls it again while events are left.
+func (w *watcher) Accept() (net.Conn, error) {
+	n, _ := syscall.EpollWait(w.fd, w.events[:], 0) // on EINTR it is called again
 	for _, e := range w.events[:max(0, n)] {
 		if int(e.Fd) == w.wake {
-			w.runAll()
+			w.runTasks()
 			continue
 		}
 		w.mu.Lock()
 		c := w.conns[e.Pad]
 		w.mu.Unlock()
 		if c == nil {
-			continue // it ended after the event
+			continue // the connection ended after the event
 		}
 		if e.Events&syscall.EPOLLOUT != 0 {
-			c.push()
+			c.flush()
 		}
 		if e.Events&^syscall.EPOLLOUT != 0 {
 			c.read(w.buf[:])
@@ -100,8 +100,8 @@
 	return nil, nil
 }
 
-// read takes in what has come on a parked connection, or its end. Of one that is
-// not parked, netpoll sees the same.
+// read receives data or the end of a parked connection. Connections that are not
+// parked are read by netpoll.
 func (c *Conn) read(buf []byte) {
 	c.mu.Lock()
 	parked := c.parked && !c.closed
@@ -114,25 +114,25 @@
 		c.deliver(buf[:n])
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR), IsResourceShortage(err):
 	default:
-		c.end()
+		c.closeParked()
 	}
 }
 
-// end ends a parked connection. It runs on the poller.
-func (c *Conn) end() {
+// closeParked closes a parked connection. It runs on the poller.
+func (c *Conn) closeParked() {
 	c.mu.Lock()
 	closed := c.closed
 	c.mu.Unlock()
 	if closed {
 		return
 	}
-	c.over()
-	_ = syscall.Close(c.fd) // whatever it says, the descriptor is gone (close(2))
+	c.terminate()
+	_ = syscall.Close(c.fd) // even on an error the descriptor is released (close(2))
 }
 
-// set has a descriptor watched for events; none takes it out. On an error nothing has changed;
-// there is one for a descriptor that has ended, of which Closed tells.
-func (w *watch) set(c *Conn, events uint32) error {
+// setEvents sets the events for which a connection's descriptor is watched; 0 removes it. On an
+// error nothing has changed. A descriptor that has ended gives one too; Closed follows for it.
+func (w *watcher) setEvents(c *Conn, events uint32) error {
 	if events == c.events {
 		return nil
 	}
@@ -160,13 +160,13 @@
 	return nil
 }
 
-// ask has the poller park a connection.
-func (w *watch) ask(c *Conn) { w.run(func() { c.park(w) }) }
+// requestPark has the poller park a connection.
+func (w *watcher) requestPark(c *Conn) { w.runOnPoller(func() { c.park(w) }) }
 
-// run has the poller call a function, between what it does for connections.
-func (w *watch) run(do func()) {
+// runOnPoller has the poller call a function, between its work for connections.
+func (w *watcher) runOnPoller(task func()) {
 	w.mu.Lock()
-	w.tasks = append(w.tasks, do)
+	w.tasks = append(w.tasks, task)
 	first := len(w.tasks) == 1
 	w.mu.Unlock()
 	if !first {
@@ -176,28 +176,28 @@
 	binary.NativeEndian.PutUint64(one[:], 1)
 	for {
 		if _, err := syscall.Write(w.wake, one[:]); !errors.Is(err, syscall.EINTR) {
-			return // a full counter wakes the poller as well
+			return // a full eventfd counter wakes the poller too
 		}
 	}
 }
 
-// runAll runs what was asked for. Where the wake-up can't be taken back the poller comes again.
-func (w *watch) runAll() {
+// runTasks runs the queued tasks. If the eventfd can't be reset, the poller calls it again.
+func (w *watcher) runTasks() {
 	var count [8]byte
 	_, _ = syscall.Read(w.wake, count[:])
 	w.mu.Lock()
 	tasks := w.tasks
 	w.tasks = nil
 	w.mu.Unlock()
-	for _, do := range tasks {
-		do()
+	for _, task := range tasks {
+		task()
 	}
 }
 
-// park gives netpoll's part of a connection up. It runs on the poller, so nothing
-// of the connection is under way there; netpoll's Detach may be called at no
-// other time, since it waits for the poller.
-func (c *Conn) park(w *watch) {
+// park detaches a connection from netpoll. It runs on the poller, so the poller is not
+// working on the connection; elsewhere netpoll's Detach must not be called, since it
+// waits for the poller.
+func (c *Conn) park(w *watcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	np, ok := c.np.(interface{ Detach() error })
@@ -206,26 +206,26 @@
 	}
 	c.parked, c.np = true, nil
 	c.mu.Unlock()
-	_ = np.Detach() // calls ended, which passes over a parked connection
+	_ = np.Detach() // calls onNetpollClose, which ignores a parked connection
 	c.mu.Lock()
-	c.attach()
+	c.addToWatcher()
 }
 
-// attach has the watch look after a parked connection, at once or, where the system lacks memory
-// for that, soon.
-func (c *Conn) attach() {
-	if c.closed || watched.w.set(c, c.wants()) == nil {
+// addToWatcher adds a parked connection to the watcher, and retries by timer if the system lacks
+// memory for that.
+func (c *Conn) addToWatcher() {
+	if c.closed || shared.watcher.setEvents(c, c.wantedEvents()) == nil {
 		return
 	}
-	time.AfterFunc(writeRetry, func() {
+	time.AfterFunc(writeRetryDelay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.attach()
+		c.addToWatcher()
 	})
 }
 
-// wants is the events that the watch has to look for.
-func (c *Conn) wants() (events uint32) {
+// wantedEvents returns the events for which the watcher has to watch a connection.
+func (c *Conn) wantedEvents() (events uint32) {
 	if c.parked {
 		events = syscall.EPOLLIN | syscall.EPOLLRDHUP
 	}
@@ -235,16 +235,16 @@
 	return events
 }
 
-// push sends what waited for a full socket. Drained follows when all is out. What
-// can't be sent ends the connection.
-func (c *Conn) push() {
+// flush writes the output that waited for a full socket. Drained follows when all is
+// written. A write error closes the connection.
+func (c *Conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	if !c.flushing { // its last event is still asked for
-		c.awaitRoom()
+	if !c.flushing { // EPOLLOUT is still set in the watcher
+		c.watchWritable()
 		return
 	}
 	n, err := c.write(c.out)
@@ -255,13 +255,13 @@
 		return
 	}
 	if len(c.out) > 0 {
-		c.awaitRoom()
+		c.watchWritable()
 		return
 	}
 	c.out, c.flushing = nil, false
-	c.awaitRoom()
-	if c.ending {
-		c.endOutput()
+	c.watchWritable()
+	if c.halfClosing {
+		c.shutdownOutput()
 	}
 	c.loop.Post(c.drained)
 }
