--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,76 +9,77 @@
 	"cherryramp/rules"
 )
 
-// past is what is kept of an id that has ended on a connection. Answers name nothing but
-// ids, so what still comes under one can't be told from the answer to its next attempt.
-type past struct {
-	until    gateway.Micros // its call's deadline; nothing goes under the id afterwards
-	answered bool           // only a second answer can come, which is rare
+// endedID records an id whose attempt has ended on a connection. Answers contain only the
+// id, so a late one can't be distinguished from the answer to the id's next attempt.
+type endedID struct {
+	deadline gateway.Micros // the call's deadline; the id is not used again after it
+	answered bool           // an answer has arrived, so only a duplicate may follow, which is rare
 }
 
 // conn is one connection to a cache node.
 type conn struct {
-	pool     *pool
-	tc       Conn
-	open     map[string]*gateway.Attempt
-	past     map[string]past  // ids that have ended on it, to which answers may still come
-	partial  *gateway.Attempt // what a full socket has not taken whole
-	alone    int              // open attempts of classes that share no connection
-	used     bool
-	draining bool           // takes nothing new; closed when nothing is open
-	unheard  int            // attempts that ran out since it last said anything
-	since    gateway.Micros // when it last said anything or, if later, took something on with nothing open
-	idle     *loop.Deadline
-	whole    *loop.Deadline // of an answer that has begun to come
+	pool          *serverPool
+	tc            Conn
+	open          map[string]*gateway.Attempt
+	ended         map[string]endedID // ended ids to which answers may still arrive
+	partial       *gateway.Attempt   // the attempt that a full socket has not taken whole
+	exclusiveOpen int                // open attempts of exclusive classes
+	used          bool
+	draining      bool           // takes no new attempts; closed when nothing is open
+	unanswered    int            // attempts given up since the last data arrived
+	activeSince   gateway.Micros // when the last data arrived or, if later, an attempt was sent with nothing open
+	idleTimer     *loop.Deadline
+	answerTimer   *loop.Deadline // runs while part of an answer has arrived
 }
 
-// cut ends a connection on which an attempt has not left whole, so that it never does, and
-// tells whether there is one. The socket may have taken the rest, of which Drained is about to tell.
-func (c *conn) cut() bool {
+// cutPartial closes a connection on which an attempt is only partly sent, so that its rest is
+// never sent, and reports whether there was one. If the socket has just taken the rest, and
+// Drained is about to follow, there is none.
+func (c *conn) cutPartial() bool {
 	if c.partial != nil && !c.tc.CloseIfBlocked() {
 		c.partial = nil
 	}
 	return c.partial != nil
 }
 
-// remember keeps an id that has ended on a connection for as long as its call may go
-// out again. One that has to remember too many takes nothing new.
-func (c *conn) remember(a *gateway.Attempt, answered bool) {
-	if len(c.past) >= pastLimit {
-		now := c.pool.all.loop.Now()
-		maps.DeleteFunc(c.past, func(_ string, p past) bool { return p.until <= now })
+// rememberID records an id that has ended on a connection until its call's deadline. A
+// connection with more than maxEndedIDs of them is drained.
+func (c *conn) rememberID(a *gateway.Attempt, answered bool) {
+	if len(c.ended) >= maxEndedIDs {
+		now := c.pool.pools.loop.Now()
+		maps.DeleteFunc(c.ended, func(_ string, p endedID) bool { return p.deadline <= now })
 	}
-	if c.past[a.Call.ID] = (past{until: a.Call.Deadline, answered: answered}); len(c.past) > pastLimit && !c.draining {
-		c.pool.all.log.Info("connection drained", "server", c.pool.name, "ended_ids", len(c.past))
+	if c.ended[a.Call.ID] = (endedID{deadline: a.Call.Deadline, answered: answered}); len(c.ended) > maxEndedIDs && !c.draining {
+		c.pool.pools.log.Info("connection drained", "server", c.pool.name, "ended_ids", len(c.ended))
 		c.draining = true
 	}
 }
 
-// knows tells whether an attempt may not go on a connection because of what its id did
-// there: it is open, or what still comes under it could be taken for this attempt's
-// answer. A second answer to one that was answered is that rare that only what must not
-// run twice, or be out twice, keeps away for its sake.
-func (c *conn) knows(a *gateway.Attempt) bool {
+// conflicts reports whether an attempt must not use a connection because of its id: the
+// id is open there, or a late answer to it could be taken for this attempt's answer.
+// Duplicate answers are so rare that after an answer only attempts must avoid the
+// connection that must not run twice, or be open twice.
+func (c *conn) conflicts(a *gateway.Attempt) bool {
 	if _, open := c.open[a.Call.ID]; open {
 		return true
 	}
-	p, known := c.past[a.Call.ID]
-	cfg := &c.pool.all.cfg
+	p, known := c.ended[a.Call.ID]
+	cfg := &c.pool.pools.cfg
 	return known && (!p.answered || !cfg.Hedges || a.Call.Class >= len(cfg.Repeatable) || !cfg.Repeatable[a.Call.Class])
 }
 
-// stale tells whether a connection has stood idle after use: nodes may have reset
-// it, and what is written before that is noticed may or may not have run.
+// stale reports whether a connection has been idle after use: the node may have reset
+// it, and an attempt sent before that is noticed may or may not have run.
 func (c *conn) stale() bool {
-	return c.used && len(c.open) == 0 && c.pool.all.loop.Now()-c.since > freshSpan
+	return c.used && len(c.open) == 0 && c.pool.pools.loop.Now()-c.activeSince > maxFreshIdle
 }
 
-func (c *conn) forget(a *gateway.Attempt) {
+func (c *conn) removeAttempt(a *gateway.Attempt) {
 	delete(c.open, a.Call.ID)
-	if c.pool.all.alone(a) {
-		c.alone--
+	if c.pool.pools.isExclusive(a) {
+		c.exclusiveOpen--
 	}
-	delete(c.pool.all.where, a)
+	delete(c.pool.pools.connByAttempt, a)
 	if c.partial == a {
 		c.partial = nil
 	}
@@ -86,12 +87,12 @@
 
 func (c *conn) drain() {
 	c.draining = true
-	c.rest()
+	c.closeOrIdle()
 }
 
-// rest looks after a connection with nothing open: a draining one is closed, any
-// other after its idle time.
-func (c *conn) rest() {
+// closeOrIdle closes a draining connection with nothing open, and starts the idle timer
+// of any other.
+func (c *conn) closeOrIdle() {
 	if len(c.open) > 0 {
 		return
 	}
@@ -99,105 +100,105 @@
 		c.tc.Close()
 		return
 	}
-	l := c.pool.all.loop
-	l.Stop(c.idle)
-	c.idle = l.At(l.Now()+c.pool.all.cfg.IdleTimeout, func() {
+	l := c.pool.pools.loop
+	l.Stop(c.idleTimer)
+	c.idleTimer = l.At(l.Now()+c.pool.pools.cfg.IdleTimeout, func() {
 		c.draining = true
 		c.tc.Close()
 	})
 }
 
-// Readable takes the answers that have come. Those under ids that are not open
-// (a second copy, one that was given up) are passed over.
+// Readable handles the answers that have arrived. It ignores those with ids that are not
+// open, such as duplicates and answers to attempts that were given up.
 func (c *conn) Readable() {
-	c.unheard, c.since = 0, c.pool.all.loop.Now()
+	c.unanswered, c.activeSince = 0, c.pool.pools.loop.Now()
 	for {
 		var ans answer
-		var used, have int
+		var used, available int
 		var err error
 		c.tc.Consume(func(b []byte) int {
-			have = len(b)
+			available = len(b)
 			ans, used, err = parseAnswer(b)
 			return used
 		})
 		if err == nil && used == 0 && c.tc.Overflowed() {
-			err = errFlood
+			err = errOverflow
 		}
 		if err != nil {
-			c.spoilt(err)
+			c.abort(err)
 			return
 		}
 		if used == 0 {
-			c.await(have > 0)
+			c.trackAnswer(available > 0)
 			break
 		}
-		c.await(false)
+		c.trackAnswer(false)
 		if a := c.open[ans.id]; a != nil {
-			if !ans.fits(a.Call.Tag) {
-				c.spoilt(errUnasked)
+			if !ans.matchesTag(a.Call.Tag) {
+				c.abort(errUnrequestedTag)
 				return
 			}
-			c.forget(a)
-			if ans.end.Code != rules.OK { // else its call is over
-				c.remember(a, true)
+			c.removeAttempt(a)
+			if ans.result.Code != rules.OK { // otherwise its call is over
+				c.rememberID(a, true)
 			}
-			c.pool.all.gate.EndAttempt(a, ans.end)
+			c.pool.pools.controller.EndAttempt(a, ans.result)
 		}
 	}
-	c.rest()
-	c.pool.flush()
+	c.closeOrIdle()
+	c.pool.dispatch()
 }
 
-// await bounds the time that an answer takes to come whole.
-func (c *conn) await(begun bool) {
-	l := c.pool.all.loop
+// trackAnswer limits the time for a partly arrived answer to become complete.
+func (c *conn) trackAnswer(begun bool) {
+	l := c.pool.pools.loop
 	switch {
 	case !begun:
-		l.Stop(c.whole)
-		c.whole = nil
-	case c.whole == nil:
-		c.whole = l.At(l.Now()+wholeMost, func() { c.spoilt(errStalled) })
+		l.Stop(c.answerTimer)
+		c.answerTimer = nil
+	case c.answerTimer == nil:
+		c.answerTimer = l.At(l.Now()+maxAnswerTime, func() { c.abort(errStalled) })
 	}
 }
 
-// spoilt ends a connection that has brought what can't be read, or too much, or
-// only a part. All that is open on it may have run; of the server's health it
-// tells little.
-func (c *conn) spoilt(err error) {
-	c.pool.all.log.Warn("answer can't be read", "server", c.pool.name, "error", err, "open", len(c.open))
+// abort closes a connection on which a malformed, too long or incomplete answer has
+// arrived. All attempts open on it may have run. They end as ConnectionBroken, which
+// says little about the server's health.
+func (c *conn) abort(err error) {
+	c.pool.pools.log.Warn("answer can't be read", "server", c.pool.name, "error", err, "open", len(c.open))
 	c.draining = true
-	c.cut()
-	c.drop(rules.ConnectionBroken, rules.ConnectionBroken)
+	c.cutPartial()
+	c.endAll(rules.ConnectionBroken, rules.ConnectionBroken)
 	c.tc.Close()
 }
 
-// Drained goes on with what waited for a full socket.
+// Drained dispatches the attempts that waited for a full socket.
 func (c *conn) Drained() {
 	c.partial = nil
-	c.pool.flush()
+	c.pool.dispatch()
 }
 
-// Closed ends what was open: what had not left whole never ran. It is one event
-// and counts once against its server's health, and not at all where an answer
-// broke off.
+// Closed ends all open attempts; one that was only partly sent never ran. The close
+// counts once against the server's health, and not at all if an answer was incomplete.
 func (c *conn) Closed() {
-	x := c.pool
+	pool := c.pool
 	c.draining = true
-	x.all.held--
-	x.all.loop.Stop(c.idle)
-	x.conns = slices.DeleteFunc(x.conns, func(o *conn) bool { return o == c })
+	pool.pools.numConns--
+	pool.pools.loop.Stop(c.idleTimer)
+	pool.conns = slices.DeleteFunc(pool.conns, func(o *conn) bool { return o == c })
 	first := rules.Reset
-	if c.whole != nil {
+	if c.answerTimer != nil {
 		first = rules.ConnectionBroken
 	}
-	c.await(false)
-	c.drop(first, rules.ConnectionBroken)
-	x.flush()
+	c.trackAnswer(false)
+	c.endAll(first, rules.ConnectionBroken)
+	pool.dispatch()
 }
 
-// drop ends all that is open: the first with one code, the rest with another.
-func (c *conn) drop(first, rest rules.Code) {
-	// In the order of their numbers, so that like events have like effects.
+// endAll ends all open attempts: a partly sent one as never run, the first other one
+// with the code first, the others with rest.
+func (c *conn) endAll(first, rest rules.Code) {
+	// Sorted, so that the same events have the same effects.
 	open := make([]*gateway.Attempt, 0, len(c.open))
 	for _, a := range c.open {
 		open = append(open, a)
@@ -205,13 +206,13 @@
 	slices.SortFunc(open, func(a, b *gateway.Attempt) int { return a.Call.Compare(b.Call) })
 	partial := c.partial
 	for _, a := range open {
-		c.forget(a)
+		c.removeAttempt(a)
 		code := first
 		if a == partial {
 			code = rules.ConnectFailed
 		} else {
 			first = rest
 		}
-		c.pool.all.gate.EndAttempt(a, gateway.AttemptResult{Code: code})
+		c.pool.pools.controller.EndAttempt(a, gateway.AttemptResult{Code: code})
 	}
 }
--- a/internal/upstream/lines.go
+++ b/internal/upstream/lines.go
@@ -10,117 +10,117 @@
 	"cherryramp/rules"
 )
 
-// What an answer may hold at most. Objects hold 240,000 bytes.
+// Limits of an answer, in bytes. Objects hold up to 240,000 bytes.
 const (
 	maxLine = 4 << 10
 	maxBody = 240_000
 )
 
 var (
-	errLine    = errors.New("upstream: answer is malformed")
-	errFlood   = errors.New("upstream: more came than an answer may hold")
-	errStalled = errors.New("upstream: answer stopped short")
-	errUnasked = errors.New("upstream: a copy is called current that was not asked about")
+	errMalformed      = errors.New("upstream: answer is malformed")
+	errOverflow       = errors.New("upstream: more input than an answer may hold")
+	errStalled        = errors.New("upstream: answer was not complete in time")
+	errUnrequestedTag = errors.New("upstream: answer is current for a tag that was not requested")
 )
 
 // answer is one answer of a cache node.
 type answer struct {
-	id  string
-	end gateway.AttemptResult
+	id     string
+	result gateway.AttemptResult
 }
 
-// codes are the words that end an attempt.
-var codes = map[string]rules.Code{"ok": rules.OK, "current": rules.OK, "nothing": rules.Miss,
+// resultCodes maps the result words of answers to codes.
+var resultCodes = map[string]rules.Code{"ok": rules.OK, "current": rules.OK, "nothing": rules.Miss,
 	"refused": rules.Full, "error": rules.ServerError, "stale": rules.NotSent}
 
-// notes are the words of the field why, in the order of the module's notes.
+// notes are the values of the field why, indexed by rules.Note.
 var notes = []string{"", "warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking",
 	"jammed", "backfire"}
 
-// parseAnswer reads an answer from the front of b; 0 bytes are used while it is
-// not whole.
+// parseAnswer parses an answer at the start of b and returns the bytes used: 0 while
+// the answer is incomplete.
 func parseAnswer(b []byte) (a answer, used int, err error) {
 	end := bytes.Index(b[:min(len(b), maxLine)], []byte("\r\n"))
 	if end < 0 {
 		if len(b) >= maxLine || bytes.IndexByte(b, '\n') >= 0 {
-			return a, 0, errLine
+			return a, 0, errMalformed
 		}
 		return a, 0, nil
 	}
-	words := strings.Split(string(b[:end]), " ")
-	if len(words) != 4 || words[0] == "" {
-		return a, 0, errLine
+	fields := strings.Split(string(b[:end]), " ")
+	if len(fields) != 4 || fields[0] == "" {
+		return a, 0, errMalformed
 	}
-	code, known := codes[words[1]]
-	length, err := strconv.ParseUint(words[3], 10, 31)
+	code, known := resultCodes[fields[1]]
+	length, err := strconv.ParseUint(fields[3], 10, 31)
 	if !known || err != nil || length > maxBody {
-		return a, 0, errLine
+		return a, 0, errMalformed
 	}
-	whole := end + 2 + int(length) + 2
-	if len(b) < whole {
+	total := end + 2 + int(length) + 2
+	if len(b) < total {
 		return a, 0, nil
 	}
-	if !bytes.Equal(b[whole-2:whole], []byte("\r\n")) {
-		return a, 0, errLine
+	if !bytes.Equal(b[total-2:total], []byte("\r\n")) {
+		return a, 0, errMalformed
 	}
-	a.id, a.end.Code = words[0], code
-	if err := a.fields(words[2]); err != nil {
+	a.id, a.result.Code = fields[0], code
+	if err := a.parseFields(fields[2]); err != nil {
 		return answer{}, 0, err
 	}
-	if words[1] == "current" {
-		a.end.Answer.Kind = gateway.NotModified
+	if fields[1] == "current" {
+		a.result.Answer.Kind = gateway.NotModified
 	}
-	a.end.Answer.Body = bytes.Clone(b[end+2 : whole-2])
-	return a, whole, nil
+	a.result.Answer.Body = bytes.Clone(b[end+2 : total-2])
+	return a, total, nil
 }
 
-// fields reads name=value,name=value; names that are not known are passed over.
-// fits tells whether an answer can be one to a request that passed on a tag, or none:
-// only the copy that was asked about can be current, and only the client that asked
-// may be told so.
-func (a *answer) fits(tag string) bool {
-	return a.end.Answer.Kind != gateway.NotModified || tag != "" && (a.end.Answer.Tag == "" || a.end.Answer.Tag == tag)
+// matchesTag reports whether an answer is valid for a request with a tag, or with none if
+// tag is empty: only the requested copy can be current, and only for a request with a tag.
+func (a *answer) matchesTag(tag string) bool {
+	return a.result.Answer.Kind != gateway.NotModified || tag != "" && (a.result.Answer.Tag == "" || a.result.Answer.Tag == tag)
 }
 
-func (a *answer) fields(text string) error {
+// parseFields parses name=value,name=value and ignores unknown names.
+func (a *answer) parseFields(text string) error {
 	if text == "-" {
 		return nil
 	}
 	for _, f := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(f, "=")
 		if !ok {
-			return errLine
+			return errMalformed
 		}
 		switch name {
 		case "why":
 			for i, n := range notes {
 				if n == value {
-					a.end.Note = rules.Note(i)
+					a.result.Note = rules.Note(i)
 				}
 			}
 		case "slow":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0 && ms < 1e9) {
-				return errLine
+				return errMalformed
 			}
-			a.end.SourceWait = gateway.Micros(ms * 1000)
+			a.result.SourceWait = gateway.Micros(ms * 1000)
 		case "t0":
 			ms, err := strconv.ParseInt(value, 10, 50)
 			if err != nil || ms < 0 {
-				return errLine
+				return errMalformed
 			}
-			a.end.Answer.CreatedAt = ms * 1000
+			a.result.Answer.CreatedAt = ms * 1000
 		case "sum":
 			if !gateway.IsName(value) {
-				return errLine
+				return errMalformed
 			}
-			a.end.Answer.Tag = value
+			a.result.Answer.Tag = value
 		}
 	}
 	return nil
 }
 
-// appendServe writes the command that sends an attempt at the moment now.
+// appendServe appends the command that sends an attempt. now is the time of sending, and
+// maxAge the maximum age of the copy; 0: the class's default.
 func appendServe(dst []byte, a *gateway.Attempt, lane string, now, maxAge gateway.Micros) []byte {
 	c := a.Call
 	dst = append(dst, "serve "...)
@@ -172,6 +172,7 @@
 	return append(dst, "\r\n"...)
 }
 
+// appendCancel appends the command that gives up the attempt with an id.
 func appendCancel(dst []byte, id string) []byte {
 	dst = append(dst, "cancel "...)
 	dst = append(dst, id...)
--- a/internal/upstream/lines_test.go
+++ b/internal/upstream/lines_test.go
@@ -29,7 +29,7 @@
 		{"a stale - 0\r\n\r\n", gateway.AttemptResult{Code: rules.NotSent, Answer: gateway.Answer{Body: []byte{}}}},
 	} {
 		got, n, err := parseAnswer([]byte(x.text))
-		if err != nil || n != len(x.text) || got.id != "a" || !reflect.DeepEqual(got.end, x.want) {
+		if err != nil || n != len(x.text) || got.id != "a" || !reflect.DeepEqual(got.result, x.want) {
 			t.Errorf("%q: got %+v, %d, %v", x.text, got, n, err)
 		}
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against an answer whose meaning depends on where the network cut it.
-func TestCutsChangeNothing(t *testing.T) {
+// Guards against answers that are parsed differently depending on how the network splits them.
+func TestParseAnswerAtAnyCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		id := rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "id")
@@ -53,15 +53,14 @@
 			t.Fatalf("cut at %d: %d bytes, %v", cut, n, err)
 		}
 		got, n, err := parseAnswer([]byte(text + "next"))
-		if err != nil || n != len(text) || got.id != id || string(got.end.Answer.Body) != string(body) {
+		if err != nil || n != len(text) || got.id != id || string(got.result.Answer.Body) != string(body) {
 			t.Fatalf("got %+v, %d, %v", got, n, err)
 		}
 	})
 }
 
-// Guards against garbage that panics, or makes a connection's buffer grow
-// without an end.
-func TestGarbage(t *testing.T) {
+// Guards against garbage that causes a panic, or that is buffered without limit.
+func TestParseAnswerGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 2*maxLine).Draw(t, "garbage")
 		if _, n, err := parseAnswer(b); n > len(b) || n == 0 && err == nil && len(b) >= maxLine {
@@ -82,16 +81,16 @@
 	}
 }
 
-// Guards against a client being told that its copy is current when no node has said so of
+// Guards against telling a client that its copy is current although no node has confirmed
 // that copy.
-func TestOnlyTheCopyAskedAboutIsCurrent(t *testing.T) {
+func TestNotModifiedNeedsRequestedTag(t *testing.T) {
 	for _, x := range []struct {
 		asked, text string
 		fits        bool
 	}{{"", "a current - 0", false}, {"", "a current sum=t 0", false}, {"t", "a current sum=u 0", false},
 		{"t", "a current sum=t 0", true}, {"t", "a current - 0", true}, {"", "a ok sum=t 0", true}, {"t", "a ok sum=u 0", true}} {
 		got, _, err := parseAnswer([]byte(x.text + "\r\n\r\n"))
-		if err != nil || got.fits(x.asked) != x.fits {
+		if err != nil || got.matchesTag(x.asked) != x.fits {
 			t.Errorf("%q to a request with tag %q: fits %v, %v", x.text, x.asked, !x.fits, err)
 		}
 	}
--- a/internal/upstream/network.go
+++ b/internal/upstream/network.go
@@ -6,49 +6,49 @@
 	"cherryramp/internal/transport"
 )
 
-// Conn is a connection to a cache node. It is used on the loop only.
+// Conn is a connection to a cache node. It must be used on the loop only.
 type Conn interface {
-	// Send writes bytes, keeping those that a full socket does not take. It tells
-	// whether all are out; if not, Drained follows.
+	// Send writes p and buffers what a full socket does not take. It reports whether
+	// the socket took all; otherwise Drained follows.
 	Send(p []byte) (whole bool, err error)
-	// Consume shows parse all that has come and drops what it says it has used.
+	// Consume calls parse with all buffered input and removes the bytes it reports as used.
 	Consume(parse func(b []byte) (used int))
-	Overflowed() bool     // more came than may wait, and the rest was dropped
-	Blocked() bool        // bytes wait for a full socket
-	CloseIfBlocked() bool // if they do, ends the connection, so that they never leave
-	Close()               // Closed follows
+	Overflowed() bool     // reports whether input exceeded the limit and was dropped
+	Blocked() bool        // reports whether output waits for a full socket
+	CloseIfBlocked() bool // if so, closes the connection, so that the output is never sent
+	Close()               // closes the connection; Closed follows
 }
 
-// Handler is told what happens on a connection, always on the loop.
+// Handler receives the events of a connection, always on the loop.
 type Handler interface {
-	Readable() // bytes have come
-	Drained()  // a full socket has taken all that waited
-	Closed()   // it has ended; told once, and nothing follows
+	Readable() // data has arrived
+	Drained()  // all buffered output has been written to the socket
+	Closed()   // the connection has ended; the last event, sent once
 }
 
-// Network makes connections: TCP's, or in the laboratory one whose delays and
-// failures are made up.
+// Network opens connections: TCP, or in the laboratory a network with simulated
+// delays and failures.
 type Network interface {
-	// Dial connects until a moment and then tells ready. At most limit bytes may
-	// wait to be consumed.
+	// Dial connects until a deadline and then calls ready with the connection or the
+	// error. limit bounds the buffered input, in bytes.
 	Dial(address string, limit int, h Handler, by gateway.Micros, ready func(Conn, error))
 }
 
-// TCP is the network as it is.
+// TCP is the Network of real sockets.
 type TCP struct {
 	loop  *loop.Loop
 	gauge transport.Gauge
 }
 
-// NewTCP makes connections that are served on a loop.
+// NewTCP returns a network whose connections are served on a loop.
 func NewTCP(l *loop.Loop) *TCP { return &TCP{loop: l} }
 
-// Held is the bytes that its connections hold.
+// BufferedBytes returns the bytes that its connections buffer.
 func (t *TCP) BufferedBytes() int64 { return t.gauge.In.Load() + t.gauge.Out.Load() }
 
 // Dial is part of Network.
-func (t *TCP) Dial(address string, limit int, h Handler, by gateway.Micros, ready func(Conn, error)) {
-	transport.Dial(t.loop, address, limit, &t.gauge, wired{h}, by, func(c *transport.Conn, err error) {
+func (t *TCP) Dial(address string, limit int, h Handler, deadline gateway.Micros, ready func(Conn, error)) {
+	transport.Dial(t.loop, address, limit, &t.gauge, handlerAdapter{h}, deadline, func(c *transport.Conn, err error) {
 		if err != nil {
 			ready(nil, err)
 			return
@@ -57,14 +57,14 @@
 	})
 }
 
-// wired has a handler told what the transport tells.
-type wired struct{ h Handler }
+// handlerAdapter passes events of a transport.Conn on to a Handler.
+type handlerAdapter struct{ h Handler }
 
 // Readable is part of transport.Handler.
-func (w wired) Readable(*transport.Conn) { w.h.Readable() }
+func (w handlerAdapter) Readable(*transport.Conn) { w.h.Readable() }
 
 // Drained is part of transport.Handler.
-func (w wired) Drained(*transport.Conn) { w.h.Drained() }
+func (w handlerAdapter) Drained(*transport.Conn) { w.h.Drained() }
 
 // Closed is part of transport.Handler.
-func (w wired) Closed(*transport.Conn) { w.h.Closed() }
+func (w handlerAdapter) Closed(*transport.Conn) { w.h.Closed() }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,244 +8,249 @@
 	"cherryramp/rules"
 )
 
-// pool is one server's connections and what waits for them.
-type pool struct {
-	all        *Pools
+// serverPool holds the connections to one server and the attempts that wait for them.
+type serverPool struct {
+	pools      *Pools
 	name       string
 	addr       string
-	born       gateway.Micros
+	startedAt  gateway.Micros
 	conns      []*conn
 	dialing    int
-	dialFailed bool // the last connection did not come up
-	paused     bool // nothing is dialled for a while: this machine lacked room for it
-	shortages  int  // connections in a row for which it lacked room
-	gone       bool // the server has left the list
+	dialFailed bool // the last dial failed
+	dialPaused bool // dialing waits for redialDelay after a resource shortage of this machine
+	shortages  int  // dials in a row that failed for a resource shortage
+	removed    bool // the server has left the list
 	waiting    []*gateway.Attempt
 }
 
-// release ends what waits and may no longer leave, so that it can go elsewhere in time.
-func (x *pool) release() {
-	for _, a := range x.take(func(a *gateway.Attempt) bool { return !x.all.gate.CanSend(a) }) {
-		x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
+// releaseWaiting ends waiting attempts that may no longer be sent, so that they can go to
+// another server in time.
+func (pool *serverPool) releaseWaiting() {
+	for _, a := range pool.takeWaiting(func(a *gateway.Attempt) bool { return !pool.pools.controller.CanSend(a) }) {
+		pool.pools.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 	}
 }
 
-// take takes out of what waits all for which out holds.
-func (x *pool) take(out func(a *gateway.Attempt) bool) (taken []*gateway.Attempt) {
-	x.waiting = slices.DeleteFunc(x.waiting, func(a *gateway.Attempt) bool {
-		if out(a) {
-			taken = append(taken, a)
+// takeWaiting removes and returns the waiting attempts that match.
+func (pool *serverPool) takeWaiting(match func(a *gateway.Attempt) bool) (removed []*gateway.Attempt) {
+	pool.waiting = slices.DeleteFunc(pool.waiting, func(a *gateway.Attempt) bool {
+		if match(a) {
+			removed = append(removed, a)
 			return true
 		}
 		return false
 	})
-	return taken
+	return removed
 }
 
-// flush hands what waits to connections, and opens one more where they don't
-// suffice, or where one that breaks would take too much with it. What no connection
-// suits does not hold up what waits behind it.
-func (x *pool) flush() {
-	more := 0
-	for i := 0; i < len(x.waiting); {
-		a := x.waiting[i]
-		c, cost := x.pick(a)
-		if c == nil && !x.barred(a) {
-			break // nor would any of the rest find one
+// dispatch sends waiting attempts on suitable connections, and opens another one if they
+// don't suffice, or if too many attempts would break with one connection. An attempt that
+// no connection suits does not delay those behind it.
+func (pool *serverPool) dispatch() {
+	wanted := 0
+	for i := 0; i < len(pool.waiting); {
+		a := pool.waiting[i]
+		c, cost := pool.pick(a)
+		if c == nil && !pool.blockedByID(a) {
+			break // no connection takes any of the rest either
 		}
-		if c == nil || cost >= busyCost {
-			x.evict(a, c == nil)
-			if c != nil && c.draining { // it made room itself
+		if c == nil || cost >= exclusiveCost {
+			pool.makeRoom(a, c == nil)
+			if c != nil && c.draining { // c itself was drained to make room
 				continue
 			}
 		}
 		switch {
-		case c == nil && !x.room() && x.dialing == 0: // its id has been on all that there may be
-			x.waiting = slices.Delete(x.waiting, i, i+1)
-			x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
+		case c == nil && !pool.canOpen() && pool.dialing == 0: // its id conflicts on all allowed connections
+			pool.waiting = slices.Delete(pool.waiting, i, i+1)
+			pool.pools.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 			continue
 		case c == nil:
-			more++
+			wanted++
 			i++
 			continue
-		case cost >= shareMost && x.room() && !x.dialFailed:
-			if more++; cost >= silentCost { // it waits for a connection of its own
+		case cost >= shareThreshold && pool.canOpen() && !pool.dialFailed:
+			if wanted++; cost >= silentCost { // it waits for a new connection
 				i++
 				continue
 			}
 		}
-		x.waiting = slices.Delete(x.waiting, i, i+1)
-		x.send(c, a)
+		pool.waiting = slices.Delete(pool.waiting, i, i+1)
+		pool.send(c, a)
 	}
-	streams := max(1, x.all.cfg.Streams)
-	if x.paused {
+	streams := max(1, pool.pools.cfg.Streams)
+	if pool.dialPaused {
 		return
 	}
-	if (len(x.waiting) > x.dialing*streams || more > x.dialing) && x.room() {
-		if x.all.full() {
-			x.all.evictIdle(x)
-			if len(x.conns)+x.dialing == 0 { // nothing would come to take them; the server is not to blame
-				for _, a := range x.take(func(*gateway.Attempt) bool { return true }) {
-					x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
+	if (len(pool.waiting) > pool.dialing*streams || wanted > pool.dialing) && pool.canOpen() {
+		if pool.pools.atTotalLimit() {
+			pool.pools.evictIdle(pool)
+			if len(pool.conns)+pool.dialing == 0 { // no connection will come; the server is not to blame
+				for _, a := range pool.takeWaiting(func(*gateway.Attempt) bool { return true }) {
+					pool.pools.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 				}
 			}
 			return
 		}
-		x.dial()
+		pool.dial()
 	}
 }
 
-// barred tells whether there are connections that would take an attempt, but for its id
-// having been on them.
-func (x *pool) barred(a *gateway.Attempt) bool {
-	return slices.ContainsFunc(x.conns, func(c *conn) bool { return !c.draining && c.knows(a) })
+// blockedByID reports whether a connection rejects an attempt only because of its id; see
+// conflicts.
+func (pool *serverPool) blockedByID(a *gateway.Attempt) bool {
+	return slices.ContainsFunc(pool.conns, func(c *conn) bool { return !c.draining && c.conflicts(a) })
 }
 
-// room tells whether one more connection may be opened. Draining ones, which may
-// stay open for as long as their last attempt, take no place of the new; all
-// together are bounded too.
-func (x *pool) room() bool {
-	live := x.dialing
-	for _, c := range x.conns {
+// canOpen reports whether another connection may be opened. Draining ones, which may
+// stay open as long as their last attempt, don't count against MaxConns, but the total
+// is limited to twice as many.
+func (pool *serverPool) canOpen() bool {
+	live := pool.dialing
+	for _, c := range pool.conns {
 		if !c.draining {
 			live++
 		}
 	}
-	most := x.all.cfg.MaxConns
-	return live < most && len(x.conns)+x.dialing < 2*most
+	maxConns := pool.pools.cfg.MaxConns
+	return live < maxConns && len(pool.conns)+pool.dialing < 2*maxConns
 }
 
-// evict has a connection take nothing new, if no other may be opened: one with
-// nothing open or, for an attempt that can go on none, the least busy that bars it.
-func (x *pool) evict(a *gateway.Attempt, barred bool) {
-	if x.room() {
+// makeRoom drains a connection if no other may be opened: one with nothing open or, if
+// the attempt suits no connection, the least busy one that conflicts with it.
+func (pool *serverPool) makeRoom(a *gateway.Attempt, blocked bool) {
+	if pool.canOpen() {
 		return
 	}
-	var least *conn
-	for _, c := range x.conns {
-		if !c.draining && (len(c.open) == 0 || barred && c.knows(a)) && (least == nil || len(c.open) < len(least.open)) {
-			least = c
+	var target *conn
+	for _, c := range pool.conns {
+		if !c.draining && (len(c.open) == 0 || blocked && c.conflicts(a)) && (target == nil || len(c.open) < len(target.open)) {
+			target = c
 		}
 	}
-	if least != nil {
-		least.drain()
+	if target != nil {
+		target.drain()
 	}
 }
 
-// pick finds the connection that suits an attempt best, and at what cost: the
-// attempts open there, and more where one of them, or this one, should be alone,
-// or where it has fallen silent: its answers may never come.
-// Two attempts of one call never share one, since their answers would be alike.
-func (x *pool) pick(a *gateway.Attempt) (best *conn, least int) {
-	for _, c := range x.conns {
-		if c.draining || c.knows(a) || len(c.open) >= max(1, x.all.cfg.Streams) || c.tc.Blocked() {
+// pick returns the connection with the lowest cost for an attempt, and the cost: the
+// number of attempts open there, plus exclusiveCost if one of them or this one is of an
+// exclusive class, plus silentCost if the connection is silent, since its answers may
+// never arrive. Two attempts of one call never share a connection, since their answers
+// could not be distinguished.
+func (pool *serverPool) pick(a *gateway.Attempt) (best *conn, lowest int) {
+	for _, c := range pool.conns {
+		if c.draining || c.conflicts(a) || len(c.open) >= max(1, pool.pools.cfg.Streams) || c.tc.Blocked() {
 			continue
 		}
 		cost := len(c.open)
-		if _, known := c.past[a.Call.ID]; known {
+		if _, known := c.ended[a.Call.ID]; known {
 			cost++
 		}
-		if c.alone > 0 || x.all.alone(a) && (cost > 0 || c.stale()) {
-			cost += busyCost
+		if c.exclusiveOpen > 0 || pool.pools.isExclusive(a) && (cost > 0 || c.stale()) {
+			cost += exclusiveCost
 		}
-		if len(c.open) > 0 && c.pool.all.loop.Now()-c.since > c.pool.all.cfg.SilentTimeout {
+		if len(c.open) > 0 && c.pool.pools.loop.Now()-c.activeSince > c.pool.pools.cfg.SilentTimeout {
 			cost += silentCost
 		}
-		if best == nil || cost < least {
-			best, least = c, cost
+		if best == nil || cost < lowest {
+			best, lowest = c, cost
 		}
 	}
-	return best, least
+	return best, lowest
 }
 
-func (x *pool) send(c *conn, a *gateway.Attempt) {
-	p := x.all
-	maxAge, ok := p.gate.PrepareSend(a)
+// send sends an attempt on a connection, unless the gateway forbids it now.
+func (pool *serverPool) send(c *conn, a *gateway.Attempt) {
+	p := pool.pools
+	maxAge, ok := p.controller.PrepareSend(a)
 	if !ok {
-		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
+		p.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 		return
 	}
 	p.buf = appendServe(p.buf[:0], a, p.cfg.Lanes[a.Call.Class], p.loop.Now(), maxAge)
 	whole, err := c.tc.Send(p.buf)
-	if err != nil { // nothing of it can have come whole
+	if err != nil { // the node can't have received it whole
 		c.draining = true
 		c.tc.Close()
-		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
+		p.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 		return
 	}
-	p.loop.Stop(c.idle)
-	c.idle, c.used = nil, true
+	p.loop.Stop(c.idleTimer)
+	c.idleTimer, c.used = nil, true
 	if len(c.open) == 0 {
-		c.since = c.pool.all.loop.Now()
+		c.activeSince = c.pool.pools.loop.Now()
 	}
 	c.open[a.Call.ID] = a
-	p.where[a] = c
-	if p.alone(a) {
-		c.alone++
+	p.connByAttempt[a] = c
+	if p.isExclusive(a) {
+		c.exclusiveOpen++
 	}
 	if !whole {
 		c.partial = a
 	}
 }
 
-func (x *pool) dial() {
-	x.dialing++
-	p := x.all
-	p.held++
-	c := &conn{pool: x, open: map[string]*gateway.Attempt{}, past: map[string]past{}}
-	addr, born := x.addr, x.born
-	p.net.Dial(addr, max(p.cfg.InputBuffer, inputLeast*MaxAnswerBytes), c, p.loop.Now()+p.cfg.ConnectTimeout,
+// dial opens another connection.
+func (pool *serverPool) dial() {
+	pool.dialing++
+	p := pool.pools
+	p.numConns++
+	c := &conn{pool: pool, open: map[string]*gateway.Attempt{}, ended: map[string]endedID{}}
+	addr, startedAt := pool.addr, pool.startedAt
+	p.network.Dial(addr, max(p.cfg.InputBuffer, minInputAnswers*MaxAnswerBytes), c, p.loop.Now()+p.cfg.ConnectTimeout,
 		func(tc Conn, err error) {
-			x.dialing--
+			pool.dialing--
 			if err != nil {
-				p.held--
+				p.numConns--
 			}
 			if transport.IsResourceShortage(err) {
-				x.dialLater(err)
+				pool.redialLater(err)
 				return
 			}
-			x.shortages = 0
-			if x.dialFailed = err != nil; err == nil {
+			pool.shortages = 0
+			if pool.dialFailed = err != nil; err == nil {
 				c.tc = tc
-				x.conns = append(x.conns, c)
-				c.draining = x.gone || addr != x.addr || born != x.born
-				c.rest()
-			} else if x.dialing == 0 {
-				p.log.Warn("connect failed", "server", x.name, "error", err)
-				x.fail()
+				pool.conns = append(pool.conns, c)
+				c.draining = pool.removed || addr != pool.addr || startedAt != pool.startedAt
+				c.closeOrIdle()
+			} else if pool.dialing == 0 {
+				p.log.Warn("connect failed", "server", pool.name, "error", err)
+				pool.failWaiting()
 			}
-			x.flush()
+			pool.dispatch()
 		})
 }
 
-// dialLater connects again after redialAfter: this machine lacked room for a connection, of
-// which the server is not to blame. Where that lasts, what waits may go elsewhere.
-func (x *pool) dialLater(err error) {
-	p := x.all
-	x.paused = true
-	x.shortages++
-	p.log.Warn("connection can't be opened here", "server", x.name, "error", err, "waiting", len(x.waiting))
-	if x.shortages >= mostShortages && len(x.conns)+x.dialing == 0 {
-		for _, a := range x.take(func(*gateway.Attempt) bool { return true }) {
-			p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
+// redialLater dials again after redialDelay: this machine lacked resources for a connection, for
+// which the server is not to blame. After maxShortages in a row the waiting attempts are ended,
+// so that they can go to another server.
+func (pool *serverPool) redialLater(err error) {
+	p := pool.pools
+	pool.dialPaused = true
+	pool.shortages++
+	p.log.Warn("connection can't be opened here", "server", pool.name, "error", err, "waiting", len(pool.waiting))
+	if pool.shortages >= maxShortages && len(pool.conns)+pool.dialing == 0 {
+		for _, a := range pool.takeWaiting(func(*gateway.Attempt) bool { return true }) {
+			p.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.NotSent})
 		}
 	}
-	p.loop.At(p.loop.Now()+redialAfter, func() {
-		x.paused = false
-		x.flush()
+	p.loop.At(p.loop.Now()+redialDelay, func() {
+		pool.dialPaused = false
+		pool.dispatch()
 	})
 }
 
-// fail ends what waits and no connection is left to take.
-func (x *pool) fail() {
-	for _, c := range x.conns {
+// failWaiting ends all waiting attempts if no connection is left that would take them.
+func (pool *serverPool) failWaiting() {
+	for _, c := range pool.conns {
 		if !c.draining {
 			return
 		}
 	}
-	waiting := x.waiting
-	x.waiting = nil
+	waiting := pool.waiting
+	pool.waiting = nil
 	for _, a := range waiting {
-		x.all.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
+		pool.pools.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream speaks the cache nodes' line protocol: many attempts share a
-// connection, and each server has a few connections at most. It decides nothing;
-// what waits for a connection or for a full socket is cleared with the gateway
-// once more before its first byte leaves.
+// Package upstream implements the client side of the cache nodes' line protocol. Many
+// attempts share a connection, and there are at most a few connections per server. The
+// package makes no routing decisions: an attempt that has waited for a connection or a
+// full socket is checked with the gateway again right before it is sent.
 package upstream
 
 import (
@@ -13,92 +13,93 @@
 	"cherryramp/rules"
 )
 
-// AnswerMost is what one answer holds at most, in bytes. As many may come at once on a
-// connection as attempts were sent there, and are no flood.
+// MaxAnswerBytes is the maximum size of an answer. As many answers may arrive at once on a
+// connection as attempts were sent there; see Config.InputBuffer.
 const MaxAnswerBytes = maxLine + maxBody + 2
 
 const (
-	inputLeast  = 4       // answers that may come on a connection before the loop looks, at the least
-	pastLimit   = 512     // ids that a connection remembers before it is drained
-	silentLimit = 2       // attempts that run out on a silent connection before it is drained
-	silentLeast = 300_000 // us without a word, with something open, from which it is taken for silent, at the least
-	wholeMost   = 500_000 // us from an answer's first byte to its last
-	shareMost   = 2       // attempts on a connection from which another one is opened beside it
-	silentCost  = 1000    // in pick, of a silent connection: above any number of open attempts
-	busyCost    = 2000    // in pick, where an attempt should be alone
-	redialAfter = 20_000  // us until a connection is tried again for which this machine lacked room
-	// mostShortages is after how many of these in a row what waits goes elsewhere.
-	mostShortages = 3
-	freshSpan     = 50_000 // us idle from which a used connection may be reset under what comes next
+	minInputAnswers  = 4       // answers that a connection can buffer, at the least
+	maxEndedIDs      = 512     // ended ids that a connection remembers before it is drained
+	maxUnanswered    = 2       // attempts given up on a silent connection before it is drained
+	minSilentTimeout = 300_000 // us; lower bound of Config.SilentTimeout
+	maxAnswerTime    = 500_000 // us from the first to the last byte of an answer
+	shareThreshold   = 2       // open attempts on a connection from which another connection is opened
+	silentCost       = 1000    // in pick, for a silent connection: above any number of open attempts
+	exclusiveCost    = 2000    // in pick, where an exclusive attempt would share a connection or use a stale one
+	redialDelay      = 20_000  // us until a dial is retried for which this machine lacked resources
+	maxShortages     = 3       // such failures in a row after which waiting attempts are ended
+	maxFreshIdle     = 50_000  // us idle after which a node may reset a used connection as the next attempt is sent
 )
 
-// Config bounds the connections.
+// Config holds the settings and limits of the connections.
 type Config struct {
-	Lanes          []string       // names of the classes
-	Exclusive      []bool         // of the classes: those that share no connection, and get a fresh one, where there is room
-	Streams        int            // attempts that a connection carries together
-	MaxConns       int            // connections to one server
-	MaxTotalConns  int            // connections to all servers; 0: any number
-	ConnectTimeout gateway.Micros // a connection not up by then has failed
-	IdleTimeout    gateway.Micros // an idle connection is closed after it
-	SilentTimeout  gateway.Micros // without a word, with something open, a connection is taken for silent; silentLeast at least
-	InputBuffer    int            // bytes of answers that may come on a connection before the loop looks; see AnswerMost
-	Cancel         bool           // nodes may be told that a request is given up
-	Hedges         bool           // two attempts of one request may be out together
-	Repeatable     []bool         // of the classes: those that may run any number of times
+	Lanes          []string       // names of the classes, by class
+	Exclusive      []bool         // by class: attempts share no connection and get a fresh one, if one may be opened
+	Streams        int            // limit of open attempts per connection
+	MaxConns       int            // limit of connections to one server
+	MaxTotalConns  int            // limit of connections to all servers; 0: none
+	ConnectTimeout gateway.Micros // time limit of a dial
+	IdleTimeout    gateway.Micros // after which an idle connection is closed
+	SilentTimeout  gateway.Micros // without input, with attempts open, after which a connection counts as silent; minSilentTimeout at least
+	InputBuffer    int            // bytes of answers that a connection can buffer; minInputAnswers answers at least
+	Cancel         bool           // tell nodes of attempts that are given up
+	Hedges         bool           // two attempts of one call may be open at a time
+	Repeatable     []bool         // by class: calls may run any number of times
 }
 
-// Clearer is what the pools ask of the gateway.
+// AttemptController is the gateway as the pools use it.
 type AttemptController interface {
-	// May tells whether an attempt that waits may still leave.
+	// CanSend reports whether a waiting attempt may still be sent.
 	CanSend(a *gateway.Attempt) bool
-	// Clear is May just before the first byte, and the oldest copy that will do.
+	// PrepareSend is called right before an attempt is sent. It returns the maximum age
+	// of an acceptable copy, 0 for the default of its class, and whether the attempt may be sent.
 	PrepareSend(a *gateway.Attempt) (maxAge gateway.Micros, ok bool)
+	// EndAttempt reports the result of an attempt.
 	EndAttempt(a *gateway.Attempt, e gateway.AttemptResult)
 }
 
 // Pools holds the connections to all servers.
 type Pools struct {
-	cfg   Config
-	net   Network
-	loop  *loop.Loop
-	gate  AttemptController
-	log   *slog.Logger
-	pools map[rules.ServerID]*pool
-	held  int                        // connections, with those that are being dialled
-	where map[*gateway.Attempt]*conn // attempts that were given to a connection
-	buf   []byte
+	cfg           Config
+	network       Network
+	loop          *loop.Loop
+	controller    AttemptController
+	log           *slog.Logger
+	pools         map[rules.ServerID]*serverPool
+	numConns      int                        // connections, including those being dialed
+	connByAttempt map[*gateway.Attempt]*conn // attempts sent on a connection
+	buf           []byte
 }
 
 var _ gateway.Upstream = (*Pools)(nil)
 
-// New makes pools without connections.
-func New(cfg Config, n Network, l *loop.Loop, gate AttemptController, log *slog.Logger) *Pools {
-	cfg.SilentTimeout = max(cfg.SilentTimeout, silentLeast)
-	return &Pools{cfg: cfg, net: n, loop: l, gate: gate, log: log, pools: map[rules.ServerID]*pool{},
-		where: map[*gateway.Attempt]*conn{}}
+// New returns pools without connections.
+func New(cfg Config, n Network, l *loop.Loop, controller AttemptController, log *slog.Logger) *Pools {
+	cfg.SilentTimeout = max(cfg.SilentTimeout, minSilentTimeout)
+	return &Pools{cfg: cfg, network: n, loop: l, controller: controller, log: log, pools: map[rules.ServerID]*serverPool{},
+		connByAttempt: map[*gateway.Attempt]*conn{}}
 }
 
-// Renew takes a further configuration. Its lanes must keep those known so far in
-// their places. Connections that are up stay; their numbers, and what may come on one
-// unseen, are those given at the start.
+// UpdateConfig replaces the configuration. Known lanes must keep their indexes. Open
+// connections stay. MaxConns, MaxTotalConns and InputBuffer keep their initial values.
 func (p *Pools) UpdateConfig(cfg Config) {
-	cfg.SilentTimeout = max(cfg.SilentTimeout, silentLeast)
+	cfg.SilentTimeout = max(cfg.SilentTimeout, minSilentTimeout)
 	cfg.MaxConns, cfg.MaxTotalConns, cfg.InputBuffer = p.cfg.MaxConns, p.cfg.MaxTotalConns, p.cfg.InputBuffer
 	p.cfg = cfg
 }
 
-// Held counts the connections to all servers, with those that are being dialled.
-func (p *Pools) Connections() int { return p.held }
+// Connections returns the number of connections to all servers, including those being
+// dialed.
+func (p *Pools) Connections() int { return p.numConns }
 
-// evictIdle has the connection that has stood idle for longest make room for one to another
-// server.
-func (p *Pools) evictIdle(other *pool) {
+// evictIdle drains the connection to another server that has been idle for longest, to make
+// room for one of the given pool.
+func (p *Pools) evictIdle(requester *serverPool) {
 	var oldest *conn
-	for _, x := range p.pools {
-		for _, c := range x.conns {
-			if x != other && !c.draining && len(c.open) == 0 && (oldest == nil || c.since < oldest.since ||
-				c.since == oldest.since && c.pool.name < oldest.pool.name) {
+	for _, pool := range p.pools {
+		for _, c := range pool.conns {
+			if pool != requester && !c.draining && len(c.open) == 0 && (oldest == nil || c.activeSince < oldest.activeSince ||
+				c.activeSince == oldest.activeSince && c.pool.name < oldest.pool.name) {
 				oldest = c
 			}
 		}
@@ -108,63 +109,63 @@
 	}
 }
 
-// Follow tells of a server's state. What was connected before its last start
-// speaks to a process that is no more.
+// ServerChanged updates a server's state. Connections from before its last start are
+// drained, since they lead to a process that has ended.
 func (p *Pools) ServerChanged(s *gateway.Server) {
-	x := p.pools[s.ID]
-	if x == nil {
+	pool := p.pools[s.ID]
+	if pool == nil {
 		if s.State == rules.Gone {
 			return
 		}
-		x = &pool{all: p, name: s.Name}
-		p.pools[s.ID] = x
+		pool = &serverPool{pools: p, name: s.Name}
+		p.pools[s.ID] = pool
 	}
-	if x.addr != s.Addr || x.born != s.StartedAt || s.State == rules.Gone {
-		for _, c := range slices.Clone(x.conns) {
+	if pool.addr != s.Addr || pool.startedAt != s.StartedAt || s.State == rules.Gone {
+		for _, c := range slices.Clone(pool.conns) {
 			c.drain()
 		}
 	}
-	x.addr, x.born, x.gone = s.Addr, s.StartedAt, s.State == rules.Gone
-	if x.gone { // what it still has open ends on its own
+	pool.addr, pool.startedAt, pool.removed = s.Addr, s.StartedAt, s.State == rules.Gone
+	if pool.removed { // its open attempts still end
 		delete(p.pools, s.ID)
 	}
-	if len(x.waiting) > 0 { // once the module knows of it too, so that it does not choose this server again
-		p.loop.Post(x.release)
+	if len(pool.waiting) > 0 { // posted, so that the rules know the change first and don't choose this server again
+		p.loop.Post(pool.releaseWaiting)
 	}
 }
 
-// Start sends an attempt as soon as a connection takes it.
+// Start sends an attempt as soon as a connection is available.
 func (p *Pools) Start(a *gateway.Attempt) {
-	x := p.pools[a.Server.ID]
-	if x == nil {
-		p.gate.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
+	pool := p.pools[a.Server.ID]
+	if pool == nil {
+		p.controller.EndAttempt(a, gateway.AttemptResult{Code: rules.ConnectFailed})
 		return
 	}
-	x.waiting = append(x.waiting, a)
-	x.flush()
+	pool.waiting = append(pool.waiting, a)
+	pool.dispatch()
 }
 
-// Stop gives an attempt up and tells whether it may have been sent whole.
+// Stop gives an attempt up and reports whether it may have been sent whole.
 func (p *Pools) Stop(a *gateway.Attempt) (sent bool) {
-	c := p.where[a]
+	c := p.connByAttempt[a]
 	if c == nil {
-		if x := p.pools[a.Server.ID]; x != nil {
-			x.waiting = slices.DeleteFunc(x.waiting, func(w *gateway.Attempt) bool { return w == a })
+		if pool := p.pools[a.Server.ID]; pool != nil {
+			pool.waiting = slices.DeleteFunc(pool.waiting, func(w *gateway.Attempt) bool { return w == a })
 		}
 		return false
 	}
-	if c.partial == a && len(c.open) == 1 && c.cut() { // the rest of it must not leave
-		c.forget(a)
+	if c.partial == a && len(c.open) == 1 && c.cutPartial() { // its rest must not be sent
+		c.removeAttempt(a)
 		c.draining = true
 		return false
 	}
-	c.forget(a)
-	c.remember(a, false)
-	if c.pool.all.loop.Now()-c.since > c.pool.all.cfg.SilentTimeout {
-		c.unheard++
+	c.removeAttempt(a)
+	c.rememberID(a, false)
+	if c.pool.pools.loop.Now()-c.activeSince > c.pool.pools.cfg.SilentTimeout {
+		c.unanswered++
 	}
-	if c.unheard >= silentLimit || c.unheard > 0 && len(c.open) == 0 {
-		p.log.Info("connection drained", "server", c.pool.name, "silent", c.unheard, "ended_ids", len(c.past))
+	if c.unanswered >= maxUnanswered || c.unanswered > 0 && len(c.open) == 0 {
+		p.log.Info("connection drained", "server", c.pool.name, "silent", c.unanswered, "ended_ids", len(c.ended))
 		c.draining = true
 	}
 	if p.cfg.Cancel {
@@ -172,14 +173,16 @@
 			c.tc.Close()
 		}
 	}
-	c.rest()
+	c.closeOrIdle()
 	return true
 }
 
-// full tells whether there are as many connections as there may be to all servers.
-func (p *Pools) full() bool { return p.cfg.MaxTotalConns > 0 && p.held >= p.cfg.MaxTotalConns }
+// atTotalLimit reports whether MaxTotalConns is reached.
+func (p *Pools) atTotalLimit() bool {
+	return p.cfg.MaxTotalConns > 0 && p.numConns >= p.cfg.MaxTotalConns
+}
 
-// alone tells whether an attempt is of a class that shares no connection.
-func (p *Pools) alone(a *gateway.Attempt) bool {
+// isExclusive reports whether an attempt is of an exclusive class.
+func (p *Pools) isExclusive(a *gateway.Attempt) bool {
 	return a.Call.Class < len(p.cfg.Exclusive) && p.cfg.Exclusive[a.Call.Class]
 }
