--- a/internal/front/session/session.go
+++ b/internal/front/session/session.go
@@ -53,7 +53,7 @@
 
 // Audit tracks every call from its arrival to its one answer.
 type Audit interface {
-	// Received records in the call the versions that apply on its arrival.
+	// Received records in the call the version under which it arrived.
 	Received(c *gateway.Call)
 	// Answered reports the outcome with which the call was answered.
 	Answered(c *gateway.Call, o counters.Outcome)
@@ -270,7 +270,10 @@
 	for _, x := range []struct {
 		state state
 		limit loop.Micros
-	}{{silent, s.account.SilentTimeout(silentEvictAfter, s.lists[silent].count)}, {parked, idleEvictAfter}, {idle, idleEvictAfter}, {reading, idleEvictAfter}} {
+	}{
+		{silent, s.account.SilentTimeout(silentEvictAfter, s.lists[silent].count)},
+		{parked, idleEvictAfter}, {idle, idleEvictAfter}, {reading, idleEvictAfter},
+	} {
 		for range maxBlockedSkipped {
 			c := s.lists[x.state].oldestUnblocked(now - x.limit)
 			if c == nil {
@@ -468,7 +471,8 @@
 }
 
 func (s *Server) limits() resources.Limits {
-	return resources.Limits{MaxConns: s.cfg.MaxConns, MaxPerPrefix: s.cfg.MaxPerPrefix, MaxDescriptors: s.cfg.MaxDescriptors, SpareDescriptors: s.cfg.SpareDescriptors}
+	return resources.Limits{MaxConns: s.cfg.MaxConns, MaxPerPrefix: s.cfg.MaxPerPrefix,
+		MaxDescriptors: s.cfg.MaxDescriptors, SpareDescriptors: s.cfg.SpareDescriptors}
 }
 
 const (
--- a/internal/front/session/states_test.go
+++ b/internal/front/session/states_test.go
@@ -16,7 +16,8 @@
 
 // newServerWithoutSockets returns a server whose connections are only list entries.
 func newServerWithoutSockets() *Server {
-	s := New(Config{MaxConns: 1 << 21, IdleTimeout: 3_600_000_000, Park: true}, loop.NewOn(loop.NewVirtual(1e15), func() {}), nil, nil, slog.Default())
+	s := New(Config{MaxConns: 1 << 21, IdleTimeout: 3_600_000_000, Park: true},
+		loop.NewOn(loop.NewVirtual(1e15), func() {}), nil, nil, slog.Default())
 	for i := range s.lists {
 		s.lists[i].onExpire = func(*conn) {}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -77,7 +77,8 @@
 	server.loop = loop.New(func() {})
 	go server.loop.Run()
 	t.Cleanup(func() { server.loop.Post(server.loop.Quit) })
-	server.listener, err = Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newRecorder(c, server.recorders) })
+	server.listener, err = Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler),
+		func(c *Conn) Handler { return newRecorder(c, server.recorders) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +274,8 @@
 func TestListenersShareAnAddress(t *testing.T) {
 	server := newTestServer(t)
 	recorders := make(chan *recorder, 1)
-	second, err := Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler), func(c *Conn) Handler { return newRecorder(c, recorders) })
+	second, err := Listen(server.loop, server.addr, 1<<20, &server.gauge, slog.New(slog.DiscardHandler),
+		func(c *Conn) Handler { return newRecorder(c, recorders) })
 	if err != nil {
 		t.Fatalf("second listener: %v", err)
 	}
