--- a/internal/decide/keyring/jwk.go
+++ b/internal/decide/keyring/jwk.go
@@ -7,15 +7,16 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// unmarshal reads a set strictly enough that a lone key is no empty set.
-func unmarshal(text []byte, set *jose.JSONWebKeySet) error {
+// unmarshalSet reads a JWK set and rejects a single key, which jose would read as an
+// empty set.
+func unmarshalSet(text []byte, set *jose.JSONWebKeySet) error {
 	var raw struct {
 		Keys []json.RawMessage `json:"keys"`
 	}
 	if json.Unmarshal(text, &raw) != nil || len(raw.Keys) == 0 {
 		return errors.New("not a JWK set with keys")
 	}
-	if json.Unmarshal(text, set) != nil { // the cause could show a secret
+	if json.Unmarshal(text, set) != nil { // the cause could contain a secret
 		return errors.New("a key of the JWK set can't be read")
 	}
 	return nil
--- a/internal/decide/keyring/keyring.go
+++ b/internal/decide/keyring/keyring.go
@@ -1,10 +1,9 @@
-// Package keyring holds rings of keys that links are checked against: which
-// keys there are, in what state each is, and which one signs. A ring is made
-// whole from the operator's words and never changed; a new one takes its place.
+// Package keyring holds the rings of keys that links are checked against: which keys
+// there are, the state of each, and which one signs. A ring is built from the
+// operator's configuration and never modified; a reload replaces it.
 //
-// It reads no file and knows no clock: whoever reads the configuration hands in
-// the bytes of secrets, PEM blocks and JWK sets, and every question about a
-// state comes with the moment it is asked for.
+// The package reads no file and no clock: the caller passes in the bytes of secrets,
+// PEM blocks and JWK sets, and the time for which a key's state is evaluated.
 package keyring
 
 import (
@@ -23,34 +22,34 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a Unix time or a duration in microseconds.
 type Micros = int64
 
 // Bounds of a ring and of a key.
 const (
-	MaxKeys        = 32   // in a ring; a token without a key's name is tried against all of them
-	MaxNameBytes   = 63   // bytes of a key's name
-	MinRSABits     = 2048 // bits
-	MaxRSABits     = 4096 // bits; a check's cost grows with the square
-	MinSecretBytes = 16   // bytes
+	MaxKeys        = 32 // in a ring; a token that names no key is checked against all of them
+	MaxNameBytes   = 63 // of a key's name
+	MinRSABits     = 2048
+	MaxRSABits     = 4096 // the cost of a check grows with the square
+	MinSecretBytes = 16
 )
 
-// State is what a key may be used for.
+// State is the configured state of a key, which limits its use.
 type State uint8
 
-// The states, in the order of a key's life.
+// The states, in the order in which a key passes through them.
 const (
-	Next     State = iota // checks links from its moment on, and signs none yet
+	Next     State = iota // checks links from TransitionAt on; does not sign yet
 	Active                // checks and signs
-	Retiring              // checks until its moment, and signs no more
-	Revoked               // lets nothing in, whatever the link says
+	Retiring              // checks links until TransitionAt; does not sign any more
+	Revoked               // no link of this key is accepted
 )
 
 var stateNames = [...]string{"next", "active", "retiring", "revoked"}
 
 func (s State) String() string { return stateNames[s] }
 
-// ParseState reads a state's name; the empty one is Active.
+// ParseState parses a state's name; an empty one means Active.
 func ParseState(name string) (State, error) {
 	if name == "" {
 		return Active, nil
@@ -61,48 +60,48 @@
 	return 0, fmt.Errorf("%q is not next, active, retiring or revoked", name)
 }
 
-// Kind is what a key can check.
+// Kind is the type of a key, which determines what it can check.
 type Kind uint8
 
 // The kinds.
 const (
-	Secret  Kind = iota // a digest keyed by a shared secret
+	Secret  Kind = iota // keyed digests with a shared secret
 	RSA                 // PKCS #1 v1.5 signatures
-	P256                // ECDSA on the curve P-256
-	Ed25519             // RFC 8032
+	P256                // ECDSA signatures on the curve P-256
+	Ed25519             // signatures of RFC 8032
 )
 
 func (k Kind) String() string { return [...]string{"secret", "RSA", "P-256", "Ed25519"}[k] }
 
-// Costly tells whether one check takes tens of microseconds, so that it must
-// not run on the event loop.
+// Costly reports whether one check takes tens of microseconds and must therefore not
+// run on the event loop.
 func (k Kind) Costly() bool { return k != Secret }
 
 // Key is one key of a ring.
 type Key struct {
 	Name         string
 	State        State
-	TransitionAt Micros // of Next: when it begins to count; of Retiring: when it stops; 0: unset
+	TransitionAt Micros // of Next: when the key becomes valid; of Retiring: when it stops being valid; 0: unset
 	Kind         Kind
-	Bytes        []byte           // of Secret
-	Public       crypto.PublicKey // of the other kinds
-	Signer       crypto.Signer    // with a private half, else nil
-	Alg          string           // the one JWS algorithm it is for, as HS256
-	Skew         Micros           // that its signer's clock may differ by; -1: as the profile has it
+	Bytes        []byte           // the secret, of kind Secret
+	Public       crypto.PublicKey // the public key, of the other kinds
+	Signer       crypto.Signer    // nil without a private key
+	Alg          string           // its only JWS algorithm, such as HS256
+	Skew         Micros           // tolerated difference of its signer's clock; -1: the profile's
 }
 
-// Standing is what a key's state means at a moment.
+// Validity is whether a key may be used at a given time, and why not.
 type Validity uint8
 
-// The standings.
+// The validities.
 const (
-	Valid Validity = iota
-	NotYetValid
-	Retired
-	Withdrawn
+	Valid       Validity = iota
+	NotYetValid          // of state Next, before TransitionAt
+	Retired              // of state Retiring, from TransitionAt on
+	Withdrawn            // of state Revoked
 )
 
-// At tells whether the key may let anything in at a moment.
+// ValidityAt reports whether the key's links may be accepted at a time.
 func (k *Key) ValidityAt(now Micros) Validity {
 	switch {
 	case k.State == Revoked:
@@ -122,18 +121,19 @@
 	byName map[string]*Key
 }
 
-// New makes a ring, or names the key that can't be in it.
+// New makes a ring of 1 to MaxKeys keys. The error names the key that can't be used;
+// the ring keeps keys, and sets a missing Alg in them.
 func New(name string, keys []*Key) (*Ring, error) {
 	r := &Ring{Name: name, Keys: keys, byName: make(map[string]*Key, len(keys))}
 	if len(keys) == 0 || len(keys) > MaxKeys {
-		return nil, fmt.Errorf("keys: %d of them, 1 to %d can be held", len(keys), MaxKeys)
+		return nil, fmt.Errorf("keys: %d keys, 1 to %d are allowed", len(keys), MaxKeys)
 	}
 	for i, k := range keys {
 		if err := k.check(); err != nil {
 			return nil, fmt.Errorf("keys[%d].%w", i, err)
 		}
 		if r.byName[k.Name] != nil {
-			return nil, fmt.Errorf("keys[%d].name: %q is taken twice", i, k.Name)
+			return nil, fmt.Errorf("keys[%d].name: %q occurs twice", i, k.Name)
 		}
 		r.byName[k.Name] = k
 	}
@@ -142,17 +142,17 @@
 
 func (k *Key) check() error {
 	if k.Name == "" || len(k.Name) > MaxNameBytes || strings.ContainsAny(k.Name, "&=?#%+ ~:/;,\"") {
-		return fmt.Errorf("name: %q is empty, too long or holds odd signs", k.Name)
+		return fmt.Errorf("name: %q is empty, too long or has one of the characters &=?#%%+ ~:/;,\"", k.Name)
 	}
 	if k.State == Retiring && k.TransitionAt == 0 {
-		return errors.New("until: missing, a retiring key needs its last moment")
+		return errors.New("until: missing, a retiring key needs a time of retirement")
 	}
 	if k.Kind == Secret && len(k.Bytes) < MinSecretBytes {
-		return fmt.Errorf("secret: %d bytes are too short, %d at least", len(k.Bytes), MinSecretBytes)
+		return fmt.Errorf("secret: %d bytes, at least %d are needed", len(k.Bytes), MinSecretBytes)
 	}
 	if key, ok := k.Public.(*rsa.PublicKey); ok {
 		if bits := key.N.BitLen(); bits < MinRSABits || bits > MaxRSABits || key.E != 65537 {
-			return fmt.Errorf("public: RSA of %d bits, exponent %d; %d to %d bits and 65537 are taken",
+			return fmt.Errorf("public: RSA of %d bits, exponent %d; %d to %d bits and 65537 are allowed",
 				bits, key.E, MinRSABits, MaxRSABits)
 		}
 	}
@@ -160,19 +160,20 @@
 		k.Alg = algorithms[k.Kind]
 	}
 	if algorithms[k.Kind] != k.Alg {
-		return fmt.Errorf("alg: %q does not fit a key of kind %s", k.Alg, k.Kind)
+		return fmt.Errorf("alg: %q does not match a key of kind %s", k.Alg, k.Kind)
 	}
 	return nil
 }
 
-// algorithms are the JWS names (RFC 7518, RFC 8037), one a kind, so that what a
-// token says of its algorithm can never choose the kind of key.
+// algorithms are the JWS names (RFC 7518, RFC 8037). There is one per kind, so that the
+// algorithm that a token claims can never choose the kind of key.
 var algorithms = [...]string{Secret: "HS256", RSA: "RS256", P256: "ES256", Ed25519: "EdDSA"}
 
-// Find gives the key of a name, or nil.
+// Find gives the key with a name, or nil.
 func (r *Ring) Find(name string) *Key { return r.byName[name] }
 
-// Signing gives the key that signs at a moment: the last active one that can.
+// SigningKey gives the key that signs: the last active one with a secret or private
+// key; nil: there is none.
 func (r *Ring) SigningKey() *Key {
 	for _, k := range slices.Backward(r.Keys) {
 		if k.State == Active && (k.Kind == Secret || k.Signer != nil) {
@@ -182,8 +183,9 @@
 	return nil
 }
 
-// FromPEM takes the one key in a PEM text: a public key (PKIX), a certificate's
-// is not taken, or a private one (PKCS #8, PKCS #1, SEC 1), whose public half is used.
+// FromPEM parses the single key of a PEM text: a public key (PKIX, PKCS #1), but not a
+// certificate's, or a private key (PKCS #8, PKCS #1, SEC 1), whose public key is used
+// for checks.
 func FromPEM(name string, text []byte) (*Key, error) {
 	block, rest := pem.Decode(text)
 	if block == nil {
@@ -206,18 +208,19 @@
 	case "EC PRIVATE KEY":
 		key, err = x509.ParseECPrivateKey(block.Bytes)
 	default:
-		return nil, fmt.Errorf("PEM block %q holds no key", block.Type)
+		return nil, fmt.Errorf("PEM block %q is not a key", block.Type)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("PEM block %q can't be read", block.Type) // the cause could show a secret
+		return nil, fmt.Errorf("PEM block %q can't be read", block.Type) // the cause could contain a secret
 	}
-	return from(name, key)
+	return newKey(name, key)
 }
 
-// FromJWK takes the keys of a JWK set (RFC 7517) that are meant for signatures.
+// FromJWK parses the keys of a JWK set (RFC 7517) that are meant for signatures; it
+// skips the others.
 func FromJWK(text []byte) ([]*Key, error) {
 	var set jose.JSONWebKeySet
-	if err := unmarshal(text, &set); err != nil {
+	if err := unmarshalSet(text, &set); err != nil {
 		return nil, err
 	}
 	var keys []*Key
@@ -225,7 +228,7 @@
 		if j.Use != "" && j.Use != "sig" {
 			continue
 		}
-		k, err := from(j.KeyID, j.Key)
+		k, err := newKey(j.KeyID, j.Key)
 		if err != nil {
 			return nil, fmt.Errorf("keys[%d]: %w", i, err)
 		}
@@ -238,7 +241,7 @@
 	return keys, nil
 }
 
-func from(name string, key any) (*Key, error) {
+func newKey(name string, key any) (*Key, error) {
 	k := &Key{Name: name, State: Active, Skew: -1}
 	if signer, ok := key.(crypto.Signer); ok {
 		k.Signer, key = signer, signer.Public()
@@ -257,7 +260,7 @@
 	case ed25519.PublicKey:
 		k.Kind = Ed25519
 	default:
-		return nil, fmt.Errorf("a %T can't be used", key)
+		return nil, fmt.Errorf("a key of type %T is not supported", key)
 	}
 	k.Public = key
 	return k, nil
--- a/internal/decide/keyring/keyring_test.go
+++ b/internal/decide/keyring/keyring_test.go
@@ -16,7 +16,7 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-func encode(t *testing.T, kind string, der []byte, err error) []byte {
+func encodePEM(t *testing.T, kind string, der []byte, err error) []byte {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -24,26 +24,26 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// Keys of each kind from PEM in each form and from a JWK set; a private half
-// gives the public one and signs.
-func TestForms(t *testing.T) {
+// Checks that keys of each kind are read from each PEM format and from a JWK set, and
+// that a private key yields a signer.
+func TestKeyFormats(t *testing.T) {
 	rs, _ := rsa.GenerateKey(rand.Reader, 2048)
 	es, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	_, ed, _ := ed25519.GenerateKey(rand.Reader)
 	for kind, key := range map[Kind]crypto.Signer{RSA: rs, P256: es, Ed25519: ed} {
 		public, err := x509.MarshalPKIXPublicKey(key.Public())
-		k, bad := FromPEM("k", encode(t, "PUBLIC KEY", public, err))
+		k, bad := FromPEM("k", encodePEM(t, "PUBLIC KEY", public, err))
 		if bad != nil || k.Kind != kind || k.Signer != nil {
 			t.Errorf("%v public: %+v, %v", kind, k, bad)
 		}
 		private, err := x509.MarshalPKCS8PrivateKey(key)
-		k, bad = FromPEM("k", encode(t, "PRIVATE KEY", private, err))
+		k, bad = FromPEM("k", encodePEM(t, "PRIVATE KEY", private, err))
 		if bad != nil || k.Kind != kind || k.Signer == nil {
 			t.Errorf("%v private: %+v, %v", kind, k, bad)
 		}
 	}
 	sec1, err := x509.MarshalECPrivateKey(es)
-	if k, bad := FromPEM("k", encode(t, "EC PRIVATE KEY", sec1, err)); bad != nil || k.Kind != P256 {
+	if k, bad := FromPEM("k", encodePEM(t, "EC PRIVATE KEY", sec1, err)); bad != nil || k.Kind != P256 {
 		t.Error(bad)
 	}
 	set, _ := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{{Key: rs.Public(), KeyID: "a", Algorithm: "RS256", Use: "sig"},
@@ -54,14 +54,15 @@
 	}
 }
 
-// What can't be used is named, and no error shows a secret.
-func TestFaults(t *testing.T) {
+// Checks that an unusable key is rejected with an error that names its field and
+// contains no secret.
+func TestUnusableKeysAreRejected(t *testing.T) {
 	small, _ := rsa.GenerateKey(rand.Reader, 1024)
 	curve, _ := ecdsa.GenerateKey(elliptic.P384(), rand.Reader)
 	der, err := x509.MarshalPKIXPublicKey(small.Public())
-	weak, _ := FromPEM("weak", encode(t, "PUBLIC KEY", der, err))
+	weak, _ := FromPEM("weak", encodePEM(t, "PUBLIC KEY", der, err))
 	der, err = x509.MarshalPKIXPublicKey(curve.Public())
-	if _, err := FromPEM("k", encode(t, "PUBLIC KEY", der, err)); err == nil || !strings.Contains(err.Error(), "P-384") {
+	if _, err := FromPEM("k", encodePEM(t, "PUBLIC KEY", der, err)); err == nil || !strings.Contains(err.Error(), "P-384") {
 		t.Error(err)
 	}
 	for _, text := range []string{"", "hello", "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n",
@@ -88,7 +89,7 @@
 	}
 }
 
-// Which key signs, and what each state lets in at its moments.
+// Checks which key signs, and the validity of each state around its transition.
 func TestStates(t *testing.T) {
 	key := func(name string, s State, m Micros) *Key {
 		return &Key{Name: name, State: s, TransitionAt: m, Bytes: []byte("0123456789abcdef")}
