--- a/internal/decide/revoked/revoked.go
+++ b/internal/decide/revoked/revoked.go
@@ -1,8 +1,8 @@
-// Package revoked holds what an operator has taken back: tokens, subjects, keys
-// and all links under a prefix of paths. A list is made whole and never changed.
+// Package revoked holds what an operator has revoked: tokens, subjects, keys and all
+// links under a path prefix. A list is never modified; a reload replaces it.
 //
-// Prefixes stand in a radix trie: a look-up costs the length of the path, however
-// many prefixes there are. See the benchmark for what a plain list costs.
+// Prefixes are kept in a radix trie: a lookup costs the length of the path, however
+// many prefixes there are. BenchmarkPrefixes compares it with a plain list.
 package revoked
 
 import (
@@ -11,18 +11,18 @@
 	"strings"
 )
 
-// Most entries that a list holds in all.
+// MaxEntries bounds the entries of a list, of all kinds together.
 const MaxEntries = 200_000
 
-// Words is a list as an operator writes it.
+// Entries is a revocation list as an operator writes it.
 type Entries struct {
-	Tokens   []string // ids, as jti, or digests of 32 hex digits
+	Tokens   []string // ids, such as jti, or digests of 32 hex digits
 	Subjects []string
 	Keys     []string
-	Paths    []string // prefixes
+	Paths    []string // path prefixes
 }
 
-// List answers whether something is revoked.
+// List is a revocation list; a nil one revokes nothing.
 type List struct {
 	tokens   map[string]struct{}
 	digests  map[[16]byte]struct{}
@@ -31,31 +31,31 @@
 	paths    trie
 }
 
-// New makes a list, or names the word that can't be used.
-func New(w Entries) (*List, error) {
-	if n := len(w.Tokens) + len(w.Subjects) + len(w.Keys) + len(w.Paths); n > MaxEntries {
-		return nil, fmt.Errorf("%d entries, %d at most", n, MaxEntries)
+// New makes a list. The error names the entry that can't be used.
+func New(entries Entries) (*List, error) {
+	if n := len(entries.Tokens) + len(entries.Subjects) + len(entries.Keys) + len(entries.Paths); n > MaxEntries {
+		return nil, fmt.Errorf("%d entries, at most %d are allowed", n, MaxEntries)
 	}
 	l := &List{digests: map[[16]byte]struct{}{}}
 	for _, x := range []struct {
 		key  string
 		list []string
 		into *map[string]struct{}
-	}{{"tokens", w.Tokens, &l.tokens}, {"subjects", w.Subjects, &l.subjects}, {"keys", w.Keys, &l.keys}} {
+	}{{"tokens", entries.Tokens, &l.tokens}, {"subjects", entries.Subjects, &l.subjects}, {"keys", entries.Keys, &l.keys}} {
 		*x.into = make(map[string]struct{}, len(x.list))
-		for i, word := range x.list {
-			if word == "" {
+		for i, entry := range x.list {
+			if entry == "" {
 				return nil, fmt.Errorf("%s[%d]: empty", x.key, i)
 			}
-			(*x.into)[word] = struct{}{}
+			(*x.into)[entry] = struct{}{}
 		}
 	}
-	for _, word := range w.Tokens {
-		if b, err := hex.DecodeString(word); err == nil && len(b) == 16 {
+	for _, entry := range entries.Tokens {
+		if b, err := hex.DecodeString(entry); err == nil && len(b) == 16 {
 			l.digests[[16]byte(b)] = struct{}{}
 		}
 	}
-	for i, p := range w.Paths {
+	for i, p := range entries.Paths {
 		if !strings.HasPrefix(p, "/") {
 			return nil, fmt.Errorf("paths[%d]: %q does not begin with /", i, p)
 		}
@@ -64,13 +64,13 @@
 	return l, nil
 }
 
-// Grant is what is known of a granted request.
+// Grant has the fields of a granted request that are looked up in a list.
 type Grant struct {
 	ID, Subject, Key, Path string
-	Digest                 func() [16]byte // asked for only where digests are listed
+	Digest                 func() [16]byte // called only where digests are listed
 }
 
-// Has tells what of a grant is revoked: token, subject, key or path; empty: nothing.
+// Match tells which field of a grant is revoked: token, subject, key or path; empty: none.
 func (l *List) Match(g Grant) string {
 	if l == nil {
 		return ""
@@ -95,66 +95,67 @@
 	return ""
 }
 
-// trie is a radix trie of prefixes; the children of a node differ in their
+// trie is a radix trie of prefixes; the labels of a node's children differ in their
 // first bytes.
 type trie struct{ root node }
 
 type node struct {
-	text  string
-	ends  bool
-	first []byte // of the children's texts, in order
-	nodes []*node
+	label      string
+	terminal   bool
+	firstBytes []byte // of the children's labels, in the order of children
+	children   []*node
 }
 
 func (t *trie) add(prefix string) {
 	n := &t.root
 	for {
-		if n.ends {
-			return // a shorter one covers it
+		if n.terminal {
+			return // a shorter prefix covers it
 		}
 		if prefix == "" {
-			*n = node{text: n.text, ends: true} // it covers what is below
+			*n = node{label: n.label, terminal: true} // it covers all longer prefixes below
 			return
 		}
-		i := strings.IndexByte(string(n.first), prefix[0])
+		i := strings.IndexByte(string(n.firstBytes), prefix[0])
 		if i < 0 {
-			n.first = append(n.first, prefix[0])
-			n.nodes = append(n.nodes, &node{text: prefix, ends: true})
+			n.firstBytes = append(n.firstBytes, prefix[0])
+			n.children = append(n.children, &node{label: prefix, terminal: true})
 			return
 		}
-		child := n.nodes[i]
-		same := 0
-		for same < len(prefix) && same < len(child.text) && prefix[same] == child.text[same] {
-			same++
+		child := n.children[i]
+		common := 0
+		for common < len(prefix) && common < len(child.label) && prefix[common] == child.label[common] {
+			common++
 		}
-		if same < len(child.text) {
+		if common < len(child.label) {
 			rest := *child
-			rest.text = child.text[same:]
-			*child = node{text: child.text[:same], first: []byte{rest.text[0]}, nodes: []*node{&rest}}
+			rest.label = child.label[common:]
+			*child = node{label: child.label[:common], firstBytes: []byte{rest.label[0]}, children: []*node{&rest}}
 		}
-		n, prefix = child, prefix[same:]
+		n, prefix = child, prefix[common:]
 	}
 }
 
+// covers reports whether a prefix of path is in the trie.
 func (t *trie) covers(path string) bool {
 	n := &t.root
 	for {
-		if n.ends {
+		if n.terminal {
 			return true
 		}
 		if path == "" {
 			return false
 		}
 		var next *node
-		for i, b := range n.first {
+		for i, b := range n.firstBytes {
 			if b == path[0] {
-				next = n.nodes[i]
+				next = n.children[i]
 				break
 			}
 		}
-		if next == nil || !strings.HasPrefix(path, next.text) {
+		if next == nil || !strings.HasPrefix(path, next.label) {
 			return false
 		}
-		n, path = next, path[len(next.text):]
+		n, path = next, path[len(next.label):]
 	}
 }
--- a/internal/decide/revoked/revoked_test.go
+++ b/internal/decide/revoked/revoked_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// The trie covers what a list of prefixes covers.
-func TestTrieAgainstAList(t *testing.T) {
+// Checks that the trie covers the same paths as a plain list of prefixes.
+func TestTrieMatchesPrefixList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringOfN(rapid.RuneFrom([]rune("ab/")), 0, 8, -1)
 		var list []string
@@ -59,12 +59,12 @@
 	}
 	for _, w := range []Entries{{Paths: []string{"files"}}, {Keys: []string{""}}} {
 		if _, err := New(w); err == nil {
-			t.Errorf("%+v was taken", w)
+			t.Errorf("%+v was accepted", w)
 		}
 	}
 }
 
-// Run with -bench Prefixes: the trie against a list, at so many prefixes.
+// Compares lookups in the trie and in a plain list, by the number of prefixes.
 func BenchmarkPrefixes(b *testing.B) {
 	for _, n := range []int{10, 1000, 1_000_000} {
 		var list []string
