--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -18,123 +18,129 @@
 	"cherryramp/internal/loop"
 )
 
-// encodeLeft is how much of a client's time must be left for an answer to be
-// encoded first.
-const encodeLeft gateway.Micros = 50_000
+// minTimeToEncode is the least time before a call's deadline at which its answer is
+// still encoded.
+const minTimeToEncode gateway.Micros = 50_000
 
 func add(r *httpwire.Response, name, value string) {
 	r.Header = append(r.Header, httpwire.Field{Name: name, Value: value})
 }
 
-// Reply words the final answer to a call; nil where more work is in the pool.
+// BuildResponse builds the response to a call's final answer; nil: the pool has work
+// for it, and the response follows by Exchange.Reply.
 func (f *Front) BuildResponse(x *session.Exchange, a gateway.Answer) *httpwire.Response {
-	v := x.State.(*visit)
-	f.release(v, a.Kind == gateway.Refused)
+	req := x.State.(*request)
+	f.release(req, a.Kind == gateway.Refused)
 	switch {
 	case a.Kind == gateway.Refused:
-		return f.worded(v, f.OverloadResponse(a.RetryAfter))
+		return f.withCommonHeaders(req, f.OverloadResponse(a.RetryAfter))
 	case a.Kind == gateway.Failed && a.TimedOut:
-		return f.worded(v, &httpwire.Response{Status: 504})
+		return f.withCommonHeaders(req, &httpwire.Response{Status: 504})
 	case a.Kind == gateway.Failed:
-		return f.worded(v, &httpwire.Response{Status: 502})
+		return f.withCommonHeaders(req, &httpwire.Response{Status: 502})
 	}
-	return f.renewed(v, &a)
+	return f.renewToken(req, &a)
 }
 
-// Full words a refusal.
-func (f *Front) OverloadResponse(away loop.Micros) *httpwire.Response {
-	return &httpwire.Response{Status: 503, Header: httpwire.Header{{Name: "Retry-After", Value: seconds(away)}}}
+// OverloadResponse builds a refusal that asks the client to retry after a time.
+func (f *Front) OverloadResponse(retryAfter loop.Micros) *httpwire.Response {
+	return &httpwire.Response{Status: 503, Header: httpwire.Header{{Name: "Retry-After", Value: seconds(retryAfter)}}}
 }
 
-// renewed makes the next token of a chain, where the grant is one of a chain,
-// and then the answer that hands it out.
-func (f *Front) renewed(v *visit, a *gateway.Answer) *httpwire.Response {
-	costly, renews := v.grant.Renewable()
+// renewToken makes the next token, if the grant is of a chain of tokens, and then the
+// response that sets it. Where the signature is costly the pool makes it; without room
+// in the queue the response goes out without a token.
+func (f *Front) renewToken(req *request, a *gateway.Answer) *httpwire.Response {
+	costly, renews := req.grant.Renewable()
 	if !renews {
-		return f.answer(v, a, nil)
+		return f.respond(req, a, nil)
 	}
 	now := f.wall()
 	if !costly {
-		return f.answer(v, a, f.minted(v.grant.Renew(now)))
+		return f.respond(req, a, f.logMintError(req.grant.Renew(now)))
 	}
 	var cookie *grants.Cookie
 	var err error
-	job := &fairqueue.Job{Tenant: v.grant.Profile.Tenant, Prefix: abuse.Prefix(v.asked.Peer)}
-	job.Value = &task{work: func() { cookie, err = v.grant.Renew(now) }, done: func(dropped bool) {
+	job := &fairqueue.Job{Tenant: req.grant.Profile.Tenant, Prefix: abuse.Prefix(req.grantRequest.Peer)}
+	job.Value = &task{run: func() { cookie, err = req.grant.Renew(now) }, done: func(dropped bool) {
 		if dropped {
-			f.log.Warn("no next token: too many signatures to make", "profile", v.grant.Profile.Name)
+			f.log.Warn("no next token: too many signatures to make", "profile", req.grant.Profile.Name)
 		}
-		if r := f.answer(v, a, f.minted(cookie, err)); r != nil {
-			v.x.Reply(r)
+		if r := f.respond(req, a, f.logMintError(cookie, err)); r != nil {
+			req.exchange.Reply(r)
 		}
 	}}
-	if out := f.turns.Push(job); out == job {
-		f.log.Warn("no next token: too many signatures to make", "profile", v.grant.Profile.Name)
-		return f.answer(v, a, nil)
-	} else if out != nil {
-		f.drop(out)
+	if evicted := f.queue.Push(job); evicted == job {
+		f.log.Warn("no next token: too many signatures to make", "profile", req.grant.Profile.Name)
+		return f.respond(req, a, nil)
+	} else if evicted != nil {
+		f.drop(evicted)
 	}
-	f.next()
+	f.dispatch()
 	return nil
 }
 
-func (f *Front) minted(c *grants.Cookie, err error) *grants.Cookie {
+// logMintError logs the error of Renew, if any, and passes the cookie on.
+func (f *Front) logMintError(c *grants.Cookie, err error) *grants.Cookie {
 	if err != nil {
 		f.log.Error("next token can't be made", "error", err)
 	}
 	return c
 }
 
-// answer words what a served call gives: the whole, ranges, an encoding, or
-// that the client's own copy holds.
-func (f *Front) answer(v *visit, a *gateway.Answer, c *grants.Cookie) *httpwire.Response {
+// respond builds the response to a served call: the whole body, ranges, an encoded body,
+// or that the client's copy is current. It gives nil where a worker encodes the body
+// first.
+func (f *Front) respond(req *request, a *gateway.Answer, c *grants.Cookie) *httpwire.Response {
 	plan := content.Plan{Status: 304}
 	if a.Kind == gateway.Served {
-		plan = v.ask.Plan(len(a.Body), a.Tag)
+		plan = req.contentRequest.Plan(len(a.Body), a.Tag)
 	}
-	if plan.Status == 200 && v.ask.Encoding != "" && len(a.Body) >= encoding.MinSize {
-		of := encoding.Key{Object: v.call.Object, Part: v.call.Part, Tag: a.Tag, CreatedAt: a.CreatedAt, Encoding: v.ask.Encoding}
-		body, known := f.variants.Get(of)
-		if known || !f.encode(v, a, c, of) {
-			return f.word(v, a, plan, c, body)
+	if plan.Status == 200 && req.contentRequest.Encoding != "" && len(a.Body) >= encoding.MinSize {
+		key := encoding.Key{Object: req.call.Object, Part: req.call.Part, Tag: a.Tag, CreatedAt: a.CreatedAt, Encoding: req.contentRequest.Encoding}
+		body, known := f.variants.Get(key)
+		if known || !f.encode(req, a, c, key) {
+			return f.contentResponse(req, a, plan, c, body)
 		}
 		return nil
 	}
-	return f.word(v, a, plan, c, nil)
+	return f.contentResponse(req, a, plan, c, nil)
 }
 
-// encode has a worker encode an answer, if one is free and there is time. An
-// answer does not wait for a turn: it goes as it is.
-func (f *Front) encode(v *visit, a *gateway.Answer, c *grants.Cookie, of encoding.Key) bool {
-	if v.call.Deadline-f.now() < encodeLeft {
+// encode has a worker encode an answer. It gives false, and the answer is sent
+// unencoded, if no worker is free or the deadline is near: answers do not wait in the
+// queue.
+func (f *Front) encode(req *request, a *gateway.Answer, c *grants.Cookie, key encoding.Key) bool {
+	if req.call.Deadline-f.now() < minTimeToEncode {
 		return false
 	}
 	var body []byte
 	var err error
-	return f.pool.Do(func() { body, err = encoding.Encode(of.Encoding, a.Body) }, func() {
+	return f.pool.Do(func() { body, err = encoding.Encode(key.Encoding, a.Body) }, func() {
 		if err != nil {
 			f.log.Error("answer can't be encoded", "error", err)
 		}
 		if err != nil || len(body) > len(a.Body)*9/10 {
 			body = nil
 		}
-		f.variants.Put(of, body)
-		v.x.Reply(f.word(v, a, content.Plan{Status: 200}, c, body))
-		f.next()
+		f.variants.Put(key, body)
+		req.exchange.Reply(f.contentResponse(req, a, content.Plan{Status: 200}, c, body))
+		f.dispatch()
 	})
 }
 
-// word makes the answer; encoded is the body under the encoding asked for, or nil.
-func (f *Front) word(v *visit, a *gateway.Answer, plan content.Plan, c *grants.Cookie, encoded []byte) *httpwire.Response {
+// contentResponse builds the response of a plan; encoded is the body in the encoding
+// that the client prefers, or nil.
+func (f *Front) contentResponse(req *request, a *gateway.Answer, plan content.Plan, c *grants.Cookie, encoded []byte) *httpwire.Response {
 	r := &httpwire.Response{Status: plan.Status}
-	kind := v.class.Type
+	kind := req.class.Type
 	tag := a.Tag
 	switch plan.Status {
 	case 200:
 		if r.Body = a.Body; encoded != nil {
 			r.Body = encoded
-			tag = content.EncodedTag(tag, v.ask.Encoding)
-			add(r, "Content-Encoding", v.ask.Encoding)
+			tag = content.EncodedTag(tag, req.contentRequest.Encoding)
+			add(r, "Content-Encoding", req.contentRequest.Encoding)
 		}
 	case 206:
 		if len(plan.Ranges) == 1 {
@@ -143,8 +149,8 @@
 			add(r, "Content-Range", string(content.AppendContentRange(nil, p, len(a.Body))))
 			break
 		}
-		f.count++
-		boundary := fmt.Sprintf("%016x%016x", f.base, f.count) // nobody knows the base
+		f.idCount++
+		boundary := fmt.Sprintf("%016x%016x", f.idBase, f.idCount) // idBase is random, so that no body can contain the boundary on purpose
 		r.Body = content.AppendMultipart(nil, a.Body, plan.Ranges, kind, boundary)
 		kind = "multipart/byteranges; boundary=" + boundary
 	case 416:
@@ -161,7 +167,7 @@
 	}
 	if plan.Status != 416 {
 		add(r, "Accept-Ranges", "bytes")
-		add(r, "Cache-Control", f.cacheControl(v, a))
+		add(r, "Cache-Control", f.cacheControl(req, a))
 		if a.CreatedAt > 0 {
 			add(r, "Age", strconv.FormatInt(max(0, (f.now()-a.CreatedAt)/1_000_000), 10))
 		}
@@ -173,29 +179,29 @@
 		add(r, "Set-Cookie", fmt.Sprintf("%s=%s; Path=%s; Expires=%s; Secure; HttpOnly", c.Name, c.Value, c.Path,
 			time.UnixMicro(c.Expires).UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT")))
 	}
-	return f.worded(v, r)
+	return f.withCommonHeaders(req, r)
 }
 
-// cacheControl says how long the client may keep an answer: never longer than
-// its grant or the copy lasts, and no cache that others share may.
-func (f *Front) cacheControl(v *visit, a *gateway.Answer) string {
-	now, left := f.now(), v.class.MaxAge
-	if v.grant.Expires > 0 {
-		left = min(left, v.grant.Expires-f.wall())
+// cacheControl gives the Cache-Control of an answer: clients may keep it no longer than
+// their grant and the copy are valid, and shared caches may not keep it.
+func (f *Front) cacheControl(req *request, a *gateway.Answer) string {
+	now, maxAge := f.now(), req.class.MaxAge
+	if req.grant.Expires > 0 {
+		maxAge = min(maxAge, req.grant.Expires-f.wall())
 	}
-	if v.class.Fresh > 0 {
-		left = min(left, a.CreatedAt+v.class.Fresh-now)
+	if req.class.Fresh > 0 {
+		maxAge = min(maxAge, a.CreatedAt+req.class.Fresh-now)
 	}
-	if left < 1_000_000 {
+	if maxAge < 1_000_000 {
 		return "private, no-cache"
 	}
-	return "private, max-age=" + strconv.FormatInt(left/1_000_000, 10)
+	return "private, max-age=" + strconv.FormatInt(maxAge/1_000_000, 10)
 }
 
-// worded adds what every answer has.
-func (f *Front) worded(v *visit, r *httpwire.Response) *httpwire.Response {
+// withCommonHeaders adds the headers that every response has.
+func (f *Front) withCommonHeaders(req *request, r *httpwire.Response) *httpwire.Response {
 	var vary []string
-	if v.class != nil && v.class.Compress && r.Status < 400 {
+	if req.class != nil && req.class.Compress && r.Status < 400 {
 		vary = append(vary, "Accept-Encoding")
 	}
 	if r.Status >= 400 {
@@ -205,8 +211,8 @@
 		if !slices.Contains(c.Origins, "*") {
 			vary = append(vary, "Origin")
 		}
-		if v.origin != "" {
-			add(r, "Access-Control-Allow-Origin", v.origin)
+		if req.origin != "" {
+			add(r, "Access-Control-Allow-Origin", req.origin)
 			add(r, "Access-Control-Expose-Headers", "Age, Content-Range, ETag, Retry-After")
 			if c.Credentials {
 				add(r, "Access-Control-Allow-Credentials", "true")
@@ -219,8 +225,8 @@
 	return r
 }
 
-// origin gives the origin that an answer may name: the request's, if it is
-// among those allowed, or "*"; empty: none.
+// origin gives the value of Access-Control-Allow-Origin: the request's origin, if it is
+// allowed, or "*"; empty: none.
 func (c *CORS) origin(h httpwire.Header) string {
 	o := h.Get("Origin")
 	switch {
@@ -234,25 +240,25 @@
 	return ""
 }
 
-// preflight answers a browser's question before the request (the Fetch
-// standard, section 3.2.2). It holds no grant, since browsers send none then.
-func (f *Front) preflight(v *visit) *httpwire.Response {
-	c, method := f.policy.CORS, v.r.Header.Get("Access-Control-Request-Method")
-	asked := v.r.Header.Get("Access-Control-Request-Headers")
-	good := v.origin != "" && (method == "GET" || method == "HEAD")
-	for name := range strings.SplitSeq(asked, ",") {
+// preflight answers a CORS preflight request (the Fetch standard, section 3.2.2). It
+// needs no grant, since browsers send no credentials with it.
+func (f *Front) preflight(req *request) *httpwire.Response {
+	c, method := f.policy.CORS, req.httpRequest.Header.Get("Access-Control-Request-Method")
+	wantedHeaders := req.httpRequest.Header.Get("Access-Control-Request-Headers")
+	allowed := req.origin != "" && (method == "GET" || method == "HEAD")
+	for name := range strings.SplitSeq(wantedHeaders, ",") {
 		name = strings.TrimSpace(name)
-		good = good && (name == "" || slices.ContainsFunc(c.Headers, func(h string) bool { return strings.EqualFold(h, name) }))
+		allowed = allowed && (name == "" || slices.ContainsFunc(c.Headers, func(h string) bool { return strings.EqualFold(h, name) }))
 	}
-	if !good {
+	if !allowed {
 		f.log.Info("signed request refused", "status", 403, "reason", "preflight")
-		return f.worded(v, &httpwire.Response{Status: 403, Body: []byte("preflight\n")})
+		return f.withCommonHeaders(req, &httpwire.Response{Status: 403, Body: []byte("preflight\n")})
 	}
 	r := &httpwire.Response{Status: 204}
 	add(r, "Access-Control-Allow-Methods", "GET, HEAD")
-	if asked != "" {
+	if wantedHeaders != "" {
 		add(r, "Access-Control-Allow-Headers", strings.Join(c.Headers, ", "))
 	}
 	add(r, "Access-Control-Max-Age", strconv.Itoa(c.MaxAge))
-	return f.worded(v, r)
+	return f.withCommonHeaders(req, r)
 }
--- a/internal/front/signed/encoding/encoding.go
+++ b/internal/front/signed/encoding/encoding.go
@@ -1,7 +1,7 @@
-// Package encoding compresses answers and keeps what came of it, beside the
-// copies that the gateway keeps. A variant is found by the copy it was made of,
-// its tag and the moment the origin gave it out, so that no purge can be passed
-// by: the copy itself is asked for first each time.
+// Package encoding compresses answers and caches the results, beside the gateway's
+// cache of copies. A variant's key has the tag and the origin time of the copy that it
+// was made of, and the copy is fetched first each time, so a purge of the copy also
+// invalidates its variants.
 package encoding
 
 import (
@@ -14,17 +14,18 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Smallest is the least size of a body that is worth it, in bytes.
+// MinSize is the smallest body that is worth encoding, in bytes.
 const MinSize = 512
 
-// The effort: what a core does in a few milliseconds for the largest object.
+// Levels at which one core encodes the largest object in a few milliseconds.
 const (
 	brotliLevel  = 4
-	brotliWindow = 18 // a power of two, and no less than the largest object
+	brotliWindow = 18 // log2 of the window, which covers the largest object
 	gzipLevel    = gzip.DefaultCompression
 )
 
-// Encode compresses a body. It takes milliseconds and may run on any goroutine.
+// Encode compresses a body as br, gzip or zstd. It takes milliseconds and may run on
+// any goroutine.
 func Encode(encoding string, body []byte) ([]byte, error) {
 	var b bytes.Buffer
 	b.Grow(len(body) / 2)
@@ -55,7 +56,7 @@
 			err = w.Close()
 		}
 	default:
-		err = fmt.Errorf("%q is not known", encoding)
+		err = fmt.Errorf("unknown encoding %q", encoding)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("encoding: %w", err)
@@ -63,7 +64,7 @@
 	return b.Bytes(), nil
 }
 
-// Of names a variant.
+// Key identifies a variant: the copy that it was made of, and the encoding.
 type Key struct {
 	Object    string
 	Part      int
@@ -72,55 +73,57 @@
 	Encoding  string
 }
 
-// Variants keeps encoded bodies, so many bytes at most, the latest used.
+// Variants is an LRU cache of encoded bodies, bounded in bytes.
 type Variants struct {
-	most  int
-	bytes int
-	byOf  map[Key]*list.Element
-	order *list.List // of *variant
+	maxBytes int
+	bytes    int
+	entries  map[Key]*list.Element
+	lru      *list.List // of *variant, most recently used first
 }
 
 type variant struct {
-	of   Key
-	body []byte // nil: encoding makes it no smaller
+	key  Key
+	body []byte // nil: encoding does not make it smaller
 }
 
-// cost is what a variant takes beside its bytes and names.
-const cost = 256
+// entryOverhead is the memory of a variant besides its body and names, in bytes.
+const entryOverhead = 256
 
-// New makes room for so many bytes; with 0 nothing is kept.
-func New(most int) *Variants {
-	return &Variants{most: most, byOf: map[Key]*list.Element{}, order: list.New()}
+// New makes a cache of at most maxBytes; with 0 it keeps nothing.
+func New(maxBytes int) *Variants {
+	return &Variants{maxBytes: maxBytes, entries: map[Key]*list.Element{}, lru: list.New()}
 }
 
-// Find gives a variant; its body is nil where encoding does not help.
-func (v *Variants) Get(of Key) (body []byte, known bool) {
-	e := v.byOf[of]
+// Get gives a variant and whether it is known; its body is nil where encoding does not
+// make it smaller.
+func (v *Variants) Get(key Key) (body []byte, known bool) {
+	e := v.entries[key]
 	if e == nil {
 		return nil, false
 	}
-	v.order.MoveToFront(e)
+	v.lru.MoveToFront(e)
 	return e.Value.(*variant).body, true
 }
 
-// Keep takes a variant in; a nil body says that encoding does not help.
-func (v *Variants) Put(of Key, body []byte) {
-	if v.byOf[of] != nil || v.size(of, body) > v.most/4 {
+// Put adds a variant, and evicts others to make room. A nil body means that encoding does
+// not make it smaller. A variant of more than a quarter of the cache is not kept.
+func (v *Variants) Put(key Key, body []byte) {
+	if v.entries[key] != nil || v.size(key, body) > v.maxBytes/4 {
 		return
 	}
-	v.byOf[of] = v.order.PushFront(&variant{of, body})
-	v.bytes += v.size(of, body)
-	for v.bytes > v.most {
-		e := v.order.Back()
-		x := v.order.Remove(e).(*variant)
-		delete(v.byOf, x.of)
-		v.bytes -= v.size(x.of, x.body)
+	v.entries[key] = v.lru.PushFront(&variant{key, body})
+	v.bytes += v.size(key, body)
+	for v.bytes > v.maxBytes {
+		e := v.lru.Back()
+		x := v.lru.Remove(e).(*variant)
+		delete(v.entries, x.key)
+		v.bytes -= v.size(x.key, x.body)
 	}
 }
 
-func (v *Variants) size(of Key, body []byte) int {
-	return cost + len(of.Object) + len(of.Tag) + len(body)
+func (v *Variants) size(key Key, body []byte) int {
+	return entryOverhead + len(key.Object) + len(key.Tag) + len(body)
 }
 
-// Bytes is what is held.
+// Bytes is the memory of all variants.
 func (v *Variants) Bytes() int { return v.bytes }
--- a/internal/front/signed/encoding/encoding_test.go
+++ b/internal/front/signed/encoding/encoding_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// What is encoded reads back by each format's own decoder.
+// Checks that each format's own decoder restores the body.
 func TestRoundTrip(t *testing.T) {
 	decode := map[string]func(io.Reader) (io.Reader, error){
 		"br":   func(r io.Reader) (io.Reader, error) { return brotli.NewReader(r), nil },
@@ -40,32 +40,33 @@
 		}
 	})
 	if _, err := Encode("deflate", nil); err == nil {
-		t.Error("an unknown encoding was taken")
+		t.Error("an unknown encoding was accepted")
 	}
 }
 
-// The bound holds, the latest used stay, and another copy is another variant.
+// Checks the bound, that the least recently used variants go first, that a variant of a
+// newer copy is another one, and that an oversized variant is not kept.
 func TestVariants(t *testing.T) {
 	v := New(100_000)
-	of := func(i int, born int64) Key {
-		return Key{Object: fmt.Sprint(i), Tag: "t", CreatedAt: born, Encoding: "br"}
+	key := func(i int, createdAt int64) Key {
+		return Key{Object: fmt.Sprint(i), Tag: "t", CreatedAt: createdAt, Encoding: "br"}
 	}
 	for i := range 50 {
-		v.Put(of(i, 1), make([]byte, 5000))
-		v.Get(of(0, 1))
+		v.Put(key(i, 1), make([]byte, 5000))
+		v.Get(key(0, 1))
 	}
-	if _, known := v.Get(of(0, 1)); !known || v.Bytes() > 100_000 {
-		t.Errorf("the first went, or %d bytes are held", v.Bytes())
+	if _, known := v.Get(key(0, 1)); !known || v.Bytes() > 100_000 {
+		t.Errorf("the first was evicted, or %d bytes are held", v.Bytes())
 	}
-	if _, known := v.Get(of(1, 1)); known {
-		t.Error("the second stayed")
+	if _, known := v.Get(key(1, 1)); known {
+		t.Error("the second was not evicted")
 	}
-	if _, known := v.Get(of(0, 2)); known {
-		t.Error("a copy given out later found an older one's")
+	if _, known := v.Get(key(0, 2)); known {
+		t.Error("a newer copy found an older one's variant")
 	}
-	v.Put(of(99, 1), make([]byte, 60_000))
-	if _, known := v.Get(of(99, 1)); known {
-		t.Error("one takes over the room")
+	v.Put(key(99, 1), make([]byte, 60_000))
+	if _, known := v.Get(key(99, 1)); known {
+		t.Error("an oversized variant was kept")
 	}
 }
 
--- a/internal/front/signed/proofs.go
+++ b/internal/front/signed/proofs.go
@@ -11,144 +11,148 @@
 )
 
 const (
-	// suspectFrom is from how many forged signatures of late a prefix is suspect.
-	suspectFrom = 3
-	// queueAway is how long those stay away who found the queue full.
-	queueAway gateway.Micros = 1_000_000
+	// suspectThreshold is the number of recent forged signatures from which a prefix is
+	// suspect, and its signatures are checked last.
+	suspectThreshold = 3
+	// queueRetryAfter is the Retry-After of requests refused because the queue is full.
+	queueRetryAfter gateway.Micros = 1_000_000
 )
 
-// proof is a signature that waits for the pool, with all who wait for it.
+// proof is a signature whose check is queued or running, with the requests that wait
+// for it.
 type proof struct {
 	*grants.PendingSignature
-	set    *grants.ProfileSet
-	visits []*visit
-	job    *fairqueue.Job
-	out    bool // at a worker
+	set      *grants.ProfileSet
+	requests []*request
+	job      *fairqueue.Job
+	running  bool // a worker is checking it
 }
 
-// task is other work that takes its turn: the next token of a chain.
+// task is other queued work: making the next token of a chain.
 type task struct {
-	work func()
+	run  func()
 	done func(dropped bool)
 }
 
-// wait has a visit wait until its signature is checked. Several who came with
-// the same one wait for one check.
-func (f *Front) wait(v *visit, g *grants.PendingSignature) *httpwire.Response {
-	p := f.proofs[g]
+// awaitCheck queues the check of a request's signature. Requests with the same signature
+// share one check. It gives a refusal where the queue has no room.
+func (f *Front) awaitCheck(req *request, grant *grants.PendingSignature) *httpwire.Response {
+	p := f.proofs[grant]
 	if p == nil {
-		p = &proof{PendingSignature: g, set: f.policy.Set}
-		prefix := abuse.Prefix(v.asked.Peer)
-		p.job = &fairqueue.Job{Tenant: g.Tenant(), Prefix: prefix,
-			Suspect: f.suspects.Count(prefix, f.now()) >= suspectFrom || f.shared != nil && f.shared.Suspect(prefix), Value: p}
-		f.proofs[g] = p
-		if out := f.turns.Push(p.job); out == p.job {
+		p = &proof{PendingSignature: grant, set: f.policy.Set}
+		prefix := abuse.Prefix(req.grantRequest.Peer)
+		p.job = &fairqueue.Job{Tenant: grant.Tenant(), Prefix: prefix,
+			Suspect: f.suspects.Count(prefix, f.now()) >= suspectThreshold || f.shared != nil && f.shared.Suspect(prefix), Value: p}
+		f.proofs[grant] = p
+		if evicted := f.queue.Push(p.job); evicted == p.job {
 			f.forget(p)
-			return f.refuse(v, 503, "too many signatures to check", queueAway)
-		} else if out != nil {
-			f.drop(out)
+			return f.refuse(req, 503, "too many signatures to check", queueRetryAfter)
+		} else if evicted != nil {
+			f.drop(evicted)
 		}
 	}
-	v.proof = p
-	p.visits = append(p.visits, v)
-	f.next()
+	req.proof = p
+	p.requests = append(p.requests, req)
+	f.dispatch()
 	return nil
 }
 
-// drop ends a job that had to make room.
+// drop ends a job that the queue evicted for another.
 func (f *Front) drop(j *fairqueue.Job) {
 	switch x := j.Value.(type) {
 	case *proof:
 		f.forget(x)
-		for _, v := range x.visits {
-			v.proof = nil
-			v.x.Reply(f.refuse(v, 503, "too many signatures to check", queueAway))
+		for _, req := range x.requests {
+			req.proof = nil
+			req.exchange.Reply(f.refuse(req, 503, "too many signatures to check", queueRetryAfter))
 		}
 	case *task:
 		x.done(true)
 	}
 }
 
+// forget discards a check that will not run.
 func (f *Front) forget(p *proof) {
 	delete(f.proofs, p.PendingSignature)
 	p.set.Discard(p.PendingSignature)
 }
 
-// next gives free workers their work, in turn.
-func (f *Front) next() {
+// dispatch starts queued jobs on free workers, in the queue's order.
+func (f *Front) dispatch() {
 	for f.pool.Free() > 0 {
-		j := f.turns.Pop()
+		j := f.queue.Pop()
 		if j == nil {
 			return
 		}
 		switch x := j.Value.(type) {
 		case *proof:
-			x.out = true
+			x.running = true
 			good := false
 			f.pool.Do(func() { good = x.Verify() }, func() {
-				f.checked(x, good)
-				f.next()
+				f.finishCheck(x, good)
+				f.dispatch()
 			})
 		case *task:
-			f.pool.Do(x.work, func() {
+			f.pool.Do(x.run, func() {
 				x.done(false)
-				f.next()
+				f.dispatch()
 			})
 		}
 	}
 }
 
-// checked goes on with those who waited. Where the policy was changed meanwhile
-// they are judged anew, by the keys of now.
-func (f *Front) checked(p *proof, good bool) {
+// finishCheck records the result of a check and continues the requests that waited for
+// it.
+func (f *Front) finishCheck(p *proof, valid bool) {
 	delete(f.proofs, p.PendingSignature)
 	now := f.now()
-	p.set.Resolve(p.PendingSignature, good, f.wall())
-	if !good {
+	p.set.Resolve(p.PendingSignature, valid, f.wall())
+	if !valid {
 		f.suspects.Add(p.job.Prefix, now)
 		if f.shared != nil {
 			f.shared.Forged(p.job.Prefix)
 		}
 	}
-	for _, v := range p.visits {
-		v.proof = nil
-		if now >= v.call.Deadline {
-			v.x.Reply(f.worded(v, &httpwire.Response{Status: 504}))
+	for _, req := range p.requests {
+		req.proof = nil
+		if now >= req.call.Deadline {
+			req.exchange.Reply(f.withCommonHeaders(req, &httpwire.Response{Status: 504}))
 			continue
 		}
-		if call, answer := f.settled(p, v, good); answer != nil {
-			v.x.Reply(answer)
+		if call, answer := f.resolve(p, req, valid); answer != nil {
+			req.exchange.Reply(answer)
 		} else if call != nil {
-			v.x.Submit(call)
+			req.exchange.Submit(call)
 		}
 	}
 }
 
-// settled gives the verdict on one who waited. The set may have forgotten what
-// was found, with its memory full; a forged signature is forged all the same.
-func (f *Front) settled(p *proof, v *visit, good bool) (*gateway.Call, *httpwire.Response) {
+// resolve admits or refuses a request whose check has ended. If the policy was reloaded
+// meanwhile, the request is authorized again with the current keys. The result is passed
+// in, since a set whose memory is full may have dropped it already.
+func (f *Front) resolve(p *proof, req *request, valid bool) (*gateway.Call, *httpwire.Response) {
 	if p.set != f.policy.Set {
-		return f.judge(v)
+		return f.authorize(req)
 	}
-	if !good {
-		return nil, f.refuse(v, 403, string(grants.SignatureMismatch), 0)
+	if !valid {
+		return nil, f.refuse(req, 403, string(grants.SignatureMismatch), 0)
 	}
-	return f.admit(v)
+	return f.admit(req)
 }
 
-// leave takes a visit from those who wait; a signature that nobody waits for is
-// not checked.
-func (f *Front) leave(v *visit) {
-	p := v.proof
+// abandonCheck removes a request from those that wait for its check; a queued check
+// without requests is cancelled.
+func (f *Front) abandonCheck(req *request) {
+	p := req.proof
 	if p == nil {
 		return
 	}
-	v.proof = nil
-	if i := slices.Index(p.visits, v); i >= 0 {
-		p.visits = slices.Delete(p.visits, i, i+1)
+	req.proof = nil
+	if i := slices.Index(p.requests, req); i >= 0 {
+		p.requests = slices.Delete(p.requests, i, i+1)
 	}
-	if len(p.visits) == 0 && !p.out {
-		f.turns.Remove(p.job)
+	if len(p.requests) == 0 && !p.running {
+		f.queue.Remove(p.job)
 		f.forget(p)
 	}
 }
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -1,11 +1,11 @@
-// Package signed is the front for links and tokens that expire, as content
-// networks issue them. Whether a request is let in, grants decides, with what
-// quota and revoked have to say; this package asks them in order, carries costly
-// signatures to the pool, and words answers as content networks do. No request
-// that is not let in comes near a cache node.
+// Package signed is the front for signed, expiring links and tokens, as content delivery
+// networks issue them. Packages grants, revoked and ratelimit decide whether a request is
+// admitted; this package consults them in order, has the worker pool check costly
+// signatures, and builds responses as content delivery networks do. Only admitted
+// requests reach a cache node.
 //
-// A target is /files/CLASS/GROUP/OBJECT, with ?seg=N for a part. The group is
-// the one that purges name.
+// A target is /files/CLASS/GROUP/OBJECT, with ?seg=N for a part. The group is the one
+// that purges name.
 package signed
 
 import (
@@ -31,40 +31,40 @@
 	"cherryramp/internal/workers"
 )
 
-const path = "/files/"
+const pathPrefix = "/files/"
 
-// Limits bound a request; links have no body. A head has room for a token and
-// many cookies.
+// Limits bound a request. The head has room for a token and many cookies; a request has
+// no body.
 var Limits = httpwire.Limits{Head: 16 << 10, Body: 0}
 
-// Buffer is what may wait of requests sent behind each other, in bytes.
+// InputBuffer bounds the bytes of pipelined requests that wait on a connection.
 const InputBuffer = 64 << 10
 
-// Class is a class of requests.
+// Class is a class of requests, with the headers and encoding of its answers.
 type Class struct {
 	Name     string
-	Index    int // by which the gateway knows it
+	Index    int // in the gateway's list of classes
 	Write    bool
-	GiveUp   gateway.Micros // how long a client waits
-	Fresh    gateway.Micros // how long a copy is; 0: always
-	Type     string         // Content-Type of answers; empty: none is told
+	GiveUp   gateway.Micros // time from a request to its deadline
+	Fresh    gateway.Micros // time that a copy is fresh; 0: always
+	Type     string         // Content-Type of answers; empty: none is sent
 	Compress bool
-	MaxAge   gateway.Micros // that clients may keep answers; 0: they ask each time
+	MaxAge   gateway.Micros // time that clients may cache answers; 0: they revalidate each time
 }
 
-// Uses is how often one token of a profile may be used; 0: as often as it likes.
+// UseLimit bounds the uses of one token of a profile.
 type UseLimit struct {
-	Max         int
-	RetryWindow gateway.Micros // within which the same again is the same use
+	Max         int            // 0: unlimited
+	RetryWindow gateway.Micros // in which a repeated request counts as one use
 }
 
-// Tenant is what a tenant's links may let in, and how much.
+// Tenant has the paths that a tenant's links may grant, and its limits.
 type Tenant struct {
-	Paths             []string // prefixes; none: everything
-	All, Key, Subject ratelimit.Limit
+	Paths             []string        // prefixes; none: every path
+	All, Key, Subject ratelimit.Limit // of all its requests, of each key, of each subject
 }
 
-// CORS says which pages' scripts may read answers.
+// CORS sets which origins' scripts may read answers.
 type CORS struct {
 	Origins     []string
 	Headers     []string
@@ -72,8 +72,7 @@
 	MaxAge      int // s
 }
 
-// Policy is what requests are judged by. A new one takes the place of the old
-// one whole.
+// Policy is what requests are authorized by. A reload replaces it as a whole.
 type Policy struct {
 	Set     *grants.ProfileSet
 	Uses    map[string]UseLimit // by profile
@@ -83,135 +82,140 @@
 	Classes []Class
 }
 
-// Shared are limits that hold for the whole fleet.
+// SharedLimits are the limits and verdicts of the whole fleet.
 type SharedLimits interface {
-	// Take asks for one request under all its claims; it takes from all or from none.
+	// Take admits one request under all its claims or, if a limit refuses it, takes from
+	// none and gives the time after which to retry and the reason.
 	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
-	// Done gives back what was taken.
+	// Done releases what Take took.
 	Done(taken []*quotalease.Bucket)
-	// Forged notes a forged signature from a prefix; Suspect tells whether the fleet
-	// holds a prefix for one that forges.
+	// Forged records a forged signature from a prefix; Suspect reports whether the
+	// fleet's verdict is that a prefix forges signatures.
 	Forged(p netip.Prefix)
 	Suspect(p netip.Prefix) bool
 }
 
-// Share has requests keep to limits of the whole fleet, besides this front's own.
+// SetSharedLimits has requests checked against the fleet's limits as well.
 func (f *Front) SetSharedLimits(s SharedLimits) { f.shared = s }
 
-// Config bounds what the front holds.
+// Config bounds the memory of a front.
 type Config struct {
-	MaxQueue     int // costly checks that wait
-	MaxRates     int // names that rates are kept of
-	MaxUses      int // tokens that uses are kept of
-	EncodedBytes int // bytes of encoded answers
+	MaxQueue     int // queued checks of costly signatures, and of tokens to make
+	MaxRates     int // names with rates or open requests
+	MaxUses      int // tokens with counted uses
+	EncodedBytes int // of encoded answers
 }
 
-// Front judges requests and words outcomes as a content network does.
+// Front authorizes requests and builds responses as a content delivery network does.
 type Front struct {
 	policy   Policy
-	now      func() gateway.Micros // for spans
-	wall     func() gateway.Micros // for what links say of moments, such as their expiry
+	now      func() gateway.Micros // monotonic, for durations
+	wall     func() gateway.Micros // Unix time, for times in links, such as their expiry
 	log      *slog.Logger
 	pool     *workers.Pool
-	turns    *fairqueue.Queue
+	queue    *fairqueue.Queue
 	proofs   map[*grants.PendingSignature]*proof
 	suspects *abuse.Sketch
 	rates    *ratelimit.Rates
 	uses     *ratelimit.Uses
 	variants *encoding.Variants
-	shared   SharedLimits // nil: no limit holds for the whole fleet
-	base     uint64       // of the ids that requests get
-	count    uint64
+	shared   SharedLimits // nil: the fleet has none
+	idBase   uint64       // random start of request ids
+	idCount  uint64
 }
 
-// New makes a front. Its costly work goes to the pool. Spans are counted by now; links are
-// judged by wall, the wall clock.
+// New makes a front. The pool does its costly work. Durations are measured by now, and
+// times in links are compared with wall, the wall clock. It fails if the system gives no
+// random numbers.
 func New(cfg Config, policy Policy, pool *workers.Pool, now, wall func() gateway.Micros, log *slog.Logger) (*Front, error) {
 	var seed [16]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("signed: %w", err)
 	}
-	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, turns: fairqueue.New(cfg.MaxQueue),
+	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, queue: fairqueue.New(cfg.MaxQueue),
 		proofs: map[*grants.PendingSignature]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
 		rates: ratelimit.NewRates(cfg.MaxRates), uses: ratelimit.NewUses(cfg.MaxUses), variants: encoding.New(cfg.EncodedBytes),
-		base: binary.BigEndian.Uint64(seed[:])}, nil
+		idBase: binary.BigEndian.Uint64(seed[:])}, nil
 }
 
-// Reload has requests judged by another policy from now on. What was counted
-// stays; verdicts are found anew.
+// Reload replaces the policy. Counts of requests and uses stay; remembered results of
+// signature checks are dropped with the old set.
 func (f *Front) Reload(p Policy) { f.policy = p }
 
-// visit is one request.
-type visit struct {
-	x      *session.Exchange
-	r      *httpwire.Request
-	asked  grants.Request
-	ask    content.Request
-	grant  grants.Grant
-	call   *gateway.Call
-	class  *Class
-	claims []ratelimit.Claim // taken
-	shared []*quotalease.Bucket
-	use    [16]byte // taken, if counted
-	used   bool
-	origin string // of a page whose script may read the answer
-	proof  *proof // waited for
+// request is the state of one request.
+type request struct {
+	exchange       *session.Exchange
+	httpRequest    *httpwire.Request
+	grantRequest   grants.Request
+	contentRequest content.Request
+	grant          grants.Grant
+	call           *gateway.Call
+	class          *Class
+	claims         []ratelimit.Claim    // admitted by rates, to be released
+	shared         []*quotalease.Bucket // taken from the fleet's limits, to be released
+	useToken       [16]byte             // digest of the token, where its uses are counted
+	useTaken       bool                 // a use of it is to be released
+	origin         string               // value of Access-Control-Allow-Origin; empty: none
+	proof          *proof               // check that the request waits for
 }
 
-// Take lets a request in, refuses it, or keeps it until its signature is checked.
+// HandleRequest admits a request, refuses it, or has it wait until its signature is
+// checked (nil, nil).
 func (f *Front) HandleRequest(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
-	v := &visit{x: x, r: r}
-	x.State = v
-	v.origin = f.policy.CORS.origin(r.Header)
+	req := &request{exchange: x, httpRequest: r}
+	x.State = req
+	req.origin = f.policy.CORS.origin(r.Header)
 	if r.Method == "OPTIONS" && f.policy.CORS != nil {
-		return nil, f.preflight(v)
+		return nil, f.preflight(req)
 	}
 	if r.Method != "GET" && r.Method != "HEAD" {
 		f.log.Info("signed request refused", "status", 405, "reason", "method")
-		return nil, f.worded(v, &httpwire.Response{Status: 405, Body: []byte("links are for reading\n"),
+		return nil, f.withCommonHeaders(req, &httpwire.Response{Status: 405, Body: []byte("links are for reading\n"),
 			Header: httpwire.Header{{Name: "Allow", Value: "GET, HEAD"}}})
 	}
-	// The last byte is here: this try is judged once, for this moment.
-	v.asked = grants.Request{Target: r.Target, Header: r.Header, Peer: x.Peer(), ReceivedAt: f.wall()}
-	v.ask = content.ParseRequest(r.Method, r.Header)
-	return f.judge(v)
+	// The request is complete; its links are checked for this time only.
+	req.grantRequest = grants.Request{Target: r.Target, Header: r.Header, Peer: x.Peer(), ReceivedAt: f.wall()}
+	req.contentRequest = content.ParseRequest(r.Method, r.Header)
+	return f.authorize(req)
 }
 
-// judge asks whether a request is let in, and by which grant.
-func (f *Front) judge(v *visit) (*gateway.Call, *httpwire.Response) {
-	d := f.policy.Set.Authorize(&v.asked)
-	v.grant = d.Grant
+// authorize checks a request's grant, revocations and target, and then admits it or has
+// it wait for the check of its signature.
+func (f *Front) authorize(req *request) (*gateway.Call, *httpwire.Response) {
+	d := f.policy.Set.Authorize(&req.grantRequest)
+	req.grant = d.Grant
 	if d.Refusal != "" {
-		return nil, f.refuse(v, 403, string(d.Refusal), 0)
+		return nil, f.refuse(req, 403, string(d.Refusal), 0)
 	}
-	// What costs little is asked before a signature is.
+	// Cheap checks come before that of a signature.
 	if what := f.policy.Revoked.Match(revoked.Grant{ID: d.ID, Subject: d.Subject, Key: d.Key.Name, Path: d.Path,
 		Digest: d.Digest}); what != "" {
-		return nil, f.refuse(v, 403, what+" is revoked", 0)
+		return nil, f.refuse(req, 403, what+" is revoked", 0)
 	}
 	if tenant := f.policy.Tenants[d.Profile.Tenant]; !tenant.covers(d.Path) {
-		return nil, f.refuse(v, 403, string(grants.PathNotCovered), 0)
+		return nil, f.refuse(req, 403, string(grants.PathNotCovered), 0)
 	}
-	if v.call, v.class = f.read(v); v.call == nil {
-		return nil, f.refuse(v, 403, string(grants.UnusableTarget), 0)
+	if req.call, req.class = f.parseCall(req); req.call == nil {
+		return nil, f.refuse(req, 403, string(grants.UnusableTarget), 0)
 	}
 	if d.Pending != nil {
-		return nil, f.wait(v, d.Pending)
+		return nil, f.awaitCheck(req, d.Pending)
 	}
-	return f.admit(v)
+	return f.admit(req)
 }
 
-// admit lets in a request whose grant is good, within what it may ask for.
-func (f *Front) admit(v *visit) (*gateway.Call, *httpwire.Response) {
-	tenant := f.policy.Tenants[v.grant.Profile.Tenant]
-	if away, status, reason := f.take(v, &tenant); reason != "" {
-		return nil, f.refuse(v, status, reason, away)
+// admit admits a request with a valid grant if the limits allow it.
+func (f *Front) admit(req *request) (*gateway.Call, *httpwire.Response) {
+	tenant := f.policy.Tenants[req.grant.Profile.Tenant]
+	if retryAfter, status, reason := f.acquire(req, &tenant); reason != "" {
+		return nil, f.refuse(req, status, reason, retryAfter)
 	}
-	f.count++
-	v.call.ID = fmt.Sprintf("%016x", f.base+f.count)
-	return v.call, nil
+	f.idCount++
+	req.call.ID = fmt.Sprintf("%016x", f.idBase+f.idCount)
+	return req.call, nil
 }
 
+// covers reports whether the tenant's links may grant a path.
 func (t *Tenant) covers(path string) bool {
 	for _, p := range t.Paths {
 		if strings.HasPrefix(path, p) {
@@ -221,9 +225,10 @@
 	return len(t.Paths) == 0
 }
 
-// read turns a target without signing fields into a call.
-func (f *Front) read(v *visit) (*gateway.Call, *Class) {
-	rest, ok := strings.CutPrefix(v.grant.Path, path)
+// parseCall makes a call of a target without its signing fields; nil: the target is
+// invalid.
+func (f *Front) parseCall(req *request) (*gateway.Call, *Class) {
+	rest, ok := strings.CutPrefix(req.grant.Path, pathPrefix)
 	name, rest, _ := strings.Cut(rest, "/")
 	group, object, _ := strings.Cut(rest, "/")
 	if !ok || !gateway.IsName(object) {
@@ -239,48 +244,49 @@
 		return nil, nil
 	}
 	c := &gateway.Call{Class: class.Index, Object: object, Deadline: f.now() + class.GiveUp}
-	if session.ParseTarget(c, v.grant.Query, group) != "" {
+	if session.ParseTarget(c, req.grant.Query, group) != "" {
 		return nil, nil
 	}
-	if tag := v.ask.KnownTag(); gateway.IsName(tag) {
+	if tag := req.contentRequest.KnownTag(); gateway.IsName(tag) {
 		c.Tag = tag
 	}
 	if !class.Compress {
-		v.ask.Encoding = ""
+		req.contentRequest.Encoding = ""
 	}
 	return c, class
 }
 
-// take takes one request of all that is limited, or tells why not.
-func (f *Front) take(v *visit, t *Tenant) (away gateway.Micros, status int, reason string) {
-	now, g := f.now(), &v.grant
+// acquire takes one request from all limits, or gives the response status and the reason
+// of the refusal, and takes nothing.
+func (f *Front) acquire(req *request, t *Tenant) (retryAfter gateway.Micros, status int, reason string) {
+	now, g := f.now(), &req.grant
 	claims := []ratelimit.Claim{{Kind: ratelimit.Tenant, Name: g.Profile.Tenant, Limit: t.All},
 		{Kind: ratelimit.Key, Name: g.Profile.Ring.Name + "/" + g.Key.Name, Limit: t.Key}}
 	if g.Subject != "" {
 		claims = append(claims, ratelimit.Claim{Kind: ratelimit.Subject, Name: g.Profile.Tenant + "/" + g.Subject, Limit: t.Subject})
 	}
-	if away, refusal := f.rates.Take(claims, now); refusal != "" {
+	if retryAfter, refusal := f.rates.Take(claims, now); refusal != "" {
 		status = 429
 		if refusal == ratelimit.RatesTableFull {
 			status = 503
 		}
-		return away, status, string(refusal)
+		return retryAfter, status, string(refusal)
 	}
-	v.claims = claims
+	req.claims = claims
 	if f.shared != nil {
 		var refused string
-		if v.shared, away, refused = f.shared.Take(claims); refused != "" {
-			f.release(v, true)
-			return away, 429, refused
+		if req.shared, retryAfter, refused = f.shared.Take(claims); refused != "" {
+			f.release(req, true)
+			return retryAfter, 429, refused
 		}
 	}
 	if u := f.policy.Uses[g.Profile.Name]; u.Max > 0 {
-		v.use = g.Digest()
-		away, refusal := f.uses.Take(ratelimit.Token{Name: v.use, ExpiresAt: now + g.ExpiresWithSkew() - f.wall(), MaxUses: u.Max,
-			Object: g.Path + "?" + g.Query + " " + v.asked.Peer.String(), RetryWindow: u.RetryWindow}, now)
+		req.useToken = g.Digest()
+		retryAfter, refusal := f.uses.Take(ratelimit.Token{Name: req.useToken, ExpiresAt: now + g.ExpiresWithSkew() - f.wall(), MaxUses: u.Max,
+			Object: g.Path + "?" + g.Query + " " + req.grantRequest.Peer.String(), RetryWindow: u.RetryWindow}, now)
 		switch refusal {
 		case "":
-			v.used = true
+			req.useTaken = true
 		case ratelimit.TokenUsedUp:
 			status = 403
 		case ratelimit.UsesTableFull:
@@ -289,55 +295,58 @@
 			status = 429
 		}
 		if refusal != "" {
-			f.release(v, true)
-			return away, status, string(refusal)
+			f.release(req, true)
+			return retryAfter, status, string(refusal)
 		}
 	}
 	return 0, 0, ""
 }
 
-// release gives back what a visit took.
-func (f *Front) release(v *visit, harmless bool) {
-	if v.claims != nil {
-		f.rates.Release(v.claims)
-		v.claims = nil
+// release gives back what a request took from the limits. With notServed, a counted use of
+// the token is given back too.
+func (f *Front) release(req *request, notServed bool) {
+	if req.claims != nil {
+		f.rates.Release(req.claims)
+		req.claims = nil
 	}
-	if v.shared != nil {
-		f.shared.Done(v.shared)
-		v.shared = nil
+	if req.shared != nil {
+		f.shared.Done(req.shared)
+		req.shared = nil
 	}
-	if v.used {
-		f.uses.Release(v.use, harmless)
-		v.used = false
+	if req.useTaken {
+		f.uses.Release(req.useToken, notServed)
+		req.useTaken = false
 	}
 }
 
-// refuse words a refusal; away tells when to come back, where that helps.
-func (f *Front) refuse(v *visit, status int, reason string, away gateway.Micros) *httpwire.Response {
+// refuse logs and builds a refusal. With a status other than 403, retryAfter is sent as
+// Retry-After.
+func (f *Front) refuse(req *request, status int, reason string, retryAfter gateway.Micros) *httpwire.Response {
 	name, key := "", ""
-	if v.grant.Profile != nil {
-		name = v.grant.Profile.Name
+	if req.grant.Profile != nil {
+		name = req.grant.Profile.Name
 	}
-	if v.grant.Key != nil {
-		key = v.grant.Key.Name
+	if req.grant.Key != nil {
+		key = req.grant.Key.Name
 	}
 	f.log.Info("signed request refused", "status", status, "reason", reason, "profile", name, "key", key)
 	r := &httpwire.Response{Status: status, Body: []byte(reason + "\n")}
 	if status != 403 {
-		r.Header = httpwire.Header{{Name: "Retry-After", Value: seconds(away)}}
+		r.Header = httpwire.Header{{Name: "Retry-After", Value: seconds(retryAfter)}}
 	}
-	return f.worded(v, r)
+	return f.withCommonHeaders(req, r)
 }
 
-// seconds is a span in whole seconds, one at least (RFC 9110, section 10.2.3).
+// seconds gives a duration in whole seconds, rounded up, at least 1 (RFC 9110, section
+// 10.2.3).
 func seconds(m gateway.Micros) string {
 	return strconv.FormatInt(max(1, (m+999_999)/1_000_000), 10)
 }
 
-// Left ends a visit whose client has gone.
+// ClientGone ends a request whose client has disconnected.
 func (f *Front) ClientGone(x *session.Exchange) {
-	if v, ok := x.State.(*visit); ok {
-		f.leave(v)
-		f.release(v, false)
+	if req, ok := x.State.(*request); ok {
+		f.abandonCheck(req)
+		f.release(req, false)
 	}
 }
