--- a/cmd/cherryramp/links.go
+++ b/cmd/cherryramp/links.go
@@ -143,7 +143,7 @@
 		return err
 	}
 	w.Expires, w.NotBefore, w.RenewSeconds = until.UnixMicro(), from.UnixMicro(), int64(f.renew/time.Second)
-	if p.Bound {
+	if p.RequireBranch {
 		w.Data = s.Branch
 	}
 	if branch {
@@ -197,10 +197,10 @@
 		}
 		r.Header = append(r.Header, httpwire.Field{Name: name, Value: strings.TrimSpace(value)})
 	}
-	v := s.GrantSet.Authorize(r)
+	v := s.ProfileSet.Authorize(r)
 	if v.Pending != nil {
-		s.GrantSet.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
-		v = s.GrantSet.Authorize(r)
+		s.ProfileSet.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
+		v = s.ProfileSet.Authorize(r)
 	}
 	reason := string(v.Refusal)
 	if reason == "" {
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -49,27 +49,27 @@
 	SkewMS *int   `json:"skew_ms"`
 
 	// Short form: keys of two formats.
-	URLBase      string     `json:"url_base"`
-	TokenName    string     `json:"token_name"`
-	TokenHeader  string     `json:"token_header"`
-	AllowUnbound bool       `json:"allow_unbound"`
-	URLKeys      []ShortKey `json:"url_keys"`
-	TokenKeys    []ShortKey `json:"token_keys"`
+	URLBase            string     `json:"url_base"`
+	TokenName          string     `json:"token_name"`
+	TokenHeader        string     `json:"token_header"`
+	AllowMissingBranch bool       `json:"allow_unbound"`
+	URLKeys            []ShortKey `json:"url_keys"`
+	TokenKeys          []ShortKey `json:"token_keys"`
 
 	// Full form.
-	Rings    []Ring                  `json:"rings"`
-	Profiles []Profile               `json:"profiles"`
-	Tenants  []Tenant                `json:"tenants"`
-	Revoked  Revoked                 `json:"revoked"`
-	Verdicts int                     `json:"verdicts"`
-	Pool     Pool                    `json:"pool"`
-	Tables   Tables                  `json:"tables"`
-	CORS     *CORS                   `json:"cors"`
-	Classes  map[string]ClassAnswers `json:"classes"`
+	Rings             []Ring                  `json:"rings"`
+	Profiles          []Profile               `json:"profiles"`
+	Tenants           []Tenant                `json:"tenants"`
+	Revoked           Revoked                 `json:"revoked"`
+	MaxCachedVerdicts int                     `json:"verdicts"`
+	Pool              Pool                    `json:"pool"`
+	Tables            Tables                  `json:"tables"`
+	CORS              *CORS                   `json:"cors"`
+	Classes           map[string]ClassAnswers `json:"classes"`
 
 	EncodedMB *int `json:"encoded_mb"`
 
-	GrantSet       *grants.ProfileSet       `json:"-"` // grants of all profiles
+	ProfileSet     *grants.ProfileSet       `json:"-"` // grants of all profiles
 	RevokedList    *revoked.List            `json:"-"`
 	ProfilesByName map[string]*Profile      `json:"-"`
 	TenantsByName  map[string]*Tenant       `json:"-"`
@@ -108,38 +108,38 @@
 
 // Profile describes one way of signing links.
 type Profile struct {
-	Name         string      `json:"name"`
-	Tenant       string      `json:"tenant"`
-	Format       string      `json:"format"`
-	Ring         string      `json:"ring"`
-	Base         string      `json:"base"`
-	SkewMS       *int        `json:"skew_ms"`
-	Query        string      `json:"query"`
-	Cookie       string      `json:"cookie"`
-	Header       string      `json:"header"`
-	Bound        bool        `json:"bound"`
-	AllowUnbound bool        `json:"allow_unbound"`
-	Digest       string      `json:"digest"`
-	Salt         string      `json:"salt"`
-	AllowEndless bool        `json:"allow_endless"`
-	Issuers      []string    `json:"issuers"`
-	Audience     string      `json:"audience"`
-	Describe     Description `json:"describe"`
-	Uses         int         `json:"uses"`     // uses of one token; 0: unlimited
-	RetryMS      *int        `json:"retry_ms"` // window in which a repeated request counts as one use
+	Name               string      `json:"name"`
+	Tenant             string      `json:"tenant"`
+	Format             string      `json:"format"`
+	Ring               string      `json:"ring"`
+	BaseURL            string      `json:"base"`
+	SkewMS             *int        `json:"skew_ms"`
+	Query              string      `json:"query"`
+	Cookie             string      `json:"cookie"`
+	Header             string      `json:"header"`
+	RequireBranch      bool        `json:"bound"`
+	AllowMissingBranch bool        `json:"allow_unbound"`
+	Digest             string      `json:"digest"`
+	Salt               string      `json:"salt"`
+	AllowNoExpiry      bool        `json:"allow_endless"`
+	Issuers            []string    `json:"issuers"`
+	Audience           string      `json:"audience"`
+	TimedFormat        TimedFormat `json:"describe"`
+	Uses               int         `json:"uses"`     // uses of one token; 0: unlimited
+	RetryMS            *int        `json:"retry_ms"` // window in which a repeated request counts as one use
 
 	Grants    *grants.Profile `json:"-"`
 	shortForm bool            // made from the short form
 }
 
-// Description is how a profile of format timed forms its digest and token.
-type Description struct {
+// TimedFormat is how a profile of format timed forms its digest and token.
+type TimedFormat struct {
 	Message   string `json:"message"`
 	Token     string `json:"token"`
-	Separator string `json:"separate"`
+	TimeParam string `json:"separate"`
 	Digest    string `json:"digest"`
 	Encoding  string `json:"encoding"`
-	Base      int    `json:"base"`
+	TimeBase  int    `json:"base"`
 	LifetimeS int    `json:"life_s"`
 }
 
@@ -240,7 +240,7 @@
 		Keys: s.Revoked.Keys, Paths: s.Revoked.Paths}); err != nil {
 		f.under("revoked").add("", err)
 	}
-	checkBound(f, "verdicts", &s.Verdicts, defaultVerdicts, maxTableEntries)
+	checkBound(f, "verdicts", &s.MaxCachedVerdicts, defaultVerdicts, maxTableEntries)
 	checkBound(f, "pool.workers", &s.Pool.Workers, defaultWorkers, maxWorkers)
 	checkBound(f, "pool.queue", &s.Pool.Queue, defaultQueue, 1<<16)
 	checkBound(f, "tables.rates", &s.Tables.Rates, defaultRates, maxTableEntries)
@@ -267,7 +267,7 @@
 	if f.err() != nil {
 		return
 	}
-	if s.GrantSet, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, MaxCachedVerdicts: s.Verdicts}); err != nil {
+	if s.ProfileSet, err = grants.New(grants.Config{Profiles: list, Branch: s.Branch, MaxCachedVerdicts: s.MaxCachedVerdicts}); err != nil {
 		f.add("profiles", err)
 	}
 }
@@ -286,7 +286,7 @@
 				return nil, fmt.Errorf("not base64url of %d bytes", urlSecretBytes)
 			}
 			return secret, nil
-		}, Profile{Format: grants.CloudCDN, Base: s.URLBase}},
+		}, Profile{Format: grants.CloudCDN, BaseURL: s.URLBase}},
 		{"token_keys", s.TokenKeys, func(text string) ([]byte, error) {
 			secret, err := hex.DecodeString(text)
 			if err != nil || len(secret) < minTokenSecretBytes {
@@ -294,7 +294,7 @@
 			}
 			return secret, nil
 		}, Profile{Format: grants.EdgeAuth, Query: s.TokenName, Cookie: s.TokenName, Header: s.TokenHeader,
-			Bound: true, AllowUnbound: s.AllowUnbound}},
+			RequireBranch: true, AllowMissingBranch: s.AllowMissingBranch}},
 	} {
 		if len(x.list) == 0 {
 			continue
@@ -482,7 +482,7 @@
 		f.addf("query", "missing, as are cookie and header: nothing carries the token")
 	}
 	for _, x := range []struct{ key, text string }{{"query", p.Query}, {"cookie", p.Cookie}, {"header", p.Header},
-		{"describe.separate", p.Describe.Separator}} {
+		{"describe.separate", p.TimedFormat.TimeParam}} {
 		checkToken(f, x.key, x.text)
 	}
 	skew := checkSkew(f, "skew_ms", p.SkewMS, *s.SkewMS)
@@ -501,12 +501,12 @@
 		f.addf("ring", "%q is not a usable ring", p.Ring)
 		return
 	}
-	g := &grants.Profile{Name: p.Name, Tenant: p.Tenant, Format: p.Format, Ring: ring, BaseURL: p.Base,
-		Skew: int64(skew) * 1000, Query: p.Query, Cookie: p.Cookie, Header: p.Header, RequireBranch: p.Bound,
-		AllowMissingBranch: p.AllowUnbound, Digest: p.Digest, Salt: p.Salt, AllowNoExpiry: p.AllowEndless,
-		Issuers: p.Issuers, Audience: p.Audience, TimedFormat: grants.TimedFormat{Message: p.Describe.Message,
-			Token: p.Describe.Token, TimeParam: p.Describe.Separator, Digest: p.Describe.Digest,
-			Encoding: p.Describe.Encoding, TimeBase: p.Describe.Base, Lifetime: int64(p.Describe.LifetimeS) * 1_000_000}}
+	g := &grants.Profile{Name: p.Name, Tenant: p.Tenant, Format: p.Format, Ring: ring, BaseURL: p.BaseURL,
+		Skew: int64(skew) * 1000, Query: p.Query, Cookie: p.Cookie, Header: p.Header, RequireBranch: p.RequireBranch,
+		AllowMissingBranch: p.AllowMissingBranch, Digest: p.Digest, Salt: p.Salt, AllowNoExpiry: p.AllowNoExpiry,
+		Issuers: p.Issuers, Audience: p.Audience, TimedFormat: grants.TimedFormat{Message: p.TimedFormat.Message,
+			Token: p.TimedFormat.Token, TimeParam: p.TimedFormat.TimeParam, Digest: p.TimedFormat.Digest,
+			Encoding: p.TimedFormat.Encoding, TimeBase: p.TimedFormat.TimeBase, Lifetime: int64(p.TimedFormat.LifetimeS) * 1_000_000}}
 	if err := g.Check(); err != nil {
 		if p.shortForm {
 			err = errors.New(strings.Replace(err.Error(), "base:", "url_base:", 1))
--- a/internal/front/signed/proofs.go
+++ b/internal/front/signed/checks.go
@@ -18,14 +18,14 @@
 	queueRetryAfter gateway.Micros = 1_000_000
 )
 
-// proof is a signature whose check is queued or running, with the requests that wait
+// pendingCheck is a signature whose check is queued or running, with the requests that wait
 // for it.
-type proof struct {
+type pendingCheck struct {
 	*grants.PendingSignature
-	set      *grants.ProfileSet
-	requests []*request
-	job      *fairqueue.Job
-	running  bool // a worker is checking it
+	profileSet *grants.ProfileSet
+	requests   []*request
+	job        *fairqueue.Job
+	running    bool // a worker is checking it
 }
 
 // task is other queued work: making the next token of a chain.
@@ -36,14 +36,14 @@
 
 // awaitCheck queues the check of a request's signature. Requests with the same signature
 // share one check. It gives a refusal where the queue has no room.
-func (f *Front) awaitCheck(req *request, grant *grants.PendingSignature) *httpwire.Response {
-	p := f.proofs[grant]
+func (f *Front) awaitCheck(req *request, signature *grants.PendingSignature) *httpwire.Response {
+	p := f.checks[signature]
 	if p == nil {
-		p = &proof{PendingSignature: grant, set: f.policy.Set}
+		p = &pendingCheck{PendingSignature: signature, profileSet: f.policy.ProfileSet}
 		prefix := abuse.Prefix(req.grantRequest.Peer)
-		p.job = &fairqueue.Job{Tenant: grant.Tenant(), Prefix: prefix,
+		p.job = &fairqueue.Job{Tenant: signature.Tenant(), Prefix: prefix,
 			Suspect: f.suspects.Count(prefix, f.now()) >= suspectThreshold || f.shared != nil && f.shared.Suspect(prefix), Value: p}
-		f.proofs[grant] = p
+		f.checks[signature] = p
 		if evicted := f.queue.Push(p.job); evicted == p.job {
 			f.forget(p)
 			return f.refuse(req, 503, "too many signatures to check", queueRetryAfter)
@@ -51,7 +51,7 @@
 			f.drop(evicted)
 		}
 	}
-	req.proof = p
+	req.check = p
 	p.requests = append(p.requests, req)
 	f.dispatch()
 	return nil
@@ -60,10 +60,10 @@
 // drop ends a job that the queue evicted for another.
 func (f *Front) drop(j *fairqueue.Job) {
 	switch x := j.Value.(type) {
-	case *proof:
+	case *pendingCheck:
 		f.forget(x)
 		for _, req := range x.requests {
-			req.proof = nil
+			req.check = nil
 			req.exchange.Reply(f.refuse(req, 503, "too many signatures to check", queueRetryAfter))
 		}
 	case *task:
@@ -72,9 +72,9 @@
 }
 
 // forget discards a check that will not run.
-func (f *Front) forget(p *proof) {
-	delete(f.proofs, p.PendingSignature)
-	p.set.Discard(p.PendingSignature)
+func (f *Front) forget(p *pendingCheck) {
+	delete(f.checks, p.PendingSignature)
+	p.profileSet.Discard(p.PendingSignature)
 }
 
 // dispatch starts queued jobs on free workers, in the queue's order.
@@ -85,7 +85,7 @@
 			return
 		}
 		switch x := j.Value.(type) {
-		case *proof:
+		case *pendingCheck:
 			x.running = true
 			good := false
 			f.pool.Do(func() { good = x.Verify() }, func() {
@@ -103,10 +103,10 @@
 
 // finishCheck records the result of a check and continues the requests that waited for
 // it.
-func (f *Front) finishCheck(p *proof, valid bool) {
-	delete(f.proofs, p.PendingSignature)
+func (f *Front) finishCheck(p *pendingCheck, valid bool) {
+	delete(f.checks, p.PendingSignature)
 	now := f.now()
-	p.set.Resolve(p.PendingSignature, valid, f.wall())
+	p.profileSet.Resolve(p.PendingSignature, valid, f.wall())
 	if !valid {
 		f.suspects.Add(p.job.Prefix, now)
 		if f.shared != nil {
@@ -114,7 +114,7 @@
 		}
 	}
 	for _, req := range p.requests {
-		req.proof = nil
+		req.check = nil
 		if now >= req.call.Deadline {
 			req.exchange.Reply(f.withCommonHeaders(req, &httpwire.Response{Status: 504}))
 			continue
@@ -129,9 +129,9 @@
 
 // resolve admits or refuses a request whose check has ended. If the policy was reloaded
 // meanwhile, the request is authorized again with the current keys. The result is passed
-// in, since a set whose memory is full may have dropped it already.
-func (f *Front) resolve(p *proof, req *request, valid bool) (*gateway.Call, *httpwire.Response) {
-	if p.set != f.policy.Set {
+// in, since a profile set whose memory is full may have dropped it already.
+func (f *Front) resolve(p *pendingCheck, req *request, valid bool) (*gateway.Call, *httpwire.Response) {
+	if p.profileSet != f.policy.ProfileSet {
 		return f.authorize(req)
 	}
 	if !valid {
@@ -143,11 +143,11 @@
 // abandonCheck removes a request from those that wait for its check; a queued check
 // without requests is cancelled.
 func (f *Front) abandonCheck(req *request) {
-	p := req.proof
+	p := req.check
 	if p == nil {
 		return
 	}
-	req.proof = nil
+	req.check = nil
 	if i := slices.Index(p.requests, req); i >= 0 {
 		p.requests = slices.Delete(p.requests, i, i+1)
 	}
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -74,12 +74,12 @@
 
 // Policy is what requests are authorized by. A reload replaces it as a whole.
 type Policy struct {
-	Set     *grants.ProfileSet
-	Uses    map[string]UseLimit // by profile
-	Tenants map[string]Tenant   // by name
-	Revoked *revoked.List
-	CORS    *CORS
-	Classes []Class
+	ProfileSet *grants.ProfileSet
+	Uses       map[string]UseLimit // by profile
+	Tenants    map[string]Tenant   // by name
+	Revoked    *revoked.List
+	CORS       *CORS
+	Classes    []Class
 }
 
 // SharedLimits are the limits and verdicts of the whole fleet.
@@ -87,8 +87,8 @@
 	// Take admits one request under all its claims or, if a limit refuses it, takes from
 	// none and gives the time after which to retry and the reason.
 	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
-	// Done releases what Take took.
-	Done(taken []*quotalease.Bucket)
+	// Release gives back what Take took.
+	Release(taken []*quotalease.Bucket)
 	// Forged records a forged signature from a prefix; Suspect reports whether the
 	// fleet's verdict is that a prefix forges signatures.
 	Forged(p netip.Prefix)
@@ -114,7 +114,7 @@
 	log      *slog.Logger
 	pool     *workers.Pool
 	queue    *fairqueue.Queue
-	proofs   map[*grants.PendingSignature]*proof
+	checks   map[*grants.PendingSignature]*pendingCheck
 	suspects *abuse.Sketch
 	rates    *ratelimit.Rates
 	uses     *ratelimit.Uses
@@ -133,7 +133,7 @@
 		return nil, fmt.Errorf("signed: %w", err)
 	}
 	return &Front{policy: policy, now: now, wall: wall, log: log, pool: pool, queue: fairqueue.New(cfg.MaxQueue),
-		proofs: map[*grants.PendingSignature]*proof{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
+		checks: map[*grants.PendingSignature]*pendingCheck{}, suspects: abuse.New(binary.BigEndian.Uint64(seed[8:])),
 		rates: ratelimit.NewRates(cfg.MaxRates), uses: ratelimit.NewUses(cfg.MaxUses), variants: encoding.New(cfg.EncodedBytes),
 		idBase: binary.BigEndian.Uint64(seed[:])}, nil
 }
@@ -156,7 +156,7 @@
 	useToken       [16]byte             // digest of the token, where its uses are counted
 	useTaken       bool                 // a use of it is to be released
 	origin         string               // value of Access-Control-Allow-Origin; empty: none
-	proof          *proof               // check that the request waits for
+	check          *pendingCheck        // check that the request waits for
 }
 
 // HandleRequest admits a request, refuses it, or has it wait until its signature is
@@ -182,7 +182,7 @@
 // authorize checks a request's grant, revocations and target, and then admits it or has
 // it wait for the check of its signature.
 func (f *Front) authorize(req *request) (*gateway.Call, *httpwire.Response) {
-	d := f.policy.Set.Authorize(&req.grantRequest)
+	d := f.policy.ProfileSet.Authorize(&req.grantRequest)
 	req.grant = d.Grant
 	if d.Refusal != "" {
 		return nil, f.refuse(req, 403, string(d.Refusal), 0)
@@ -310,7 +310,7 @@
 		req.claims = nil
 	}
 	if req.shared != nil {
-		f.shared.Done(req.shared)
+		f.shared.Release(req.shared)
 		req.shared = nil
 	}
 	if req.useTaken {
--- a/internal/program/policy.go
+++ b/internal/program/policy.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Done implements signed.Shared.
-func (policy *fleetPolicy) Done(taken []*quotalease.Bucket) {
+// Release implements signed.SharedLimits.
+func (policy *fleetPolicy) Release(taken []*quotalease.Bucket) {
 	for _, b := range taken {
 		b.Release()
 	}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -350,7 +350,7 @@
 
 // signedPolicy returns the policy for signed links from the operator's file.
 func (p *program) signedPolicy(s *config.Signed) signed.Policy {
-	policy := signed.Policy{Set: s.GrantSet, Uses: map[string]signed.UseLimit{}, Tenants: map[string]signed.Tenant{}, Revoked: s.RevokedList}
+	policy := signed.Policy{ProfileSet: s.ProfileSet, Uses: map[string]signed.UseLimit{}, Tenants: map[string]signed.Tenant{}, Revoked: s.RevokedList}
 	for name, x := range s.ProfilesByName {
 		policy.Uses[name] = signed.UseLimit{Max: x.Uses, RetryWindow: int64(*x.RetryMS) * 1000}
 	}
--- a/lab/conformance/conformance_test.go
+++ b/lab/conformance/conformance_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, pure, names := o.Signed.GrantSet, 0, map[string]bool{}
+	set, pure, names := o.Signed.ProfileSet, 0, map[string]bool{}
 	for _, c := range w.Cases() {
 		if names[c.Name] {
 			t.Errorf("two cases are named %s", c.Name)
