--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -142,8 +142,8 @@
 	}
 	newTaskMailbox := func() *mailbox[any] {
 		return newMailbox(ctx, mailboxSize, &ex.counts.Dropped, func(m any) string {
-			if k, ok := m.(interface{ replaces() string }); ok {
-				return k.replaces()
+			if k, ok := m.(interface{ replaceKey() string }); ok {
+				return k.replaceKey()
 			}
 			return ""
 		})
