--- a/cmd/ramplab/exchange.go
+++ b/cmd/ramplab/exchange.go
@@ -34,11 +34,11 @@
 	if err != nil {
 		return err
 	}
-	o := fleet.Shared{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, Limit: c.Limit, Burst: c.Burst, Rate: c.Rate, Reads: c.Reads, Boxes: 2, Keep: c.Keep}
+	o := fleet.ExchangeOptions{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, Limit: c.Limit, Burst: c.Burst, Rate: c.Rate, Reads: c.Reads, Boxes: 2, HistoryDir: c.Keep}
 	if c.Verbose {
 		o.Verbose = func(line string) { fmt.Println(line) }
 	}
-	r, err := fleet.PlayShared(o, c.For, c.Chaos)
+	r, err := fleet.PlayExchange(o, c.For, c.Chaos)
 	if r.Verdict == nil {
 		return err
 	}
--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.NewProcesses(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Lines: c.Fronts <= 12})
+	f, err := fleet.NewProcesses(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, UseProxies: c.Fronts <= 12})
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		case <-end:
 		case <-over:
 		case <-look.C:
-			f.Revive(5 * time.Second)
+			f.RestartEnded(5 * time.Second)
 			view := fleetView(f)
 			if live {
 				fmt.Print("\x1b[H\x1b[2J" + view)
@@ -153,7 +153,7 @@
 	if c.Verbose {
 		say = func(line string) { fmt.Println(line) }
 	}
-	r, err := fleet.PlayVersions(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, Lines: true}, c.For, c.Rate, c.Chaos, say)
+	r, err := fleet.PlayVersions(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, say)
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 	if c.Verbose {
 		say = func(line string) { fmt.Println(line) }
 	}
-	r, err := fleet.Play(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, Lines: true}, c.For, c.Rate, c.Chaos, say)
+	r, err := fleet.Play(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, say)
 	if err != nil {
 		return err
 	}
@@ -238,9 +238,9 @@
 		}
 		return c.tell(r, len(r.Broken) > 0)
 	}
-	d, _ := s.Virtual(statemachine.Mutation(c.Without), say)
+	d, _ := s.PlayVirtual(statemachine.Mutation(c.Without), say)
 	if len(d.Broken) > 0 && !c.JSON {
-		short, _, w := s.Shortest(statemachine.Mutation(c.Without))
+		short, _, w := s.Minimize(statemachine.Mutation(c.Without))
 		fmt.Printf("broken, and so is what is left of the day:\n%s\nthe last of what happened in it:\n", short)
 		w.Dump(os.Stdout, 40)
 	}
@@ -255,11 +255,11 @@
 	began := time.Now()
 	total := fleet.Result{}
 	for i := range c.Days {
-		spec := fleet.Spec{Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed + uint64(i), Without: statemachine.Mutation(c.Without)}
+		spec := fleet.Spec{Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed + uint64(i), Mutation: statemachine.Mutation(c.Without)}
 		if c.Random {
-			spec = fleet.Random(spec.Seed, spec.Without)
+			spec = fleet.RandomSpec(spec.Seed, spec.Mutation)
 		}
-		d, w := fleet.Chaos(spec, fleet.Micros(c.For.Microseconds()), say)
+		d, w := fleet.PlayRandomDay(spec, fleet.Micros(c.For.Microseconds()), say)
 		total.Add(d)
 		if len(d.Broken) > 0 {
 			if !c.JSON {
@@ -286,7 +286,7 @@
 // as it still does.
 func shortest(spec fleet.Spec, d fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
 	for step := span / 2; step >= fleet.Second; {
-		if x, world := fleet.Chaos(spec, span-step, nil); span > step && len(x.Broken) > 0 {
+		if x, world := fleet.PlayRandomDay(spec, span-step, nil); span > step && len(x.Broken) > 0 {
 			d, w, span = x, world, span-step
 		} else {
 			step /= 2
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -41,23 +41,23 @@
 	}
 	b.ReportMetric(float64(w.Now())/1e6, "s-to-settle")
 	w.Run(w.Now() + 10*Second)
-	clear(w.Sent)
-	clear(w.Bytes)
+	clear(w.MessagesSent)
+	clear(w.BytesSent)
 	leader, began := w.Leader(), w.Now()
 	const span = 60
 	if busy {
 		for i := range 10 {
 			w.After(Micros(i)*6*Second, func() {
-				w.Ask(w.Fronts[1], maintenance.Operation{Machine: fmt.Sprintf("box%d", i), Kind: maintenance.Box, Zone: fmt.Sprint(i), Duration: Second}, func(statemachine.Result, error) {})
+				w.RequestOperation(w.Fronts[1], maintenance.Operation{Machine: fmt.Sprintf("box%d", i), Kind: maintenance.Box, Zone: fmt.Sprint(i), Duration: Second}, func(statemachine.Result, error) {})
 			})
 			w.After(Micros(i)*6*Second+4*Second, func() {
-				w.Order(w.Fronts[1], statemachine.Order{Action: statemachine.Finish, Operation: uint64(i + 1)}, func(statemachine.Result, error) {})
+				w.SubmitOrder(w.Fronts[1], statemachine.Order{Action: statemachine.Finish, Operation: uint64(i + 1)}, func(statemachine.Result, error) {})
 			})
 		}
 	}
 	w.Run(began + span*Second)
-	if w.Leader() != leader || w.Checks.Failed() {
-		b.Fatalf("the leader changed, or %v", w.Checks.Broken())
+	if w.Leader() != leader || w.Checker.Failed() {
+		b.Fatalf("the leader changed, or %v", w.Checker.Violations())
 	}
 	sent, bytes, n := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, f := range w.Fronts {
@@ -70,8 +70,8 @@
 			role = "voter"
 		}
 		n[role]++
-		sent[role] += w.Sent[f.Name]
-		bytes[role] += w.Bytes[f.Name]
+		sent[role] += w.MessagesSent[f.Name]
+		bytes[role] += w.BytesSent[f.Name]
 	}
 	for role := range n {
 		b.ReportMetric(float64(sent[role])/float64(n[role])/span, "msg/s-"+role)
@@ -92,7 +92,7 @@
 		b.Fatal(err)
 	}
 	if err := Await(within, f.Settled); err != nil {
-		b.Fatal(err, f.Unsettled())
+		b.Fatal(err, f.StatusReport())
 	}
 	return f
 }
@@ -128,8 +128,8 @@
 			elect = append(elect, time.Since(began))
 			var id uint64
 			var err error
-			for id, err = at.Ask(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
-				id, err = at.Ask(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
+			for id, err = at.RequestOperation(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
+				id, err = at.RequestOperation(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
 			}
 			for phase(at, "s-0") == "asked" {
 				time.Sleep(5 * time.Millisecond)
@@ -140,7 +140,7 @@
 				b.Fatal(err)
 			}
 			if err := Await(within, f.Settled); err != nil {
-				b.Fatal(err, f.Unsettled())
+				b.Fatal(err, f.StatusReport())
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 			}
 			back = append(back, time.Since(began))
 			if err := Await(within, f.Settled); err != nil {
-				b.Fatal(err, f.Unsettled())
+				b.Fatal(err, f.StatusReport())
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 		time.Sleep(2 * time.Second)
 		began := time.Now()
 		for _, p := range f.List {
-			if _, err := f.List[0].Ask(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true, Reason: "upgrade"}); err != nil {
+			if _, err := f.List[0].RequestOperation(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true, Reason: "upgrade"}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -230,7 +230,7 @@
 		b.ReportMetric(took.Seconds(), "s-all-restarted")
 		b.ReportMetric(float64(clients.Lost.Load()), "lost")
 		b.ReportMetric(float64(clients.Served.Load()), "served")
-		b.ReportMetric(float64(clients.Refused.Load()+clients.Failed.Load()+clients.Nowhere.Load()), "refused-or-failed")
+		b.ReportMetric(float64(clients.Refused.Load()+clients.Failed.Load()+clients.Unreachable.Load()), "refused-or-failed")
 		b.ReportMetric(float64(clients.Crashed.Load()), "crashed-under")
 		if first != "" {
 			b.Log(first)
--- a/lab/fleet/boxes.go
+++ b/lab/fleet/boxes.go
@@ -22,16 +22,16 @@
 type Box struct {
 	Name, Zone, Kind string
 
-	s      *Stand
+	s      *Backends
 	ln     net.Listener
 	mu     sync.Mutex
 	copies map[string]filled
 	conns  map[net.Conn]bool
 
-	Taken atomic.Int64
-	Delay atomic.Int64 // us added to each answer
-	Fail  atomic.Int64 // percent of answers that are errors
-	Cold  atomic.Bool  // it forgets what it holds at the next request
+	Requests     atomic.Int64
+	Delay        atomic.Int64 // us added to each answer
+	FailPercent  atomic.Int64 // percent of answers that are errors
+	ForgetCopies atomic.Bool  // it forgets what it holds at the next request
 }
 
 // filled is a copy: when the store gave it out, by both clocks.
@@ -41,7 +41,7 @@
 }
 
 // Stand is the boxes and the store before which the fronts of a day stand.
-type Stand struct {
+type Backends struct {
 	Boxes []*Box
 	Store *Box
 	Fills atomic.Int64
@@ -51,8 +51,8 @@
 }
 
 // NewStand starts so many boxes in each of the zones, and a store.
-func NewStand(zones []string, boxes int, hist *history.Writer) (*Stand, error) {
-	s := &Stand{hist: hist}
+func NewBackends(zones []string, boxes int, hist *history.Writer) (*Backends, error) {
+	s := &Backends{hist: hist}
 	for _, z := range zones {
 		for i := range boxes {
 			b, err := s.box(fmt.Sprintf("box-%s-%d", z, i), z, "box")
@@ -82,7 +82,7 @@
 	return s, nil
 }
 
-func (s *Stand) box(name, zone, kind string) (*Box, error) {
+func (s *Backends) box(name, zone, kind string) (*Box, error) {
 	ln, err := loopbacktest.Listen()
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 }
 
 // Close ends all.
-func (s *Stand) Close() {
+func (s *Backends) Close() {
 	for _, b := range append(s.Boxes, s.Store) {
 		if b == nil {
 			continue
@@ -123,7 +123,7 @@
 
 // Members is the list of servers, as the notice board has it. Reach gives the address at
 // which a front reaches a box.
-func (s *Stand) Members(reach func(b *Box) string) string {
+func (s *Backends) Members(reach func(b *Box) string) string {
 	var list []string
 	for _, b := range append(s.Boxes, s.Store) {
 		list = append(list, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":%q,"cell":0,"phase":"SERVING","size":100,"up_since_ms":0}`,
@@ -175,7 +175,7 @@
 				name, value, _ := strings.Cut(f, "=")
 				fields[name] = value
 			}
-			b.Taken.Add(1)
+			b.Requests.Add(1)
 			if d := b.Delay.Load(); d > 0 {
 				time.AfterFunc(time.Duration(d)*time.Microsecond, func() { write(b.answer(words[1], fields)) })
 			} else {
@@ -188,13 +188,13 @@
 const bodySize = 600
 
 func (b *Box) answer(id string, fields map[string]string) string {
-	n := b.Taken.Load()
-	if p := b.Fail.Load(); p > 0 && n*37%100 < p {
+	n := b.Requests.Load()
+	if p := b.FailPercent.Load(); p > 0 && n*37%100 < p {
 		return id + " error - 0\r\n\r\n"
 	}
 	object := fields["name"]
 	b.mu.Lock()
-	if b.Cold.CompareAndSwap(true, false) {
+	if b.ForgetCopies.CompareAndSwap(true, false) {
 		clear(b.copies)
 	}
 	f, ok := b.copies[object]
--- a/lab/fleet/chaos.go
+++ b/lab/fleet/chaos.go
@@ -28,7 +28,7 @@
 // Chaos plays a random day: works asked for at any front, while fronts crash, stop,
 // lose their disks and contact; then all is well again, and what must hold then is
 // looked at. Span is the bad part's length.
-func Chaos(s Spec, span Micros, verbose func(string)) (Day, *World) {
+func PlayRandomDay(s Spec, span Micros, verbose func(string)) (Day, *World) {
 	r := rand.New(rand.NewPCG(s.Seed, 0xc4a05))
 	if s.Rules == (maintenance.Rules{}) {
 		s.Rules = ShortRules()
@@ -52,7 +52,7 @@
 		c.proposing(w.now + span)
 	}
 	c.end = w.now + span
-	w.Checks.onLeave = c.ambush
+	w.Checker.onLeave = c.ambush
 	c.troubles(w.now + span)
 	w.Run(w.now + span)
 	return c.finish(), w
@@ -66,16 +66,16 @@
 	w.Run(w.now + 12*Second) // so long an asking may be on its way
 	well := func() bool { c.tend(); return c.over() && w.Settled() }
 	ok := w.RunUntil(600*Second, well)
-	if !ok && !w.Checks.Failed() {
-		w.Checks.fail("600 s after contact was back the fleet is not well")
+	if !ok && !w.Checker.Failed() {
+		w.Checker.fail("600 s after contact was back the fleet is not well")
 	}
-	w.Checks.End()
+	w.Checker.CheckFinal()
 	if l := w.Leader(); l != nil {
 		c.day.Entries = l.node.Applied()
 		c.day.Ended = len(l.node.Replica().State().Maintenance.Ended)
 	}
-	c.day.Bars = w.Checks.Bars
-	c.day.Most, c.day.Checked, c.day.Digest, c.day.Broken = w.Checks.Most, w.Checks.Checked, w.Digest(), w.Checks.Broken()
+	c.day.Bars = w.Checker.GatesPassed
+	c.day.Most, c.day.Checked, c.day.Digest, c.day.Broken = w.Checker.MaxOut, w.Checker.StatesCompared, w.Digest(), w.Checker.Violations()
 	return c.day
 }
 
@@ -109,13 +109,13 @@
 			for _, o := range w.Fronts {
 				w.Cut(f.Name, o.Name, true)
 			}
-			after(func() { w.Part() })
+			after(func() { w.Partition() })
 		case 3: // or nothing at all
 			for _, o := range w.Fronts {
 				w.Cut(f.Name, o.Name, true)
 				w.Cut(o.Name, f.Name, true)
 			}
-			after(func() { w.Part() })
+			after(func() { w.Partition() })
 		case 4: // what it says comes late
 			w.lag[f.Name] = 3*Second + Micros(c.r.Int64N(int64(6*Second)))
 			after(func() { delete(w.lag, f.Name) })
@@ -147,11 +147,11 @@
 		c.day.Asked++
 		for i := range 1 + c.r.IntN(2) {
 			x.Reason = fmt.Sprintf("asking %d.%d", c.day.Asked, i)
-			w.Ask(c.front(), x, func(statemachine.Result, error) {})
+			w.RequestOperation(c.front(), x, func(statemachine.Result, error) {})
 		}
 		if c.r.IntN(5) == 0 {
 			what := []string{statemachine.Cancel, statemachine.Finish, statemachine.Lost, statemachine.Hold, statemachine.Resume}[c.r.IntN(5)]
-			w.Order(c.front(), statemachine.Order{Action: what, Operation: uint64(1 + c.r.IntN(c.day.Asked))}, func(statemachine.Result, error) {})
+			w.SubmitOrder(c.front(), statemachine.Order{Action: what, Operation: uint64(1 + c.r.IntN(c.day.Asked))}, func(statemachine.Result, error) {})
 		}
 		c.tend()
 		c.asking(until)
@@ -217,7 +217,7 @@
 			}
 			continue
 		}
-		c.w.Order(l, statemachine.Order{Action: statemachine.Finish, Operation: x.ID}, func(statemachine.Result, error) {})
+		c.w.SubmitOrder(l, statemachine.Order{Action: statemachine.Finish, Operation: x.ID}, func(statemachine.Result, error) {})
 	}
 }
 
@@ -256,17 +256,17 @@
 					w.Cut(f.Name, o.Name, true)
 				}
 			}
-			after(func() { w.Part() })
+			after(func() { w.Partition() })
 		case 6: // two halves, or a pair that only hear each other
 			names := c.shuffled()
 			n := 1 + c.r.IntN(len(names))
-			w.Part(names[:n], names[n:])
-			after(func() { w.Part() })
+			w.Partition(names[:n], names[n:])
+			after(func() { w.Partition() })
 		case 7: // a bridge: both halves reach one
 			names := c.shuffled()
 			if n := len(names) / 2; n > 0 {
-				w.Part(append(slices.Clone(names[:n]), names[n]), names[n:])
-				after(func() { w.Part() })
+				w.Partition(append(slices.Clone(names[:n]), names[n]), names[n:])
+				after(func() { w.Partition() })
 			}
 		case 8: // a zone at once
 			for _, o := range w.Fronts {
@@ -342,7 +342,7 @@
 func (c *chaos) heal() {
 	w := c.w
 	w.log("all is well again")
-	w.Part()
+	w.Partition()
 	w.loss, w.double, w.delay, w.jitter = 0, 0, Milli, Milli
 	clear(w.lag)
 	for _, f := range w.Fronts {
@@ -355,12 +355,12 @@
 			f.Pause(false)
 			f.Start()
 		}
-		w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
+		w.SubmitOrder(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 	})
 	w.After(20*Second, func() {
-		w.Part()
+		w.Partition()
 		if l := w.Leader(); l != nil {
-			w.Order(l, statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
+			w.SubmitOrder(l, statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 		}
 	})
 }
@@ -401,10 +401,10 @@
 }
 
 // Days plays so many random days, of fleets of different sizes, until one breaks a promise.
-func Days(from uint64, days int, without statemachine.Mutation, progress func(done int)) (res Result) {
+func PlayRandomDays(from uint64, days int, without statemachine.Mutation, progress func(done int)) (res Result) {
 	for i := range days {
 		seed := from + uint64(i)
-		d, w := Chaos(Random(seed, without), 60*Second, nil)
+		d, w := PlayRandomDay(RandomSpec(seed, without), 60*Second, nil)
 		res.Add(d)
 		if len(d.Broken) > 0 {
 			res.First, res.World = &d, w
@@ -418,7 +418,7 @@
 }
 
 // Random is a random day's fleet.
-func Random(seed uint64, without statemachine.Mutation) Spec {
+func RandomSpec(seed uint64, without statemachine.Mutation) Spec {
 	r := rand.New(rand.NewPCG(seed, 0x51fe))
-	return Spec{Fronts: []int{3, 3, 4, 5, 5, 7, 9, 12}[r.IntN(8)], Zones: 1 + r.IntN(4), Seed: seed, FanOut: 2 + r.IntN(6), Without: without}
+	return Spec{Fronts: []int{3, 3, 4, 5, 5, 7, 9, 12}[r.IntN(8)], Zones: 1 + r.IntN(4), Seed: seed, FanOut: 2 + r.IntN(6), Mutation: without}
 }
--- a/lab/fleet/chaos_test.go
+++ b/lab/fleet/chaos_test.go
@@ -10,15 +10,15 @@
 
 // Random days, none of which breaks a promise; the same seed plays the same day.
 func TestRandomDays(t *testing.T) {
-	res := Days(1, 40, "", nil)
+	res := PlayRandomDays(1, 40, "", nil)
 	if res.First != nil {
 		res.World.Dump(t.Output(), 150)
 		t.Fatalf("seed %d, %d fronts: %v", res.First.Seed, res.First.Fronts, res.First.Broken)
 	}
 	t.Logf("%+v", res)
 	for seed := range uint64(12) {
-		a, _ := Chaos(Random(70+seed, ""), 30*Second, nil)
-		b, _ := Chaos(Random(70+seed, ""), 30*Second, nil)
+		a, _ := PlayRandomDay(RandomSpec(70+seed, ""), 30*Second, nil)
+		b, _ := PlayRandomDay(RandomSpec(70+seed, ""), 30*Second, nil)
 		if a.Digest != b.Digest || a.Checked != b.Checked {
 			t.Errorf("two plays of seed %d differ: %+v, %+v", 70+seed, a, b)
 		}
@@ -37,22 +37,22 @@
 	for _, x := range []whole{{statemachine.DisableFence, late}, {statemachine.DisableLostCount, lost}, {statemachine.DisableMajority, majority}, {statemachine.DisableDedup, twice},
 		{statemachine.DisableDrift, alone}, {statemachine.DisableLeaseCheck, alone}} {
 		t.Run(string(x.rule), func(t *testing.T) {
-			if w := x.play(t, ""); w.Checks.Failed() {
+			if w := x.play(t, ""); w.Checker.Failed() {
 				w.Dump(t.Output(), 60)
-				t.Error(w.Checks.Broken())
+				t.Error(w.Checker.Violations())
 			}
 			w := x.play(t, x.rule)
-			if !w.Checks.Failed() {
+			if !w.Checker.Failed() {
 				w.Dump(t.Output(), 60)
 				t.Error("not found")
 			}
-			t.Log(w.Checks.Broken()[:min(1, len(w.Checks.Broken()))])
+			t.Log(w.Checker.Violations()[:min(1, len(w.Checker.Violations()))])
 		})
 	}
 }
 
 func asks(t *testing.T, w *World, at, f *Front, why string) {
-	w.Ask(at, maintenance.Operation{Machine: f.Name, Duration: Second, Reason: why}, func(word statemachine.Result, err error) {
+	w.RequestOperation(at, maintenance.Operation{Machine: f.Name, Duration: Second, Reason: why}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -74,7 +74,7 @@
 func lost(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
 	r.UnhealthyPercent = 100
-	return besideDead(t, Spec{Fronts: 5, Zones: 5, Seed: 5, Rules: r, Without: without})
+	return besideDead(t, Spec{Fronts: 5, Zones: 5, Seed: 5, Rules: r, Mutation: without})
 }
 
 // besideDead has a front die, and another one asked for beside it.
@@ -95,7 +95,7 @@
 func alone(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
 	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.LeaseSpan = 3, 3, 100, 60*Second
-	w := up(t, Spec{Fronts: 5, Zones: 5, Seed: 9, Rules: r, Without: without})
+	w := up(t, Spec{Fronts: 5, Zones: 5, Seed: 9, Rules: r, Mutation: without})
 	cut := others(w)[0]
 	for _, f := range w.Fronts {
 		before := f.clock()
@@ -111,7 +111,7 @@
 		w.Cut(f.Name, cut.Name, true)
 	}
 	w.Run(w.Now() + 5*Second)
-	w.Ask(w.Leader(), maintenance.Operation{Machine: "box", Kind: maintenance.Box, Zone: "z", Duration: 300 * Second, Urgent: true}, func(word statemachine.Result, err error) {
+	w.RequestOperation(w.Leader(), maintenance.Operation{Machine: "box", Kind: maintenance.Box, Zone: "z", Duration: 300 * Second, Urgent: true}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -135,12 +135,12 @@
 func majority(t *testing.T, without statemachine.Mutation) *World {
 	r := ShortRules()
 	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.UnhealthyPercent = 3, 3, 100, 100
-	return besideDead(t, Spec{Fronts: 3, Zones: 3, Seed: 6, Rules: r, Without: without})
+	return besideDead(t, Spec{Fronts: 3, Zones: 3, Seed: 6, Rules: r, Mutation: without})
 }
 
 // twice: what was asked for comes again, long after the work was done.
 func twice(t *testing.T, without statemachine.Mutation) *World {
-	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Without: without})
+	w := up(t, Spec{Fronts: 3, Zones: 3, Seed: 7, Mutation: without})
 	o := others(w)
 	var seen []consensus.Message
 	w.tap = func(from string, s consensus.Message) {
@@ -154,7 +154,7 @@
 	}
 	w.tap = nil
 	w.RunUntil(10*Second, func() bool {
-		w.Order(w.Leader(), statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
+		w.SubmitOrder(w.Leader(), statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
 		return o[1].node.Replica().State().Maintenance.ForMachine(o[1].Name) == nil
 	})
 	for _, s := range seen {
@@ -169,7 +169,7 @@
 // late plays an acceptance that comes after the leave was taken back and given to
 // another: a front that is stopped, or not heard, with leave in hand.
 func late(t *testing.T, without statemachine.Mutation) *World {
-	w := up(t, Spec{Fronts: 5, Zones: 3, Seed: 3, Without: without})
+	w := up(t, Spec{Fronts: 5, Zones: 3, Seed: 3, Mutation: without})
 	leader := w.Leader()
 	var a, b *Front
 	for _, f := range w.Fronts {
@@ -177,7 +177,7 @@
 			a, b = b, f
 		}
 	}
-	w.Checks.onLeave = func(x maintenance.Operation) {
+	w.Checker.onLeave = func(x maintenance.Operation) {
 		if x.Machine == a.Name && x.Permit == 1 {
 			w.lag[a.Name] = 7 * Second // its acceptance is on its way
 		}
--- a/lab/fleet/check.go
+++ b/lab/fleet/check.go
@@ -12,25 +12,25 @@
 // Checker holds the promises against what a world's fronts show. It asks for no
 // decision: it counts who is out, and compares what they hold.
 type Checker struct {
-	w        *World
-	broken   []string
-	state    map[uint64]uint64 // by index: the digest of what is held there
-	leaders  map[uint64]uint64 // by term
-	permits  map[uint64]string // by number: the machine
-	applied  map[string]uint64 // by front
-	out      map[string]string // fronts that are truly out: their zones
-	asked    map[string]uint64 // by what only one asking has in its reason: the work
-	told     uint64            // the highest permit seen
-	term     uint64            // the newest, and since when it has a leader
-	ledSince Micros
-	boxes    map[string]uint64 // boxes that are out: the entry at which that was seen first
-	barred   uint64
-	life     map[string]uint64           // in which a front took a version up
-	lived    map[string]bool             // it went on with it
-	Bars     int                         // that have passed
-	onLeave  func(maintenance.Operation) // is told of each leave as soon as any front has applied it
-	Most     int                         // out at once
-	Checked  int
+	w              *World
+	violations     []string
+	state          map[uint64]uint64 // by index: the digest of what is held there
+	leaders        map[uint64]uint64 // by term
+	permits        map[uint64]string // by number: the machine
+	applied        map[string]uint64 // by front
+	out            map[string]string // fronts that are truly out: their zones
+	asked          map[string]uint64 // by what only one asking has in its reason: the work
+	told           uint64            // the highest permit seen
+	term           uint64            // the newest, and since when it has a leader
+	ledSince       Micros
+	boxes          map[string]uint64 // boxes that are out: the entry at which that was seen first
+	barred         uint64
+	life           map[string]uint64           // in which a front took a version up
+	lived          map[string]bool             // it went on with it
+	GatesPassed    int                         // that have passed
+	onLeave        func(maintenance.Operation) // is told of each leave as soon as any front has applied it
+	MaxOut         int                         // out at once
+	StatesCompared int
 }
 
 func newChecker(w *World) *Checker {
@@ -47,14 +47,14 @@
 )
 
 // Failed tells whether a promise was broken.
-func (c *Checker) Failed() bool { return len(c.broken) > 0 }
+func (c *Checker) Failed() bool { return len(c.violations) > 0 }
 
 // Broken is the promises that were.
-func (c *Checker) Broken() []string { return c.broken }
+func (c *Checker) Violations() []string { return c.violations }
 
 func (c *Checker) fail(format string, args ...any) {
-	if len(c.broken) < 10 {
-		c.broken = append(c.broken, fmt.Sprintf(format, args...))
+	if len(c.violations) < 10 {
+		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 		c.w.log("BROKEN: "+format, args...)
 	}
 }
@@ -84,7 +84,7 @@
 	if len(c.w.Fronts) > largeFleet && at%sampleOf != 0 {
 		return
 	}
-	c.Checked++
+	c.StatesCompared++
 	h := fnv.New64a()
 	_, _ = h.Write(n.Replica().Snapshot())
 	sum := h.Sum64()
@@ -151,7 +151,7 @@
 		zones[z]++
 	}
 	r := c.w.spec.Rules
-	c.Most = max(c.Most, len(c.out))
+	c.MaxOut = max(c.MaxOut, len(c.out))
 	if len(c.out) > r.MaxOut {
 		c.fail("%d fronts are out under a permit, %d may be: %v", len(c.out), r.MaxOut, c.out)
 	}
@@ -198,7 +198,7 @@
 func (c *Checker) version(f *Front) {
 	s := &f.node.Replica().State().Rollout
 	if s.EnforcedMin > c.barred {
-		c.barred, c.Bars = s.EnforcedMin, c.Bars+1
+		c.barred, c.GatesPassed = s.EnforcedMin, c.GatesPassed+1
 		for _, o := range c.w.Fronts { // at that very moment, whoever may
 			if o.node != nil && !o.paused {
 				c.older(o)
@@ -267,7 +267,7 @@
 
 // End tells what must hold once contact is back: every front that is up holds the
 // same, and every work that was asked for has ended.
-func (c *Checker) End() {
+func (c *Checker) CheckFinal() {
 	var last *Front
 	for _, f := range c.w.Fronts {
 		if f.node == nil {
--- a/lab/fleet/clients.go
+++ b/lab/fleet/clients.go
@@ -23,11 +23,11 @@
 	wg     sync.WaitGroup
 	number atomic.Uint64
 
-	Served, Refused, Failed, Nowhere atomic.Int64
-	Crashed                          atomic.Int64 // the front was killed or stopped under them
-	Lost                             atomic.Int64
-	mu                               sync.Mutex
-	first                            string // what became of the first that was lost
+	Served, Refused, Failed, Unreachable atomic.Int64
+	Crashed                              atomic.Int64 // the front was killed or stopped under them
+	Lost                                 atomic.Int64
+	mu                                   sync.Mutex
+	first                                string // what became of the first that was lost
 }
 
 const (
@@ -73,7 +73,7 @@
 	n := c.number.Add(1)
 	for k := range c.f.List {
 		p := c.f.List[(int(n)+k)%len(c.f.List)]
-		killed, pid, stopped := p.Killed.Load(), p.Pid(), p.Stopped()
+		killed, pid, stopped := p.Interruptions.Load(), p.Pid(), p.Stopped()
 		r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/call/page-asset/o%d", p.Listen, n%50), nil)
 		if err != nil {
 			panic(err) // the address is the laboratory's own
@@ -89,7 +89,7 @@
 		switch {
 		case err != nil && (errors.Is(err, syscall.ECONNREFUSED) || isDial(err)):
 			continue
-		case err != nil && (stopped || p.Killed.Load() != killed || p.Pid() != pid):
+		case err != nil && (stopped || p.Interruptions.Load() != killed || p.Pid() != pid):
 			c.Crashed.Add(1)
 		case err != nil:
 			c.Lost.Add(1)
@@ -107,7 +107,7 @@
 		}
 		return
 	}
-	c.Nowhere.Add(1)
+	c.Unreachable.Add(1)
 }
 
 // isDial tells whether a connection did not come up: nothing was sent.
--- a/lab/fleet/exchange.go
+++ b/lab/fleet/exchange.go
@@ -24,21 +24,21 @@
 )
 
 // Shared is what a day of the exchange is set up with.
-type Shared struct {
-	Fronts   int
-	Zones    int
-	Seed     uint64
-	Limit    float64         // requests a second of the tenant, hard
-	Burst    float64         //
-	Rate     float64         // requests a second that clients ask for under it, at all fronts together
-	Reads    float64         // requests a second beside it
-	Boxes    int             // a zone
-	Off      map[string]bool // subjects of the section that are left out: limits, purges, verdicts, paths, all
-	Section  map[string]any  // beside what the day sets
-	Keep     string          // the folder of the histories; empty: one that goes with the day
-	Program  string
-	Verbose  func(string)
-	Settings func(map[string]any)
+type ExchangeOptions struct {
+	Fronts     int
+	Zones      int
+	Seed       uint64
+	Limit      float64         // requests a second of the tenant, hard
+	Burst      float64         //
+	Rate       float64         // requests a second that clients ask for under it, at all fronts together
+	Reads      float64         // requests a second beside it
+	Boxes      int             // a zone
+	Disabled   map[string]bool // subjects of the section that are left out: limits, purges, verdicts, paths, all
+	Section    map[string]any  // beside what the day sets
+	HistoryDir string          // the folder of the histories; empty: one that goes with the day
+	Program    string
+	Verbose    func(string)
+	Settings   func(map[string]any)
 }
 
 const secret = "0123456789abcdef0123456789abcdef"
@@ -55,11 +55,11 @@
 }
 
 // SharedDay is started fronts that exchange, with clients, boxes and histories.
-type SharedDay struct {
+type ExchangeDay struct {
 	*Processes
-	Stand                                  *Stand
-	Folder                                 string
-	o                                      Shared
+	Backends                               *Backends
+	HistoryDir                             string
+	o                                      ExchangeOptions
 	world                                  *history.Writer
 	asks                                   *history.Writer
 	http                                   *http.Client
@@ -76,15 +76,15 @@
 }
 
 // NewDay sets a day up and starts its fronts; it waits until they serve.
-func NewDay(o Shared) (d *SharedDay, err error) {
-	d = &SharedDay{o: o, Folder: o.Keep, keepIt: o.Keep != "", objects: 60, began: time.Now()}
-	if d.Folder == "" {
-		if d.Folder, err = os.MkdirTemp("", "history"); err != nil {
+func NewExchangeDay(o ExchangeOptions) (d *ExchangeDay, err error) {
+	d = &ExchangeDay{o: o, HistoryDir: o.HistoryDir, keepIt: o.HistoryDir != "", objects: 60, began: time.Now()}
+	if d.HistoryDir == "" {
+		if d.HistoryDir, err = os.MkdirTemp("", "history"); err != nil {
 			return nil, err
 		}
-	} else if list, e := os.ReadDir(d.Folder); e == nil && len(list) > 0 {
-		return nil, fmt.Errorf("%s holds something already: a history begins in an empty folder", d.Folder)
-	} else if err = os.MkdirAll(d.Folder, 0o700); err != nil {
+	} else if list, e := os.ReadDir(d.HistoryDir); e == nil && len(list) > 0 {
+		return nil, fmt.Errorf("%s holds something already: a history begins in an empty folder", d.HistoryDir)
+	} else if err = os.MkdirAll(d.HistoryDir, 0o700); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -92,23 +92,23 @@
 			err = errors.Join(err, d.Close())
 		}
 	}()
-	if d.world, err = history.Open(d.Folder, "world"); err != nil {
+	if d.world, err = history.Open(d.HistoryDir, "world"); err != nil {
 		return d, err
 	}
-	if d.asks, err = history.Open(d.Folder, "clients"); err != nil {
+	if d.asks, err = history.Open(d.HistoryDir, "clients"); err != nil {
 		return d, err
 	}
 	boxes := max(1, o.Boxes)
-	if d.Stand, err = NewStand([]string{"edge-1"}, boxes, d.world); err != nil {
+	if d.Backends, err = NewBackends([]string{"edge-1"}, boxes, d.world); err != nil {
 		return d, err
 	}
 	path := SitePath(o.Zones)
-	d.Processes, err = NewProcesses(Options{Program: o.Program, Fronts: o.Fronts, Zones: o.Zones, Seed: o.Seed, Lines: true, SiteOf: path,
+	d.Processes, err = NewProcesses(Options{Program: o.Program, Fronts: o.Fronts, Zones: o.Zones, Seed: o.Seed, UseProxies: true, SitePath: path,
 		Sections: func(p *Process) map[string]any { return d.sections(p) },
 		Config: func(name, listen string, _ int) string {
 			return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 		"board":%q,"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":0,"complete":true,"members":[%s]}}]},"settings":%s}`,
-				name, listen, d.Stand.at, d.Stand.Members((*Box).Addr), site.Settings())
+				name, listen, d.Backends.at, d.Backends.Members((*Box).Addr), site.Settings())
 		}})
 	if err != nil {
 		return d, err
@@ -119,24 +119,24 @@
 		return d, err
 	}
 	if err = Await(90*time.Second, d.Ready); err != nil {
-		err = fmt.Errorf("the fleet does not come together: %w\n%s", err, d.Unsettled())
+		err = fmt.Errorf("the fleet does not come together: %w\n%s", err, d.StatusReport())
 	}
 	return d, err
 }
 
-func (d *SharedDay) sections(p *Process) map[string]any {
+func (d *ExchangeDay) sections(p *Process) map[string]any {
 	o := d.o
-	x := map[string]any{"history": history.Path(d.Folder, p.Name), "part_s": 4, "keeper_s": 1.5}
-	if !o.Off["limits"] {
+	x := map[string]any{"history": history.Path(d.HistoryDir, p.Name), "part_s": 4, "keeper_s": 1.5}
+	if !o.Disabled["limits"] {
 		x["limits"] = []map[string]any{{"name": "acme-rate", "for": "tenant", "of": tenant, "kind": "rate", "amount": o.Limit, "burst": o.Burst, "hard": true}}
 	}
-	if !o.Off["purges"] {
+	if !o.Disabled["purges"] {
 		x["purges"] = map[string]any{"return_s": 3}
 	}
-	if !o.Off["verdicts"] {
+	if !o.Disabled["verdicts"] {
 		x["verdicts"] = map[string]any{"span_s": 4, "half_life_s": 5, "least": 3}
 	}
-	if !o.Off["paths"] {
+	if !o.Disabled["paths"] {
 		x["paths"] = map[string]any{"half_life_s": 5, "stale_s": 6}
 	}
 	for k, v := range o.Section {
@@ -146,7 +146,7 @@
 		"rings":    []map[string]any{{"name": "links", "keys": []map[string]any{{"name": "k", "secret": secret}}}},
 		"tenants":  []map[string]any{{"name": tenant}},
 		"profiles": []map[string]any{{"name": "p", "tenant": tenant, "format": "timed", "ring": "links", "query": "verify", "describe": map[string]any{"message": "{path}{expires}", "token": "{expires}-{mac}", "digest": "hmac-sha256", "encoding": "hex"}}}}}
-	if !o.Off["all"] {
+	if !o.Disabled["all"] {
 		s["exchange"] = x
 	}
 	return s
@@ -162,12 +162,12 @@
 }
 
 // Ready tells whether all fronts that run are of the fleet, and serve.
-func (d *SharedDay) Ready() bool {
+func (d *ExchangeDay) Ready() bool {
 	if !d.Settled() {
 		return false
 	}
 	for _, p := range d.List {
-		if !p.Up() || d.o.Off["all"] {
+		if !p.Up() || d.o.Disabled["all"] {
 			continue
 		}
 		var t struct {
@@ -191,7 +191,7 @@
 }
 
 // Tell notes what happened to whom.
-func (d *SharedDay) Tell(format string, args ...any) {
+func (d *ExchangeDay) Log(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	d.world.Write(history.Event{E: "world", Told: text})
 	if d.o.Verbose != nil {
@@ -201,7 +201,7 @@
 
 // Clients begin to ask: each front under the limit at its share of the rate, and all of
 // them beside it.
-func (d *SharedDay) Clients() {
+func (d *ExchangeDay) StartClients() {
 	d.rate.Store(int64(d.o.Rate * 1000 / float64(len(d.List))))
 	for i, p := range d.List {
 		d.wg.Add(1)
@@ -221,7 +221,7 @@
 }
 
 // client asks one front, at random moments of a steady rate.
-func (d *SharedDay) client(p *Process, r *rand.Rand, rate func() float64, target func(object string) string, address, tenant string) {
+func (d *ExchangeDay) client(p *Process, r *rand.Rand, rate func() float64, target func(object string) string, address, tenant string) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	places := make(chan struct{}, 256)
@@ -251,9 +251,9 @@
 	}
 }
 
-func (d *SharedDay) ask(p *Process, url, object, tenant string) {
+func (d *ExchangeDay) ask(p *Process, url, object, tenant string) {
 	n := d.number.Add(1)
-	killed, pid, stopped := p.Killed.Load(), p.Pid(), p.Stopped()
+	killed, pid, stopped := p.Interruptions.Load(), p.Pid(), p.Stopped()
 	r, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		panic(err) // the address is the laboratory's own
@@ -276,7 +276,7 @@
 		return // nothing was sent
 	case err != nil && (pid == 0 || e.At/1e6-history.Now()/1e6+time.Now().UnixMilli()-p.ended.Load() < 2000):
 		return // it was down: an idle connection to the process before
-	case err != nil && (stopped || p.Killed.Load() != killed || p.Pid() != pid):
+	case err != nil && (stopped || p.Interruptions.Load() != killed || p.Pid() != pid):
 		e.Excuse = "the front was killed or stopped"
 		d.Excused.Add(1)
 	case err != nil:
@@ -301,7 +301,7 @@
 }
 
 // Purge asks a front for a purge, and again under the same name until it has a number.
-func (d *SharedDay) Purge(p *Process, kind, name, asked string) (id string, err error) {
+func (d *ExchangeDay) Purge(p *Process, kind, name, asked string) (id string, err error) {
 	var word map[string]string
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		at := history.Now()
@@ -315,16 +315,16 @@
 }
 
 // Complete tells whether a front knows a purge to be complete.
-func (d *SharedDay) Complete(p *Process, id string) bool {
+func (d *ExchangeDay) PurgeComplete(p *Process, id string) bool {
 	var t struct{ Complete bool }
 	return p.Call("FLEET PURGE WHY "+id, &t) == nil && t.Complete
 }
 
 // Settle notes that from now on all is in contact and has had time to come to rest.
-func (d *SharedDay) Settle() { d.settled = history.Now() }
+func (d *ExchangeDay) MarkSettled() { d.settled = history.Now() }
 
 // End ends the clients, and judges what the day has left.
-func (d *SharedDay) End() (*history.Verdict, error) {
+func (d *ExchangeDay) Finish() (*history.Verdict, error) {
 	ended := history.Now()
 	d.stop()
 	d.wg.Wait()
@@ -333,7 +333,7 @@
 		_ = p.Stop()
 		if d.keepIt {
 			if text, err := os.ReadFile(p.Log); err == nil {
-				_ = os.WriteFile(filepath.Join(d.Folder, p.Name+".log"), text, 0o600)
+				_ = os.WriteFile(filepath.Join(d.HistoryDir, p.Name+".log"), text, 0o600)
 			}
 		}
 	}
@@ -342,14 +342,14 @@
 		w.Fronts = append(w.Fronts, p.Name)
 		w.Sites[p.Name] = p.Zone
 	}
-	if !d.o.Off["limits"] && !d.o.Off["all"] {
+	if !d.o.Disabled["limits"] && !d.o.Disabled["all"] {
 		w.Limits = append(w.Limits, history.Promise{Limit: "acme-rate", Kind: "rate", Amount: d.o.Limit, Burst: d.o.Burst, Hard: true})
 	}
-	if err := errors.Join(d.world.Close(), d.asks.Close(), history.WriteWorld(d.Folder, w)); err != nil {
+	if err := errors.Join(d.world.Close(), d.asks.Close(), history.WriteWorld(d.HistoryDir, w)); err != nil {
 		return nil, err
 	}
 	d.world, d.asks = nil, nil
-	h, err := history.Read(d.Folder)
+	h, err := history.Read(d.HistoryDir)
 	if err != nil {
 		return nil, err
 	}
@@ -357,7 +357,7 @@
 }
 
 // Close ends all that the day started.
-func (d *SharedDay) Close() (err error) {
+func (d *ExchangeDay) Close() (err error) {
 	if d.stop != nil {
 		d.stop()
 		d.wg.Wait()
@@ -365,8 +365,8 @@
 	if d.Processes != nil {
 		err = d.Processes.Close()
 	}
-	if d.Stand != nil {
-		d.Stand.Close()
+	if d.Backends != nil {
+		d.Backends.Close()
 	}
 	for _, w := range []*history.Writer{d.world, d.asks} {
 		if w != nil {
@@ -374,7 +374,7 @@
 		}
 	}
 	if !d.keepIt {
-		_ = os.RemoveAll(filepath.Clean(d.Folder))
+		_ = os.RemoveAll(filepath.Clean(d.HistoryDir))
 	}
 	return err
 }
--- a/lab/fleet/exchange_test.go
+++ b/lab/fleet/exchange_test.go
@@ -16,30 +16,30 @@
 )
 
 // day starts a day of five fronts in three sites, under requests.
-func day(t *testing.T, o Shared) *SharedDay {
+func day(t *testing.T, o ExchangeOptions) *ExchangeDay {
 	t.Helper()
 	if o.Program == "" {
 		o.Program = program
 	}
-	o.Fronts, o.Zones, o.Boxes, o.Keep = 5, 3, 3, filepath.Join(t.TempDir(), "history")
+	o.Fronts, o.Zones, o.Boxes, o.HistoryDir = 5, 3, 3, filepath.Join(t.TempDir(), "history")
 	o.Limit, o.Burst, o.Rate, o.Reads = 100, 20, 250, 60
-	d, err := NewDay(o)
+	d, err := NewExchangeDay(o)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if err := d.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	d.Clients()
+	d.StartClients()
 	return d
 }
 
 // whole ends a day and holds it against all promises.
-func (d *SharedDay) whole(t *testing.T) *history.Verdict {
+func (d *ExchangeDay) whole(t *testing.T) *history.Verdict {
 	t.Helper()
-	d.Part()
+	d.Partition()
 	require.NoError(t, d.rest())
-	v, err := d.End()
+	v, err := d.Finish()
 	require.NoError(t, err)
 	for _, f := range v.Broken {
 		if strings.HasPrefix(f.Promise, "used ") && v.Used > 0.5 {
@@ -51,9 +51,9 @@
 }
 
 // completes waits until a purge is complete at a front.
-func (d *SharedDay) completes(t *testing.T, p *Process, id string) {
+func (d *ExchangeDay) completes(t *testing.T, p *Process, id string) {
 	t.Helper()
-	if err := Await(30*time.Second, func() bool { return d.Complete(p, id) }); err != nil {
+	if err := Await(30*time.Second, func() bool { return d.PurgeComplete(p, id) }); err != nil {
 		var why any
 		_ = p.Call("FLEET PURGE WHY "+id, &why)
 		t.Fatalf("purge %s is not complete: %v", id, why)
@@ -61,7 +61,7 @@
 }
 
 // keeperOf is the front that keeps a site, as another sees it.
-func (d *SharedDay) keeperOf(site string) (p *Process) {
+func (d *ExchangeDay) keeperOf(site string) (p *Process) {
 	for _, at := range d.List {
 		var tree struct {
 			Sites []struct{ Site, Keeper string }
@@ -82,7 +82,7 @@
 // off in the middle, purges on both sides of the cut, and a box that fails for a while.
 func TestExchangeOverACut(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	d := day(t, Shared{Seed: 21})
+	d := day(t, ExchangeOptions{Seed: 21})
 	require.NoError(t, d.cut(4*time.Second))
 	v := d.whole(t)
 	require.NotEmpty(t, v.Purged)
@@ -95,7 +95,7 @@
 // half told. Nothing is over, nothing stale, and every purge gets complete.
 func TestExchangeHardCases(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	d := day(t, Shared{Seed: 22, Off: map[string]bool{"verdicts": true, "paths": true}})
+	d := day(t, ExchangeOptions{Seed: 22, Disabled: map[string]bool{"verdicts": true, "paths": true}})
 	other := func(not ...*Process) *Process {
 		for _, p := range d.List {
 			free := true
@@ -124,7 +124,7 @@
 	id, err = d.Purge(at, "prefix", "o5", "hard-2")
 	require.NoError(t, err)
 	time.Sleep(6 * time.Second) // its part is over, and dealt to others
-	require.False(t, d.Complete(at, id), "a front that sleeps has not obeyed")
+	require.False(t, d.PurgeComplete(at, id), "a front that sleeps has not obeyed")
 	asleep.Signal(syscall.SIGCONT)
 	d.completes(t, at, id)
 
@@ -155,7 +155,7 @@
 // One-way cuts: what the keeper tells comes and what it is told does not; and the other way.
 func TestExchangeOneWay(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	d := day(t, Shared{Seed: 23, Off: map[string]bool{"verdicts": true, "paths": true}})
+	d := day(t, ExchangeOptions{Seed: 23, Disabled: map[string]bool{"verdicts": true, "paths": true}})
 	root := d.keeperOf("/")
 	for i, p := range d.List {
 		if p == root {
@@ -163,13 +163,13 @@
 		}
 		for _, q := range d.List {
 			if q != p && i%2 == 0 {
-				d.Freeze(p, q, true)
+				d.BlockLink(p, q, true)
 			} else if q != p {
-				d.Freeze(q, p, true)
+				d.BlockLink(q, p, true)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		d.Part()
+		d.Partition()
 	}
 	id, err := d.Purge(root, "object", "o8", "oneway")
 	require.NoError(t, err)
@@ -187,7 +187,7 @@
 		require.NoError(t, err, string(out))
 		return filepath.Join(dir, "cherryramp")
 	}
-	d := day(t, Shared{Seed: 24, Program: without("over"), Off: map[string]bool{"verdicts": true, "paths": true, "purges": true}})
+	d := day(t, ExchangeOptions{Seed: 24, Program: without("over"), Disabled: map[string]bool{"verdicts": true, "paths": true, "purges": true}})
 	apart := func() (in, out []*Process) { // a site without the root's keeper, which deals on
 		root := d.keeperOf("/")
 		for _, p := range d.List {
@@ -199,22 +199,22 @@
 	}
 	in, out := apart()
 	time.Sleep(2 * time.Second)
-	d.Part(in, out)
+	d.Partition(in, out)
 	time.Sleep(5 * time.Second)
-	d.Part()
-	v, err := d.End()
+	d.Partition()
+	v, err := d.Finish()
 	require.NoError(t, err)
 	require.Positive(t, v.Counts["broken limit acme-rate"], "over by %.1f at the most", v.Over)
 
-	d = day(t, Shared{Seed: 25, Program: without("ack"), Off: map[string]bool{"verdicts": true, "paths": true, "limits": true}})
+	d = day(t, ExchangeOptions{Seed: 25, Program: without("ack"), Disabled: map[string]bool{"verdicts": true, "paths": true, "limits": true}})
 	in, out = apart()
-	d.Part(in, out)
+	d.Partition(in, out)
 	time.Sleep(6 * time.Second)
 	id, err := d.Purge(out[0], "object", "o1", "early")
 	require.NoError(t, err)
-	require.NoError(t, Await(20*time.Second, func() bool { return d.Complete(out[0], id) }), "it is said too early")
-	d.Part()
-	v, err = d.End()
+	require.NoError(t, Await(20*time.Second, func() bool { return d.PurgeComplete(out[0], id) }), "it is said too early")
+	d.Partition()
+	v, err = d.Finish()
 	require.NoError(t, err)
 	require.Positive(t, v.Counts["broken complete too early"])
 }
--- a/lab/fleet/hard_test.go
+++ b/lab/fleet/hard_test.go
@@ -46,7 +46,7 @@
 	h.t.Helper()
 	await(h.t, "the work is asked for", func() (ok bool) {
 		var err error
-		id, err = at.Ask(fleet.OperationRequest{Machine: target.Name, SpanS: 30})
+		id, err = at.RequestOperation(fleet.OperationRequest{Machine: target.Name, SpanS: 30})
 		return err == nil
 	})
 	return id
@@ -68,7 +68,7 @@
 func (h hard) whole() {
 	h.t.Helper()
 	if Await(within, h.Settled) != nil {
-		h.t.Fatalf("the fleet is not whole:\n%s", h.Unsettled())
+		h.t.Fatalf("the fleet is not whole:\n%s", h.StatusReport())
 	}
 }
 
@@ -101,7 +101,7 @@
 // zones under requests: none is lost but under a crash, never are two out at once.
 func TestHardCases(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	h := hard{started(t, Options{Fronts: 5, Zones: 3, Seed: 2, Lines: true}), t}
+	h := hard{started(t, Options{Fronts: 5, Zones: 3, Seed: 2, UseProxies: true}), t}
 	clients := NewClients(h.Processes, 30)
 	most := h.mostOut()
 	for _, x := range []struct {
@@ -176,11 +176,11 @@
 	id := h.ask(l, x)
 	for _, q := range h.List {
 		if q != x {
-			h.Freeze(x, q, true)
+			h.BlockLink(x, q, true)
 		}
 	}
 	time.Sleep(2 * time.Second)
-	h.Part()
+	h.Partition()
 	at := h.other(x)
 	await(h.t, "it is out in the end", func() bool { return phase(at, x.Name) == "out" })
 	h.finish(at, id, x.Name)
@@ -193,7 +193,10 @@
 	ids, errs := make([]uint64, 2), make([]error, 2)
 	for i, at := range []*Process{a, b} {
 		wg.Add(1)
-		go func() { defer wg.Done(); ids[i], errs[i] = at.Ask(fleet.OperationRequest{Machine: x.Name, SpanS: 5}) }()
+		go func() {
+			defer wg.Done()
+			ids[i], errs[i] = at.RequestOperation(fleet.OperationRequest{Machine: x.Name, SpanS: 5})
+		}()
 	}
 	wg.Wait()
 	if (errs[0] == nil) == (errs[1] == nil) {
@@ -329,7 +332,7 @@
 
 func bridge(h hard) {
 	l := h.List
-	h.Part([]*Process{l[0], l[1], l[2]}, []*Process{l[2], l[3], l[4]})
+	h.Partition([]*Process{l[0], l[1], l[2]}, []*Process{l[2], l[3], l[4]})
 	time.Sleep(4 * time.Second)
 	terms := map[uint64]string{}
 	for _, p := range l {
@@ -340,7 +343,7 @@
 			terms[s.Term] = p.Name
 		}
 	}
-	h.Part()
+	h.Partition()
 	h.whole()
 }
 
@@ -369,9 +372,9 @@
 
 func pair(h hard) {
 	a, b := h.List[3], h.List[4]
-	h.Part([]*Process{a, b}, h.List[:3])
+	h.Partition([]*Process{a, b}, h.List[:3])
 	await(h.t, "the pair knows of no majority", func() bool { s, err := a.Status(); return err == nil && s.Leader == "" })
-	if _, err := a.Ask(fleet.OperationRequest{Machine: a.Name, SpanS: 5}); err == nil {
+	if _, err := a.RequestOperation(fleet.OperationRequest{Machine: a.Name, SpanS: 5}); err == nil {
 		h.t.Error("a work was taken without a majority")
 	}
 	for _, p := range []*Process{a, b} {
@@ -379,7 +382,7 @@
 			h.t.Errorf("%s does not go on serving: %v", p.Name, err)
 		}
 	}
-	h.Part()
+	h.Partition()
 	h.whole()
 	await(h.t, "no work is left", func() bool {
 		list, err := a.Plan()
--- a/lab/fleet/keys.go
+++ b/lab/fleet/keys.go
@@ -15,7 +15,7 @@
 )
 
 // LetIn is the name that lets a front of the laboratory's fleets in.
-const LetIn = "fleet.lab"
+const AllowedName = "fleet.lab"
 
 // authority signs the fronts' certificates.
 type authority struct {
@@ -49,7 +49,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name, LetIn},
+	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name, AllowedName},
 		NotBefore: a.cert.NotBefore, NotAfter: a.cert.NotAfter, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	a.next++
--- a/lab/fleet/lease_test.go
+++ b/lab/fleet/lease_test.go
@@ -15,7 +15,7 @@
 }
 
 func pageOf(p *Process, class, id string) (status int, away string, err error) {
-	return p.Asks(class, id, 10*time.Second)
+	return p.RequestPage(class, id, 10*time.Second)
 }
 
 // A front that is stopped, and one that is cut off, while a box is taken out: the
@@ -24,7 +24,7 @@
 // so with its first request. Heard again, both serve.
 func TestLeases(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	f := started(t, Options{Fronts: 5, Zones: 5, Seed: 3, Lines: true, Rules: map[string]any{"out": 4, "zone": 4, "percent": 90, "hurt_percent": 90,
+	f := started(t, Options{Fronts: 5, Zones: 5, Seed: 3, UseProxies: true, Rules: map[string]any{"out": 4, "zone": 4, "percent": 90, "hurt_percent": 90,
 		"accept_s": 5, "empty_s": 1, "back_s": 20, "cold_s": 1, "alone_s": 4}})
 	h := hard{f, t}
 	l := h.leader()
@@ -35,8 +35,8 @@
 	stopped.Signal(syscall.SIGSTOP)
 	for _, q := range f.List {
 		if q != cut {
-			f.Freeze(cut, q, true)
-			f.Freeze(q, cut, true)
+			f.BlockLink(cut, q, true)
+			f.BlockLink(q, cut, true)
 		}
 	}
 	var word map[string]uint64
@@ -63,7 +63,7 @@
 			t.Errorf("woken, it answers %d, %v", status, err)
 		}
 	}
-	f.Part()
+	f.Partition()
 	await(t, "both serve again", func() bool {
 		a, _, _ := page(cut, fmt.Sprintf("%016x", time.Now().UnixNano()))
 		b, _, _ := page(stopped, fmt.Sprintf("%016x", time.Now().UnixNano()))
--- a/lab/fleet/mixed_test.go
+++ b/lab/fleet/mixed_test.go
@@ -47,14 +47,14 @@
 	for i, p := range f.List {
 		at := h.leader()
 		await(t, "the work is asked for", func() bool {
-			_, err := at.Ask(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true})
+			_, err := at.RequestOperation(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true})
 			return err == nil || strings.Contains(err.Error(), "not ended")
 		})
 		await(t, "it is out", func() bool { return phase(h.other(p), p.Name) == "out" })
 		if err := p.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		p.Use(program)
+		p.SetProgram(program)
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	if err := back.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	back.Use(old)
+	back.SetProgram(old)
 	if err := back.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	if err := back.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	back.Use(program)
+	back.SetProgram(program)
 	if err := back.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -36,7 +36,7 @@
 
 // Revive starts fronts again whose process has ended by itself or was killed from
 // outside, once they have been down for a span.
-func (f *Processes) Revive(after time.Duration) {
+func (f *Processes) RestartEnded(after time.Duration) {
 	for _, p := range f.List {
 		p.mu.Lock()
 		r := p.running
@@ -46,7 +46,7 @@
 		}
 		select {
 		case <-r.Ended():
-			p.Killed.Add(1)
+			p.Interruptions.Add(1)
 			p.mu.Lock()
 			p.running = nil
 			p.mu.Unlock()
@@ -77,15 +77,15 @@
 
 // PlayScript plays a script on started fronts.
 func PlayScript(s *Script, program string, rate float64, say func(string)) (Played, error) {
-	if err := s.Processes(); err != nil {
+	if err := s.CheckProcessSteps(); err != nil {
 		return Played{}, err
 	}
 	rules := shortRules()
 	rules["hurt_percent"] = 60
-	if s.Alone > 0 {
-		rules["alone_s"] = float64(s.Alone) / 1e6
+	if s.LeaseSpan > 0 {
+		rules["alone_s"] = float64(s.LeaseSpan) / 1e6
 	}
-	o := Options{Program: program, Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, Lines: true, Rules: rules}
+	o := Options{Program: program, Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, UseProxies: true, Rules: rules}
 	return play(o, rate, say, func(p *player) { p.script(s) })
 }
 
@@ -115,7 +115,7 @@
 	if clients != nil {
 		p.out.FirstLost = clients.Stop()
 		p.out.Served, p.out.Refused, p.out.Failed = clients.Served.Load(), clients.Refused.Load(), clients.Failed.Load()
-		p.out.Nowhere, p.out.Crashed, p.out.Lost = clients.Nowhere.Load(), clients.Crashed.Load(), clients.Lost.Load()
+		p.out.Nowhere, p.out.Crashed, p.out.Lost = clients.Unreachable.Load(), clients.Crashed.Load(), clients.Lost.Load()
 		if p.out.Lost > 0 {
 			p.broken("%d requests were lost, first: %s", p.out.Lost, p.out.FirstLost)
 		}
@@ -193,12 +193,12 @@
 	began := time.Now()
 	steps := s.Steps
 	var mends pending
-	for time.Since(began) < time.Duration(s.For)*time.Microsecond {
+	for time.Since(began) < time.Duration(s.Duration)*time.Microsecond {
 		now := time.Now()
 		for len(steps) > 0 && now.Sub(began) >= time.Duration(steps[0].At)*time.Microsecond {
 			p.tell("%s", steps[0])
 			if mend := p.step(steps[0]); mend != nil {
-				mends = append(mends, trouble{now.Add(time.Duration(steps[0].For) * time.Microsecond), mend})
+				mends = append(mends, trouble{now.Add(time.Duration(steps[0].Duration) * time.Microsecond), mend})
 			}
 			steps = steps[1:]
 		}
@@ -220,9 +220,9 @@
 			list = append(list, l)
 		}
 	}
-	if x.What == "lose zone" || x.What == "restart all" {
+	if x.Action == "lose zone" || x.Action == "restart all" {
 		for _, q := range p.f.List {
-			if x.What == "restart all" || q.Zone == x.Names[0] {
+			if x.Action == "restart all" || q.Zone == x.Names[0] {
 				list = append(list, q)
 			}
 		}
@@ -234,19 +234,19 @@
 			}
 		}
 	}
-	switch x.What {
+	switch x.Action {
 	case "ask":
 		p.out.Asked++
-		a := fleet.OperationRequest{Machine: x.Work.Machine, Box: x.Work.Kind == maintenance.Box, Zone: x.Work.Zone, SpanS: float64(x.Work.Duration) / 1e6, Urgent: x.Work.Urgent,
-			EndsOnRestart: x.Work.EndsOnRestart}
+		a := fleet.OperationRequest{Machine: x.Operation.Machine, Box: x.Operation.Kind == maintenance.Box, Zone: x.Operation.Zone, SpanS: float64(x.Operation.Duration) / 1e6, Urgent: x.Operation.Urgent,
+			EndsOnRestart: x.Operation.EndsOnRestart}
 		at := p.front()
-		go func() { _, _ = at.Ask(a) }()
+		go func() { _, _ = at.RequestOperation(a) }()
 	case "hold":
 		order := func(call string) { at := p.front(); go func() { _ = at.Call("FLEET WORK "+call, nil) }() }
 		order("HOLD")
 		return func() { order("RESUME") }
 	case "reset connections":
-		p.f.Reset()
+		p.f.ResetConnections()
 	case "part":
 		var groups [2][]*Process
 		for i, names := range [][]string{x.Names, x.Others} {
@@ -254,22 +254,22 @@
 				groups[i] = append(groups[i], p.f.Find(n))
 			}
 		}
-		p.f.Part(groups[0], groups[1])
-		return func() { p.f.Part() }
+		p.f.Partition(groups[0], groups[1])
+		return func() { p.f.Partition() }
 	case "mute", "deafen":
 		for _, q := range list {
 			for _, o := range p.f.List {
 				if o == q {
 					continue
 				}
-				if x.What == "mute" {
-					p.f.Freeze(q, o, true)
+				if x.Action == "mute" {
+					p.f.BlockLink(q, o, true)
 				} else {
-					p.f.Freeze(o, q, true)
+					p.f.BlockLink(o, q, true)
 				}
 			}
 		}
-		return func() { p.f.Part() }
+		return func() { p.f.Partition() }
 	case "delay":
 		d := time.Duration(x.Span) * time.Microsecond
 		each(func(q *Process) { p.f.Delay(q, faultproxy.Settings{Delay: d, Jitter: d / 4}) })()
@@ -280,10 +280,10 @@
 	case "kill", "lose zone", "restart all", "wipe", "tear":
 		each(func(q *Process) {
 			q.Kill()
-			if x.What == "wipe" {
+			if x.Action == "wipe" {
 				_ = q.Wipe()
 			}
-			if x.What == "tear" {
+			if x.Action == "tear" {
 				p.tear(q)
 			}
 		})()
@@ -307,7 +307,7 @@
 	a := fleet.OperationRequest{Machine: target.Name, SpanS: float64(1 + p.r.IntN(10)), Reason: fmt.Sprintf("asking %d", p.out.Asked), EndsOnRestart: p.r.IntN(2) == 0,
 		Urgent: p.r.IntN(8) == 0, Importance: p.r.IntN(3)}
 	p.out.Asked++
-	go func() { _, _ = at.Ask(a) }() // twice for one machine is refused, and so may it be in a part without a majority
+	go func() { _, _ = at.RequestOperation(a) }() // twice for one machine is refused, and so may it be in a part without a majority
 }
 
 // trouble has something go wrong, and tells how it is mended.
@@ -333,17 +333,17 @@
 		p.tell("%s hears and is not heard", x.Name)
 		for _, q := range p.f.List {
 			if q != x {
-				p.f.Freeze(x, q, true)
+				p.f.BlockLink(x, q, true)
 			}
 		}
-		return func() { p.tell("all hear all"); p.f.Part() }
+		return func() { p.tell("all hear all"); p.f.Partition() }
 	case 5:
 		n := 1 + p.r.IntN(len(p.f.List))
 		list := append([]*Process(nil), p.f.List...)
 		p.r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		p.tell("parted: %d and %d fronts", n, len(list)-n)
-		p.f.Part(list[:n], list[n:])
-		return func() { p.tell("all hear all"); p.f.Part() }
+		p.f.Partition(list[:n], list[n:])
+		return func() { p.tell("all hear all"); p.f.Partition() }
 	case 6:
 		d := time.Duration(p.r.IntN(1500)) * time.Millisecond
 		p.tell("what %s says comes %v late", x.Name, d)
@@ -351,7 +351,7 @@
 		return func() { p.f.Delay(x, faultproxy.Settings{}) }
 	case 7:
 		p.tell("all connections are reset")
-		p.f.Reset()
+		p.f.ResetConnections()
 	case 8:
 		p.tell("%s is killed with a torn end in its journal", x.Name)
 		x.Kill()
@@ -453,7 +453,7 @@
 
 func (p *player) heal() {
 	p.tell("all is well again")
-	p.f.Part()
+	p.f.Partition()
 	for _, x := range p.f.List {
 		p.f.Delay(x, faultproxy.Settings{})
 		x.Signal(syscall.SIGCONT)
--- a/lab/fleet/playexchange.go
+++ b/lab/fleet/playexchange.go
@@ -12,7 +12,7 @@
 )
 
 // Exchanged is what became of a day of the exchange.
-type Exchanged struct {
+type ExchangeResult struct {
 	Fronts                                 int
 	Seed                                   uint64
 	Served, Refused, Failed, Lost, Excused int64
@@ -24,35 +24,35 @@
 // PlayShared plays a day: one limit asked at all fronts at once, purges, a site cut off in
 // the middle or, with chaos, random troubles; then all is well again, and the judge reads
 // the histories.
-func PlayShared(o Shared, span time.Duration, chaos bool) (Exchanged, error) {
-	d, err := NewDay(o)
+func PlayExchange(o ExchangeOptions, span time.Duration, chaos bool) (ExchangeResult, error) {
+	d, err := NewExchangeDay(o)
 	if err != nil {
-		return Exchanged{}, err
+		return ExchangeResult{}, err
 	}
-	d.Tell("%d fronts have come together", len(d.List))
-	d.Clients()
+	d.Log("%d fronts have come together", len(d.List))
+	d.StartClients()
 	if chaos {
 		d.chaos(span)
 	} else {
 		err = d.cut(span)
 	}
-	d.Part()
+	d.Partition()
 	if err == nil {
 		err = d.rest()
 	}
-	out := Exchanged{Fronts: o.Fronts, Seed: o.Seed}
-	v, e := d.End()
+	out := ExchangeResult{Fronts: o.Fronts, Seed: o.Seed}
+	v, e := d.Finish()
 	err = errors.Join(err, e)
-	out.Verdict, out.Fills = v, d.Stand.Fills.Load()
+	out.Verdict, out.Fills = v, d.Backends.Fills.Load()
 	out.Served, out.Refused, out.Failed, out.Lost, out.Excused = d.Served.Load(), d.Refused.Load(), d.Failed.Load(), d.Lost.Load(), d.Excused.Load()
 	if d.keepIt {
-		out.Folder = d.Folder
+		out.Folder = d.HistoryDir
 	}
 	return out, errors.Join(err, d.Close())
 }
 
 // others are the fronts of all sites but one's.
-func (d *SharedDay) others(site string) (in, out []*Process) {
+func (d *ExchangeDay) others(site string) (in, out []*Process) {
 	for _, p := range d.List {
 		if p.Zone == site {
 			in = append(in, p)
@@ -64,7 +64,7 @@
 }
 
 // Verdicts are what a front holds.
-func (d *SharedDay) Verdicts(p *Process) (held map[string]string) {
+func (d *ExchangeDay) Verdicts(p *Process) (held map[string]string) {
 	var t struct {
 		Holds []struct{ Thing, State string }
 	}
@@ -78,7 +78,7 @@
 }
 
 // AllJudge tells whether every front that runs holds a verdict, or none does.
-func (d *SharedDay) AllJudge(thing, state string) bool {
+func (d *ExchangeDay) AllHoldVerdict(thing, state string) bool {
 	for _, p := range d.List {
 		if p.Up() && d.Verdicts(p)[thing] != state {
 			return false
@@ -88,12 +88,12 @@
 }
 
 // sick has a box fail for a while: the fleet must find it, leave it, and come back to it.
-func (d *SharedDay) sick() error {
-	b := d.Stand.Boxes[0]
+func (d *ExchangeDay) sick() error {
+	b := d.Backends.Boxes[0]
 	began := time.Now()
-	d.Tell("%s fails", b.Name)
-	b.Fail.Store(90)
-	if err := Await(20*time.Second, func() bool { return d.AllJudge(b.Name, "failing") }); err != nil {
+	d.Log("%s fails", b.Name)
+	b.FailPercent.Store(90)
+	if err := Await(20*time.Second, func() bool { return d.AllHoldVerdict(b.Name, "failing") }); err != nil {
 		text := ""
 		for _, p := range d.List {
 			var raw json.RawMessage
@@ -102,21 +102,21 @@
 		}
 		return fmt.Errorf("no verdict on a box that fails: %w\n%s", err, text)
 	}
-	d.Tell("all fronts hold the verdict, after %.1f s", time.Since(began).Seconds())
-	b.Fail.Store(0)
-	d.Tell("%s is well again", b.Name)
+	d.Log("all fronts hold the verdict, after %.1f s", time.Since(began).Seconds())
+	b.FailPercent.Store(0)
+	d.Log("%s is well again", b.Name)
 	began = time.Now()
-	if err := Await(60*time.Second, func() bool { return d.AllJudge(b.Name, "") }); err != nil {
+	if err := Await(60*time.Second, func() bool { return d.AllHoldVerdict(b.Name, "") }); err != nil {
 		return fmt.Errorf("a verdict on a box that is well again: %w", err)
 	}
-	d.Tell("nobody holds it any more, after %.1f s", time.Since(began).Seconds())
+	d.Log("nobody holds it any more, after %.1f s", time.Since(began).Seconds())
 	return nil
 }
 
 // cut is the day of one site cut off in the middle.
-func (d *SharedDay) cut(span time.Duration) error {
+func (d *ExchangeDay) cut(span time.Duration) error {
 	time.Sleep(span / 8)
-	if !d.o.Off["verdicts"] {
+	if !d.o.Disabled["verdicts"] {
 		if err := d.sick(); err != nil {
 			return err
 		}
@@ -126,13 +126,13 @@
 	if err != nil {
 		return fmt.Errorf("the first purge: %w", err)
 	}
-	d.Tell("purge %s is asked for", id)
-	if err := Await(10*time.Second, func() bool { return d.Complete(d.List[0], id) }); err != nil {
+	d.Log("purge %s is asked for", id)
+	if err := Await(10*time.Second, func() bool { return d.PurgeComplete(d.List[0], id) }); err != nil {
 		return fmt.Errorf("the first purge: %w", err)
 	}
 	in, out := d.others(d.List[len(d.List)-1].Zone)
-	d.Tell("%s is cut off", in[0].Zone)
-	d.Part(in, out)
+	d.Log("%s is cut off", in[0].Zone)
+	d.Partition(in, out)
 	time.Sleep(span / 8)
 	at, far := out[0], in[0]
 	if id, err = d.Purge(at, "prefix", "o2", "second"); err != nil {
@@ -143,22 +143,22 @@
 		return fmt.Errorf("a purge in the site that is cut off: %w", err)
 	}
 	time.Sleep(span / 4)
-	if d.Complete(at, id) || d.Complete(far, there) {
+	if d.PurgeComplete(at, id) || d.PurgeComplete(far, there) {
 		return errors.New("a purge is complete while a site is cut off")
 	}
-	d.Part()
-	d.Tell("all hear all")
+	d.Partition()
+	d.Log("all hear all")
 	for _, p := range []*Process{at, far} {
-		if err := Await(20*time.Second, func() bool { return d.Complete(p, id) && d.Complete(p, there) }); err != nil {
+		if err := Await(20*time.Second, func() bool { return d.PurgeComplete(p, id) && d.PurgeComplete(p, there) }); err != nil {
 			return fmt.Errorf("purges after the cut, at %s: %w", p.Name, err)
 		}
 	}
-	d.Tell("both purges are complete")
+	d.Log("both purges are complete")
 	return nil
 }
 
 // rest has all come back and come to rest, and goes on for a while.
-func (d *SharedDay) rest() error {
+func (d *ExchangeDay) rest() error {
 	for _, p := range d.List {
 		p.Signal(syscall.SIGCONT)
 		if err := p.Start(); err != nil {
@@ -166,17 +166,17 @@
 		}
 	}
 	if err := Await(60*time.Second, d.Ready); err != nil {
-		return fmt.Errorf("the fleet does not come to rest: %w\n%s", err, d.Unsettled())
+		return fmt.Errorf("the fleet does not come to rest: %w\n%s", err, d.StatusReport())
 	}
 	time.Sleep(7 * time.Second) // parts of the dead are over
-	d.Settle()
-	d.Tell("all is well")
+	d.MarkSettled()
+	d.Log("all is well")
 	time.Sleep(3 * time.Second)
 	return nil
 }
 
 // chaos has things go wrong at random for a span.
-func (d *SharedDay) chaos(span time.Duration) {
+func (d *ExchangeDay) chaos(span time.Duration) {
 	r := rand.New(rand.NewPCG(d.o.Seed, 77))
 	pl := &player{f: d.Processes, r: r, say: d.o.Verbose, began: d.began}
 	var mends pending
@@ -202,13 +202,13 @@
 				go func() {
 					defer d.wg.Done()
 					if _, err := d.Purge(at, kind, name, asked); err != nil {
-						d.Tell("purge %s has no number: %v", asked, err)
+						d.Log("purge %s has no number: %v", asked, err)
 					}
 				}()
 			}
 		}
 		mends.due(now)
-		d.Revive(time.Second)
+		d.RestartEnded(time.Second)
 	}
 	mends.all()
 }
--- a/lab/fleet/playversions.go
+++ b/lab/fleet/playversions.go
@@ -34,7 +34,7 @@
 	At      time.Duration
 	Front   int
 	Version uint64
-	May     bool
+	MayAct  bool
 	Reached bool
 }
 
@@ -47,7 +47,7 @@
 
 // Probe is a version whose settings have one class more, by which a front's answers
 // show what it acts on: it serves "probe-N", and no other probe.
-func Probe(n int) string {
+func ProbeSettings(n int) string {
 	var s struct {
 		Grades []map[string]any `json:"grades"`
 	}
@@ -95,7 +95,7 @@
 }
 
 // Asks asks a front for a page of a class; away is its time to come back.
-func (p *Process) Asks(class, id string, within time.Duration) (status int, away string, err error) {
+func (p *Process) RequestPage(class, id string, within time.Duration) (status int, away string, err error) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+p.Listen+"/call/"+class+"/o1", nil)
 	if err != nil {
 		return 0, "", err
@@ -171,7 +171,7 @@
 		x.GateS = 0.5 + float64(v.r.IntN(3))
 	}
 	go func() {
-		n, err := at.Propose(Probe(k), x)
+		n, err := at.Propose(ProbeSettings(k), x)
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		if err == nil {
@@ -207,7 +207,7 @@
 	x := Sample{At: time.Since(v.began), Front: i}
 	if p.Up() && !p.Stopped() {
 		if s, ok := v.ask1(p); ok {
-			x.Version, x.May, x.Reached = s.ActiveVersion, s.MayAct, true
+			x.Version, x.MayAct, x.Reached = s.ActiveVersion, s.MayAct, true
 		}
 	}
 	var list []fleet.Version
@@ -217,11 +217,11 @@
 	id, other := fmt.Sprintf("%016x", rand.Uint64()), fmt.Sprintf("%016x", rand.Uint64())
 	status, class := 0, 0
 	if rand.IntN(8) == 0 && p.Up() { // for the audits to be asked about
-		class, _, _ = p.Asks("page-asset", other, time.Second)
+		class, _, _ = p.RequestPage("page-asset", other, time.Second)
 	}
 	if old >= 0 && p.Up() {
 		// Whoever wakes at this moment acts on what it looks at then, not on what it knew.
-		status, _, _ = p.Asks(fmt.Sprintf("probe-%d", old), id, time.Second)
+		status, _, _ = p.RequestPage(fmt.Sprintf("probe-%d", old), id, time.Second)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -268,7 +268,7 @@
 		return v.f.Settled()
 	}
 	if Await(120*time.Second, one) != nil {
-		v.broken("with contact back not all act on one version:\n%s", v.f.Unsettled())
+		v.broken("with contact back not all act on one version:\n%s", v.f.StatusReport())
 		return
 	}
 	v.tell("all act on one version")
@@ -360,7 +360,7 @@
 		}
 		for from := 0; from < len(list); {
 			to := from + 1
-			for to < len(list) && list[to].Version == list[from].Version && list[to].May == list[from].May && list[to].Reached == list[from].Reached {
+			for to < len(list) && list[to].Version == list[from].Version && list[to].MayAct == list[from].MayAct && list[to].Reached == list[from].Reached {
 				to++
 			}
 			s, end := list[from], list[min(to, len(list)-1)].At
@@ -368,7 +368,7 @@
 				Text: fmt.Sprintf("%s: version %d, %.1f to %.1f s", name, s.Version, s.At.Seconds(), end.Seconds())}
 			if s.Reached {
 				boxes = append(boxes, b)
-				if !s.May {
+				if !s.MayAct {
 					b.Fill, b.Text = "url(#shut)", b.Text+", may not act"
 					boxes = append(boxes, b)
 				}
--- a/lab/fleet/processes.go
+++ b/lab/fleet/processes.go
@@ -24,16 +24,16 @@
 
 // Options set up a fleet of started processes.
 type Options struct {
-	Program string // the built front
-	Fronts  int
-	Zones   int
-	First   int // named first members; 0: three, or as many as there are
-	Seed    uint64
-	Rules   map[string]any // of the section's rules; nil: short ones
-	Lines   bool           // every pair's traffic goes over a line of its own, for faults
-	Log     io.Writer      // of the fronts; nil: into a file each
-
-	SiteOf   func(i int) string                          // a front's site, as a path; nil: zones z0, z1 and so on
+	Program        string // the built front
+	Fronts         int
+	Zones          int
+	InitialMembers int // named first members; 0: three, or as many as there are
+	Seed           uint64
+	Rules          map[string]any // of the section's rules; nil: short ones
+	UseProxies     bool           // every pair's traffic goes over a line of its own, for faults
+	Log            io.Writer      // of the fronts; nil: into a file each
+
+	SitePath func(i int) string                          // a front's site, as a path; nil: zones z0, z1 and so on
 	Launch   func(front int, cmd *exec.Cmd) error        // starts a front's command; nil: as it is
 	Sections func(p *Process) map[string]any             // further sections of a front's operator's file
 	Config   func(name, listen string, front int) string // its configuration; nil: before a small site's stand-ins
@@ -49,13 +49,13 @@
 	Dir        string
 	Log        string // path
 
-	f       *Processes
-	mu      sync.Mutex
-	running *process.Process
-	program string
-	log     *os.File
-	Killed  atomic.Int64 // how often it was ended at once, or stopped
-	ended   atomic.Int64 // when it was last ended at once, in Unix ms
+	f             *Processes
+	mu            sync.Mutex
+	running       *process.Process
+	program       string
+	log           *os.File
+	Interruptions atomic.Int64 // how often it was ended at once, or stopped
+	ended         atomic.Int64 // when it was last ended at once, in Unix ms
 }
 
 // Processes are a fleet of started fronts before one site.
@@ -117,7 +117,7 @@
 	for i, p := range f.List {
 		reach := map[string]string{}
 		for j, q := range f.List {
-			if i == j || !o.Lines {
+			if i == j || !o.UseProxies {
 				continue
 			}
 			l, err := faultproxy.Open("", q.Fleet, o.Seed+uint64(i*len(f.List)+j))
@@ -139,8 +139,8 @@
 }
 
 func (o *Options) site(i int) string {
-	if o.SiteOf != nil {
-		return o.SiteOf(i)
+	if o.SitePath != nil {
+		return o.SitePath(i)
 	}
 	return fmt.Sprintf("z%d", i%max(1, o.Zones))
 }
@@ -152,7 +152,7 @@
 
 // configure writes a front's two files.
 func (f *Processes) configure(p *Process, reach map[string]string, certificate, key, authorities string) error {
-	n := f.o.First
+	n := f.o.InitialMembers
 	if n == 0 {
 		n = min(3, len(f.List))
 	}
@@ -174,7 +174,7 @@
 	}
 	sections["fleet"] = map[string]any{"name": "laboratory", "front": p.Name, "zone": p.Zone,
 		"listen": p.Fleet, "first": first, "folder": filepath.Join(p.Dir, "folder"), "reach": reach, "rules": rules,
-		"keys": map[string]any{"certificate": certificate, "key": key, "authorities": authorities, "names": []string{LetIn}}}
+		"keys": map[string]any{"certificate": certificate, "key": key, "authorities": authorities, "names": []string{AllowedName}}}
 	text, err := json.MarshalIndent(sections, "", " ")
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 }
 
 // Use has a front run another build from its next start on.
-func (p *Process) Use(program string) { p.program = program }
+func (p *Process) SetProgram(program string) { p.program = program }
 
 // Up tells whether a front's process runs.
 func (p *Process) Up() bool {
@@ -233,7 +233,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running != nil {
-		p.Killed.Add(1)
+		p.Interruptions.Add(1)
 		p.running.Signal(syscall.SIGCONT) // one that is stopped can't be waited for
 		p.running.Kill()
 		p.running = nil
@@ -259,7 +259,7 @@
 	defer p.mu.Unlock()
 	if p.running != nil {
 		if s == syscall.SIGSTOP || s == syscall.SIGCONT {
-			p.Killed.Add(1) // what clients have there may take its time until both have come
+			p.Interruptions.Add(1) // what clients have there may take its time until both have come
 		}
 		p.running.Signal(s)
 		// Pid waits for the lock, so that whoever reads the count in between finds it stopped.
@@ -337,7 +337,7 @@
 }
 
 // Ask asks for a work at a front.
-func (p *Process) Ask(a fleet.OperationRequest) (id uint64, err error) {
+func (p *Process) RequestOperation(a fleet.OperationRequest) (id uint64, err error) {
 	text, err := json.Marshal(a)
 	if err != nil {
 		return 0, err
@@ -360,7 +360,7 @@
 }
 
 // ErrNotYet tells that what was waited for did not come.
-var ErrNotYet = errors.New("fleet: what was waited for did not come")
+var ErrTimeout = errors.New("fleet: what was waited for did not come")
 
 // Await asks again and again until something holds.
 func Await(within time.Duration, holds func() bool) error {
@@ -369,11 +369,11 @@
 			return nil
 		}
 	}
-	return ErrNotYet
+	return ErrTimeout
 }
 
 // Unsettled tells what each front says of itself, for whoever waited in vain.
-func (f *Processes) Unsettled() (text string) {
+func (f *Processes) StatusReport() (text string) {
 	for _, p := range f.List {
 		s, err := p.Status()
 		text += fmt.Sprintf("%s: %+v %v\n", p.Name, s, err)
@@ -440,7 +440,7 @@
 // Freeze has nothing come from one front to another, or all of it after a time. As
 // TCP has it, a way that stands still in one direction stops both directions of the
 // connections over it.
-func (f *Processes) Freeze(from, to *Process, on bool) {
+func (f *Processes) BlockLink(from, to *Process, on bool) {
 	i, j := f.index(from), f.index(to)
 	if l := f.lines[[2]int{i, j}]; l != nil {
 		l.Freeze(faultproxy.There, on)
@@ -464,7 +464,7 @@
 }
 
 // Reset resets all connections between fronts.
-func (f *Processes) Reset() {
+func (f *Processes) ResetConnections() {
 	for _, l := range f.lines {
 		l.Cut()
 	}
@@ -472,7 +472,7 @@
 
 // Part parts the fronts into groups that hear nothing of each other; none: all
 // hear all.
-func (f *Processes) Part(groups ...[]*Process) {
+func (f *Processes) Partition(groups ...[]*Process) {
 	for _, a := range f.List {
 		for _, b := range f.List {
 			if a == b {
@@ -490,7 +490,7 @@
 				}
 				together = together || in(a) && in(b)
 			}
-			f.Freeze(a, b, !together)
+			f.BlockLink(a, b, !together)
 		}
 	}
 	if len(groups) == 0 {
--- a/lab/fleet/processes_test.go
+++ b/lab/fleet/processes_test.go
@@ -87,7 +87,7 @@
 // requests, and the leader is killed in the middle.
 func TestThreeFronts(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	f := started(t, Options{Fronts: 3, Zones: 3, Seed: 1, Lines: true})
+	f := started(t, Options{Fronts: 3, Zones: 3, Seed: 1, UseProxies: true})
 	clients := NewClients(f, 50)
 	leader := f.Leader()
 	if leader == nil {
@@ -97,7 +97,7 @@
 	if target == leader {
 		target = f.List[1]
 	}
-	id, err := target.Ask(fleet.OperationRequest{Machine: target.Name, SpanS: 60, Reason: "a test"})
+	id, err := target.RequestOperation(fleet.OperationRequest{Machine: target.Name, SpanS: 60, Reason: "a test"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,5 +125,5 @@
 		t.Errorf("%d lost, %d served: %s", clients.Lost.Load(), clients.Served.Load(), lost)
 	}
 	t.Logf("served %d, refused %d, failed %d, nowhere %d, crashed %d", clients.Served.Load(), clients.Refused.Load(), clients.Failed.Load(),
-		clients.Nowhere.Load(), clients.Crashed.Load())
+		clients.Unreachable.Load(), clients.Crashed.Load())
 }
--- a/lab/fleet/script.go
+++ b/lab/fleet/script.go
@@ -43,30 +43,30 @@
 // Whatever is killed is started again after its span. After the day all is well
 // again, and every work must end.
 type Script struct {
-	Name   string
-	Fronts int
-	Zones  int
-	Seed   uint64
-	Alone  Micros
-	For    Micros
-	Steps  []Step
+	Name      string
+	Fronts    int
+	Zones     int
+	Seed      uint64
+	LeaseSpan Micros
+	Duration  Micros
+	Steps     []Step
 }
 
 // Step is one thing that happens.
 type Step struct {
-	At, For Micros
-	What    string
-	Names   []string // fronts; "leader" is whoever leads then
-	Others  []string
-	Span    Micros
-	Share   float64
-	Work    *maintenance.Operation
-	where   lexer.Position
+	At, Duration Micros
+	Action       string
+	Names        []string // fronts; "leader" is whoever leads then
+	Others       []string
+	Span         Micros
+	Fraction     float64
+	Operation    *maintenance.Operation
+	where        lexer.Position
 }
 
 // String is the step in the language.
 func (s Step) String() string {
-	text := fmt.Sprintf("at %s %s", span(s.At), s.What)
+	text := fmt.Sprintf("at %s %s", span(s.At), s.Action)
 	quote := func(names []string) {
 		for _, n := range names {
 			if n == "leader" {
@@ -77,34 +77,34 @@
 		}
 	}
 	switch {
-	case s.Work != nil && s.Work.Kind == maintenance.Box:
-		text += fmt.Sprintf(" box %q", s.Work.Machine)
-	case s.Work != nil:
-		text += fmt.Sprintf(" %q", s.Work.Machine)
-	case s.What == "lose zone":
+	case s.Operation != nil && s.Operation.Kind == maintenance.Box:
+		text += fmt.Sprintf(" box %q", s.Operation.Machine)
+	case s.Operation != nil:
+		text += fmt.Sprintf(" %q", s.Operation.Machine)
+	case s.Action == "lose zone":
 		quote(s.Names)
-	case s.Share > 0 && s.What == "clock":
+	case s.Fraction > 0 && s.Action == "clock":
 		quote(s.Names)
-		text += fmt.Sprintf(" %g%%", 100*s.Share)
-	case s.Share > 0:
-		text += fmt.Sprintf(" %g%% of messages", 100*s.Share)
+		text += fmt.Sprintf(" %g%%", 100*s.Fraction)
+	case s.Fraction > 0:
+		text += fmt.Sprintf(" %g%% of messages", 100*s.Fraction)
 	default:
 		quote(s.Names)
 	}
-	if s.What == "part" {
+	if s.Action == "part" {
 		text += " from"
 		quote(s.Others)
 	}
 	if s.Span > 0 {
 		text += " " + span(s.Span)
 	}
-	if s.For > 0 {
-		text += " for " + span(s.For)
+	if s.Duration > 0 {
+		text += " for " + span(s.Duration)
 	}
-	if s.Work != nil && s.Work.Urgent {
+	if s.Operation != nil && s.Operation.Urgent {
 		text += " urgent"
 	}
-	if s.Work != nil && s.Work.EndsOnRestart {
+	if s.Operation != nil && s.Operation.EndsOnRestart {
 		text += " until restart"
 	}
 	return text
@@ -114,9 +114,9 @@
 
 // String is the script in the language.
 func (s *Script) String() string {
-	text := fmt.Sprintf("name %q\nfronts %d zones %d run %s seed %d", s.Name, s.Fronts, s.Zones, span(s.For), s.Seed)
-	if s.Alone > 0 {
-		text += " alone " + span(s.Alone)
+	text := fmt.Sprintf("name %q\nfronts %d zones %d run %s seed %d", s.Name, s.Fronts, s.Zones, span(s.Duration), s.Seed)
+	if s.LeaseSpan > 0 {
+		text += " alone " + span(s.LeaseSpan)
 	}
 	for _, x := range s.Steps {
 		text += "\n" + x.String()
@@ -201,7 +201,7 @@
 	participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(3))
 
 // ErrVirtual tells of a step that started fronts can't be put to.
-var ErrVirtual = errors.New("this is possible in virtual time only")
+var ErrVirtualOnly = errors.New("this is possible in virtual time only")
 
 // ReadScript reads a script from a file.
 func ReadScript(path string) (*Script, error) {
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	s := &Script{Name: name, Fronts: 5, Zones: 3, Seed: 1, For: 60 * Second}
+	s := &Script{Name: name, Fronts: 5, Zones: 3, Seed: 1, Duration: 60 * Second}
 	for _, x := range f.Statements {
 		switch {
 		case x.Name != nil:
@@ -230,14 +230,14 @@
 		case x.Seed != nil:
 			s.Seed = *x.Seed
 		case x.Run != nil:
-			s.For = Micros(*x.Run)
+			s.Duration = Micros(*x.Run)
 		case x.Alone != nil:
-			s.Alone = Micros(*x.Alone)
+			s.LeaseSpan = Micros(*x.Alone)
 		case x.Step != nil:
 			s.Steps = append(s.Steps, x.Step.step())
 		}
 	}
-	if s.Fronts < 1 || s.Fronts > 300 || s.Zones < 1 || s.For < Second || s.Alone != 0 && s.Alone < Second {
+	if s.Fronts < 1 || s.Fronts > 300 || s.Zones < 1 || s.Duration < Second || s.LeaseSpan != 0 && s.LeaseSpan < Second {
 		return nil, fmt.Errorf("fleet: %s: fronts 1 to 300, zones from 1, run and alone from 1s on are possible", name)
 	}
 	for _, x := range s.Steps {
@@ -250,39 +250,39 @@
 }
 
 func (x *scriptStep) step() Step {
-	s := Step{At: Micros(x.At), What: x.What, Names: x.Names, where: x.Pos}
+	s := Step{At: Micros(x.At), Action: x.What, Names: x.Names, where: x.Pos}
 	if x.Leader {
 		s.Names = []string{"leader"}
 	}
 	if x.For != nil {
-		s.For = Micros(*x.For)
+		s.Duration = Micros(*x.For)
 	}
 	if x.Span != nil {
 		s.Span = Micros(*x.Span)
 	}
 	if x.Speed != nil {
-		s.Share = float64(*x.Speed)
+		s.Fraction = float64(*x.Speed)
 	}
 	switch {
 	case x.Ask != nil:
-		s.What, s.Work = "ask", &maintenance.Operation{Machine: x.Ask.Name, Duration: max(Second, s.For), Urgent: x.Urgent, EndsOnRestart: x.Until}
+		s.Action, s.Operation = "ask", &maintenance.Operation{Machine: x.Ask.Name, Duration: max(Second, s.Duration), Urgent: x.Urgent, EndsOnRestart: x.Until}
 		if x.Ask.Box {
-			s.Work.Kind, s.Work.Zone = maintenance.Box, "z0"
+			s.Operation.Kind, s.Operation.Zone = maintenance.Box, "z0"
 		}
 	case x.Part != nil:
-		s.What, s.Names, s.Others = "part", x.Part.One, x.Part.Other
+		s.Action, s.Names, s.Others = "part", x.Part.One, x.Part.Other
 	case x.Zone != nil:
-		s.What, s.Names = "lose zone", []string{*x.Zone}
+		s.Action, s.Names = "lose zone", []string{*x.Zone}
 	case x.Loss != nil:
-		s.What, s.Share = "lose", float64(*x.Loss)
+		s.Action, s.Fraction = "lose", float64(*x.Loss)
 	case x.Double != nil:
-		s.What, s.Share = "double", float64(*x.Double)
+		s.Action, s.Fraction = "double", float64(*x.Double)
 	case x.Reset:
-		s.What = "reset connections"
+		s.Action = "reset connections"
 	case x.Restart:
-		s.What = "restart all"
+		s.Action = "restart all"
 	case x.Hold:
-		s.What = "hold"
+		s.Action = "hold"
 	}
 	return s
 }
@@ -293,7 +293,7 @@
 		i, err := strconv.Atoi(strings.TrimPrefix(n, "n"))
 		return n == "leader" || err == nil && strings.HasPrefix(n, "n") && i >= 0 && i < s.Fronts
 	}
-	if x.What == "lose zone" {
+	if x.Action == "lose zone" {
 		known = func(n string) bool {
 			i, err := strconv.Atoi(strings.TrimPrefix(n, "z"))
 			return err == nil && i >= 0 && i < s.Zones
@@ -304,27 +304,27 @@
 			return fmt.Errorf("there is no %q among %d fronts, n0 on, in %d zones, z0 on", n, s.Fronts, s.Zones)
 		}
 	}
-	if x.Work != nil && x.Work.Kind == maintenance.Front && !known(x.Work.Machine) {
-		return fmt.Errorf("there is no front %q", x.Work.Machine)
+	if x.Operation != nil && x.Operation.Kind == maintenance.Front && !known(x.Operation.Machine) {
+		return fmt.Errorf("there is no front %q", x.Operation.Machine)
 	}
 	switch {
-	case (x.What == "delay" || x.What == "slow") && x.Span <= 0:
-		return fmt.Errorf("%s: by how much is missing", x.What)
-	case x.What == "clock" && (x.Share < 0.9 || x.Share > 1.1):
+	case (x.Action == "delay" || x.Action == "slow") && x.Span <= 0:
+		return fmt.Errorf("%s: by how much is missing", x.Action)
+	case x.Action == "clock" && (x.Fraction < 0.9 || x.Fraction > 1.1):
 		return errors.New("clock: 90% to 110% are possible")
-	case x.Share > 1 && x.What != "clock":
-		return fmt.Errorf("%s: over 100%%", x.What)
-	case x.At > s.For:
-		return fmt.Errorf("it begins after the day, which has %s", span(s.For))
+	case x.Fraction > 1 && x.Action != "clock":
+		return fmt.Errorf("%s: over 100%%", x.Action)
+	case x.At > s.Duration:
+		return fmt.Errorf("it begins after the day, which has %s", span(s.Duration))
 	}
 	return nil
 }
 
 // Virtual plays the script in virtual time.
-func (s *Script) Virtual(without statemachine.Mutation, verbose func(string)) (Day, *World) {
+func (s *Script) PlayVirtual(without statemachine.Mutation, verbose func(string)) (Day, *World) {
 	r := ShortRules()
-	r.LeaseSpan, r.UnhealthyPercent = s.Alone, 60
-	w := NewWorld(Spec{Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, Rules: r, Without: without})
+	r.LeaseSpan, r.UnhealthyPercent = s.LeaseSpan, 60
+	w := NewWorld(Spec{Fronts: s.Fronts, Zones: s.Zones, Seed: s.Seed, Rules: r, Mutation: without})
 	w.Verbose = verbose
 	c := &chaos{w: w, r: w.r, day: Day{Seed: s.Seed, Fronts: s.Fronts}, begun: map[uint64]Micros{}}
 	for _, f := range w.Fronts {
@@ -335,8 +335,8 @@
 	for i, x := range s.Steps {
 		w.at(began+x.At, func() { c.step(i, x) })
 	}
-	for w.now < began+s.For && !w.Checks.Failed() {
-		w.Run(min(w.now+Second, began+s.For))
+	for w.now < began+s.Duration && !w.Checker.Failed() {
+		w.Run(min(w.now+Second, began+s.Duration))
 		c.tend()
 	}
 	return c.finish(), w
@@ -354,64 +354,64 @@
 		}
 	}
 	after := func(do func()) {
-		if x.For > 0 {
-			w.After(x.For, do)
+		if x.Duration > 0 {
+			w.After(x.Duration, do)
 		}
 	}
-	switch x.What {
+	switch x.Action {
 	case "ask":
 		c.day.Asked++
-		item := *x.Work
+		item := *x.Operation
 		item.Reason = fmt.Sprintf("step %d", i)
 		at := w.Leader()
 		if at == nil {
 			at = w.Fronts[0]
 		}
-		w.Ask(at, item, func(statemachine.Result, error) {})
+		w.RequestOperation(at, item, func(statemachine.Result, error) {})
 	case "part":
-		w.Part(x.Names, x.Others)
-		after(func() { w.Part() })
+		w.Partition(x.Names, x.Others)
+		after(func() { w.Partition() })
 	case "lose":
-		w.loss = x.Share
+		w.loss = x.Fraction
 		after(func() { w.loss = 0 })
 	case "double":
-		w.double = x.Share
+		w.double = x.Fraction
 		after(func() { w.double = 0 })
 	case "hold":
-		w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Hold}, func(statemachine.Result, error) {})
+		w.SubmitOrder(w.Fronts[0], statemachine.Order{Action: statemachine.Hold}, func(statemachine.Result, error) {})
 		after(func() {
-			w.Order(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
+			w.SubmitOrder(w.Fronts[0], statemachine.Order{Action: statemachine.Resume}, func(statemachine.Result, error) {})
 		})
 	case "restart all", "lose zone":
 		for _, f := range w.Fronts {
-			if x.What == "restart all" || f.Zone == x.Names[0] {
+			if x.Action == "restart all" || f.Zone == x.Names[0] {
 				f.Crash()
-				w.After(max(x.For, Second), f.Start)
+				w.After(max(x.Duration, Second), f.Start)
 			}
 		}
 	}
 	for _, f := range fronts {
-		switch x.What {
+		switch x.Action {
 		case "kill", "tear":
 			f.Crash()
-			w.After(max(x.For, Milli), f.Start)
+			w.After(max(x.Duration, Milli), f.Start)
 		case "wipe":
 			if c.wipeable(f) {
 				f.Wipe()
-				w.After(max(x.For, Milli), f.Start)
+				w.After(max(x.Duration, Milli), f.Start)
 			}
 		case "stop":
 			f.Pause(true)
 			after(func() { f.Pause(false) })
 		case "mute", "deafen":
 			for _, o := range w.Fronts {
-				if x.What == "mute" {
+				if x.Action == "mute" {
 					w.Cut(f.Name, o.Name, true)
 				} else {
 					w.Cut(o.Name, f.Name, true)
 				}
 			}
-			after(func() { w.Part() })
+			after(func() { w.Partition() })
 		case "delay":
 			w.lag[f.Name] = x.Span
 			after(func() { delete(w.lag, f.Name) })
@@ -423,7 +423,7 @@
 			after(func() { f.slow = 0 })
 		case "clock":
 			before := f.clock()
-			f.rate = x.Share
+			f.rate = x.Fraction
 			f.offset += before - f.clock()
 		}
 	}
@@ -433,10 +433,10 @@
 var virtualOnly = []string{"fill", "slow", "lose", "double", "clock"}
 
 // Processes tells which step, if any, started fronts can't be put to.
-func (s *Script) Processes() error {
+func (s *Script) CheckProcessSteps() error {
 	for _, x := range s.Steps {
-		if slices.Contains(virtualOnly, x.What) {
-			return fmt.Errorf("fleet: %s: %s: %w", x.where, x.What, ErrVirtual)
+		if slices.Contains(virtualOnly, x.Action) {
+			return fmt.Errorf("fleet: %s: %s: %w", x.where, x.Action, ErrVirtualOnly)
 		}
 	}
 	return nil
@@ -444,15 +444,15 @@
 
 // Shortest drops steps of a script that breaks a promise in virtual time, as long as
 // it still does.
-func (s *Script) Shortest(without statemachine.Mutation) (*Script, Day, *World) {
+func (s *Script) Minimize(without statemachine.Mutation) (*Script, Day, *World) {
 	best := *s
-	d, w := best.Virtual(without, nil)
+	d, w := best.PlayVirtual(without, nil)
 	for size := max(1, len(best.Steps)/2); size >= 1 && len(d.Broken) > 0; {
 		shorter := false
 		for i := 0; i < len(best.Steps); {
 			x := best
 			x.Steps = slices.Delete(slices.Clone(best.Steps), i, min(i+size, len(best.Steps)))
-			if y, world := x.Virtual(without, nil); len(y.Broken) > 0 {
+			if y, world := x.PlayVirtual(without, nil); len(y.Broken) > 0 {
 				best, d, w, shorter = x, y, world, true
 			} else {
 				i += size
--- a/lab/fleet/script_test.go
+++ b/lab/fleet/script_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d, w := s.Virtual("", nil); len(d.Broken) > 0 {
+		if d, w := s.PlayVirtual("", nil); len(d.Broken) > 0 {
 			w.Dump(t.Output(), 60)
 			t.Errorf("%s: %v", f, d.Broken)
 		}
@@ -76,11 +76,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, d, _ := s.Shortest(statemachine.DisableLostCount)
+	short, d, _ := s.Minimize(statemachine.DisableLostCount)
 	if len(d.Broken) == 0 || len(short.Steps) > 3 {
 		t.Errorf("%v\n%s", d.Broken, short)
 	}
-	if d, _ := short.Virtual("", nil); len(d.Broken) > 0 {
+	if d, _ := short.PlayVirtual("", nil); len(d.Broken) > 0 {
 		t.Errorf("with the rule: %v", d.Broken)
 	}
 	t.Logf("%s%v", short, d.Broken)
@@ -117,7 +117,7 @@
 		}
 		w.After(Micros(i)*300*Milli, down)
 	}
-	for w.now < end && !w.Checks.Failed() {
+	for w.now < end && !w.Checker.Failed() {
 		w.Run(w.now + 2*Second)
 		asked++
 		target := w.Fronts[asked%(fronts-flap)]
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -106,8 +106,8 @@
 				stopped = w.now
 			}
 			return w.Leader().node.Replica().State().Rollout.EnforcedMin >= n
-		}) || w.Checks.Failed() {
-			b.Fatal("the bar does not pass", w.Checks.Broken())
+		}) || w.Checker.Failed() {
+			b.Fatal("the bar does not pass", w.Checker.Violations())
 		}
 		b.ReportMetric(float64(stopped-began)/1e6, "s-until-it-stopped")
 		b.ReportMetric(float64(w.now-began)/1e6, "s-until-passed")
@@ -129,25 +129,25 @@
 						rest = append(rest, f.Name)
 					}
 				}
-				w.Part(rest, cut)
+				w.Partition(rest, cut)
 				n := w.proposes(b, 64<<10, rollout.Version{Urgent: true})
 				w.Run(w.now + 20*Second)
 				before, leader := 0, w.Leader()
 				for _, f := range w.Fronts {
-					before += w.Bytes[f.Name]
+					before += w.BytesSent[f.Name]
 				}
-				lead := w.Bytes[leader.Name]
-				w.Part()
+				lead := w.BytesSent[leader.Name]
+				w.Partition()
 				began := w.now
 				if !w.RunUntil(120*Second, func() bool { return w.allAct(n) }) {
 					b.Fatal("not all come up")
 				}
 				sum := -before
 				for _, f := range w.Fronts {
-					sum += w.Bytes[f.Name]
+					sum += w.BytesSent[f.Name]
 				}
 				b.ReportMetric(float64(w.now-began)/1e6, "s-all-up")
-				b.ReportMetric(float64(w.Bytes[leader.Name]-lead)/1024, "KB-leader")
+				b.ReportMetric(float64(w.BytesSent[leader.Name]-lead)/1024, "KB-leader")
 				b.ReportMetric(float64(sum)/1024, "KB-all")
 			}
 		})
@@ -164,7 +164,7 @@
 		for i := range 20 {
 			x := fleet.Proposal{Urgent: i%2 == 0}
 			began := time.Now()
-			n, err := f.List[i%12].Propose(Probe(i), x)
+			n, err := f.List[i%12].Propose(ProbeSettings(i), x)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/lab/fleet/versions_hard_test.go
+++ b/lab/fleet/versions_hard_test.go
@@ -51,7 +51,7 @@
 // The hard cases of versions, on five started fronts in three zones under requests.
 func TestVersionsHardCases(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	h := hard{started(t, Options{Fronts: 5, Zones: 3, Seed: 31, Lines: true, Rules: VersionRules()}), t}
+	h := hard{started(t, Options{Fronts: 5, Zones: 3, Seed: 31, UseProxies: true, Rules: VersionRules()}), t}
 	clients := NewClients(h.Processes, 60)
 	for _, x := range []struct {
 		name string
@@ -97,7 +97,7 @@
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		h.t.Fatal(err)
 	}
-	n, err := l.Propose(Probe(1), fleet.Proposal{WatchS: 0.2})
+	n, err := l.Propose(ProbeSettings(1), fleet.Proposal{WatchS: 0.2})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ns[i], errs[i] = at.Propose(Probe(10+i), fleet.Proposal{Reason: fmt.Sprintf("person %d", i), WatchS: 0.5})
+			ns[i], errs[i] = at.Propose(ProbeSettings(10+i), fleet.Proposal{Reason: fmt.Sprintf("person %d", i), WatchS: 0.5})
 		}()
 	}
 	wg.Wait()
@@ -136,7 +136,7 @@
 	}
 	await(h.t, "the one that came first stands", func() bool { return a.version(ns[won]).Phase == "standing" })
 	zero := uint64(0)
-	if _, err := b.Propose(Probe(12), fleet.Proposal{Base: &zero}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("person %d", won)) {
+	if _, err := b.Propose(ProbeSettings(12), fleet.Proposal{Base: &zero}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("person %d", won)) {
 		h.t.Errorf("made on an old version: %v", err)
 	}
 }
@@ -146,7 +146,7 @@
 	if err := l.Call("FLEET VERSIONS STAGE half eyJzZXR0aW5ncyI6", nil); err != nil {
 		h.t.Fatal(err)
 	}
-	h.stands(l, Probe(13), fleet.Proposal{WatchS: 0.2})
+	h.stands(l, ProbeSettings(13), fleet.Proposal{WatchS: 0.2})
 	if err := l.Call(`FLEET VERSIONS PROPOSE {"upload":"half"}`, nil); err == nil {
 		h.t.Error("half a file was proposed")
 	}
@@ -156,8 +156,8 @@
 // than the first part, and those of it come back up on the last good one.
 func endsAll(h hard) {
 	l := h.leader()
-	good := h.stands(l, Probe(14), fleet.Proposal{WatchS: 0.2})
-	n, err := l.Propose(Probe(15), fleet.Proposal{WatchS: 40})
+	good := h.stands(l, ProbeSettings(14), fleet.Proposal{WatchS: 0.2})
+	n, err := l.Propose(ProbeSettings(15), fleet.Proposal{WatchS: 40})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 
 func leaderChanges(h hard) {
 	l := h.leader()
-	n, err := l.Propose(Probe(16), fleet.Proposal{WatchS: 1})
+	n, err := l.Propose(ProbeSettings(16), fleet.Proposal{WatchS: 1})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -249,12 +249,12 @@
 			rest = append(rest, p)
 		}
 	}
-	h.Part(cut, rest)
+	h.Partition(cut, rest)
 	var l *Process
 	await(h.t, "the rest has a leader", func() bool { l = leaderOf(rest); return l != nil })
-	h.stands(l, Probe(17), fleet.Proposal{WatchS: 0.2})
+	h.stands(l, ProbeSettings(17), fleet.Proposal{WatchS: 0.2})
 	h.stands(l, `{"purge":{"objects":["o1"]}}`, fleet.Proposal{Urgent: true, GateS: 1})
-	n := h.stands(l, Probe(18), fleet.Proposal{WatchS: 0.2, GateS: 1})
+	n := h.stands(l, ProbeSettings(18), fleet.Proposal{WatchS: 0.2, GateS: 1})
 	await(h.t, "the bar has passed", func() bool { return l.version(n).GatePassed })
 	for _, p := range cut {
 		if status, away, _ := page(p, fmt.Sprintf("%016x", time.Now().UnixNano())); status != 503 || away == "" {
@@ -267,7 +267,7 @@
 			h.t.Errorf("%+v", lag)
 		}
 	}
-	h.Part()
+	h.Partition()
 	await(h.t, "the zone is brought up, straight to the newest", func() bool { return h.all("probe-18") })
 	h.whole()
 	r := l.audit(h.t, fmt.Sprintf(`{"by_version":true,"version":%d}`, n-2))
@@ -294,9 +294,9 @@
 		x := h.other(l)
 		for _, q := range h.List {
 			if q != x && out {
-				h.Freeze(q, x, true)
+				h.BlockLink(q, x, true)
 			} else if q != x {
-				h.Freeze(x, q, true)
+				h.BlockLink(x, q, true)
 			}
 		}
 		class := fmt.Sprintf("probe-%d", 20+i)
@@ -304,7 +304,7 @@
 		await(h.t, "the version is proposed", func() bool {
 			at := h.other(x)
 			var err error
-			n, err = at.Propose(Probe(20+i), fleet.Proposal{WatchS: 0.2, GateS: 1})
+			n, err = at.Propose(ProbeSettings(20+i), fleet.Proposal{WatchS: 0.2, GateS: 1})
 			return err == nil
 		})
 		at := h.other(x)
@@ -313,7 +313,7 @@
 		if before {
 			h.t.Errorf("%s acts on an older version after the bar", x.Name)
 		}
-		h.Part()
+		h.Partition()
 		await(h.t, "all act on it", func() bool { return h.all(class) })
 		h.whole()
 	}
@@ -347,7 +347,7 @@
 		if i == 0 {
 			old = "probe-21"
 		}
-		n := h.stands(l, Probe(30+i), fleet.Proposal{WatchS: 0.2, GateS: 0.5})
+		n := h.stands(l, ProbeSettings(30+i), fleet.Proposal{WatchS: 0.2, GateS: 0.5})
 		await(h.t, "its bar has passed", func() bool { return l.version(n).GatePassed })
 		close(stop)
 		x.Signal(syscall.SIGCONT)
@@ -369,7 +369,7 @@
 	for _, p := range []*Process{a, b} {
 		p.Signal(syscall.SIGSTOP)
 	}
-	n := h.stands(l, Probe(40), fleet.Proposal{WatchS: 0.2, GateS: 1})
+	n := h.stands(l, ProbeSettings(40), fleet.Proposal{WatchS: 0.2, GateS: 1})
 	await(h.t, "the bar passes with two of five voters away", func() bool { return l.version(n).GatePassed })
 	for _, p := range []*Process{a, b} {
 		p.Signal(syscall.SIGCONT)
@@ -394,7 +394,7 @@
 		h.t.Fatal(err)
 	}
 	h.whole()
-	h.stands(l, Probe(41), fleet.Proposal{WatchS: 0.2})
+	h.stands(l, ProbeSettings(41), fleet.Proposal{WatchS: 0.2})
 	await(h.t, "all act on it", func() bool { return h.all("probe-41") })
 	await(h.t, "the log knows of its audit", func() bool { return l.lags()[x.Name].AuditRecord > 0 })
 	time.Sleep(6 * time.Second) // heads are told every five
--- a/lab/fleet/versions_test.go
+++ b/lab/fleet/versions_test.go
@@ -55,11 +55,11 @@
 // the next, is shut out, and comes back; the audit tells all of it.
 func TestVersions(t *testing.T) {
 	t.Parallel() // after all that plays in virtual time, whose random source is the process's
-	f := started(t, Options{Fronts: 3, Zones: 3, Seed: 21, Lines: true, Rules: VersionRules()})
+	f := started(t, Options{Fronts: 3, Zones: 3, Seed: 21, UseProxies: true, Rules: VersionRules()})
 	h := hard{f, t}
 	clients := NewClients(f, 60)
 	l := h.leader()
-	n, err := h.other(l).Propose(Probe(1), fleet.Proposal{Reason: "the first", WatchS: 0.5})
+	n, err := h.other(l).Propose(ProbeSettings(1), fleet.Proposal{Reason: "the first", WatchS: 0.5})
 	if err != nil || n != 1 {
 		t.Fatal(n, err)
 	}
@@ -73,7 +73,7 @@
 	})
 	stopped := h.other(l)
 	stopped.Signal(syscall.SIGSTOP)
-	n, err = l.Propose(Probe(2), fleet.Proposal{Reason: "the second", WatchS: 0.5, GateS: 1})
+	n, err = l.Propose(ProbeSettings(2), fleet.Proposal{Reason: "the second", WatchS: 0.5, GateS: 1})
 	if err != nil || n != 2 {
 		t.Fatal(n, err)
 	}
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -57,13 +57,13 @@
 
 // Spec is a fleet in virtual time.
 type Spec struct {
-	Fronts  int
-	Zones   int
-	First   int // named first members; 0: three, or as many as there are
-	Seed    uint64
-	Rules   maintenance.Rules // zero: the defaults, with short spans
-	Without statemachine.Mutation
-	FanOut  int
+	Fronts         int
+	Zones          int
+	InitialMembers int // named first members; 0: three, or as many as there are
+	Seed           uint64
+	Rules          maintenance.Rules // zero: the defaults, with short spans
+	Mutation       statemachine.Mutation
+	FanOut         int
 }
 
 // event is something that happens at a moment.
@@ -124,47 +124,47 @@
 
 // World is a fleet in virtual time.
 type World struct {
-	spec     Spec
-	r        *mathrand.Rand
-	chance   stream // of the agreement library
-	drawing  bool
-	now      Micros
-	seq      uint64
-	queue    events
-	Fronts   []*Front
-	byName   map[string]*Front
-	cut      map[[2]string]bool // one-way
-	delay    Micros
-	jitter   Micros
-	tap      func(from string, s consensus.Message) // sees what is sent; nil: nobody does
-	lag      map[string]Micros                      // added to the delay of what a front sends
-	loss     float64
-	double   float64
-	last     map[[2]string]Micros
-	Sent     map[string]int // messages by front
-	Bytes    map[string]int
-	Checks   *Checker
-	Log      []string
-	Verbose  func(string)
-	restarts bool // whoever is out is restarted once it may be
+	spec         Spec
+	r            *mathrand.Rand
+	chance       stream // of the agreement library
+	drawing      bool
+	now          Micros
+	seq          uint64
+	queue        events
+	Fronts       []*Front
+	byName       map[string]*Front
+	cut          map[[2]string]bool // one-way
+	delay        Micros
+	jitter       Micros
+	tap          func(from string, s consensus.Message) // sees what is sent; nil: nobody does
+	lag          map[string]Micros                      // added to the delay of what a front sends
+	loss         float64
+	double       float64
+	last         map[[2]string]Micros
+	MessagesSent map[string]int // messages by front
+	BytesSent    map[string]int
+	Checker      *Checker
+	Log          []string
+	Verbose      func(string)
+	restarts     bool // whoever is out is restarted once it may be
 }
 
 // NewWorld makes a world in which nothing is started yet.
 func NewWorld(s Spec) *World {
 	w := &World{spec: s, r: mathrand.New(mathrand.NewPCG(s.Seed, 0xf1ee7)), byName: map[string]*Front{}, cut: map[[2]string]bool{},
-		delay: Milli, jitter: Milli, last: map[[2]string]Micros{}, lag: map[string]Micros{}, Sent: map[string]int{}, Bytes: map[string]int{}, restarts: true}
+		delay: Milli, jitter: Milli, last: map[[2]string]Micros{}, lag: map[string]Micros{}, MessagesSent: map[string]int{}, BytesSent: map[string]int{}, restarts: true}
 	var seed [32]byte
 	binary.LittleEndian.PutUint64(seed[:], s.Seed)
 	w.chance = stream{mathrand.NewChaCha8(seed)}
-	w.Checks = newChecker(w)
+	w.Checker = newChecker(w)
 	if s.Rules == (maintenance.Rules{}) {
 		w.spec.Rules = ShortRules()
 	}
 	var first []consensus.Address
-	if s.First == 0 {
-		s.First = min(3, s.Fronts)
+	if s.InitialMembers == 0 {
+		s.InitialMembers = min(3, s.Fronts)
 	}
-	for i := range s.First {
+	for i := range s.InitialMembers {
 		first = append(first, consensus.Address{Name: name(i), Address: "virtual"})
 	}
 	for i := range s.Fronts {
@@ -216,7 +216,7 @@
 // Run plays until a moment.
 func (w *World) Run(until Micros) {
 	defer w.library()()
-	for len(w.queue) > 0 && w.queue[0].at <= until && !w.Checks.Failed() {
+	for len(w.queue) > 0 && w.queue[0].at <= until && !w.Checker.Failed() {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
@@ -226,7 +226,7 @@
 
 // RunUntil plays until something holds, or a span has passed.
 func (w *World) RunUntil(within Micros, holds func() bool) bool {
-	for end := w.now + within; w.now < end && !w.Checks.Failed(); {
+	for end := w.now + within; w.now < end && !w.Checker.Failed(); {
 		if holds() {
 			return true
 		}
@@ -263,7 +263,7 @@
 		f.w.log("%s can't start: %v", f.Name, err)
 		return
 	}
-	n.Replica().SetMutation(f.w.spec.Without)
+	n.Replica().SetMutation(f.w.spec.Mutation)
 	f.taker, f.opened = rollout.NewApplier(f.notes), false
 	f.node, f.out, f.open, f.paused, f.held = n, false, f.w.r.IntN(5), false, nil
 	f.w.log("%s starts (incarnation %x)", f.Name, r.Identity.ID)
@@ -307,7 +307,7 @@
 		f.out = false
 		f.w.log("%s takes clients again", f.Name)
 	}
-	f.w.Checks.host(f)
+	f.w.Checker.host(f)
 	f.node.SetHostState(f.out, f.out && f.w.now >= f.emptyAt, f.hurt)
 	boxes := f.node.BoxesToLeave()
 	for _, b := range boxes {
@@ -317,8 +317,8 @@
 	if !f.node.MayAct(f.clock()) {
 		f.opened = false
 	}
-	f.w.Checks.box(f, boxes)
-	f.w.Checks.version(f)
+	f.w.Checker.box(f, boxes)
+	f.w.Checker.version(f)
 	f.opened = f.node.MayAct(f.clock())
 }
 
@@ -368,7 +368,7 @@
 	case rollout.Activate:
 		f.w.log("%s acts on version %d (%q), noted %+v, said %+v, candidate %d", f.Name, n, bad, f.notes, f.taker.Report(), candidate)
 		f.taker.Activated(n, nil, s.Watch(n), f.clock())
-		f.w.Checks.took(f, n)
+		f.w.Checker.took(f, n)
 		if bad == "crashes" {
 			f.w.After(Second, func() {
 				if f.life == life && f.node != nil && f.taker.Active() == n {
@@ -394,7 +394,7 @@
 	for _, line := range f.node.Events() {
 		f.w.log("%s: %s", f.Name, line)
 	}
-	f.w.Checks.seen(f)
+	f.w.Checker.seen(f)
 	out, ok := f.node.Ready()
 	if !ok {
 		return
@@ -440,7 +440,7 @@
 		f.w.send(f, s)
 	}
 	if err := n.Advance(out); err != nil {
-		f.w.Checks.fail("%s: %v", f.Name, err)
+		f.w.Checker.fail("%s: %v", f.Name, err)
 		return
 	}
 	f.pump()
@@ -451,8 +451,8 @@
 	if w.tap != nil {
 		w.tap(f.Name, s)
 	}
-	w.Sent[f.Name]++
-	w.Bytes[f.Name] += len(s.Payload) + 16
+	w.MessagesSent[f.Name]++
+	w.BytesSent[f.Name] += len(s.Payload) + 16
 	to, pair := w.byName[s.To], [2]string{f.Name, s.To}
 	if to == nil || w.cut[pair] || w.loss > 0 && w.r.Float64() < w.loss {
 		return
@@ -475,7 +475,7 @@
 			to.do(life, func() {
 				to.node.AdvanceClock(to.clock())
 				if err := to.node.Receive(f.Name, s.Kind, s.Payload); err != nil {
-					w.Checks.fail("%s can't read a message of %s: %v", to.Name, f.Name, err)
+					w.Checker.fail("%s can't read a message of %s: %v", to.Name, f.Name, err)
 				}
 				to.pump()
 			})
@@ -535,7 +535,7 @@
 
 // Part parts the fronts into groups that hear nothing of each other; none: all
 // hear all.
-func (w *World) Part(groups ...[]string) {
+func (w *World) Partition(groups ...[]string) {
 	clear(w.cut)
 	if len(groups) == 0 {
 		w.log("all hear all")
@@ -566,12 +566,12 @@
 }
 
 // Ask has a front asked for a work, and tells its word.
-func (w *World) Ask(at *Front, x maintenance.Operation, done func(statemachine.Result, error)) {
+func (w *World) RequestOperation(at *Front, x maintenance.Operation, done func(statemachine.Result, error)) {
 	w.order(at, statemachine.Command{Request: &statemachine.Request{Operation: x}}, done)
 }
 
 // Order has a front told a person's word.
-func (w *World) Order(at *Front, o statemachine.Order, done func(statemachine.Result, error)) {
+func (w *World) SubmitOrder(at *Front, o statemachine.Order, done func(statemachine.Result, error)) {
 	w.order(at, statemachine.Command{Order: &o}, done)
 }
 
@@ -611,7 +611,7 @@
 func (w *World) Digest() string {
 	h := sha256.New()
 	for _, f := range w.Fronts {
-		_, _ = fmt.Fprintf(h, "%s %d %d\n", f.Name, f.life, w.Sent[f.Name])
+		_, _ = fmt.Fprintf(h, "%s %d %d\n", f.Name, f.life, w.MessagesSent[f.Name])
 		if f.node != nil {
 			_, _ = h.Write(f.node.Replica().Snapshot())
 		}
--- a/lab/fleet/virtual_test.go
+++ b/lab/fleet/virtual_test.go
@@ -25,9 +25,9 @@
 
 func ended(t *testing.T, w *World) {
 	t.Helper()
-	if w.Checks.Failed() {
+	if w.Checker.Failed() {
 		w.Dump(t.Output(), 80)
-		t.Fatal(w.Checks.Broken())
+		t.Fatal(w.Checker.Violations())
 	}
 }
 
@@ -50,7 +50,7 @@
 	if target == leader {
 		target = w.Fronts[1]
 	}
-	w.Ask(target, maintenance.Operation{Machine: target.Name, Duration: 60 * Second}, func(word statemachine.Result, err error) {
+	w.RequestOperation(target, maintenance.Operation{Machine: target.Name, Duration: 60 * Second}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -69,7 +69,7 @@
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come empty")
 	}
-	w.Order(target, statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
+	w.SubmitOrder(target, statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
 	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Maintenance.ForMachine(target.Name) == nil }) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come back")
