--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,7 +49,7 @@
 	ConnIdleTimeout rules.Micros // nodes close connections that are idle for this long
 
 	// Flow and Link are the rates, in bytes per second, of one transfer of a locally
-	// held copy and of all such transfers together; 0: unlimited.
+	// held copy and of all such transfers together; with either 0, no copies are held.
 	Flow, Link float64
 
 	Board         string            // address of the notice board; empty: none
--- a/internal/front/signed/signed.go
+++ b/internal/front/signed/signed.go
@@ -86,7 +86,7 @@
 type SharedLimits interface {
 	// Take admits one request under all its claims or, if a limit refuses it, takes from
 	// none and gives the time after which to retry and the reason.
-	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, away gateway.Micros, refused string)
+	Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, retryAfter gateway.Micros, refused string)
 	// Release gives back what Take took.
 	Release(taken []*quotalease.Bucket)
 	// Forged records a forged signature from a prefix; Suspect reports whether the
@@ -139,7 +139,7 @@
 }
 
 // Reload replaces the policy. Counts of requests and uses stay; remembered results of
-// signature checks are dropped with the old set.
+// signature checks are dropped with the old profile set.
 func (f *Front) Reload(p Policy) { f.policy = p }
 
 // request is the state of one request.
