--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The sample in deploy is whole but for its keys, and every fault of a section is
-// told at once with its key.
+// Checks that deploy/operator-fleet.json loads with its defaults, and that all faults of
+// the section are reported in one error, each with its key.
 func TestFleetSection(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator-fleet.json")
 	if err != nil {
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := o.Fleet; f.TickMS != 100 || f.FanOut != 16 || f.Folder != filepath.Join(dir, "fleet") || f.Rules.Work().Accept != 20_000_000 {
+	if f := o.Fleet; f.TickMS != 100 || f.FanOut != 16 || f.DataDir != filepath.Join(dir, "fleet") || f.Rules.Maintenance().AcceptTimeout != 20_000_000 {
 		t.Errorf("defaults: %+v", f)
 	}
 	for _, x := range []struct{ from, to, key string }{
@@ -46,6 +46,6 @@
 	}
 	all := strings.NewReplacer(`"zone": "hub-a"`, `"zone": ""`, `"folder": "fleet"`, `"folder": ""`).Replace(string(text))
 	if _, err := ParseOperator([]byte(all), dir); err == nil || !strings.Contains(err.Error(), "fleet.zone") || !strings.Contains(err.Error(), "fleet.folder") {
-		t.Errorf("not all faults are told: %v", err)
+		t.Errorf("not all faults are reported: %v", err)
 	}
 }
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,242 +1,248 @@
-// Package admission decides how many requests a front takes at a time when far
-// more come than it can answer, as when all idle clients wake at once. It learns
-// from the answers alone: how fast they go out, and how much longer each takes
-// than it did when little was open. Who finds no place waits for one, in the order
-// of the worth that a place earns and then of the time left, as long as the pace
-// allows an answer in time. Who can't be answered in time is refused as soon as
-// that is known, with a time to come back that belongs to that client: times are
-// handed out one after the other at the pace of the answers, so that what returns
-// finds room.
+// Package admission implements an adaptive concurrency limit with a priority
+// queue, for a front that receives far more requests than it can answer, for
+// example when all idle clients wake at once.
 //
-// Which server answers, and what is tried again, is decided elsewhere; a request
-// that is refused here has reached nothing. It does no I/O, asks no clock, and its
-// only chance is in the seed of a sketch.
+// The limit is learnt from the answers alone: their throughput, and how much
+// longer each takes than at low load. A request over the limit is queued, in the
+// order of the worth that its slot earns per second and then of its deadline, as
+// long as the throughput allows an answer before the deadline. A request that
+// can't be answered in time is refused as soon as that is known, with a backoff
+// of its own: return times are spaced at the throughput of the answers, so that
+// returning clients find capacity.
+//
+// Server selection and retries are decided elsewhere; a request refused here has
+// reached no server. The package does no I/O and reads no clock; the only
+// randomness is the seed of a sketch.
 package admission
 
 import (
 	"math"
 	"net/netip"
 
-	"cherryramp/internal/decide/suspects"
+	"cherryramp/internal/decide/abuse"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
-// Law is how the limit learns.
-type Law uint8
+// Algorithm selects how the limit adapts.
+type Algorithm uint8
 
-// The laws. AIMD adds one a round and takes a tenth off when answers are slow
-// (Chiu and Jain, 1989). Gradient follows the ratio of the usual time of an
-// answer to that of late (as Netflix' concurrency-limits does, gradient 2).
+// The algorithms. AIMD adds one per round and subtracts a tenth when answers are
+// slow (Chiu and Jain, 1989). Gradient follows the ratio of the baseline latency
+// to the recent one (as gradient 2 of Netflix' concurrency-limits does).
 const (
-	AIMD Law = iota
+	AIMD Algorithm = iota
 	Gradient
 )
 
-// Config bounds the limit.
+// Config holds the bounds of a Limiter.
 type Config struct {
-	Law         Law
-	Least, Most int       // requests open at a time
-	Start       int       // before anything is learnt
-	Queue       int       // requests that wait at a time
-	Away        Micros    // the greatest time to stay away
-	Worth       []float64 // of the classes
-	Seed        uint64
+	Algorithm          Algorithm
+	MinLimit, MaxLimit int       // bounds of the requests in flight
+	InitialLimit       int       // limit before the first round ends
+	MaxQueued          int       // queued requests
+	MaxBackoff         Micros    // longest backoff given to a refused client
+	Worth              []float64 // of an answer, by class
+	Seed               uint64    // of the sketch that counts prefixes
 }
 
 const (
-	round        Micros = 50_000 // after which what was measured is used
-	fewest       int    = 8      // answers, or the round goes on
-	tolerance           = 2.0    // how much slower than usual is still well
-	usualWeight         = 0.01   // of a round, in the usual time
-	paceWeight          = 0.3    // of a round, in the pace
-	fairFrom            = 0.75   // share of the limit from which prefixes are held apart
-	fairShare           = 0.25   // of what came lately that one prefix may be
-	fairLeast           = 32     // requests lately, under which nobody is too many
-	freshShare          = 0.2    // of the pace that is kept for those who come for the first time
-	timeWeight          = 0.05   // of one answer in its class's time
-	unknownQueue        = 8      // times the limit that may be open or wait while the pace is unknown
+	roundDuration         Micros = 50_000 // minimum length of a measurement round
+	minSamples            int    = 8      // answers that a round needs to end
+	latencyTolerance             = 2.0    // ratio to the baseline up to which latency counts as normal
+	baselineWeight               = 0.01   // weight of a round in the baseline latency
+	throughputWeight             = 0.3    // weight of a round in the throughput
+	fairnessThreshold            = 0.75   // share of the limit from which heavy prefixes are queued
+	maxPrefixShare               = 0.25   // share of recent requests above which a prefix is heavy
+	minPrefixRequests            = 32     // recent requests up to which a prefix is never heavy
+	newcomerShare                = 0.2    // share of the throughput reserved for clients without a backoff
+	latencyWeight                = 0.05   // weight of an answer in its class's latency
+	unmeasuredQueueFactor        = 8      // multiple of the limit that may be ahead while the throughput is unknown
 )
 
-// Limiter takes and refuses requests.
+// Limiter admits, queues and refuses requests. It is not safe for concurrent use.
 type Limiter struct {
-	cfg     Config
-	limit   float64
-	open    int
-	lanes   []lane
-	waiting int
-	doubt   bool // something has changed since all that wait were found to be in time
-
-	began  Micros // the round
-	count  int    // answers in it
-	spent  Micros // by them
-	taken  int    // most open in it
-	usual  float64
-	pace   float64 // answers a microsecond; 0: unknown
-	next   Micros  // the time that the next to be sent away comes back
-	came   *suspects.Sketch
-	all    uint32 // that the sketch counted in its period
-	period Micros
+	cfg      Config
+	limit    float64
+	inFlight int
+	lanes    []lane
+	waiting  int
+	recheck  bool // the queue has changed since all its tickets were found to meet their deadlines
+
+	roundStart   Micros
+	roundAnswers int
+	roundLatency Micros        // sum over the round's answers
+	roundPeak    int           // most requests in flight during the round
+	baseline     float64       // us, latency at low load; 0: unknown
+	throughput   float64       // answers per microsecond; 0: unknown
+	nextReturn   Micros        // when the last refused client is to return
+	recent       *abuse.Sketch // recent requests by prefix
+	recentTotal  uint32        // recent requests of all prefixes, halved with the sketch
+	recentEpoch  Micros        // half-life period that recentTotal was last halved in
 }
 
-// New makes a limiter.
+// New returns a Limiter with nothing in flight.
 func New(cfg Config) *Limiter {
-	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.Start, cfg.Least), cfg.Most)), came: suspects.New(cfg.Seed)}
-	l.Renew(cfg.Worth)
+	l := &Limiter{cfg: cfg, limit: float64(min(max(cfg.InitialLimit, cfg.MinLimit), cfg.MaxLimit)), recent: abuse.New(cfg.Seed)}
+	l.UpdateClasses(cfg.Worth)
 	return l
 }
 
-// Renew takes the worth of further classes; those known so far must keep their places.
-func (l *Limiter) Renew(worth []float64) {
+// UpdateClasses sets the worth of all classes, which may have grown in number. The
+// known classes must keep their indexes; their queues keep the worth they have.
+func (l *Limiter) UpdateClasses(worth []float64) {
 	for _, w := range worth[len(l.lanes)/2:] {
-		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyLess}) // as laneOf has them
+		l.lanes = append(l.lanes, lane{worth: w}, lane{worth: w * heavyRankFactor}) // in the order of laneIndex
 	}
 	l.cfg.Worth = worth
 }
 
-// Limit is how many may be open now.
+// Limit returns how many requests may be in flight now.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Open counts what was taken and is not done.
-func (l *Limiter) Open() int { return l.open }
+// InFlight returns the number of requests that were admitted and are not done.
+func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Pace is the answers a second, as measured; 0: not known yet.
-func (l *Limiter) Pace() float64 { return l.pace * 1e6 }
+// Throughput returns the measured answers per second, or 0 before the first round ends.
+func (l *Limiter) Throughput() float64 { return l.throughput * 1e6 }
 
-// Verdict says what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Taken Verdict = iota // it must be given back with Done
-	Waits                // Next or Leave ends that
+	Admitted Verdict = iota // the caller must call Done
+	Queued                  // until Next, Drop or Cancel removes the ticket
 	Refused
 )
 
-// Ask asks for one request. Refused, it is told how long to stay away. Where it
-// waits, another may have had to yield to it; that one is refused.
-func (l *Limiter) Ask(t *Ticket, now Micros) (v Verdict, away Micros, yields *Ticket) {
-	place := laneOf(t.Class, l.heavy(t.From, now))
-	x := &l.lanes[place]
-	if l.waiting == 0 && l.open < int(l.limit) && (place%2 == 0 || float64(l.open) < fairFrom*l.limit) {
-		if l.open > l.cfg.Least && !l.inTime(l.open, x, t.Until, now) {
-			return Refused, l.away(now), nil
+// Admit decides on one request. For Refused, backoff is how long the client is to
+// stay away. For Queued, evicted is the ticket that was removed from a full queue
+// to make room, if any; it is refused with backoff.
+func (l *Limiter) Admit(t *Ticket, now Micros) (v Verdict, backoff Micros, evicted *Ticket) {
+	index := laneIndex(t.Class, l.isHeavy(t.Prefix, now))
+	queue := &l.lanes[index]
+	if l.waiting == 0 && l.inFlight < int(l.limit) && (index%2 == 0 || float64(l.inFlight) < fairnessThreshold*l.limit) {
+		if l.inFlight > l.cfg.MinLimit && !l.meetsDeadline(l.inFlight, queue, t.Deadline, now) {
+			return Refused, l.backoff(now), nil
 		}
-		l.enter()
-		return Taken, 0, nil
+		l.start()
+		return Admitted, 0, nil
 	}
-	if !l.inTime(l.open+l.ahead(x.rank()), x, t.Until, now) {
-		return Refused, l.away(now), nil
+	if !l.meetsDeadline(l.inFlight+l.queuedAhead(queue.rank()), queue, t.Deadline, now) {
+		return Refused, l.backoff(now), nil
 	}
-	if l.waiting >= l.cfg.Queue {
-		worst := l.worst()
-		if worst == nil || worst.rank() >= x.rank() {
-			return Refused, l.away(now), nil
+	if l.waiting >= l.cfg.MaxQueued {
+		lowest := l.lowestRanked()
+		if lowest == nil || lowest.rank() >= queue.rank() {
+			return Refused, l.backoff(now), nil
 		}
-		yields = worst.take(0)
+		evicted = lowest.remove(0)
 		l.waiting--
 	}
-	x.push(t, place)
+	queue.push(t, index)
 	l.waiting++
-	l.doubt = l.doubt || l.waiting > len(x.tickets) // those of lower rank are further behind
-	if yields != nil {
-		away = l.away(now)
+	l.recheck = l.recheck || l.waiting > len(queue.tickets) // tickets of lower rank wait longer now
+	if evicted != nil {
+		backoff = l.backoff(now)
 	}
-	return Waits, away, yields
+	return Queued, backoff, evicted
 }
 
-func (l *Limiter) enter() {
-	l.open++
-	l.taken = max(l.taken, l.open)
+// start counts one more request in flight.
+func (l *Limiter) start() {
+	l.inFlight++
+	l.roundPeak = max(l.roundPeak, l.inFlight)
 }
 
-// heavy counts a request and tells whether its prefix is too large a part of
-// what came lately.
-func (l *Limiter) heavy(from netip.Prefix, now Micros) bool {
-	if !from.IsValid() {
+// isHeavy counts a request and reports whether its prefix makes up too large a
+// share of the recent requests.
+func (l *Limiter) isHeavy(prefix netip.Prefix, now Micros) bool {
+	if !prefix.IsValid() {
 		return false
 	}
-	if p := now / suspects.Period; p != l.period {
-		l.period, l.all = p, l.all/2
+	if p := now / abuse.HalfLife; p != l.recentEpoch {
+		l.recentEpoch, l.recentTotal = p, l.recentTotal/2
 	}
-	l.all++
-	l.came.Add(from, now)
-	n := l.came.Count(from, now)
-	return n > fairLeast && float64(n) > fairShare*float64(l.all)
+	l.recentTotal++
+	l.recent.Add(prefix, now)
+	n := l.recent.Count(prefix, now)
+	return n > minPrefixRequests && float64(n) > maxPrefixShare*float64(l.recentTotal)
 }
 
-// away hands out the next time to come back: not before what is open is done,
-// and one after the other at the pace of the answers, less what is kept for new
-// ones. Past the greatest time it begins again, since nobody can be told more.
-func (l *Limiter) away(now Micros) Micros {
-	if l.pace == 0 {
-		l.next = max(l.next, now) + l.cfg.Away/64
+// backoff allocates the next return time: not before the requests in flight and in
+// the queue are done, and spaced at the throughput less newcomerShare. Past
+// MaxBackoff, the longest that a client can be told, allocation starts over.
+func (l *Limiter) backoff(now Micros) Micros {
+	if l.throughput == 0 {
+		l.nextReturn = max(l.nextReturn, now) + l.cfg.MaxBackoff/64
 	} else {
-		l.next = max(l.next, now+Micros(float64(l.open+l.waiting)/l.pace)) + Micros(1/(l.pace*(1-freshShare)))
+		l.nextReturn = max(l.nextReturn, now+Micros(float64(l.inFlight+l.waiting)/l.throughput)) + Micros(1/(l.throughput*(1-newcomerShare)))
 	}
-	if l.next > now+l.cfg.Away {
-		l.next = now + l.cfg.Away/8
-		return l.cfg.Away
+	if l.nextReturn > now+l.cfg.MaxBackoff {
+		l.nextReturn = now + l.cfg.MaxBackoff/8
+		return l.cfg.MaxBackoff
 	}
-	return max(1, l.next-now)
+	return max(1, l.nextReturn-now)
 }
 
-// Done gives a request back; spent is from when it was taken to its answer, and
-// answered tells that it has one that took work.
-func (l *Limiter) Done(class int, spent, now Micros, answered bool) {
-	l.open--
+// Done ends an admitted request. latency is the time from admission to the answer;
+// answered reports whether there was an answer that took work, so that it counts
+// as a sample.
+func (l *Limiter) Done(class int, latency, now Micros, answered bool) {
+	l.inFlight--
 	if !answered {
 		return
 	}
 	for _, heavy := range []bool{false, true} {
-		x := &l.lanes[laneOf(class, heavy)]
-		if x.time == 0 {
-			x.time = float64(spent)
+		queue := &l.lanes[laneIndex(class, heavy)]
+		if queue.latency == 0 {
+			queue.latency = float64(latency)
 		} else {
-			x.time += timeWeight * (float64(spent) - x.time)
+			queue.latency += latencyWeight * (float64(latency) - queue.latency)
 		}
 	}
-	if l.count == 0 && now-l.began > 4*round {
-		l.began = now - round // nothing was asked for meanwhile: that is no slow pace
+	if l.roundAnswers == 0 && now-l.roundStart > 4*roundDuration {
+		l.roundStart = now - roundDuration // an idle time must not lower the throughput
 	}
-	l.count++
-	l.spent += spent
-	if now-l.began < round || l.count < fewest {
+	l.roundAnswers++
+	l.roundLatency += latency
+	if now-l.roundStart < roundDuration || l.roundAnswers < minSamples {
 		return
 	}
-	l.learn(float64(l.spent)/float64(l.count), float64(l.count)/float64(now-l.began))
-	l.began, l.count, l.spent, l.taken, l.doubt = now, 0, 0, l.open, true
+	l.updateLimit(float64(l.roundLatency)/float64(l.roundAnswers), float64(l.roundAnswers)/float64(now-l.roundStart))
+	l.roundStart, l.roundAnswers, l.roundLatency, l.roundPeak, l.recheck = now, 0, 0, l.inFlight, true
 }
 
-// learn ends a round with the mean time of an answer and the answers a microsecond.
-func (l *Limiter) learn(time, pace float64) {
-	if l.usual == 0 || time < l.usual {
-		l.usual = time
+// updateLimit ends a round with its mean latency and its answers per microsecond.
+func (l *Limiter) updateLimit(latency, throughput float64) {
+	if l.baseline == 0 || latency < l.baseline {
+		l.baseline = latency
 	} else {
-		l.usual += usualWeight * (time - l.usual)
+		l.baseline += baselineWeight * (latency - l.baseline)
 	}
-	// Where the limit is not met the pace is that of the requests: the answers'
-	// own is no slower.
-	busy := float64(l.taken) >= l.limit/2
+	// Below the limit the measured throughput is the arrival rate, a lower bound of
+	// what can be answered.
+	busy := float64(l.roundPeak) >= l.limit/2
 	switch {
-	case l.pace == 0 || !busy && pace > l.pace:
-		l.pace = pace
+	case l.throughput == 0 || !busy && throughput > l.throughput:
+		l.throughput = throughput
 	case busy:
-		l.pace += paceWeight * (pace - l.pace)
+		l.throughput += throughputWeight * (throughput - l.throughput)
 	}
-	switch l.cfg.Law {
+	switch l.cfg.Algorithm {
 	case AIMD:
-		if time > tolerance*l.usual && l.taken > l.cfg.Least {
+		if latency > latencyTolerance*l.baseline && l.roundPeak > l.cfg.MinLimit {
 			l.limit *= 0.9
 		} else if busy {
 			l.limit++
 		}
 	case Gradient:
 		if busy {
-			gradient := max(0.5, min(1, tolerance*l.usual/time))
+			gradient := max(0.5, min(1, latencyTolerance*l.baseline/latency))
 			l.limit += 0.2 * (l.limit*gradient + math.Sqrt(l.limit) - l.limit)
 		}
 	}
-	l.limit = max(float64(l.cfg.Least), min(float64(l.cfg.Most), l.limit))
+	l.limit = max(float64(l.cfg.MinLimit), min(float64(l.cfg.MaxLimit), l.limit))
 }
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -18,13 +18,13 @@
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 24)
 }
 
-// event is an arrival (a client) or the end of an answer.
+// event is a client's arrival or the end of an answer.
 type event struct {
-	at     Micros
-	client int
-	try    int
-	taken  Micros // when; -1: it is an arrival
-	asked  Micros
+	at        Micros
+	client    int
+	try       int
+	admitted  Micros // -1 for an arrival
+	requested Micros
 }
 type events []event
 
@@ -39,44 +39,44 @@
 	return e
 }
 
-// storm is a world of one server: so many answers at a time, each of which
-// takes its span, longer by the square as more are open than that; clients that
-// all wake within 100 ms, wait 2 s, and come back as told, three times at most.
-// Every fourth asks for what is worth three times as much.
+// storm simulates one server with a number of slots, whose answers take longer by
+// the square once more requests are in flight than that. All clients wake within
+// 100 ms, wait 2 s, and retry after their backoff, three times at most. Every
+// fourth asks for a class of three times the worth.
 type storm struct {
 	clients, slots int
-	span           Micros
+	serviceTime    Micros
 	prefixes       int
-	heavy          int // every so many-th client is of one prefix; 0: none
+	heavyEvery     int // every n-th client is in one prefix; 0: none
 }
 
-// result is what became of a storm's clients.
+// result counts the outcomes of a storm's clients.
 type result struct {
-	inTime, others, dear, vain int // others: not of the heavy prefix; dear: of the worthy class
-	asked                      int
-	latest                     Micros // from a try that is refused to its answer, at most
+	inTime, others, highWorth, late int // others: not in the heavy prefix; highWorth: of the class of higher worth
+	requests                        int
+	maxRefusalDelay                 Micros // longest time from an attempt to its refusal
 }
 
 var worth = []float64{1, 3}
 
 func (s storm) run(l *Limiter) (r result) {
-	const patience, start = 2_000_000, 1_000_000_000
+	const patience, startTime = 2_000_000, 1_000_000_000
 	random := rand.New(rand.NewPCG(7, 7))
 	var h events
 	for i := range s.clients {
-		heap.Push(&h, event{at: start + random.Int64N(100_000), client: i, taken: -1})
+		heap.Push(&h, event{at: startTime + random.Int64N(100_000), client: i, admitted: -1})
 	}
 	busy := 0
-	take := func(e event, now Micros) {
+	admit := func(e event, now Micros) {
 		busy++
 		load := float64(busy) / float64(s.slots)
-		span := float64(s.span) * max(1, load) * max(1, load/4) // it waits its turn, and all suffer from far too many
-		heap.Push(&h, event{at: now + Micros(span), client: e.client, taken: now, asked: e.asked})
+		serviceTime := float64(s.serviceTime) * max(1, load) * max(1, load/4) // queueing, and an overload that slows all answers down
+		heap.Push(&h, event{at: now + Micros(serviceTime), client: e.client, admitted: now, requested: e.requested})
 	}
-	refuse := func(e event, away, now Micros) {
-		r.latest = max(r.latest, now-e.asked)
+	refuse := func(e event, backoff, now Micros) {
+		r.maxRefusalDelay = max(r.maxRefusalDelay, now-e.requested)
 		if e.try < 3 {
-			heap.Push(&h, event{at: now + away, client: e.client, try: e.try + 1, taken: -1})
+			heap.Push(&h, event{at: now + backoff, client: e.client, try: e.try + 1, admitted: -1})
 		}
 	}
 	for len(h) > 0 {
@@ -85,117 +85,118 @@
 		if e.client%4 == 3 {
 			class = 1
 		}
-		isHeavy := s.heavy > 0 && e.client%s.heavy == 0
-		if e.taken < 0 {
-			r.asked++
-			e.asked = e.at
+		isHeavy := s.heavyEvery > 0 && e.client%s.heavyEvery == 0
+		if e.admitted < 0 {
+			r.requests++
+			e.requested = e.at
 			from := prefix(e.client % max(1, s.prefixes))
 			if isHeavy {
 				from = prefix(9999)
 			}
-			switch v, away, yields := l.Ask(&Ticket{Class: class, From: from, Until: e.at + patience, Value: e}, e.at); {
-			case v == Taken:
-				take(e, e.at)
+			switch v, backoff, evicted := l.Admit(&Ticket{Class: class, Prefix: from, Deadline: e.at + patience, Value: e}, e.at); {
+			case v == Admitted:
+				admit(e, e.at)
 			case v == Refused:
-				refuse(e, away, e.at)
-			case yields != nil:
-				refuse(yields.Value.(event), away, e.at)
+				refuse(e, backoff, e.at)
+			case evicted != nil:
+				refuse(evicted.Value.(event), backoff, e.at)
 			}
 			continue
 		}
 		busy--
-		l.Done(class, e.at-e.taken, e.at, true)
-		if e.at-e.asked > patience {
-			r.vain++
+		l.Done(class, e.at-e.admitted, e.at, true)
+		if e.at-e.requested > patience {
+			r.late++
 		} else {
 			r.inTime++
 			if !isHeavy {
 				r.others++
 			}
 			if class == 1 {
-				r.dear++
+				r.highWorth++
 			}
 		}
-		for t, taken, away := l.Next(e.at); t != nil; t, taken, away = l.Next(e.at) {
-			if taken {
-				take(t.Value.(event), e.at)
+		for t, admitted, backoff := l.Next(e.at); t != nil; t, admitted, backoff = l.Next(e.at) {
+			if admitted {
+				admit(t.Value.(event), e.at)
 			} else {
-				refuse(t.Value.(event), away, e.at)
+				refuse(t.Value.(event), backoff, e.at)
 			}
 		}
 	}
 	return r
 }
 
-func config(law Law) Config {
-	return Config{Law: law, Least: 8, Most: 4000, Start: 64, Queue: 20_000, Away: 500_000, Worth: worth, Seed: 1}
+func config(algorithm Algorithm) Config {
+	return Config{Algorithm: algorithm, MinLimit: 8, MaxLimit: 4000, InitialLimit: 64, MaxQueued: 20_000, MaxBackoff: 500_000, Worth: worth, Seed: 1}
 }
 
-// In a wake storm a learnt limit answers more in time than none, takes little in
-// vain, and prefers what is worth more. Run with -v for the figures of both laws.
+// Guards against a limit that does not help when all clients wake at once: it must
+// answer more in time than no limit, admit little that is answered late, and prefer
+// the class of higher worth. Run with -v for the figures of both algorithms.
 func TestWakeStorm(t *testing.T) {
-	s := storm{clients: 10_000, slots: 50, span: 10_000, prefixes: 5000}
-	none := config(AIMD)
-	none.Least, none.Most = 1<<30, 1<<30
-	without := s.run(New(none))
-	t.Logf("no limit: %+v", without)
-	for law, name := range map[Law]string{AIMD: "AIMD", Gradient: "gradient"} {
-		l := New(config(law))
+	s := storm{clients: 10_000, slots: 50, serviceTime: 10_000, prefixes: 5000}
+	unlimited := config(AIMD)
+	unlimited.MinLimit, unlimited.MaxLimit = 1<<30, 1<<30
+	baseline := s.run(New(unlimited))
+	t.Logf("no limit: %+v", baseline)
+	for algorithm, name := range map[Algorithm]string{AIMD: "AIMD", Gradient: "gradient"} {
+		l := New(config(algorithm))
 		got := s.run(l)
-		t.Logf("%s: %+v, limit %d, pace %.0f", name, got, l.Limit(), l.Pace())
-		if got.inTime <= without.inTime || l.Open() != 0 || l.Waiting() != 0 {
-			t.Errorf("%s: %d in time, %d without a limit; %d left open, %d waiting", name, got.inTime, without.inTime, l.Open(), l.Waiting())
+		t.Logf("%s: %+v, limit %d, throughput %.0f", name, got, l.Limit(), l.Throughput())
+		if got.inTime <= baseline.inTime || l.InFlight() != 0 || l.Waiting() != 0 {
+			t.Errorf("%s: %d in time, %d without a limit; %d left in flight, %d queued", name, got.inTime, baseline.inTime, l.InFlight(), l.Waiting())
 		}
-		if got.dear*4 < s.clients*9/10 || got.vain*100 > got.inTime {
-			t.Errorf("%s: of %d that are worth more %d were in time; %d in vain", name, s.clients/4, got.dear, got.vain)
+		if got.highWorth*4 < s.clients*9/10 || got.late*100 > got.inTime {
+			t.Errorf("%s: of %d requests of higher worth %d were in time; %d answers were late", name, s.clients/4, got.highWorth, got.late)
 		}
 	}
 }
 
-// One prefix that brings half of all takes no more than its share from the others.
+// Guards against one prefix that sends half of all requests and crowds out the others.
 func TestHeavyPrefix(t *testing.T) {
-	s := storm{clients: 20_000, slots: 50, span: 10_000, prefixes: 5000, heavy: 2}
+	s := storm{clients: 20_000, slots: 50, serviceTime: 10_000, prefixes: 5000, heavyEvery: 2}
 	got := s.run(New(config(Gradient)))
 	t.Logf("%+v", got)
 	if got.others*100 < s.clients/2*95 {
-		t.Errorf("of %d others %d were answered in time", s.clients/2, got.others)
+		t.Errorf("of %d clients of other prefixes %d were answered in time", s.clients/2, got.others)
 	}
 }
 
-// Whatever comes: the limit stays within its bounds, nobody is sent away for
-// longer than may be said, what is taken is given back, a front that is not full
-// refuses nobody who has time, who waits longest goes first among alike, and
-// every ticket ends once.
+// For any sequence of requests and answers: the limit stays within its bounds, no
+// backoff exceeds its maximum, the counts of requests in flight and queued are
+// right, tickets of one class and prefix are admitted by deadline, and every ticket
+// leaves the queue once.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Law: Law(rapid.IntRange(0, 1).Draw(t, "law")), Least: 4, Most: 40, Queue: rapid.IntRange(0, 30).Draw(t, "queue"),
-			Away: 500_000, Worth: worth}
+		cfg := Config{Algorithm: Algorithm(rapid.IntRange(0, 1).Draw(t, "law")), MinLimit: 4, MaxLimit: 40, MaxQueued: rapid.IntRange(0, 30).Draw(t, "queue"),
+			MaxBackoff: 500_000, Worth: worth}
 		l, now := New(cfg), Micros(1_000_000)
-		var open, waiting []*Ticket // Value of those open: since when
-		check := func(away Micros) {
-			if away < 1 || away > cfg.Away {
-				t.Fatalf("sent away for %d", away)
+		var inFlight, waiting []*Ticket // Value of those in flight: when they were admitted
+		check := func(backoff Micros) {
+			if backoff < 1 || backoff > cfg.MaxBackoff {
+				t.Fatalf("backoff of %d us", backoff)
 			}
 		}
-		gone := func(x *Ticket) {
+		removed := func(x *Ticket) {
 			i := slices.Index(waiting, x)
-			if i < 0 || x.Waits() {
-				t.Fatal("it did not wait, or still does")
+			if i < 0 || x.Queued() {
+				t.Fatal("the ticket was not queued, or still is")
 			}
 			waiting = slices.Delete(waiting, i, i+1)
 		}
 		pump := func() {
-			for x, taken, away := l.Next(now); x != nil; x, taken, away = l.Next(now) {
-				gone(x)
-				if !taken {
-					check(away)
+			for x, admitted, backoff := l.Next(now); x != nil; x, admitted, backoff = l.Next(now) {
+				removed(x)
+				if !admitted {
+					check(backoff)
 					continue
 				}
 				x.Value = now
-				open = append(open, x)
+				inFlight = append(inFlight, x)
 				for _, other := range waiting {
-					if other.Class == x.Class && other.From == x.From && other.Until < x.Until && other.lane == laneOf(x.Class, false)+1 {
-						t.Fatal("one with less time left was passed over")
+					if other.Class == x.Class && other.Prefix == x.Prefix && other.Deadline < x.Deadline && other.lane == laneIndex(x.Class, false)+1 {
+						t.Fatal("a ticket with an earlier deadline was passed over")
 					}
 				}
 			}
@@ -204,73 +205,73 @@
 			now += int64(rapid.IntRange(0, 20_000).Draw(t, "gap"))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
-				if len(open) > 0 {
-					i := rapid.IntRange(0, len(open)-1).Draw(t, "done")
-					x := open[i]
-					open = slices.Delete(open, i, i+1)
+				if len(inFlight) > 0 {
+					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "done")
+					x := inFlight[i]
+					inFlight = slices.Delete(inFlight, i, i+1)
 					l.Done(x.Class, now-x.Value.(Micros), now, rapid.Bool().Draw(t, "answered"))
 				}
 				pump()
 			case 2:
 				if len(waiting) > 0 {
 					x := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "left")]
-					l.Leave(x)
-					gone(x)
+					l.Cancel(x)
+					removed(x)
 				}
 			default:
-				x := &Ticket{Class: rapid.IntRange(0, 1).Draw(t, "class"), From: prefix(rapid.IntRange(0, 3).Draw(t, "from")),
-					Until: now + int64(rapid.IntRange(0, 3_000_000).Draw(t, "left"))}
-				v, away, yields := l.Ask(x, now)
+				x := &Ticket{Class: rapid.IntRange(0, 1).Draw(t, "class"), Prefix: prefix(rapid.IntRange(0, 3).Draw(t, "from")),
+					Deadline: now + int64(rapid.IntRange(0, 3_000_000).Draw(t, "left"))}
+				v, backoff, evicted := l.Admit(x, now)
 				switch {
-				case v == Taken:
+				case v == Admitted:
 					x.Value = now
-					open = append(open, x)
-				case v == Waits:
+					inFlight = append(inFlight, x)
+				case v == Queued:
 					waiting = append(waiting, x)
-					if yields != nil {
-						gone(yields)
-						check(away)
+					if evicted != nil {
+						removed(evicted)
+						check(backoff)
 					}
 				default:
-					check(away)
+					check(backoff)
 				}
 			}
-			if at, ok := l.Due(); ok != (len(waiting) > 0) {
-				t.Fatal("due", at, ok)
+			if at, ok := l.NextCheck(); ok != (len(waiting) > 0) {
+				t.Fatal("NextCheck", at, ok)
 			} else if ok && at <= now {
 				pump()
 			}
-			if l.Open() != len(open) || l.Waiting() != len(waiting) || l.Waiting() > cfg.Queue || l.Limit() < cfg.Least || l.Limit() > cfg.Most {
-				t.Fatalf("%d open, want %d; %d wait, want %d; limit %d", l.Open(), len(open), l.Waiting(), len(waiting), l.Limit())
+			if l.InFlight() != len(inFlight) || l.Waiting() != len(waiting) || l.Waiting() > cfg.MaxQueued || l.Limit() < cfg.MinLimit || l.Limit() > cfg.MaxLimit {
+				t.Fatalf("%d in flight, want %d; %d queued, want %d; limit %d", l.InFlight(), len(inFlight), l.Waiting(), len(waiting), l.Limit())
 			}
 		}
 	})
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	l := New(config(Gradient))
 	b.ReportAllocs()
 	var t Ticket
 	for i := range b.N {
-		t = Ticket{Class: i & 1, From: prefix(i & 0xffff), Until: int64(i) + 2_000_000}
-		if v, _, _ := l.Ask(&t, int64(i)); v == Taken {
+		t = Ticket{Class: i & 1, Prefix: prefix(i & 0xffff), Deadline: int64(i) + 2_000_000}
+		if v, _, _ := l.Admit(&t, int64(i)); v == Admitted {
 			l.Done(t.Class, 1000, int64(i), true)
 		}
 	}
 }
 
-// BenchmarkQueue is one that waits behind 10,000 others and is taken.
+// BenchmarkQueue measures a request that is queued with 10,000 others and admitted.
 func BenchmarkQueue(b *testing.B) {
 	cfg := config(AIMD)
-	cfg.Least, cfg.Most, cfg.Start = 1, 1, 1
+	cfg.MinLimit, cfg.MaxLimit, cfg.InitialLimit = 1, 1, 1
 	l := New(cfg)
-	l.Ask(&Ticket{Until: 1 << 50}, 0)
+	l.Admit(&Ticket{Deadline: 1 << 50}, 0)
 	for i := range 10_000 {
-		l.Ask(&Ticket{Class: i & 1, From: prefix(i), Until: 1<<50 + int64(i)}, 0)
+		l.Admit(&Ticket{Class: i & 1, Prefix: prefix(i), Deadline: 1<<50 + int64(i)}, 0)
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Ask(&Ticket{Class: i & 1, From: prefix(i), Until: 1<<50 + int64(i)}, int64(i))
+		l.Admit(&Ticket{Class: i & 1, Prefix: prefix(i), Deadline: 1<<50 + int64(i)}, int64(i))
 		l.Done(0, 1000, int64(i), false)
 		l.Next(int64(i))
 	}
--- a/internal/decide/compact/compact_test.go
+++ b/internal/decide/compactmap/compactmap_test.go
@@ -1,4 +1,4 @@
-package compact
+package compactmap
 
 import (
 	"crypto/sha256"
@@ -13,38 +13,39 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-func name(i int) (n Name) {
+func keyOf(i int) (n Key) {
 	if i == 0 {
-		return n // the zero name is one like others
+		return n // the zero key is valid
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint(i)))
 	copy(n[:], sum[:])
 	return n
 }
 
-// A table does what a map does, within its bound, through sweeps and a snapshot.
+// For any sequence of operations, a table behaves as a map of bounded size, through
+// sweeps and snapshots.
 func TestAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, want := New[int64](100), map[Name]int64{}
+		x, want := New[int64](100), map[Key]int64{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			i := rapid.IntRange(0, 150).Draw(t, "name")
-			n := name(i)
+			n := keyOf(i)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				if x.Find(n) == nil && (x.Add(n, int64(i)) != nil) != (len(want) < 100) {
-					t.Fatal("the bound does not hold")
+					t.Fatal("an entry was added beyond the bound, or not within it")
 				} else if len(want) < 100 {
 					want[n] = int64(i)
 				}
 			case 2:
 				if _, there := want[n]; x.Remove(n) != there {
-					t.Fatal("removal")
+					t.Fatal("Remove reported the wrong presence")
 				}
 				delete(want, n)
 			case 3:
-				x.Sweep(20, func(_ Name, v *int64) bool {
+				x.Sweep(20, func(_ Key, v *int64) bool {
 					if *v%7 == 0 {
-						delete(want, name(int(*v)))
+						delete(want, keyOf(int(*v)))
 						return true
 					}
 					return false
@@ -56,7 +57,7 @@
 					t.Fatal(err, err2)
 				}
 				if _, err := New[int64](100).Read(b[:len(b)-1]); err == nil && len(b) > 4 {
-					t.Fatal("a cut snapshot was read")
+					t.Fatal("a truncated snapshot was read")
 				}
 				x = y
 			}
@@ -65,25 +66,25 @@
 			}
 			for n, v := range want {
 				if got := x.Find(n); got == nil || *got != v {
-					t.Fatalf("%v is lost", v)
+					t.Fatalf("the entry of value %v is lost", v)
 				}
 			}
 		}
 	})
 }
 
-type use struct {
+type record struct {
 	Until, First int64
 	Object       uint64
 	Count, Open  uint32
 }
 
-// Run with -bench Million: a table against a plain map, at a million entries.
+// BenchmarkMillion compares a table with plain maps at a million entries.
 func BenchmarkMillion(b *testing.B) {
 	const n = 1_000_000
-	names := make([]Name, 2*n)
+	names := make([]Key, 2*n)
 	for i := range names {
-		names[i] = name(i + 1)
+		names[i] = keyOf(i + 1)
 	}
 	heap := func() uint64 {
 		runtime.GC()
@@ -93,16 +94,16 @@
 	}
 	b.Run("compact", func(b *testing.B) {
 		before := heap()
-		t := New[use](n + 1)
+		t := New[record](n + 1)
 		for _, n := range names[:n] {
-			t.Add(n, use{})
+			t.Add(n, record{})
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
-		for range b.N { // one found, one added, one removed
+		for range b.N { // one lookup, one insertion, one removal
 			t.Find(names[i])
-			t.Add(names[n+i], use{})
+			t.Add(names[n+i], record{})
 			t.Remove(names[n+i])
 			i = (i + 1) % n
 		}
@@ -111,16 +112,16 @@
 	})
 	b.Run("map", func(b *testing.B) {
 		before := heap()
-		t := map[Name]*use{}
+		t := map[Key]*record{}
 		for _, n := range names[:n] {
-			t[n] = &use{}
+			t[n] = &record{}
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
 		for range b.N {
 			_ = t[names[i]]
-			t[names[n+i]] = &use{}
+			t[names[n+i]] = &record{}
 			delete(t, names[n+i])
 			i = (i + 1) % n
 		}
@@ -129,16 +130,16 @@
 	})
 	b.Run("map-of-values", func(b *testing.B) {
 		before := heap()
-		t := map[Name]use{}
+		t := map[Key]record{}
 		for _, n := range names[:n] {
-			t[n] = use{}
+			t[n] = record{}
 		}
 		size := float64(heap()-before) / n
 		i := 0
 		b.ResetTimer()
 		for range b.N {
 			_ = t[names[i]]
-			t[names[n+i]] = use{}
+			t[names[n+i]] = record{}
 			delete(t, names[n+i])
 			i = (i + 1) % n
 		}
--- a/internal/decide/figures/figures_test.go
+++ b/internal/decide/counters/counters_test.go
@@ -1,4 +1,4 @@
-package figures
+package counters
 
 import (
 	"encoding/json"
@@ -11,13 +11,12 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever is counted in whatever order, the report reads back as the sum of it,
-// class by class.
+// For any sequence of counted events, the decoded report equals their sum by class.
 func TestReportIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"page-asset", "guide-video", "payout-confirm"}
 		f := New(names)
-		want := map[string]Class{}
+		want := map[string]ClassCounts{}
 		var loads, errs uint64
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(names)-1).Draw(t, "class")
@@ -25,20 +24,20 @@
 			c := want[n]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				f.Answered(i, Passed)
+				f.CountOutcome(i, Passed)
 				c.Passed++
 			case 1:
-				f.Answered(i, Dropped)
+				f.CountOutcome(i, Dropped)
 				c.Dropped++
 			case 2:
-				f.Answered(i, BadGateway)
+				f.CountOutcome(i, BadGateway)
 				c.BadGateway++
 			case 3:
-				f.Tried(i)
-				c.Tries++
+				f.CountAttempt(i)
+				c.Attempts++
 			case 4:
 				ok := rapid.Bool().Draw(t, "ok")
-				f.Loaded(ok)
+				f.CountReload(ok)
 				if ok {
 					loads++
 				} else {
@@ -48,21 +47,21 @@
 			}
 			want[n] = c
 		}
-		g := Gauges{InProgress: rapid.IntRange(0, 9).Draw(t, "open"), Known: 7, Skipped: 2}
+		g := Gauges{InProgress: rapid.IntRange(0, 9).Draw(t, "open"), KnownNodes: 7, SkippedNodes: 2}
 		var got report
 		if err := json.Unmarshal(f.AppendJSON(nil, g), &got); err != nil {
 			t.Fatal(err)
 		}
-		if len(got.Handled) != len(names) || got.Loads != loads || got.LoadErrors != errs ||
-			got.InProgress != g.InProgress || got.Known != 7 || got.Skipped != 2 {
+		if len(got.Handled) != len(names) || got.Reloads != loads || got.ReloadErrors != errs ||
+			got.InProgress != g.InProgress || got.KnownNodes != 7 || got.SkippedNodes != 2 {
 			t.Fatalf("got %+v", got)
 		}
-		var tries uint64
+		var attempts uint64
 		for _, c := range want {
-			tries += c.Tries
+			attempts += c.Attempts
 		}
-		if got.Tries != tries {
-			t.Fatalf("upstream_tries %d, want %d", got.Tries, tries)
+		if got.Attempts != attempts {
+			t.Fatalf("upstream_tries %d, want %d", got.Attempts, attempts)
 		}
 		for n, c := range want {
 			if got.Handled[n] != c {
--- a/internal/decide/streams/streams_test.go
+++ b/internal/decide/flowcontrol/flowcontrol_test.go
@@ -1,4 +1,4 @@
-package streams
+package flowcontrol
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-var config = Config{Weights: []int{1, 3}, Window: 1000, Total: 4000, Most: 8, Quantum: 100}
+var config = Config{Weights: []int{1, 3}, StreamWindow: 1000, ConnWindow: 4000, MaxStreams: 8, Quantum: 100}
 
-func end(t interface{ Fatal(...any) }, cfg Config) *Mux {
+func newMux(t interface{ Fatal(...any) }, cfg Config) *Mux {
 	m, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -21,12 +21,12 @@
 	return m
 }
 
-// Two ends that keep to the rules never fall out, whatever is read when: no bytes
-// are lost, and in the end all of them came.
+// Two ends that follow the protocol never report a violation, in any order of reads
+// and writes: no bytes are lost, and all of them arrive in the end.
 func TestBothEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := end(t, config), end(t, config)
-		queued, got, held := map[uint32]int{}, map[uint32]int{}, map[uint32]int{}
+		a, b := newMux(t, config), newMux(t, config)
+		queued, received, held := map[uint32]int{}, map[uint32]int{}, map[uint32]int{}
 		grant := func(id uint32, stream, all int) {
 			if stream > 0 {
 				if err := a.Credit(id, stream); err != nil {
@@ -39,19 +39,19 @@
 				}
 			}
 		}
-		move := func(most int) bool {
-			id, n, ok := a.Next(most)
+		transfer := func(maxBytes int) bool {
+			id, n, ok := a.Next(maxBytes)
 			if !ok {
 				return false
 			}
-			if n < 1 || n > most {
+			if n < 1 || n > maxBytes {
 				t.Fatal(n)
 			}
 			if err := b.Received(id, n); err != nil {
 				t.Fatal(err)
 			}
-			got[id], held[id] = got[id]+n, held[id]+n
-			if held[id] > config.Window {
+			received[id], held[id] = received[id]+n, held[id]+n
+			if held[id] > config.StreamWindow {
 				t.Fatalf("%d bytes held", held[id])
 			}
 			return true
@@ -75,13 +75,13 @@
 				a.Queue(id, n)
 				queued[id] += n
 			case 1:
-				move(n)
+				transfer(n)
 			default:
 				read(id, n)
 			}
 		}
 		for moved := true; moved; {
-			moved = move(700)
+			moved = transfer(700)
 			for id := uint32(1); id <= 5; id++ {
 				if held[id] > 0 {
 					read(id, held[id])
@@ -90,17 +90,17 @@
 			}
 		}
 		for id, n := range queued {
-			if got[id] != n {
-				t.Fatalf("stream %d: %d of %d bytes came", id, got[id], n)
+			if received[id] != n {
+				t.Fatalf("stream %d: %d of %d bytes arrived", id, received[id], n)
 			}
 		}
 	})
 }
 
-// A stream that nobody reads stops itself alone, classes get their weights, streams
-// of a class the same each.
+// A stream that is not read blocks only itself, classes share by their weights, and
+// the streams of a class get the same.
 func TestShares(t *testing.T) {
-	a, b := end(t, config), end(t, config)
+	a, b := newMux(t, config), newMux(t, config)
 	for id := uint32(1); id <= 5; id++ {
 		_, _ = a.Open(id, int(id)%2), b.Open(id, int(id)%2)
 		a.Queue(id, 1<<30)
@@ -109,7 +109,7 @@
 	for range 20_000 {
 		id, n, ok := a.Next(100)
 		if !ok {
-			t.Fatal("all stand still")
+			t.Fatal("no stream can send")
 		}
 		sent[id] += n
 		if err := b.Received(id, n); err != nil {
@@ -127,34 +127,34 @@
 		}
 	}
 	heavy, light := sent[1]+sent[3], sent[2]+sent[4]
-	if sent[5] != config.Window || heavy < 28*light/10 || heavy > 32*light/10 || sent[1] < 9*sent[3]/10 || sent[2] > 11*sent[4]/10 {
+	if sent[5] != config.StreamWindow || heavy < 28*light/10 || heavy > 32*light/10 || sent[1] < 9*sent[3]/10 || sent[2] > 11*sent[4]/10 {
 		t.Errorf("%v", sent)
 	}
 }
 
-// A peer that claims credit without end, sends without it, or opens what is open, is
-// told apart.
-func TestPeersThatLie(t *testing.T) {
+// Guards against peers that grant too much credit, send without credit, or open too
+// many streams or one twice: each violation has its error.
+func TestProtocolViolations(t *testing.T) {
 	for name, x := range map[string]struct {
 		do   func(m *Mux) error
 		want error
 	}{
-		"credit for a full stream":     {func(m *Mux) error { return m.Credit(1, 1) }, ErrCredit},
-		"credit for a full connection": {func(m *Mux) error { return m.Credit(0, 1) }, ErrCredit},
-		"credit of nothing":            {func(m *Mux) error { return m.Credit(1, 0) }, ErrCredit},
-		"credit less than nothing":     {func(m *Mux) error { return m.Credit(0, -5) }, ErrCredit},
-		"more than a window":           {func(m *Mux) error { return m.Received(1, 1001) }, ErrFlooded},
-		"more than the connection's":   {func(m *Mux) error { return m.Received(99, 4001) }, ErrFlooded},
-		"a stream twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrTaken},
-		"too many": {func(m *Mux) error {
+		"credit for a full stream":          {func(m *Mux) error { return m.Credit(1, 1) }, ErrCreditExceeded},
+		"credit for a full connection":      {func(m *Mux) error { return m.Credit(0, 1) }, ErrCreditExceeded},
+		"credit of 0":                       {func(m *Mux) error { return m.Credit(1, 0) }, ErrCreditExceeded},
+		"negative credit":                   {func(m *Mux) error { return m.Credit(0, -5) }, ErrCreditExceeded},
+		"more than the stream's window":     {func(m *Mux) error { return m.Received(1, 1001) }, ErrNoCredit},
+		"more than the connection's window": {func(m *Mux) error { return m.Received(99, 4001) }, ErrNoCredit},
+		"stream opened twice":               {func(m *Mux) error { return m.Open(1, 0) }, ErrStreamExists},
+		"too many streams": {func(m *Mux) error {
 			var err error
 			for id := uint32(2); err == nil; id++ {
 				err = m.Open(id, 0)
 			}
 			return err
-		}, ErrMany},
+		}, ErrTooManyStreams},
 	} {
-		m := end(t, config)
+		m := newMux(t, config)
 		if err := m.Open(1, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -163,13 +163,14 @@
 		}
 	}
 	if _, err := New(Config{}); err == nil {
-		t.Error("nothing is taken for a connection")
+		t.Error("an empty configuration is accepted")
 	}
 }
 
-// What a stream held when it ended comes back to the connection.
-func TestEndsGiveBack(t *testing.T) {
-	m := end(t, config)
+// Guards against a connection that loses credit with each stream: bytes that a stream
+// holds when it is closed are granted again to the connection.
+func TestCloseReturnsCredit(t *testing.T) {
+	m := newMux(t, config)
 	given := 0
 	for id := uint32(1); id < 100; id++ {
 		if err := m.Open(id, 0); err != nil {
@@ -181,7 +182,7 @@
 		_, all := m.Consumed(id, 100)
 		given += all + m.Close(id)
 	}
-	if given < 99*900-config.Total || m.Len() != 0 {
-		t.Errorf("%d of %d bytes given back", given, 99*900)
+	if given < 99*900-config.ConnWindow || m.Len() != 0 {
+		t.Errorf("%d of %d bytes of credit granted again", given, 99*900)
 	}
 }
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -5,89 +5,90 @@
 	"testing"
 )
 
-// The model of leases and bars: a council and one front, whose clocks run at 0.9 to 1.1
-// of true time, each at every pair of rates; messages that come late or never; a front
-// that stops at every point, also between its look and its act, is restarted, and
-// takes versions up late. The council counts a bar as passed on the front's word for
-// the version, or once its lease is surely over. What must hold: no act begins on the
-// old version after the bar is said to have passed. All orders are played to a bound.
+// The model of leases and version gates: the fleet and one front, whose clocks run at
+// 0.9 to 1.1 of true time, explored at each pair of extreme rates; messages that are
+// late or lost; a front that stops at any point, also between its check and its act, is
+// restarted, and activates versions late. The fleet counts a gate as passed when the
+// front has reported the new version, or once its lease has certainly expired. Checked:
+// no act begins on the old version after the gate has passed. All orders of events are
+// explored up to a bound.
 
-// Spans of the model, in ticks of true time; a clock moves 9 to 11 tenths a tick.
+// Sizes of the model. A clock moves 9 or 11 tenths of a tick per tick of true time.
 const (
-	mSpan  = 110 // lease, in tenths of a tick
-	mLost  = 5   // unheard for so long a front counts as lost, by the council's clock
-	mTicks = 14
+	modelSpan  = 110 // lease, in tenths of a tick
+	modelLost  = 5   // a front unheard for this long counts as lost, by the fleet's clock, in tenths of a tick
+	modelTicks = 14
 )
 
-// leaveOut is a rule that the model leaves out.
-type leaveOut int
+// mutation is a rule that the model disables.
+type mutation int
 
 const (
-	nothing   leaveOut = iota
-	noLook             // the front acts without a look at its lease
-	noProcess          // what an earlier process of the front said counts for the next
-	noDrift            // the lease is over once the council's clock says so
+	noMutation     mutation = iota
+	skipLeaseCheck          // the front acts without checking its lease
+	ignoreProcess           // reports of an earlier process of the front count for the next
+	ignoreDrift             // the lease counts as expired without an allowance for drift
 )
 
-type mState struct {
-	tick           int8
-	front, council int16 // clocks, in tenths
-	end            int16 // of the front's lease, by its clock
-	ask            int16 // stamp on its way; 0: none
-	askOf          int8  // process that asked
-	grant          int16 // stamp of a grant on its way back
-	granted        int8
-	proc           int8 // process of the front
-	knows          int8 // process that the council knows
-	acts           int8 // version that the front acts on: 0 or 1
-	wants          bool // the front knows of the new version
-	word           int8 // its word that it acts on 1 is on its way, by process and 1; 0: none
-	said           int8 // the council has it
-	heard          int16
-	lost           int16 // council's clock when it counted as lost; 0: it does not
-	barred, passed bool
-	restarts       int8
+type modelState struct {
+	tick              int8
+	front, fleet      int16 // clocks, in tenths of a tick
+	leaseEnd          int16 // of the front, by its clock
+	request           int16 // stamp of a request in flight; 0: none
+	requestProc       int8  // process that made the request
+	grant             int16 // stamp of a grant in flight
+	grantProc         int8
+	proc              int8 // process of the front
+	knownProc         int8 // process known to the fleet
+	active            int8 // version that the front acts on: 0 or 1
+	knowsNew          bool // the front knows of the new version
+	reportInFlight    int8 // process whose report that it acts on version 1 is in flight; 0: none
+	reportedProc      int8 // process whose report the fleet has
+	heardAt           int16
+	lostAt            int16 // fleet's clock when the front counted as lost; 0: not lost
+	gated, gatePassed bool
+	restarts          int8
 }
 
-func TestModel(t *testing.T) {
-	for _, x := range []struct {
+func TestLeaseModel(t *testing.T) {
+	for _, tc := range []struct {
 		name  string
-		rule  leaveOut
+		rule  mutation
 		found bool
-	}{{"whole", nothing, false}, {"look", noLook, true}, {"process", noProcess, true}, {"drift", noDrift, true}} {
-		t.Run(x.name, func(t *testing.T) {
-			n, broken := 0, ""
+	}{{"whole", noMutation, false}, {"look", skipLeaseCheck, true}, {"process", ignoreProcess, true}, {"drift", ignoreDrift, true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			n, violation := 0, ""
 			for _, f := range []int16{9, 11} {
 				for _, c := range []int16{9, 11} {
-					states, text := explore(x.rule, f, c)
+					states, text := explore(tc.rule, f, c)
 					n += states
-					if broken == "" {
-						broken = text
+					if violation == "" {
+						violation = text
 					}
 				}
 			}
-			if (broken != "") != x.found {
-				t.Errorf("%d states: %q", n, broken)
+			if (violation != "") != tc.found {
+				t.Errorf("%d states: %q", n, violation)
 			}
-			t.Logf("%d states %s", n, broken)
+			t.Logf("%d states %s", n, violation)
 		})
 	}
 }
 
-func explore(rule leaveOut, f, c int16) (int, string) {
-	first := mState{front: 1, council: 1, end: 1 + mSpan, proc: 1, knows: 1, heard: 1}
-	seen := map[mState]bool{first: true}
-	queue := []mState{first}
+func explore(m mutation, frontRate, fleetRate int16) (int, string) {
+	first := modelState{front: 1, fleet: 1, leaseEnd: 1 + modelSpan, proc: 1, knownProc: 1, heardAt: 1}
+	seen := map[modelState]bool{first: true}
+	queue := []modelState{first}
 	for len(queue) > 0 {
 		s := queue[0]
 		queue = queue[1:]
-		for _, n := range next(s, rule, f, c) {
-			if n.broken != "" {
-				return len(seen), n.broken
+		for _, n := range successors(s, m, frontRate, fleetRate) {
+			if n.violation != "" {
+				return len(seen), n.violation
 			}
-			if !seen[n.mState] {
-				seen[n.mState] = true
-				queue = append(queue, n.mState)
+			if !seen[n.modelState] {
+				seen[n.modelState] = true
+				queue = append(queue, n.modelState)
 			}
 		}
 	}
@@ -95,115 +96,117 @@
 }
 
 type step struct {
-	mState
-	broken string
+	modelState
+	violation string
 }
 
-func next(s mState, rule leaveOut, f, c int16) (list []step) {
-	add := func(do func(n *mState)) {
+func successors(s modelState, m mutation, frontRate, fleetRate int16) (list []step) {
+	add := func(do func(n *modelState)) {
 		n := s
 		do(&n)
-		list = append(list, step{mState: n})
+		list = append(list, step{modelState: n})
 	}
-	// True time passes, each clock at a rate of its own.
-	if s.tick < mTicks {
-		add(func(n *mState) {
+	// True time passes, each clock at its own rate.
+	if s.tick < modelTicks {
+		add(func(n *modelState) {
 			n.tick++
-			n.front += f
-			n.council += c
-			if n.lost == 0 && n.council-n.heard >= mLost {
-				n.lost = n.council
+			n.front += frontRate
+			n.fleet += fleetRate
+			if n.lostAt == 0 && n.fleet-n.heardAt >= modelLost {
+				n.lostAt = n.fleet
 			}
-			n.settle(rule)
+			n.settle(m)
 		})
 	}
-	// The front asks; the council hears it, and grants in one step with what a majority confirmed.
-	if s.ask == 0 && s.tick < mTicks {
-		add(func(n *mState) { n.ask, n.askOf = n.front, n.proc })
+	// The front requests a lease; the fleet receives the request, and grants it in one
+	// step with the confirmation by a majority.
+	if s.request == 0 && s.tick < modelTicks {
+		add(func(n *modelState) { n.request, n.requestProc = n.front, n.proc })
 	}
-	if s.ask != 0 {
-		add(func(n *mState) { // heard, and found again where it was lost
-			n.heard, n.lost = n.council, 0
-			n.grant, n.granted, n.ask = n.ask, n.askOf, 0
-			if n.askOf != n.knows && rule != noProcess {
+	if s.request != 0 {
+		add(func(n *modelState) { // heard, and found again if it was lost
+			n.heardAt, n.lostAt = n.fleet, 0
+			n.grant, n.grantProc, n.request = n.request, n.requestProc, 0
+			if n.requestProc != n.knownProc && m != ignoreProcess {
 				n.grant = 0 // not before its new process is known
 			}
-			n.settle(rule)
+			n.settle(m)
 		})
-		add(func(n *mState) { n.ask = 0 }) // lost on its way
+		add(func(n *modelState) { n.request = 0 }) // lost in transit
 	}
 	if s.grant != 0 {
-		if s.granted == s.proc {
-			add(func(n *mState) { // what had been committed when it was confirmed is applied with it
+		if s.grantProc == s.proc {
+			add(func(n *modelState) { // entries committed before the confirmation are applied with the grant
 				var l Lease
-				l.end = Micros(n.end)
-				l.Take(Grant{Stamp: Micros(n.grant), Span: mSpan}, mSpan, 0)
-				n.end, n.grant = int16(l.End()), 0
-				n.wants = n.wants || n.barred
+				l.expiry = Micros(n.leaseEnd)
+				l.Accept(Grant{Stamp: Micros(n.grant), Span: modelSpan}, modelSpan, 0)
+				n.leaseEnd, n.grant = int16(l.End()), 0
+				n.knowsNew = n.knowsNew || n.gated
 			})
 		}
-		add(func(n *mState) { n.grant = 0 })
+		add(func(n *modelState) { n.grant = 0 })
 	}
-	// The new version, with its bar.
-	if !s.barred {
-		add(func(n *mState) { n.barred = true; n.settle(rule) })
+	// The new version, with its gate.
+	if !s.gated {
+		add(func(n *modelState) { n.gated = true; n.settle(m) })
 	}
-	if !s.wants { // it is rolled out before it stands with its bar
-		add(func(n *mState) { n.wants = true })
+	if !s.knowsNew { // it is rolled out before its gate is set
+		add(func(n *modelState) { n.knowsNew = true })
 	}
-	if s.wants && s.acts == 0 {
-		add(func(n *mState) { n.acts = 1 })
+	if s.knowsNew && s.active == 0 {
+		add(func(n *modelState) { n.active = 1 })
 	}
-	if s.acts == 1 && s.word == 0 && s.said == 0 {
-		add(func(n *mState) { n.word = n.proc })
+	if s.active == 1 && s.reportInFlight == 0 && s.reportedProc == 0 {
+		add(func(n *modelState) { n.reportInFlight = n.proc })
 	}
-	if s.word != 0 {
-		add(func(n *mState) {
-			if n.word == n.knows {
-				n.said = n.word
+	if s.reportInFlight != 0 {
+		add(func(n *modelState) {
+			if n.reportInFlight == n.knownProc {
+				n.reportedProc = n.reportInFlight
 			}
-			n.word = 0
-			n.settle(rule)
+			n.reportInFlight = 0
+			n.settle(m)
 		})
-		add(func(n *mState) { n.word = 0 })
+		add(func(n *modelState) { n.reportInFlight = 0 })
 	}
-	// A new process knows nothing that its disk did not keep, and holds no lease.
+	// A new process knows only what its disk kept, and holds no lease.
 	if s.restarts < 1 {
-		add(func(n *mState) {
+		add(func(n *modelState) {
 			n.restarts++
 			n.proc++
-			n.acts, n.wants, n.end = 0, false, 0
+			n.active, n.knowsNew, n.leaseEnd = 0, false, 0
 		})
 	}
-	if s.knows < s.proc {
-		add(func(n *mState) { // it has joined
-			n.knows, n.said, n.heard, n.lost = n.proc, 0, n.council, 0
-			n.settle(rule)
+	if s.knownProc < s.proc {
+		add(func(n *modelState) { // it has joined
+			n.knownProc, n.reportedProc, n.heardAt, n.lostAt = n.proc, 0, n.fleet, 0
+			n.settle(m)
 		})
 	}
-	// It looks, and then acts; between both no time passes that it could not see: what
-	// it had in hand is looked at again. A stop is that any number of other steps come between.
-	may := (&Lease{end: Micros(s.end)}).Holds(Micros(s.front)) || rule == noLook
-	if may && !(s.wants && s.barred && s.acts == 0) {
-		n := step{mState: s}
-		if s.passed && s.acts == 0 {
-			n.broken = fmt.Sprintf("acts on the old version after the bar: %+v", s)
+	// The front checks, then acts. Between the two no time passes that it could not
+	// notice: pending work is checked again. A stop is any number of other steps in
+	// between.
+	mayAct := (&Lease{expiry: Micros(s.leaseEnd)}).Valid(Micros(s.front)) || m == skipLeaseCheck
+	if mayAct && !(s.knowsNew && s.gated && s.active == 0) {
+		n := step{modelState: s}
+		if s.gatePassed && s.active == 0 {
+			n.violation = fmt.Sprintf("acts on the old version after the gate passed: %+v", s)
 		}
 		list = append(list, n)
 	}
 	return list
 }
 
-// settle counts the bar as passed where it may be.
-func (s *mState) settle(rule leaveOut) {
-	if !s.barred || s.passed {
+// settle marks the gate as passed when it may be.
+func (s *modelState) settle(rule mutation) {
+	if !s.gated || s.gatePassed {
 		return
 	}
-	over := Over(mSpan, Micros(s.council-s.lost))
-	if rule == noDrift {
-		over = s.council-s.lost >= mSpan
+	over := Expired(modelSpan, Micros(s.fleet-s.lostAt))
+	if rule == ignoreDrift {
+		over = s.fleet-s.lostAt >= modelSpan
 	}
-	if s.said == s.knows && s.said != 0 || s.lost != 0 && over {
-		s.passed = true
+	if s.reportedProc == s.knownProc && s.reportedProc != 0 || s.lostAt != 0 && over {
+		s.gatePassed = true
 	}
 }
--- a/internal/decide/allowance/steady_test.go
+++ b/internal/decide/quotalease/steady_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quotalease
 
 import (
 	"testing"
@@ -6,18 +6,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards that a limit is used in steady state with skewed demand, and again soon after
-// demand has moved; and that a dead front's part comes back in the stated span.
+// Checks that a limit is used in steady state with skewed demand and again soon after
+// demand has moved, and that a failed front's allocation is reallocated within
+// allocationExpiry.
 func TestSteady(t *testing.T) {
-	limit := Limit{Name: "l", For: "tenant", Of: "t", Kind: Rate, Amount: 1000, Burst: 100, Hard: true}
+	limit := Limit{Name: "l", Dimension: "tenant", Who: "t", Kind: Rate, Amount: 1000, Burst: 100, Hard: true}
 	rules := testRules
 	now := second
-	d := NewDealer(rules, []Limit{limit}, "", 1, 0, now)
+	d := NewAllocator(rules, []Limit{limit}, "", 1, 0, now)
 	const n = 12
-	var fronts [n]*Purse
+	var fronts [n]*Limiter
 	names := "abcdefghijkl"
 	for i := range fronts {
-		fronts[i] = NewPurse(rules, []Limit{limit}, now)
+		fronts[i] = NewLimiter(rules, []Limit{limit}, now)
 	}
 	dead := -1
 	demand := func(i int, moved bool) float64 {
@@ -29,7 +30,7 @@
 		}
 		return 0
 	}
-	// run lets time go on, and gives what was let through of each 100 ms.
+	// run advances time and returns the number of requests admitted per 100 ms.
 	owed := [n]float64{}
 	run := func(span Micros, moved bool) (passed []int) {
 		for end := now + span; now < end; {
@@ -52,15 +53,15 @@
 				if i == dead {
 					continue
 				}
-				s := p.Tell(now)[0]
-				w := Want{Key: s.Key, Demand: float64(s.Asked) * 10}
-				if len(s.Parts) > 0 {
-					w.Number, w.Held = s.Parts[0].Number, s.Parts[0].Held
+				s := p.Report(now)[0]
+				w := LimitRequest{Key: s.Key, Demand: float64(s.Requests) * 10}
+				if len(s.Allocations) > 0 {
+					w.Number, w.Held = s.Allocations[0].Number, s.Allocations[0].Held
 				}
-				d.Asked(names[i:i+1], Ask{Stamp: now, Wants: []Want{w}}, now)
+				d.HandleRequest(names[i:i+1], Request{Stamp: now, Limits: []LimitRequest{w}}, now)
 			}
-			for role, g := range d.Deal(Source{}, now) {
-				fronts[role[0]-'a'].Give(g, 0, now)
+			for role, g := range d.Allocate(Source{}, now) {
+				fronts[role[0]-'a'].ApplyGrant(g, 0, now)
 			}
 		}
 		return passed
@@ -74,10 +75,10 @@
 	run(3*second, false)
 	require.GreaterOrEqual(t, sum(run(10*second, false)), 9500, "used in steady state")
 	moved := run(2*second, true)
-	require.GreaterOrEqual(t, sum(moved[10:]), 900, "back after demand has moved")
+	require.GreaterOrEqual(t, sum(moved[10:]), 900, "used again after demand has moved")
 	run(2*second, true)
 	dead = 7
-	run(rules.over(Rate)+second, false)
-	require.GreaterOrEqual(t, sum(run(2*second, false)), 1900, "a dead front's part comes back")
-	require.Len(t, d.Lines(Source{}, now), 1)
+	run(rules.allocationExpiry(Rate)+second, false)
+	require.GreaterOrEqual(t, sum(run(2*second, false)), 1900, "a failed front's allocation is reallocated")
+	require.Len(t, d.Status(Source{}, now), 1)
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package quota
+package ratelimit
 
 import (
 	"crypto/sha256"
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Whatever comes, no span holds more than its rate and burst allow, and a
-// client that stays away as told is let in.
+// Checks that no time window contains more admitted requests than rate and burst allow,
+// and that a client that waits as long as it was told is admitted.
 func TestRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{Rate: float64(rapid.IntRange(1, 50).Draw(t, "rate")), Burst: rapid.IntRange(1, 5).Draw(t, "burst")}
@@ -26,12 +26,12 @@
 			wait, refusal := r.Take(claims, now)
 			if refusal != "" {
 				if w, again := r.Take(claims, now+wait); again != "" || w != 0 {
-					t.Fatalf("came back after %d as told and was refused: %s", wait, again)
+					t.Fatalf("refused after the wait of %d us that was returned: %s", wait, again)
 				}
 				now += wait
 			}
 			in = append(in, now)
-			r.Done(claims)
+			r.Release(claims)
 		}
 		for i := range in {
 			for j := i + 1; j < len(in); j++ {
@@ -43,7 +43,7 @@
 	})
 }
 
-// All claims or none: what one limit refuses takes nothing from the others.
+// Checks that a request refused by one limit is not counted against the others.
 func TestAllOrNone(t *testing.T) {
 	r := NewRates(10)
 	both := []Claim{{Tenant, "a", Limit{Rate: 1, Burst: 2}}, {Subject, "x", Limit{Open: 1}}}
@@ -51,22 +51,22 @@
 		t.Fatal(refusal)
 	}
 	for range 5 {
-		if wait, refusal := r.Take(both, 2); refusal != TooMany || wait == 0 {
+		if wait, refusal := r.Take(both, 2); refusal != OpenExceeded || wait == 0 {
 			t.Fatal(refusal)
 		}
 	}
-	r.Done(both)
+	r.Release(both)
 	if _, refusal := r.Take(both, 3); refusal != "" {
-		t.Error("the refused ones were counted:", refusal)
+		t.Error("refused requests were counted:", refusal)
 	}
-	r.Done(both)
-	if wait, refusal := r.Take(both, 4); refusal != TooFast || wait < 900_000 {
+	r.Release(both)
+	if wait, refusal := r.Take(both, 4); refusal != RateExceeded || wait < 900_000 {
 		t.Error(wait, refusal)
 	}
 }
 
-// At its bound the table lets go what binds nobody, and refuses rather than
-// forget what does.
+// Checks that full tables evict entries that no longer limit anything, and otherwise
+// refuse new names instead of evicting entries that do.
 func TestFullTables(t *testing.T) {
 	r := NewRates(100)
 	claim := func(i int) []Claim { return []Claim{{Subject, fmt.Sprint(i), Limit{Rate: 1}}} }
@@ -74,50 +74,50 @@
 		if _, refusal := r.Take(claim(i), 1_000_000); refusal != "" {
 			t.Fatal(refusal)
 		}
-		r.Done(claim(i))
+		r.Release(claim(i))
 	}
-	if wait, refusal := r.Take(claim(100), 1_000_001); refusal != NoRoom || wait == 0 {
+	if wait, refusal := r.Take(claim(100), 1_000_001); refusal != RatesTableFull || wait == 0 {
 		t.Fatal(refusal)
 	}
-	if _, refusal := r.Take(claim(5), 1_000_001); refusal != TooFast {
-		t.Error("forgot one that binds:", refusal)
+	if _, refusal := r.Take(claim(5), 1_000_001); refusal != RateExceeded {
+		t.Error("evicted an entry that still limits requests:", refusal)
 	}
 	if _, refusal := r.Take(claim(100), 2_000_000); refusal != "" {
-		t.Error("kept what binds nobody:", refusal)
+		t.Error("kept an entry that limits nothing:", refusal)
 	}
 	u := NewUses(10)
 	token := func(i int, until Micros) Token {
-		x := Token{Until: until, Most: 1, Object: "o", Retry: 5}
+		x := Token{ExpiresAt: until, MaxUses: 1, Object: "o", RetryWindow: 5}
 		sum := sha256.Sum256([]byte{byte(i)})
 		copy(x.Name[:], sum[:])
 		return x
 	}
 	for i := range 10 {
 		u.Take(token(i, 100), 1)
-		u.Done(token(i, 0).Name, false)
+		u.Release(token(i, 0).Name, false)
 	}
-	if wait, refusal := u.Take(token(11, 200), 50); refusal != UsesFull || wait == 0 {
+	if wait, refusal := u.Take(token(11, 200), 50); refusal != UsesTableFull || wait == 0 {
 		t.Error(refusal)
 	}
-	if _, refusal := u.Take(token(3, 100), 50); refusal != UsedUp {
-		t.Error("forgot a use:", refusal)
+	if _, refusal := u.Take(token(3, 100), 50); refusal != TokenUsedUp {
+		t.Error("lost a use:", refusal)
 	}
 	if _, refusal := u.Take(token(11, 200), 101); refusal != "" {
-		t.Error("kept tokens that have run out:", refusal)
+		t.Error("kept expired tokens:", refusal)
 	}
 }
 
-// A request under several new names, in tables so small that making room for the
-// last looks at the first: none is lost on the way, and what finds no room
-// takes nothing.
-func TestSweepsSpareWhatIsTaken(t *testing.T) {
+// Guards against evicting entries that the same request has just added: with several new
+// names and a very small table, making room for the last one checks the first ones.
+// Checks also that a request that finds no room changes no counts.
+func TestSweepKeepsEntriesInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := NewRates(rapid.IntRange(1, 5).Draw(t, "most")), int64(1_000_000)
 		var open [][]Claim
 		for range 300 {
 			now += int64(rapid.IntRange(0, 400_000).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "done") && len(open) > 0 {
-				r.Done(open[0])
+				r.Release(open[0])
 				open = open[1:]
 				continue
 			}
@@ -135,7 +135,7 @@
 				}
 			}
 			for name, n := range held {
-				if b := r.table.Find(nameOf(Kind(name[0]), name[1:])); b == nil || b.Open != n {
+				if b := r.table.Find(hashName(Kind(name[0]), name[1:])); b == nil || b.Open != n {
 					t.Fatalf("%s: %+v, want %d open", name, b, n)
 				}
 			}
@@ -143,10 +143,11 @@
 	})
 }
 
-// Single uses: together, retried, for another object, lost, refused, restarted.
+// Checks single-use tokens: concurrent use, retry, another object, lost response, refusal
+// and restart.
 func TestUses(t *testing.T) {
 	u := NewUses(10)
-	x := Token{Name: [16]byte{1}, Until: 1000, Most: 1, Object: "a", Retry: 100}
+	x := Token{Name: [16]byte{1}, ExpiresAt: 1000, MaxUses: 1, Object: "a", RetryWindow: 100}
 	other := x
 	other.Object = "b"
 	for _, s := range []struct {
@@ -157,21 +158,21 @@
 		want Refusal
 	}{
 		{"first", x, 10, false, ""},
-		{"together with it", x, 11, false, InUse},
-		{"another object", other, 12, true, UsedUp},
-		{"its answer was lost: the same again", x, 60, true, ""},
-		{"and again, in the span of the first", x, 110, true, ""},
-		{"past the span", x, 111, false, UsedUp},
+		{"concurrent request", x, 11, false, TokenInUse},
+		{"another object", other, 12, true, TokenUsedUp},
+		{"lost response: retry", x, 60, true, ""},
+		{"retry at the end of the window of the first", x, 110, true, ""},
+		{"after the window", x, 111, false, TokenUsedUp},
 	} {
-		if s.what == "its answer was lost: the same again" {
-			u.Done(x.Name, false)
+		if s.what == "lost response: retry" {
+			u.Release(x.Name, false)
 		}
 		_, refusal := u.Take(s.t, s.at)
 		if refusal != s.want {
 			t.Errorf("%s: %q, want %q", s.what, refusal, s.want)
 		}
 		if s.done && refusal == "" {
-			u.Done(x.Name, false)
+			u.Release(x.Name, false)
 		}
 	}
 	b, err := u.Append(nil)
@@ -182,16 +183,16 @@
 	if _, err := v.Read(b); err != nil {
 		t.Fatal(err)
 	}
-	if _, refusal := v.Take(other, 200); refusal != UsedUp {
-		t.Error("a restart forgot a use:", refusal)
+	if _, refusal := v.Take(other, 200); refusal != TokenUsedUp {
+		t.Error("a restart lost a use:", refusal)
 	}
-	y := Token{Name: [16]byte{2}, Until: 1000, Most: 2, Object: "a"}
+	y := Token{Name: [16]byte{2}, ExpiresAt: 1000, MaxUses: 2, Object: "a"}
 	u.Take(y, 1)
-	u.Done(y.Name, true) // refused harmlessly: no use
+	u.Release(y.Name, true) // refused before any work: not a use
 	for i := range 3 {
 		_, refusal := u.Take(y, Micros(10+i))
-		u.Done(y.Name, false)
-		if want := map[bool]Refusal{true: UsedUp}[i == 2]; refusal != want {
+		u.Release(y.Name, false)
+		if want := map[bool]Refusal{true: TokenUsedUp}[i == 2]; refusal != want {
 			t.Errorf("use %d of two: %q", i, refusal)
 		}
 	}
@@ -203,6 +204,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		r.Take(claims, int64(i))
-		r.Done(claims)
+		r.Release(claims)
 	}
 }
--- a/internal/decide/resources/budget.go
+++ b/internal/decide/resources/budget.go
@@ -1,141 +1,144 @@
 package resources
 
-// Part is who holds bytes.
-type Part uint8
+// Consumer is a kind of data that memory is held for.
+type Consumer uint8
 
-// The parts, in the order in which they give back under pressure: a copy costs a
-// fill later, a slow answer one client, a request that is still coming another,
-// and an idle connection a handshake for each of very many.
+// The consumers, in the order in which they release memory under pressure: dropping
+// a cached copy costs a fill later, dropping pending output or a partial request
+// costs one client its request, and closing idle connections costs a handshake for
+// each of very many.
 const (
-	Copies  Part = iota // answers kept to be given again
-	Out                 // answers that wait for full sockets
-	In                  // requests that have come in part
-	Records             // of connections
-	Nodes               // answers of nodes that have come in part; they can't give
-	Parts
+	CachedCopies    Consumer = iota // answers kept for reuse
+	PendingOutput                   // answers that wait for sockets to become writable
+	PartialRequests                 // requests received in part
+	ConnRecords                     // state of connections
+	NodeResponses                   // responses of nodes received in part; they can't be released
+	NumConsumers
 )
 
-// Mark tells how near the account is to its end.
-type Mark uint8
+// Level is the level of memory pressure.
+type Level uint8
 
-// The marks.
+// The levels.
 const (
-	Easy     Mark = iota
-	Tight         // copies give back
-	Critical      // everything does, and nobody new is let in
+	Easy     Level = iota
+	Tight          // cached copies are released
+	Critical       // all consumers release, and no new connection is accepted
 )
 
-// Where marks begin, as shares of all bytes. They end slack below that, so that a
-// front at a mark does not go back and forth.
+// Thresholds of the levels, as shares of the total. A level ends hysteresis below
+// its threshold, so that a front near it does not alternate.
 const (
-	tightAt    = 0.7
-	criticalAt = 0.9
-	slack      = 0.05
+	tightThreshold    = 0.7
+	criticalThreshold = 0.9
+	hysteresis        = 0.05
 )
 
-// Bytes bounds what is held.
-type Bytes struct {
-	All   int64
-	Cap   [Parts]int64 // of a part at any time; 0: as much as there is
-	Floor [Parts]int64 // that a part is left under pressure
+// ByteLimits bounds the memory held.
+type ByteLimits struct {
+	Total int64
+	Cap   [NumConsumers]int64 // maximum of a consumer at any time; 0: Total
+	Floor [NumConsumers]int64 // bytes that a consumer may keep under pressure
 }
 
-// Budget is one account of bytes for all parts.
+// Budget accounts for the bytes of all consumers.
 type Budget struct {
-	limits Bytes
-	held   [Parts]int64
-	sum    int64
-	mark   Mark
+	limits ByteLimits
+	held   [NumConsumers]int64
+	total  int64
+	level  Level
 }
 
-// NewBudget makes an account.
-func NewBudget(b Bytes) *Budget { return &Budget{limits: b} }
+// NewBudget returns a Budget that holds nothing.
+func NewBudget(b ByteLimits) *Budget { return &Budget{limits: b} }
 
-// Observe takes over what the parts hold, and tells what each must give back now.
-func (b *Budget) Observe(held [Parts]int64) (give [Parts]int64) {
-	b.held, b.sum = held, 0
+// Observe sets what the consumers hold, and returns what each must release now.
+func (b *Budget) Observe(held [NumConsumers]int64) (release [NumConsumers]int64) {
+	b.held, b.total = held, 0
 	for p, n := range held {
-		b.sum += n
-		if most := b.limits.Cap[p]; most > 0 {
-			give[p] = max(0, n-most)
+		b.total += n
+		if maxBytes := b.limits.Cap[p]; maxBytes > 0 {
+			release[p] = max(0, n-maxBytes)
 		}
 	}
-	b.remark()
-	var over int64
-	switch b.mark {
+	b.updateLevel()
+	var excess int64
+	switch b.level {
 	case Easy:
-		return give
+		return release
 	case Tight, Critical:
-		over = b.sum - b.share(tightAt-slack)
+		excess = b.total - b.portion(tightThreshold-hysteresis)
 	}
-	for p := Copies; p < Nodes && over > 0; p++ {
-		if b.mark == Tight && p > Copies {
+	for p := CachedCopies; p < NodeResponses && excess > 0; p++ {
+		if b.level == Tight && p > CachedCopies {
 			break
 		}
-		if p == Out { // past the copies only what is critical must go
-			over = b.sum - give[Copies] - b.share(criticalAt-slack)
+		if p == PendingOutput { // beyond cached copies only the critical excess is released
+			excess = b.total - release[CachedCopies] - b.portion(criticalThreshold-hysteresis)
 		}
-		n := max(give[p], min(over, held[p]-b.limits.Floor[p]))
-		over -= n
-		give[p] = max(0, n)
+		n := max(release[p], min(excess, held[p]-b.limits.Floor[p]))
+		excess -= n
+		release[p] = max(0, n)
 	}
-	return give
+	return release
 }
 
-func (b *Budget) remark() {
-	from := func(at float64, m Mark) bool {
-		if b.mark >= m {
-			at -= slack
+// updateLevel sets the level from the total, with hysteresis.
+func (b *Budget) updateLevel() {
+	reached := func(threshold float64, level Level) bool {
+		if b.level >= level {
+			threshold -= hysteresis
 		}
-		return b.sum >= b.share(at)
+		return b.total >= b.portion(threshold)
 	}
 	switch {
-	case from(criticalAt, Critical):
-		b.mark = Critical
-	case from(tightAt, Tight):
-		b.mark = Tight
+	case reached(criticalThreshold, Critical):
+		b.level = Critical
+	case reached(tightThreshold, Tight):
+		b.level = Tight
 	default:
-		b.mark = Easy
+		b.level = Easy
 	}
 }
 
-func (b *Budget) share(s float64) int64 { return int64(s * float64(b.limits.All)) }
+// portion returns a share of the total limit in bytes.
+func (b *Budget) portion(share float64) int64 { return int64(share * float64(b.limits.Total)) }
 
-// Mark tells how near the account was to its end when it was last observed.
-func (b *Budget) Mark() Mark { return b.mark }
+// Level returns the level as of the last Observe.
+func (b *Budget) Level() Level { return b.level }
 
-// Pressure is the share of all bytes that are held.
-func (b *Budget) Pressure() float64 { return float64(b.sum) / float64(max(1, b.limits.All)) }
+// Pressure returns the held share of the total limit.
+func (b *Budget) Pressure() float64 { return float64(b.total) / float64(max(1, b.limits.Total)) }
 
-// May tells whether a part may take on some bytes: within its cap; where it is
-// tight within half of that, and where it is critical up to its floor. What is
-// taken on counts until the next look.
-func (b *Budget) May(p Part, n int64) bool {
-	most := b.limits.Cap[p]
-	if most == 0 {
-		most = b.limits.All
+// TryReserve reserves n bytes for a consumer if they fit: within its cap, at level
+// Tight within half of its cap (or its floor if that is more), and at Critical
+// within its floor. The reservation counts until the next Observe.
+func (b *Budget) TryReserve(p Consumer, n int64) bool {
+	maxBytes := b.limits.Cap[p]
+	if maxBytes == 0 {
+		maxBytes = b.limits.Total
 	}
-	switch b.mark {
+	switch b.level {
 	case Tight:
-		most = max(b.limits.Floor[p], most/2)
+		maxBytes = max(b.limits.Floor[p], maxBytes/2)
 	case Critical:
-		most = b.limits.Floor[p]
+		maxBytes = b.limits.Floor[p]
 	}
-	if b.held[p]+n > most {
+	if b.held[p]+n > maxBytes {
 		return false
 	}
 	b.held[p] += n
-	b.sum += n
+	b.total += n
 	return true
 }
 
-// Gave tells that a part has given back some bytes: they are free at once, and not only
-// from the next look on.
-func (b *Budget) Gave(p Part, n int64) {
+// Release subtracts bytes that a consumer has released, so that they are free at once
+// and not only after the next Observe.
+func (b *Budget) Release(p Consumer, n int64) {
 	n = min(n, b.held[p])
 	b.held[p] -= n
-	b.sum -= n
+	b.total -= n
 }
 
-// String names a mark, for the log.
-func (m Mark) String() string { return [...]string{"easy", "tight", "critical"}[m] }
+// String returns the level's name in the log.
+func (l Level) String() string { return [...]string{"easy", "tight", "critical"}[l] }
--- a/internal/board/news.go
+++ b/internal/discovery/update.go
@@ -1,7 +1,7 @@
-// Package board follows the notice board: a long poll whose numbered events
-// become members and purges. It starts from the events that the configuration
-// knows and resumes from the last number it has.
-package board
+// Package discovery follows the notice board by long polls, whose numbered events become
+// members and purges. It starts from the events in the configuration and resumes after
+// the last number that it has.
+package discovery
 
 import (
 	"encoding/json"
@@ -11,26 +11,26 @@
 	"cherryramp/rules"
 )
 
-// News is a run of events.
-type News struct {
+// Update is a sequence of events, up to number Last.
+type Update struct {
 	Last   int64
 	Events []Event
 }
 
-// Event is one notice: news of the list, a purge, or neither.
+// Event is one notice: a change of the list, a purge, or neither.
 type Event struct {
 	Number int64
 	List   *List
 	Purge  *gateway.Purge
 }
 
-// List is the whole list of servers or what changed in it.
+// List is the whole list of servers, or the entries of it that changed.
 type List struct {
 	Full    bool
 	Members []gateway.Member
 }
 
-type wireNews struct {
+type wireUpdate struct {
 	Rev     *int64       `json:"rev"`
 	Notices []wireNotice `json:"notices"`
 }
@@ -68,11 +68,10 @@
 		return gateway.Member{}, fmt.Errorf("member %q: phase %q: not known", w.ID, w.Phase)
 	}
 	return gateway.Member{Name: w.ID, Addr: w.HostPort, Zone: w.Locality, Kind: w.Flavor, Cell: w.Cell,
-		State: state, Weight: w.Size, Born: w.UpSinceMS * 1000}, nil
+		State: state, Weight: w.Size, StartedAt: w.UpSinceMS * 1000}, nil
 }
 
-// ParseMember reads one member in the same words, under a name that is told
-// elsewhere.
+// ParseMember parses one member in the board's format, under a name given separately.
 func ParseMember(data []byte, name string) (gateway.Member, error) {
 	var w wireMember
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -82,33 +81,33 @@
 	return w.member()
 }
 
-// ParseNews reads {"rev":LAST,"notices":[...]}.
-func ParseNews(data []byte) (*News, error) {
-	var w wireNews
-	if err := json.Unmarshal(data, &w); err != nil {
+// ParseUpdate parses {"rev":LAST,"notices":[...]}.
+func ParseUpdate(data []byte) (*Update, error) {
+	var wire wireUpdate
+	if err := json.Unmarshal(data, &wire); err != nil {
 		return nil, fmt.Errorf("board: %w", err)
 	}
-	if w.Rev == nil {
+	if wire.Rev == nil {
 		return nil, fmt.Errorf("board: rev: missing")
 	}
-	n := &News{Last: *w.Rev}
-	for _, x := range w.Notices {
-		e := Event{Number: x.Rev}
-		if x.Pool != nil {
-			e.List = &List{Full: x.Pool.Complete}
-			for _, w := range x.Pool.Members {
-				m, err := w.member()
+	update := &Update{Last: *wire.Rev}
+	for _, notice := range wire.Notices {
+		event := Event{Number: notice.Rev}
+		if notice.Pool != nil {
+			event.List = &List{Full: notice.Pool.Complete}
+			for _, wire := range notice.Pool.Members {
+				m, err := wire.member()
 				if err != nil {
-					return nil, fmt.Errorf("board: notice %d: %w", x.Rev, err)
+					return nil, fmt.Errorf("board: notice %d: %w", notice.Rev, err)
 				}
-				e.List.Members = append(e.List.Members, m)
+				event.List.Members = append(event.List.Members, m)
 			}
 		}
-		if x.Flush != nil {
-			e.Purge = &gateway.Purge{Object: x.Flush.Asset, Group: x.Flush.Collection,
-				At: x.Flush.MS * 1000}
+		if notice.Flush != nil {
+			event.Purge = &gateway.Purge{Object: notice.Flush.Asset, Group: notice.Flush.Collection,
+				At: notice.Flush.MS * 1000}
 		}
-		n.Events = append(n.Events, e)
+		update.Events = append(update.Events, event)
 	}
-	return n, nil
+	return update, nil
 }
--- a/internal/ephemeral/ephemeral.go
+++ b/internal/ephemeral/ephemeral.go
@@ -1,11 +1,10 @@
-// Package ephemeral follows the list of servers where it is kept as ZooKeeper
-// ephemeral nodes: each child of a configured path is a member, named by the
-// child and described by its data, in the notice board's words. It stands in
-// for the board's list.
+// Package ephemeral follows a list of servers kept as ZooKeeper ephemeral nodes: each
+// child of a configured path is a member, named by the child and described by its data in
+// the notice board's format. It takes the place of the board's list.
 //
-// A lost connection keeps the last list. A node that vanishes is gone. Whenever a
-// connection to the ensemble is up again, everything is read again, which sets every
-// watch anew: no watch of an earlier connection is relied on.
+// While the connection is lost the last list stays. A member whose node is deleted is
+// gone. Whenever a session is established, everything is read again, which sets every
+// watch again: no watch of an earlier connection is relied on.
 package ephemeral
 
 import (
@@ -19,56 +18,56 @@
 
 	"github.com/go-zookeeper/zk"
 
-	"cherryramp/internal/board"
+	"cherryramp/internal/discovery"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/loop"
 )
 
 const (
-	retryEvery = time.Second // between reads while something is wrong
-	maxPacket  = 1 << 20
-	readers    = 16 // nodes that are read at once
+	retryInterval = time.Second // between reads after an error
+	maxPacket     = 1 << 20
+	maxReaders    = 16 // nodes read concurrently
 )
 
-// Config says where the nodes are.
+// Config is the address and path of the nodes.
 type Config struct {
 	Servers []string
 	Path    string
-	Session time.Duration // a node outlives its owner's silence by this
+	Session time.Duration // session timeout: a node outlives its owner's silence by this
 }
 
-// Sink is told the whole list whenever it has changed, on the loop.
+// Sink receives the whole list on the loop whenever it has changed.
 type Sink interface {
 	Members(full bool, list []gateway.Member)
 }
 
-// Follower keeps a list up to date. It has one goroutine, since the client
-// library's calls block, and a few more while nodes are read.
+// Follower keeps a list up to date. It runs in a goroutine, since the client library's
+// calls block, and reads nodes in a few more.
 type Follower struct {
-	cfg     Config
-	loop    *loop.Loop
-	sink    Sink
-	log     *slog.Logger
-	conn    *zk.Conn
-	changes *changes
-	stale   bool             // which nodes there are is to be read again
-	nodes   map[string]*node // by child
-	told    []gateway.Member
+	cfg       Config
+	loop      *loop.Loop
+	sink      Sink
+	log       *slog.Logger
+	conn      *zk.Conn
+	changes   *changes
+	staleList bool             // the list of children has to be read again
+	nodes     map[string]*node // by child
+	lastList  []gateway.Member
 }
 
-// node is a child and what was last read of it.
+// node is a child and the last usable data read of it.
 type node struct {
 	member gateway.Member
 	usable bool
-	stale  bool // to be read again
+	stale  bool // has to be read again
 }
 
-// Start begins to follow the nodes. Errors of the connection are logged and
-// tried again; only a configuration that can't work is returned.
+// Start starts following the nodes. Connection errors are logged and retried; only an
+// error of the configuration is returned.
 func Start(cfg Config, l *loop.Loop, sink Sink, log *slog.Logger) error {
 	f := &Follower{cfg: cfg, loop: l, sink: sink, log: log.With("path", cfg.Path),
-		changes: newChanges(cfg.Path), stale: true, nodes: map[string]*node{}}
-	conn, _, err := zk.Connect(cfg.Servers, cfg.Session, zk.WithLogger(printer{f.log}), zk.WithLogInfo(false),
+		changes: newChanges(cfg.Path), staleList: true, nodes: map[string]*node{}}
+	conn, _, err := zk.Connect(cfg.Servers, cfg.Session, zk.WithLogger(zkLogger{f.log}), zk.WithLogInfo(false),
 		zk.WithMaxBufferSize(maxPacket), zk.WithEventCallback(f.event), zk.WithDialer(dialWatched))
 	if err != nil {
 		return fmt.Errorf("ephemeral: %w", err)
@@ -78,14 +77,14 @@
 	return nil
 }
 
-// printer passes the library's lines to the log.
-type printer struct{ log *slog.Logger }
+// zkLogger passes the client library's messages to the log.
+type zkLogger struct{ log *slog.Logger }
 
-func (p printer) Printf(format string, args ...any) {
+func (p zkLogger) Printf(format string, args ...any) {
 	p.log.Info("zookeeper client", "text", fmt.Sprintf(format, args...))
 }
 
-// event is called by the library and must not block.
+// event is the client library's event callback and must not block.
 func (f *Follower) event(e zk.Event) {
 	if e.Type != zk.EventSession {
 		f.changes.add(e)
@@ -94,7 +93,7 @@
 	switch e.State {
 	case zk.StateHasSession:
 		f.log.Info("member nodes: session", "server", e.Server)
-		f.changes.everything()
+		f.changes.markAll()
 	case zk.StateDisconnected:
 		f.log.Warn("member nodes: connection lost, the last list stays", "server", e.Server)
 	case zk.StateExpired:
@@ -102,15 +101,15 @@
 	}
 }
 
-// run reads, tells and waits, for as long as the program lives. It begins once a session is up, or
-// after a while, to say that there is none.
+// run reads, publishes and waits for the lifetime of the process. It starts once a
+// session is up, or after retryInterval, to log that there is none.
 func (f *Follower) run() {
 	f.wait(true)
 	for {
-		f.expire(f.changes.take())
+		f.markStale(f.changes.take())
 		err := f.read()
 		if err == nil {
-			f.tell()
+			f.publish()
 		} else {
 			f.log.Warn("member nodes can't be read, the last list stays", "error", err)
 		}
@@ -118,31 +117,31 @@
 	}
 }
 
-// expire notes what has to be read again.
-func (f *Follower) expire(m marks) {
-	f.stale = f.stale || m.all || m.list
+// markStale marks what has to be read again.
+func (f *Follower) markStale(changed changeSet) {
+	f.staleList = f.staleList || changed.all || changed.list
 	for child, n := range f.nodes {
-		if _, changed := m.nodes[child]; changed || m.all {
+		if _, nodeChanged := changed.nodes[child]; nodeChanged || changed.all {
 			n.stale = true
 		}
 	}
 }
 
-// read brings in what has changed: which nodes there are, and the data of each that is stale.
+// read reads the list of children if it is stale, and the data of each stale node.
 func (f *Follower) read() error {
-	if f.stale {
+	if f.staleList {
 		children, _, err := f.conn.Children(f.cfg.Path)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.cfg.Path, err)
 		}
-		f.stale = false
-		f.keep(children)
+		f.staleList = false
+		f.setChildren(children)
 	}
 	return f.readNodes()
 }
 
-// keep has just these nodes.
-func (f *Follower) keep(children []string) {
+// setChildren replaces the set of nodes, keeping what is known of those that remain.
+func (f *Follower) setChildren(children []string) {
 	nodes := make(map[string]*node, len(children))
 	for _, child := range children {
 		if nodes[child] = f.nodes[child]; nodes[child] == nil {
@@ -152,7 +151,7 @@
 	f.nodes = nodes
 }
 
-// readNodes reads every node that is stale, some at once, and gives the first error.
+// readNodes reads every stale node, several concurrently, and returns the first error.
 func (f *Follower) readNodes() error {
 	type result struct {
 		child string
@@ -165,11 +164,11 @@
 			stale = append(stale, child)
 		}
 	}
-	asked, results := make(chan string), make(chan result)
-	var all sync.WaitGroup
-	for range min(readers, len(stale)) {
-		all.Go(func() {
-			for child := range asked {
+	children, results := make(chan string), make(chan result)
+	var workers sync.WaitGroup
+	for range min(maxReaders, len(stale)) {
+		workers.Go(func() {
+			for child := range children {
 				data, _, err := f.conn.Get(f.cfg.Path + "/" + child)
 				results <- result{child, data, err}
 			}
@@ -177,23 +176,23 @@
 	}
 	go func() {
 		for _, child := range stale {
-			asked <- child
+			children <- child
 		}
-		close(asked)
-		all.Wait()
+		close(children)
+		workers.Wait()
 		close(results)
 	}()
-	var failed error
+	var firstErr error
 	for r := range results {
-		if err := f.take(r.child, r.data, r.err); err != nil && failed == nil {
-			failed = err
+		if err := f.update(r.child, r.data, r.err); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return failed
+	return firstErr
 }
 
-// take notes what was read of a node.
-func (f *Follower) take(child string, data []byte, err error) error {
+// update takes over the result of reading a node. A node that does not exist is removed.
+func (f *Follower) update(child string, data []byte, err error) error {
 	if errors.Is(err, zk.ErrNoNode) {
 		delete(f.nodes, child)
 		return nil
@@ -203,8 +202,8 @@
 	}
 	n := f.nodes[child]
 	n.stale = false
-	member, err := board.ParseMember(data, child)
-	if err != nil { // what was read of it before stays
+	member, err := discovery.ParseMember(data, child)
+	if err != nil { // the data read before stays in use
 		f.log.Warn("member node can't be used", "node", child, "error", err)
 		return nil
 	}
@@ -212,8 +211,8 @@
 	return nil
 }
 
-// tell passes on the list, if it is not the one told last.
-func (f *Follower) tell() {
+// publish passes the list to the sink unless it is the same as the last one.
+func (f *Follower) publish() {
 	var list []gateway.Member
 	for _, n := range f.nodes {
 		if n.usable {
@@ -221,26 +220,26 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b gateway.Member) int { return strings.Compare(a.Name, b.Name) })
-	if slices.Equal(list, f.told) {
+	if slices.Equal(list, f.lastList) {
 		return
 	}
-	f.told = list
+	f.lastList = list
 	f.loop.Post(func() {
 		f.sink.Members(true, list)
-		f.log.Info("member nodes read", "members", len(list)) // whoever reads it finds them in use
+		f.log.Info("member nodes read", "members", len(list)) // logged once the list is in use
 	})
 }
 
-// wait returns when something has changed, and with retry after a while.
+// wait returns when something has changed or, with retry, after retryInterval.
 func (f *Follower) wait(retry bool) {
-	var again <-chan time.Time
+	var retryAfter <-chan time.Time
 	if retry {
-		timer := time.NewTimer(retryEvery)
+		timer := time.NewTimer(retryInterval)
 		defer timer.Stop()
-		again = timer.C
+		retryAfter = timer.C
 	}
 	select {
 	case <-f.changes.wake:
-	case <-again:
+	case <-retryAfter:
 	}
 }
--- a/internal/exchange/history.go
+++ b/internal/exchange/history.go
@@ -10,18 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// history writes what happened to a file, as it happened, for a judge to read later. It
-// is the laboratory's; without a path nothing is written. Moments are of the machine's
-// monotonic clock, in nanoseconds.
+// history writes events to a file, for the lab's checkers to read later. Without a path
+// nothing is written. Times are of the machine's monotonic clock, in nanoseconds.
 type history struct {
 	events  chan []byte
 	file    *os.File
-	ended   chan error
+	closed  chan error
 	dropped atomic.Int64
 	front   string
 }
 
-const mostEvents = 1 << 16
+const maxEvents = 1 << 16
 
 func openHistory(ctx context.Context, path, front string) (*history, error) {
 	if path == "" {
@@ -31,13 +30,14 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &history{events: make(chan []byte, mostEvents), file: f, ended: make(chan error, 1), front: front}
+	h := &history{events: make(chan []byte, maxEvents), file: f, closed: make(chan error, 1), front: front}
 	go h.run(ctx)
 	h.write("began", nil)
 	return h, nil
 }
 
-// run writes; what is waiting is written at once, so that little is lost with a process.
+// run writes events. It flushes whenever none is waiting, so that little is lost if the
+// process dies.
 func (h *history) run(ctx context.Context) {
 	w := bufio.NewWriter(h.file)
 	for {
@@ -48,13 +48,14 @@
 				_ = w.Flush()
 			}
 		case <-ctx.Done():
-			h.ended <- w.Flush()
+			h.closed <- w.Flush()
 			return
 		}
 	}
 }
 
-// Mono is the machine's monotonic clock, in nanoseconds: the same for all processes.
+// Mono returns the machine's monotonic clock in nanoseconds, which all processes share; 0
+// if it can't be read.
 func Mono() int64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
@@ -63,10 +64,11 @@
 	return t.Nano()
 }
 
-// on tells whether anything is written.
-func (h *history) on() bool { return h != nil }
+// enabled reports whether events are written.
+func (h *history) enabled() bool { return h != nil }
 
-// write writes an event that happens now. Where too many wait it is counted as missing.
+// write writes an event that happens now. If too many are waiting, the event is dropped
+// and counted as missing in the next one.
 func (h *history) write(event string, facts map[string]any) {
 	if h != nil {
 		h.writeAt(Mono(), event, facts)
@@ -74,14 +76,14 @@
 }
 
 func (h *history) writeAt(at int64, event string, facts map[string]any) {
-	x := map[string]any{"t": at, "by": h.front, "e": event}
+	line := map[string]any{"t": at, "by": h.front, "e": event}
 	for k, v := range facts {
-		x[k] = v
+		line[k] = v
 	}
 	if n := h.dropped.Load(); n > 0 {
-		x["missing"] = n
+		line["missing"] = n
 	}
-	b, err := json.Marshal(x)
+	b, err := json.Marshal(line)
 	if err != nil {
 		return
 	}
@@ -96,7 +98,7 @@
 	if h == nil {
 		return nil
 	}
-	err := <-h.ended
+	err := <-h.closed
 	if e := h.file.Close(); err == nil {
 		err = e
 	}
--- a/internal/exchange/paths.go
+++ b/internal/exchange/paths.go
@@ -4,38 +4,38 @@
 	"context"
 	"slices"
 
-	"cherryramp/internal/decide/paths"
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/latency"
+	"cherryramp/internal/decide/topology"
 )
 
-// Surveyor is what measures latencies, on the loop.
-type Surveyor interface {
-	// Sights gives what attempts took since it was last asked.
-	Sights(each func(region, edge string, took int64))
-	// Room is which part of each edge can be used, as far as this front knows.
-	Room() map[string]float64
+// LatencySource measures latencies. It is called on the loop.
+type LatencySource interface {
+	// LatencySamples calls each with the latency in us of every attempt since the last call.
+	LatencySamples(each func(region, edge string, took int64))
+	// EdgeCapacity returns the usable share of each edge, 0 to 1, as far as this front knows.
+	EdgeCapacity() map[string]float64
 }
 
-// pathsUp is what a role says, and pathsDown what it is told.
+// pathsReport is a role's message to its owner, pathsUpdate the owner's to the role.
 type (
-	pathsUp struct {
-		Stamp Micros             `cbor:"1,keyasint"`
-		List  []paths.Summary    `cbor:"2,keyasint,omitempty"`
-		Room  map[string]float64 `cbor:"3,keyasint,omitempty"`
+	pathsReport struct {
+		Stamp     Micros             `cbor:"1,keyasint"`
+		Summaries []latency.Summary  `cbor:"2,keyasint,omitempty"`
+		Capacity  map[string]float64 `cbor:"3,keyasint,omitempty"`
 	}
-	pathsDown struct {
-		Stamp Micros        `cbor:"1,keyasint"`
-		List  []paths.Order `cbor:"2,keyasint,omitempty"`
+	pathsUpdate struct {
+		Stamp  Micros          `cbor:"1,keyasint"`
+		Orders []latency.Order `cbor:"2,keyasint,omitempty"`
 	}
 )
 
-// Messages to the task, beside envelopes.
+// Messages to the task of paths, besides envelopes.
 type (
-	samples struct {
-		list []paths.Sample
-		room map[string]float64
+	latencySamples struct {
+		list     []latency.Sample
+		capacity map[string]float64
 	}
-	steerAsk struct {
+	regionQuery struct {
 		region string
 		answer func(any, error)
 	}
@@ -43,93 +43,93 @@
 
 // pathTask is the task of paths.
 type pathTask struct {
-	teller
-	rules   paths.Rules
-	model   *paths.Model
-	room    map[string]float64
-	said    map[string]*tree.Said[pathsUp]
-	stamps  map[tie]Micros
-	maps    map[tree.Role]*paths.Map
-	planner *paths.Planner
-	root    uint64
-	rounds  int
-	told    Micros
+	sender
+	rules      latency.Rules
+	model      *latency.Model
+	capacity   map[string]float64
+	reports    map[string]*topology.Reports[pathsReport]
+	stamps     map[attachment]Micros
+	orders     map[topology.Role]*latency.OrderCache
+	planner    *latency.Planner
+	rootNumber uint64
+	rounds     int
+	loggedAt   Micros
 }
 
-// pathRounds is the rounds between two tellings.
+// pathRounds is the number of rounds between two reports.
 const pathRounds = 3
 
-func (x *Exchange) newPaths() func(context.Context) body {
-	return func(ctx context.Context) body {
-		p := x.section.Load().Paths
-		r := paths.Rules{Half: Micros(p.HalfS * 1e6), Stale: Micros(p.StaleS * 1e6), Explore: p.Explore / 100, Pace: p.Pace / 100, Weight: p.Weight}
-		return &pathTask{teller: teller{x, ctx}, rules: r, model: paths.NewModel(r), said: map[string]*tree.Said[pathsUp]{}, stamps: map[tie]Micros{}, maps: map[tree.Role]*paths.Map{}}
+func (ex *Exchange) newPathTask() func(context.Context) handler {
+	return func(ctx context.Context) handler {
+		section := ex.section.Load().Paths
+		rules := latency.Rules{HalfLife: Micros(section.HalfLifeS * 1e6), OrderTTL: Micros(section.StaleS * 1e6), ExploreShare: section.ExplorePercent / 100, MaxShiftPerSecond: section.PacePercent / 100, MaxFrontWeight: section.MaxWeight}
+		return &pathTask{sender: sender{ex, ctx}, rules: rules, model: latency.NewModel(rules), reports: map[string]*topology.Reports[pathsReport]{}, stamps: map[attachment]Micros{}, orders: map[topology.Role]*latency.OrderCache{}}
 	}
 }
 
-func (t *pathTask) round() {
-	if t.rounds++; t.rounds%pathRounds != 0 || t.x.standing.Load() == nil {
+func (t *pathTask) tick() {
+	if t.rounds++; t.rounds%pathRounds != 0 || t.ex.fleetState.Load() == nil {
 		return
 	}
-	x := t.x
-	x.cfg.Loop.Post(func() {
-		var list []paths.Sample
-		x.cfg.Surveyor.Sights(func(region, edge string, took int64) {
-			list = append(list, paths.Sample{Pair: paths.Pair{Region: region, Edge: edge}, Took: took})
+	ex := t.ex
+	ex.cfg.Loop.Post(func() {
+		var list []latency.Sample
+		ex.cfg.LatencySource.LatencySamples(func(region, edge string, took int64) {
+			list = append(list, latency.Sample{Pair: latency.Pair{Region: region, Edge: edge}, Latency: took})
 		})
-		x.paths.offer(samples{list, x.cfg.Surveyor.Room()})
+		ex.paths.tryPut(latencySamples{list, ex.cfg.LatencySource.EdgeCapacity()})
 	})
 }
 
-func (t *pathTask) tell(s *Standing, now Micros) {
-	links := t.x.links.Load()
-	t.up(Paths, s.View.Own(), pathsUp{now, t.model.Tell(now), t.room})
-	keeps := s.View.Keeps()
-	for site := range t.said {
-		if !slices.ContainsFunc(keeps, func(k tree.Keeper) bool { return k.Site == site }) {
-			delete(t.said, site)
+func (t *pathTask) publish(state *FleetState, now Micros) {
+	links := t.ex.links.Load()
+	t.sendUp(Paths, state.View.SelfRole(), pathsReport{now, t.model.Summaries(now), t.capacity})
+	owned := state.View.OwnedBySelf()
+	for site := range t.reports {
+		if !slices.ContainsFunc(owned, func(owner topology.Owner) bool { return owner.Site == site }) {
+			delete(t.reports, site)
 		}
 	}
-	for _, k := range keeps {
-		var fronts, sites [][]paths.Summary
-		room := map[string]float64{}
-		if said := t.said[k.Site]; said != nil {
-			for r, u := range said.All(now, t.x.spans().Over) {
-				if r.Front != "" {
-					fronts = append(fronts, u.List)
+	for _, owner := range owned {
+		var fronts, sites [][]latency.Summary
+		capacity := map[string]float64{}
+		if reports := t.reports[owner.Site]; reports != nil {
+			for role, report := range reports.All(now, t.ex.topologyConfig().FailoverAfter) {
+				if role.Front != "" {
+					fronts = append(fronts, report.Summaries)
 				} else {
-					sites = append(sites, u.List)
+					sites = append(sites, report.Summaries)
 				}
-				for e, x := range u.Room {
-					if old, ok := room[e]; (!ok || x < old) && len(room) < paths.MostPairs {
-						room[e] = min(1, max(0, x))
+				for edge, x := range report.Capacity {
+					if old, ok := capacity[edge]; (!ok || x < old) && len(capacity) < latency.MaxPairs {
+						capacity[edge] = min(1, max(0, x))
 					}
 				}
 			}
 		}
-		merged := paths.Merge(t.rules, fronts, sites)
-		var list []paths.Order
-		if k.Site == tree.Root {
-			if t.planner == nil || t.root != k.Number {
-				t.planner, t.root = paths.NewPlanner(t.rules), k.Number
+		merged := latency.Merge(t.rules, fronts, sites)
+		var orders []latency.Order
+		if owner.Site == topology.Root {
+			if t.planner == nil || t.rootNumber != owner.Number {
+				t.planner, t.rootNumber = latency.NewPlanner(t.rules), owner.Number
 			}
-			if s.May(now) {
-				list = t.planner.Step(merged, func(e string) float64 {
-					if x, ok := room[e]; ok {
+			if state.MayActAsOwner(now) {
+				orders = t.planner.Step(merged, func(edge string) float64 {
+					if x, ok := capacity[edge]; ok {
 						return x
 					}
 					return 1
 				}, now)
 			}
 		} else {
-			t.up(Paths, tree.Of(k), pathsUp{now, merged, room})
-			if m := t.maps[tree.Of(k)]; m != nil {
-				list = m.All(now)
+			t.sendUp(Paths, topology.SiteRole(owner), pathsReport{now, merged, capacity})
+			if cache := t.orders[topology.SiteRole(owner)]; cache != nil {
+				orders = cache.All(now)
 			}
 		}
-		for _, r := range links.below(k, now, t.x.spans().Over) {
-			if stamp := t.stamps[tie{r, k.Number}]; stamp != 0 {
-				t.down(Paths, r, k, pathsDown{stamp, list})
+		for _, role := range links.childrenOf(owner, now, t.ex.topologyConfig().FailoverAfter) {
+			if stamp := t.stamps[attachment{role, owner.Number}]; stamp != 0 {
+				t.sendDown(Paths, role, owner, pathsUpdate{stamp, orders})
 			}
 		}
 	}
@@ -140,89 +140,90 @@
 	}
 }
 
-func (t *pathTask) take(m any) {
-	s, now := t.x.standing.Load(), t.x.cfg.Now()
-	if s == nil {
+func (t *pathTask) handle(m any) {
+	state, now := t.ex.fleetState.Load(), t.ex.cfg.Now()
+	if state == nil {
 		return
 	}
 	switch m := m.(type) {
-	case samples:
+	case latencySamples:
 		t.model.Add(m.list, now)
-		t.room = m.room
-		t.tell(s, now)
-	case steerAsk:
-		m.answer(t.steer(s, m.region, now), nil)
+		t.capacity = m.capacity
+		t.publish(state, now)
+	case regionQuery:
+		m.answer(t.regionOrder(state, m.region, now), nil)
 	case Envelope:
 		if m.Up {
-			var u pathsUp
-			if decoder.Unmarshal(m.Body, &u) != nil {
+			var report pathsReport
+			if decoder.Unmarshal(m.Body, &report) != nil {
 				return
 			}
-			if t.said[m.Site] == nil {
-				t.said[m.Site] = &tree.Said[pathsUp]{}
+			if t.reports[m.Site] == nil {
+				t.reports[m.Site] = &topology.Reports[pathsReport]{}
 			}
-			t.said[m.Site].Put(m.Role, m.Seq, u, now)
-			t.stamps[tie{m.Role, m.Keeper}] = u.Stamp
+			t.reports[m.Site].Put(m.Role, m.Seq, report, now)
+			t.stamps[attachment{m.Role, m.Owner}] = report.Stamp
 			return
 		}
-		var d pathsDown
-		if decoder.Unmarshal(m.Body, &d) != nil {
+		var update pathsUpdate
+		if decoder.Unmarshal(m.Body, &update) != nil {
 			return
 		}
-		if t.maps[m.Role] == nil {
-			t.maps[m.Role] = &paths.Map{}
+		if t.orders[m.Role] == nil {
+			t.orders[m.Role] = &latency.OrderCache{}
 		}
-		t.maps[m.Role].Told(d.List, d.Stamp, t.rules.Stale)
-		for r := range t.maps {
-			if !slices.Contains(roles(s.View), r) {
-				delete(t.maps, r)
+		t.orders[m.Role].Update(update.Orders, update.Stamp, t.rules.OrderTTL)
+		for r := range t.orders {
+			if !slices.Contains(roles(state.View), r) {
+				delete(t.orders, r)
 			}
 		}
-		if m.Role == s.View.Own() && t.x.history.on() && now-t.told > 200_000 {
-			t.told = now
-			for _, o := range t.maps[m.Role].All(now) {
-				t.x.history.write("order", map[string]any{"region": o.Region, "age_ms": float64(t.rules.Stale-o.Left) / 1000, "bound_ms": float64(t.rules.Stale) / 1000})
+		if m.Role == state.View.SelfRole() && t.ex.history.enabled() && now-t.loggedAt > 200_000 {
+			t.loggedAt = now
+			for _, order := range t.orders[m.Role].All(now) {
+				t.ex.history.write("order", map[string]any{"region": order.Region, "age_ms": float64(t.rules.OrderTTL-order.Remaining) / 1000, "bound_ms": float64(t.rules.OrderTTL) / 1000})
 			}
 		}
 	}
 }
 
-// Steered is what a front tells of a region.
-type Steered struct {
-	Region string        `json:"region"`
-	By     string        `json:"by"` // the fleet's order, own sight, static
-	Edges  []paths.Share `json:"edges"`
-	HoldsS float64       `json:"holds_s"` // from now on
-	StaleS float64       `json:"stale_by_s"`
+// RegionOrder is the order of edges for a region, for the admin endpoint.
+type RegionOrder struct {
+	Region     string          `json:"region"`
+	Source     string          `json:"by"` // "the fleet's order", "own sight" or "static"
+	Edges      []latency.Share `json:"edges"`
+	RemainingS float64         `json:"holds_s"` // how long the order still holds
+	MaxAgeS    float64         `json:"stale_by_s"`
 }
 
-// steer falls back in steps: the fleet's order until its end, then this front's own
-// sight, then the static order, which is none: evenly.
-func (t *pathTask) steer(s *Standing, region string, now Micros) Steered {
-	out := Steered{Region: region, StaleS: float64(t.rules.Stale) / 1e6}
-	if m := t.maps[s.View.Own()]; m != nil {
-		if o, ok := m.Of(region, now); ok {
-			out.By, out.Edges, out.HoldsS = "the fleet's order", o.Edges, float64(o.Left)/1e6
+// regionOrder returns the order of a region: the fleet's until it expires, else one from
+// this front's own samples, else the static one, which is empty and means evenly.
+func (t *pathTask) regionOrder(state *FleetState, region string, now Micros) RegionOrder {
+	out := RegionOrder{Region: region, MaxAgeS: float64(t.rules.OrderTTL) / 1e6}
+	if cache := t.orders[state.View.SelfRole()]; cache != nil {
+		if order, ok := cache.Lookup(region, now); ok {
+			out.Source, out.Edges, out.RemainingS = "the fleet's order", order.Edges, float64(order.Remaining)/1e6
 			return out
 		}
 	}
-	own := paths.NewPlanner(t.rules).Step(t.model.Tell(now), func(e string) float64 {
-		if x, ok := t.room[e]; ok {
+	orders := latency.NewPlanner(t.rules).Step(t.model.Summaries(now), func(edge string) float64 {
+		if x, ok := t.capacity[edge]; ok {
 			return x
 		}
 		return 1
 	}, now)
-	for _, o := range own {
-		if o.Region == region {
-			out.By, out.Edges, out.HoldsS = "own sight", o.Edges, float64(t.x.round().Microseconds()*pathRounds)/1e6
+	for _, order := range orders {
+		if order.Region == region {
+			out.Source, out.Edges, out.RemainingS = "own sight", order.Edges, float64(t.ex.roundInterval().Microseconds()*pathRounds)/1e6
 			return out
 		}
 	}
-	out.By = "static"
+	out.Source = "static"
 	return out
 }
 
-// Steer asks for a region's order; the answer comes on the loop.
-func (x *Exchange) Steer(region string, answer func(any, error)) bool {
-	return x.cfg.Section.Paths != nil && x.paths.offer(steerAsk{region, func(v any, err error) { x.cfg.Loop.Post(func() { answer(v, err) }) }})
+// QueryRegion asks for a region's order; answer is called on the loop. It reports whether
+// the query was accepted.
+func (ex *Exchange) QueryRegion(region string, answer func(any, error)) bool {
+	return ex.cfg.Section.Paths != nil && ex.paths.tryPut(regionQuery{region, func(v any, err error) { ex.cfg.Loop.Post(func() { answer(v, err) }) }})
 }
--- a/internal/exchange/wire.go
+++ b/internal/exchange/wire.go
@@ -12,15 +12,15 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"cherryramp/internal/decide/tree"
+	"cherryramp/internal/decide/topology"
 	"cherryramp/internal/link/frame"
 )
 
-// Protocol is what the exchange's connections say in their handshake (ALPN), so that
-// they come to the fleet's own address and its keys.
+// Protocol is the ALPN protocol of the exchange's connections. It lets them share the
+// fleet's address and keys.
 const Protocol = "cherryramp-exchange"
 
-// Subject is what a message is about.
+// Subject is the subject of a message; each has a task of its own.
 type Subject uint8
 
 // The subjects.
@@ -30,42 +30,42 @@
 	Purges
 	Verdicts
 	Paths
-	subjects
+	subjectCount
 )
 
 var subjectNames = [...]string{"", "tree", "limits", "purges", "verdicts", "paths"}
 
 func (s Subject) String() string { return subjectNames[min(int(s), len(subjectNames)-1)] }
 
-// Envelope is one message between a role and a keeper above it.
+// Envelope is one message between a role and an owner above it.
 type Envelope struct {
 	Subject Subject         `cbor:"1,keyasint"`
-	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the keeper
-	Role    tree.Role       `cbor:"3,keyasint"`           // who says, or who is told
-	Site    string          `cbor:"4,keyasint,omitempty"` // of the keeper
-	Keeper  uint64          `cbor:"5,keyasint"`           // its number
-	Seq     uint64          `cbor:"6,keyasint,omitempty"` // of its sender's messages, growing
+	Up      bool            `cbor:"2,keyasint,omitempty"` // from the role to the owner
+	Role    topology.Role   `cbor:"3,keyasint"`           // the sender of messages that go up, the receiver of others
+	Site    string          `cbor:"4,keyasint,omitempty"` // of the owner
+	Owner   uint64          `cbor:"5,keyasint"`           // the owner's number
+	Seq     uint64          `cbor:"6,keyasint,omitempty"` // increases with each message of a sender
 	Body    cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// key names what a newer message replaces while it waits to be sent.
+// key returns the key under which a newer message replaces one that waits to be sent.
 func (e *Envelope) key() string {
-	if e.Subject == Purges { // what they tell of comes once
+	if e.Subject == Purges { // each carries purges that are sent only once
 		return ""
 	}
-	return fmt.Sprint(e.Subject, e.Up, e.Role, e.Site, e.Keeper)
+	return fmt.Sprint(e.Subject, e.Up, e.Role, e.Site, e.Owner)
 }
 
-// Spans and bounds of connections.
+// Timeouts and bounds of connections.
 const (
-	handshakeMost = 5 * time.Second
-	redialLeast   = 100 * time.Millisecond
-	redialMost    = 2 * time.Second
-	silentMost    = 5 * time.Second // a connection on which nothing comes for so long is given up
-	pingEvery     = time.Second
-	mostOutbox    = 512
-	mostMessage   = 1 << 20 // bytes
-	stream        = 1
+	handshakeTimeout = 5 * time.Second
+	minRedial        = 100 * time.Millisecond
+	maxRedial        = 2 * time.Second
+	ioTimeout        = 5 * time.Second // for a write, and without any bytes received
+	pingInterval     = time.Second
+	maxOutbox        = 512
+	maxMessage       = 1 << 20 // bytes
+	dataStream       = 1
 )
 
 var (
@@ -89,18 +89,18 @@
 	return b
 }
 
-// errSize tells of a message that is too long; its connection ends.
-var errSize = errors.New("exchange: a message is too long")
+// errMessageTooLong ends the connection on which a message exceeds maxMessage.
+var errMessageTooLong = errors.New("exchange: message too long")
 
-// reader gives the bytes of a connection's data frames. The messages on them are a
-// sequence in CBOR (RFC 8742).
+// reader reads the bytes of a connection's data frames, which carry the messages as a
+// CBOR sequence (RFC 8742).
 type reader struct {
-	conn   net.Conn
-	buf    []byte
-	data   []byte
-	since  int // bytes since the last whole message
-	hello  func(frame.Hello) error
-	greets bool
+	conn         net.Conn
+	buf          []byte
+	data         []byte
+	messageBytes int // bytes since the end of the last message
+	hello        func(frame.Hello) error
+	greeted      bool
 }
 
 func (r *reader) Read(p []byte) (int, error) {
@@ -113,7 +113,7 @@
 			if len(r.buf) == cap(r.buf) {
 				r.buf = slices.Grow(r.buf, 32<<10)
 			}
-			if err := r.conn.SetReadDeadline(time.Now().Add(silentMost)); err != nil {
+			if err := r.conn.SetReadDeadline(time.Now().Add(ioTimeout)); err != nil {
 				return 0, err
 			}
 			n, err := r.conn.Read(r.buf[len(r.buf):cap(r.buf)])
@@ -126,16 +126,16 @@
 		switch f.Kind {
 		case frame.KindHello:
 			var h frame.Hello
-			if err := frame.Read(f, &h); err != nil {
+			if err := frame.DecodeHead(f, &h); err != nil {
 				return 0, err
 			}
 			if err := r.hello(h); err != nil {
 				return 0, err
 			}
-			r.greets = true
+			r.greeted = true
 		case frame.KindData:
-			if !r.greets {
-				return 0, errors.New("exchange: data before a greeting")
+			if !r.greeted {
+				return 0, errors.New("exchange: data before the hello")
 			}
 			r.data = slices.Clone(f.Body)
 		}
@@ -143,23 +143,23 @@
 	}
 	n := copy(p, r.data)
 	r.data = r.data[n:]
-	if r.since += n; r.since > mostMessage {
-		return 0, errSize
+	if r.messageBytes += n; r.messageBytes > maxMessage {
+		return 0, errMessageTooLong
 	}
 	return n, nil
 }
 
-// conn is one connection to another front, with its outbox. It is a task of two
-// goroutines: one reads and hands messages to the hub, one writes.
+// conn is a connection to another front, with its outbox. Two goroutines serve it: one
+// reads and passes messages to the dispatcher, one writes.
 type conn struct {
 	net.Conn
-	name   string // proven by its certificate
-	outbox *box[Envelope]
+	name   string // proven by the peer's certificate
+	outbox *mailbox[Envelope]
 	dialed bool
 }
 
-// names are those that a connection's other side has proven.
-func names(c net.Conn) []string {
+// peerNames returns the names in the peer's certificate.
+func peerNames(c net.Conn) []string {
 	if t, ok := c.(*tls.Conn); ok {
 		if certs := t.ConnectionState().PeerCertificates; len(certs) > 0 {
 			return certs[0].DNSNames
@@ -168,28 +168,29 @@
 	return nil
 }
 
-// serve runs a connection until it ends. Up is told once the other side has greeted.
-func (x *Exchange) serve(ctx context.Context, c *conn, up func()) error {
+// serve runs a connection until it ends. It calls onHello once the peer's hello was
+// accepted.
+func (ex *Exchange) serve(ctx context.Context, c *conn, onHello func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.outbox = newBox(ctx, mostOutbox, &x.counts.Dropped, func(e Envelope) string { return e.key() })
+	c.outbox = newMailbox(ctx, maxOutbox, &ex.counts.Dropped, func(e Envelope) string { return e.key() })
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer func() { _ = c.Close() }()
-	began := time.Now()
-	write := func(kind frame.Kind, on uint32, body []byte) error {
-		b, err := frame.Append(nil, frame.Frame{Kind: kind, Stream: on, Sent: uint64(time.Since(began).Microseconds()), Body: body})
+	start := time.Now()
+	write := func(kind frame.Kind, streamID uint32, body []byte) error {
+		b, err := frame.Append(nil, frame.Frame{Kind: kind, Stream: streamID, Sent: uint64(time.Since(start).Microseconds()), Body: body})
 		if err != nil {
 			return err
 		}
-		if err := c.SetWriteDeadline(time.Now().Add(silentMost)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(ioTimeout)); err != nil {
 			return err
 		}
 		_, err = c.Write(b)
 		return err
 	}
-	fleet := x.fleetID()
-	hello, err := frame.Head(frame.Hello{Versions: frame.Versions, Site: x.cfg.Name, Epoch: fleet, Window: mostMessage, Total: mostMessage, Streams: 1})
+	fleet := ex.fleetID()
+	hello, err := frame.EncodeHead(frame.Hello{Versions: frame.Versions, Site: ex.cfg.Name, Epoch: fleet, Window: maxMessage, Total: maxMessage, Streams: 1})
 	if err != nil {
 		return err
 	}
@@ -199,7 +200,7 @@
 			if err := write(frame.KindHello, 0, hello); err != nil {
 				return err
 			}
-			ping := time.NewTicker(pingEvery)
+			ping := time.NewTicker(pingInterval)
 			defer ping.Stop()
 			for {
 				select {
@@ -211,11 +212,11 @@
 					}
 				case e := <-c.outbox.out:
 					b := encode(e)
-					x.counts.Sent.Add(1)
-					x.counts.Bytes.Add(int64(len(b)))
+					ex.counts.Sent.Add(1)
+					ex.counts.Bytes.Add(int64(len(b)))
 					for len(b) > 0 {
-						n := min(len(b), frame.MostData)
-						if err := write(frame.KindData, stream, b[:n]); err != nil {
+						n := min(len(b), frame.MaxData)
+						if err := write(frame.KindData, dataStream, b[:n]); err != nil {
 							return err
 						}
 						b = b[n:]
@@ -227,17 +228,17 @@
 		cancel()
 	}()
 	r := &reader{conn: c, buf: make([]byte, 0, 32<<10), hello: func(h frame.Hello) error {
-		if _, err := frame.Agree(h.Versions); err != nil {
+		if _, err := frame.NegotiateVersion(h.Versions); err != nil {
 			return err
 		}
-		if !slices.Contains(names(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == x.cfg.Name {
-			return fmt.Errorf("exchange: it calls itself %q, and its certificate is for %q", h.Site, names(c.Conn))
+		if !slices.Contains(peerNames(c.Conn), h.Site) || c.name != "" && h.Site != c.name || h.Site == ex.cfg.Name {
+			return fmt.Errorf("exchange: the peer calls itself %q, and its certificate is for %q", h.Site, peerNames(c.Conn))
 		}
 		if h.Epoch != 0 && fleet != 0 && h.Epoch != fleet {
 			return fmt.Errorf("exchange: %s belongs to another fleet", h.Site)
 		}
 		c.name = h.Site
-		up()
+		onHello()
 		return nil
 	}}
 	d := decoder.NewDecoder(r)
@@ -245,51 +246,52 @@
 		var e Envelope
 		if err := d.Decode(&e); err != nil {
 			cancel()
-			if first := <-failed; first != nil && !errors.Is(first, net.ErrClosed) {
-				return first
+			if writeErr := <-failed; writeErr != nil && !errors.Is(writeErr, net.ErrClosed) {
+				return writeErr
 			}
 			if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return err
 		}
-		r.since = 0
-		x.counts.Received.Add(1)
-		x.hub.put(fromFront{c.name, e})
+		r.messageBytes = 0
+		ex.counts.Received.Add(1)
+		ex.dispatcher.put(received{c.name, e})
 	}
 }
 
-// dial connects to a front and serves the connection; it comes back when that ends.
-func (x *Exchange) dial(ctx context.Context, name, address string) error {
-	dctx, cancel := context.WithTimeout(ctx, handshakeMost)
+// dial connects to a front and serves the connection until it ends.
+func (ex *Exchange) dial(ctx context.Context, name, address string) error {
+	dialCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	cfg := x.cfg.Keys.Client()
+	cfg := ex.cfg.Keys.ClientConfig()
 	cfg.NextProtos = []string{Protocol}
-	d := tls.Dialer{Config: cfg}
-	nc, err := d.DialContext(dctx, "tcp", address)
+	dialer := tls.Dialer{Config: cfg}
+	netConn, err := dialer.DialContext(dialCtx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	t := nc.(*tls.Conn)
-	if t.ConnectionState().NegotiatedProtocol != Protocol {
-		return errors.Join(fmt.Errorf("exchange: %s at %s takes no part", name, address), nc.Close())
+	tlsConn := netConn.(*tls.Conn)
+	if tlsConn.ConnectionState().NegotiatedProtocol != Protocol {
+		return errors.Join(fmt.Errorf("exchange: %s at %s does not speak the exchange protocol", name, address), netConn.Close())
 	}
-	if !slices.Contains(names(nc), name) {
-		return errors.Join(fmt.Errorf("exchange: at %s is %q, not %s", address, names(nc), name), nc.Close())
+	if !slices.Contains(peerNames(netConn), name) {
+		return errors.Join(fmt.Errorf("exchange: the certificate at %s is for %q, not %s", address, peerNames(netConn), name), netConn.Close())
 	}
-	c := &conn{Conn: nc, name: name, dialed: true}
-	defer x.hub.put(connDown{c})
-	return x.serve(ctx, c, func() { x.hub.put(connUp{c}) })
+	c := &conn{Conn: netConn, name: name, dialed: true}
+	defer ex.dispatcher.put(connDown{c})
+	return ex.serve(ctx, c, func() { ex.dispatcher.put(connUp{c}) })
 }
 
-// Accept takes over a connection that another front opened, whose handshake is done.
-func (x *Exchange) Accept(nc net.Conn, done func()) {
+// Accept takes over a connection opened by another front, after its TLS handshake. It
+// calls done when the connection has ended.
+func (ex *Exchange) Accept(netConn net.Conn, done func()) {
 	go func() {
 		defer done()
-		c := &conn{Conn: nc}
-		defer x.hub.put(connDown{c})
-		if err := x.serve(x.ctx, c, func() { x.hub.put(connUp{c}) }); err != nil && x.ctx.Err() == nil {
-			x.log.Info("exchange: a connection ended", "front", c.name, "error", err)
+		c := &conn{Conn: netConn}
+		defer ex.dispatcher.put(connDown{c})
+		if err := ex.serve(ex.ctx, c, func() { ex.dispatcher.put(connUp{c}) }); err != nil && ex.ctx.Err() == nil {
+			ex.log.Info("exchange: a connection ended", "front", c.name, "error", err)
 		}
 	}()
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -21,29 +21,29 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-func now(f func()) { f() }
+func runNow(f func()) { f() }
 
 func open(path string) (*Journal, []string, int64, error) {
 	var got []string
-	j, torn, err := Open(path, 1000, now, func(r []byte) error { got = append(got, string(r)); return nil })
+	j, torn, err := Open(path, 1000, runNow, func(r []byte) error { got = append(got, string(r)); return nil })
 	return j, got, torn, err
 }
 
-// write puts records into a journal and gives those that were kept.
-func write(t testing.TB, j *Journal, list []string) (kept []string) {
+// appendAll appends records one by one and returns those reported as durable.
+func appendAll(t testing.TB, j *Journal, list []string) (kept []string) {
 	t.Helper()
 	for _, r := range list {
-		told := make(chan error, 1)
-		j.Append([]byte(r), func(err error) { told <- err })
-		if <-told == nil {
+		done := make(chan error, 1)
+		j.Append([]byte(r), func(err error) { done <- err })
+		if <-done == nil {
 			kept = append(kept, r)
 		}
 	}
 	return kept
 }
 
-// What was kept comes back in order, wherever the file was torn: all whole records
-// before that, and new ones behind them.
+// Guards against records lost or reordered when the file is torn at any byte: all records
+// of whole frames before it are recovered, and new ones are appended after them.
 func TestTornEnds(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
@@ -55,12 +55,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// One by one each is a frame; together they are frames as it comes.
-		if alone := rapid.Bool().Draw(t, "alone"); alone {
+		// One by one, each record is a frame; together, frames hold any number of them.
+		if oneByOne := rapid.Bool().Draw(t, "alone"); oneByOne {
 			for _, r := range list {
-				told := make(chan error, 1)
-				j.Append([]byte(r), func(err error) { told <- err })
-				if err := <-told; err != nil {
+				done := make(chan error, 1)
+				j.Append([]byte(r), func(err error) { done <- err })
+				if err := <-done; err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -80,47 +80,48 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		whole, at := 0, len(magic)
+		intact, at := 0, len(magic)
 		for at < len(text) {
-			size := frameHead + int(binary.LittleEndian.Uint32(text[at:]))
+			size := frameHeader + int(binary.LittleEndian.Uint32(text[at:]))
 			if at+size > cut {
 				break
 			}
-			if err := records(text[at+frameHead:at+size], func([]byte) error { whole++; return nil }); err != nil {
+			if err := eachRecord(text[at+frameHeader:at+size], func([]byte) error { intact++; return nil }); err != nil {
 				t.Fatal(err)
 			}
 			at += size
 		}
 		j, got, _, err := open(path)
-		if err != nil || !slices.Equal(got, list[:whole]) {
-			t.Fatalf("cut at %d: %v, got %q, want %q", cut, err, got, list[:whole])
+		if err != nil || !slices.Equal(got, list[:intact]) {
+			t.Fatalf("cut at %d: %v, got %q, want %q", cut, err, got, list[:intact])
 		}
 		j.Append([]byte("again"), func(error) {})
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 		j, got, torn, err := open(path)
-		if err != nil || torn != 0 || !slices.Equal(got, append(slices.Clone(list[:whole]), "again")) {
+		if err != nil || torn != 0 || !slices.Equal(got, append(slices.Clone(list[:intact]), "again")) {
 			t.Fatalf("after that: %v, %q", err, got)
 		}
 		_ = j.Close()
 	})
 }
 
-// Damage before the end is an error that names the byte, and nothing is changed.
-func TestDamageIsNotPassedOver(t *testing.T) {
+// Guards against damage before the end that is skipped or cut off: opening fails with an
+// error that names the byte, and the file stays as it is.
+func TestDamageIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"first record", "second record", "third record"})
+	appendAll(t, j, []string{"first record", "second record", "third record"})
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(path)
-	second := len(magic) + frameHead + recordHead + len("first record")
-	for at := len(magic); at < second+frameHead+recordHead+len("second record"); at++ {
+	second := len(magic) + frameHeader + recordHeader + len("first record")
+	for at := len(magic); at < second+frameHeader+recordHeader+len("second record"); at++ {
 		bad := bytes.Clone(text)
 		bad[at] ^= 0x40
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
@@ -141,21 +142,21 @@
 	}
 }
 
-// A snapshot takes the place of what was before it, what comes after stands behind
-// it, and one that was not finished is not seen.
+// Guards against records from before a snapshot that come back, records after it that are
+// lost, and an unfinished snapshot that is read.
 func TestRewrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"a", "b"})
-	told := make(chan error, 1)
-	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { told <- err })
-	if err := <-told; err != nil {
+	appendAll(t, j, []string{"a", "b"})
+	done := make(chan error, 1)
+	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { done <- err })
+	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	write(t, j, []string{"c"})
+	appendAll(t, j, []string{"c"})
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -169,22 +170,22 @@
 	_ = j.Close()
 }
 
-// A snapshot that is durable is told as kept, and what comes after it is kept too, whatever the
-// old file's close says: nobody needs that any more.
-func TestRewriteWhereTheOldFileFailsToClose(t *testing.T) {
+// Guards against a durable snapshot reported as failed because closing the old file, which
+// nothing needs any more, fails; later records must be durable too.
+func TestRewriteWhenTheOldFileFailsToClose(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.f = &shaky{File: j.f.(*os.File), room: 1000, close: syscall.EIO}
-	told := make(chan error, 1)
-	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { told <- err })
-	if err := <-told; err != nil {
-		t.Errorf("the snapshot: %v", err)
+	j.f = &faultyFile{File: j.f.(*os.File), room: 1000, closeErr: syscall.EIO}
+	done := make(chan error, 1)
+	j.Rewrite([][]byte{[]byte("ab")}, func(err error) { done <- err })
+	if err := <-done; err != nil {
+		t.Errorf("snapshot: %v", err)
 	}
-	if kept := write(t, j, []string{"c"}); !slices.Equal(kept, []string{"c"}) {
-		t.Errorf("kept after it: %q", kept)
+	if kept := appendAll(t, j, []string{"c"}); !slices.Equal(kept, []string{"c"}) {
+		t.Errorf("durable after it: %q", kept)
 	}
 	_ = j.Close()
 	if _, got, _, err := open(path); err != nil || !slices.Equal(got, []string{"ab", "c"}) {
@@ -192,19 +193,19 @@
 	}
 }
 
-// shaky is a file on a disk that fills up, or whose sync or close fails.
-type shaky struct {
+// faultyFile is a file on a disk that fills up, or whose sync or close fails.
+type faultyFile struct {
 	*os.File
-	room        int
-	sync, close error
+	room              int
+	syncErr, closeErr error
 }
 
-func (s *shaky) Close() error { return errors.Join(s.close, s.File.Close()) }
+func (f *faultyFile) Close() error { return errors.Join(f.closeErr, f.File.Close()) }
 
-func (s *shaky) Write(p []byte) (int, error) {
-	n := min(len(p), s.room)
-	s.room -= n
-	if n, err := s.File.Write(p[:n]); err != nil {
+func (f *faultyFile) Write(p []byte) (int, error) {
+	n := min(len(p), f.room)
+	f.room -= n
+	if n, err := f.File.Write(p[:n]); err != nil {
 		return n, err
 	}
 	if n < len(p) {
@@ -213,53 +214,55 @@
 	return n, nil
 }
 
-func (s *shaky) Sync() error { return errors.Join(s.sync, s.File.Sync()) }
+func (f *faultyFile) Sync() error { return errors.Join(f.syncErr, f.File.Sync()) }
 
-// On a full disk what does not fit is told not to be kept and does not come back;
-// once there is room, records are kept again. After a sync that failed none is.
+// Guards against a record that was reported as failed on a full disk and is recovered,
+// against a journal that stays failed once there is room, and against records reported as
+// durable after a failed sync.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, _, _, err := open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &shaky{File: j.f.(*os.File), room: 65}
-	j.f = s // the writer has nothing to do yet
+	s := &faultyFile{File: j.f.(*os.File), room: 65}
+	j.f = s // the writer is idle
 	list := []string{strings.Repeat("a", 30), strings.Repeat("b", 30), "c"}
-	kept := write(t, j, list)
+	kept := appendAll(t, j, list)
 	if !slices.Equal(kept, []string{list[0]}) && !slices.Equal(kept, []string{list[0], "c"}) {
 		t.Fatal(kept)
 	}
 	s.room = 1000
-	kept = append(kept, write(t, j, []string{"later"})...)
-	s.sync = syscall.EIO
-	if got := write(t, j, []string{"unsure", "after that"}); got != nil {
+	kept = append(kept, appendAll(t, j, []string{"later"})...)
+	s.syncErr = syscall.EIO
+	if got := appendAll(t, j, []string{"unsure", "after that"}); got != nil {
 		t.Error(got)
 	}
 	_ = j.Close()
 	_, got, _, err := open(path)
 	if err != nil || !slices.Equal(got[:len(kept)], kept) || slices.Contains(got, list[1]) || slices.Contains(got, "after that") {
-		t.Errorf("%q, kept were %q: %v", got, kept, err)
+		t.Errorf("recovered %q, durable were %q: %v", got, kept, err)
 	}
 }
 
-// More than may wait is told at once.
-func TestBound(t *testing.T) {
-	j := &Journal{jobs: make(chan job, 1), post: now}
-	var told []error
+// Guards against an unbounded queue and unbounded records: both fail at once.
+func TestQueueBound(t *testing.T) {
+	j := &Journal{jobs: make(chan job, 1), post: runNow}
+	var errs []error
 	for range 2 {
-		j.Append([]byte("x"), func(err error) { told = append(told, err) })
+		j.Append([]byte("x"), func(err error) { errs = append(errs, err) })
 	}
-	j.Append(make([]byte, MostRecord+1), func(err error) { told = append(told, err) })
-	if len(told) != 2 || !errors.Is(told[0], ErrFull) || told[1] == nil {
-		t.Error(told)
+	j.Append(make([]byte, MaxRecord+1), func(err error) { errs = append(errs, err) })
+	if len(errs) != 2 || !errors.Is(errs[0], ErrFull) || errs[1] == nil {
+		t.Error(errs)
 	}
 }
 
-// FuzzOpen reads anything without falling over, and reads the same again.
+// FuzzOpen guards against panics on arbitrary files and against records that differ when
+// the file is opened again.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte(magic))
-	f.Add(seal(add(begin([]byte(magic)), []byte("record")), len(magic)))
+	f.Add(sealFrame(appendRecord(beginFrame([]byte(magic)), []byte("record")), len(magic)))
 	f.Add(binary.LittleEndian.AppendUint32([]byte(magic), 1<<31))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		path := filepath.Join(t.TempDir(), "j")
@@ -279,22 +282,22 @@
 	})
 }
 
-// BenchmarkAppend is records made durable a second, one by one and by groups.
+// BenchmarkAppend measures records made durable per second, one by one and in groups.
 func BenchmarkAppend(b *testing.B) {
-	record, _ := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: 1 << 60, Try: 1, Epoch: 1 << 60, At: 1 << 50})
+	record, _ := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: 1 << 60, Attempt: 1, Epoch: 1 << 60, At: 1 << 50})
 	for _, together := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprint(together, " together"), func(b *testing.B) {
 			j, _, _, err := open(filepath.Join(b.TempDir(), "j"))
 			if err != nil {
 				b.Fatal(err)
 			}
-			told, n := make(chan error, together), 0
+			done, n := make(chan error, together), 0
 			for b.Loop() {
 				for range together {
-					j.Append(record, func(err error) { told <- err })
+					j.Append(record, func(err error) { done <- err })
 				}
 				for range together {
-					if err := <-told; err == nil {
+					if err := <-done; err == nil {
 						n++
 					}
 				}
@@ -305,32 +308,32 @@
 	}
 }
 
-// BenchmarkRecover is the time to take in a million records.
+// BenchmarkRecover measures the time to recover a million records.
 func BenchmarkRecover(b *testing.B) {
 	path := filepath.Join(b.TempDir(), "j")
 	text := []byte(magic)
 	for id := range ledger.ID(1_000_000) {
-		r, err := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: id, Try: 1, Epoch: 1, At: int64(id)})
+		r, err := cbor.Marshal(ledger.Record{Op: ledger.OpRun, ID: id, Attempt: 1, Epoch: 1, At: int64(id)})
 		if err != nil {
 			b.Fatal(err)
 		}
 		at := len(text)
-		text = seal(add(begin(text), r), at)
+		text = sealFrame(appendRecord(beginFrame(text), r), at)
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		far := ledger.NewFar(ledger.Config{Most: 2_000_000, Keep: 1 << 40, Delay: 1}, 1, func(ledger.Record) {})
-		j, _, err := Open(path, 1, now, func(p []byte) error {
+		receiver := ledger.NewReceiver(ledger.Config{MaxIDs: 2_000_000, Retention: 1 << 40, MaxDelay: 1}, 1, func(ledger.Record) {})
+		j, _, err := Open(path, 1, runNow, func(p []byte) error {
 			var r ledger.Record
 			if err := cbor.Unmarshal(p, &r); err != nil {
 				return err
 			}
-			far.Apply(r)
+			receiver.Apply(r)
 			return nil
 		})
-		if err != nil || far.Len() != 1_000_000 {
+		if err != nil || receiver.Len() != 1_000_000 {
 			b.Fatal(err)
 		}
 		_ = j.Close()
--- a/lab/fleet/bench_test.go
+++ b/lab/fleet/bench_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/decide/council"
-	"cherryramp/internal/decide/replica"
-	"cherryramp/internal/decide/work"
+	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/membership"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/fleet"
 )
 
@@ -30,7 +30,7 @@
 
 func traffic(b *testing.B, fronts int, busy bool) {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent = 3, 3, 50
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent = 3, 3, 50
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: 9, Rules: r, FanOut: 16})
 	for _, f := range w.Fronts {
 		f.Start()
@@ -41,23 +41,23 @@
 	}
 	b.ReportMetric(float64(w.Now())/1e6, "s-to-settle")
 	w.Run(w.Now() + 10*Second)
-	clear(w.Sent)
-	clear(w.Bytes)
+	clear(w.MessagesSent)
+	clear(w.BytesSent)
 	leader, began := w.Leader(), w.Now()
 	const span = 60
 	if busy {
 		for i := range 10 {
 			w.After(Micros(i)*6*Second, func() {
-				w.Ask(w.Fronts[1], work.Item{Machine: fmt.Sprintf("box%d", i), Kind: work.ABox, Zone: fmt.Sprint(i), Span: Second}, func(replica.Word, error) {})
+				w.RequestOperation(w.Fronts[1], maintenance.Operation{Machine: fmt.Sprintf("box%d", i), Kind: maintenance.Box, Zone: fmt.Sprint(i), Duration: Second}, func(statemachine.Result, error) {})
 			})
 			w.After(Micros(i)*6*Second+4*Second, func() {
-				w.Order(w.Fronts[1], replica.Order{What: replica.Finish, Work: uint64(i + 1)}, func(replica.Word, error) {})
+				w.SubmitOrder(w.Fronts[1], statemachine.Order{Action: statemachine.Finish, Operation: uint64(i + 1)}, func(statemachine.Result, error) {})
 			})
 		}
 	}
 	w.Run(began + span*Second)
-	if w.Leader() != leader || w.Checks.Failed() {
-		b.Fatalf("the leader changed, or %v", w.Checks.Broken())
+	if w.Leader() != leader || w.Checker.Failed() {
+		b.Fatalf("the leader changed, or %v", w.Checker.Violations())
 	}
 	sent, bytes, n := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, f := range w.Fronts {
@@ -70,8 +70,8 @@
 			role = "voter"
 		}
 		n[role]++
-		sent[role] += w.Sent[f.Name]
-		bytes[role] += w.Bytes[f.Name]
+		sent[role] += w.MessagesSent[f.Name]
+		bytes[role] += w.BytesSent[f.Name]
 	}
 	for role := range n {
 		b.ReportMetric(float64(sent[role])/float64(n[role])/span, "msg/s-"+role)
@@ -92,7 +92,7 @@
 		b.Fatal(err)
 	}
 	if err := Await(within, f.Settled); err != nil {
-		b.Fatal(err, f.Unsettled())
+		b.Fatal(err, f.StatusReport())
 	}
 	return f
 }
@@ -128,8 +128,8 @@
 			elect = append(elect, time.Since(began))
 			var id uint64
 			var err error
-			for id, err = at.Ask(fleet.Ask{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
-				id, err = at.Ask(fleet.Ask{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
+			for id, err = at.RequestOperation(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true}); err != nil; {
+				id, err = at.RequestOperation(fleet.OperationRequest{Machine: "s-0", Box: true, SpanS: 1, Urgent: true})
 			}
 			for phase(at, "s-0") == "asked" {
 				time.Sleep(5 * time.Millisecond)
@@ -140,7 +140,7 @@
 				b.Fatal(err)
 			}
 			if err := Await(within, f.Settled); err != nil {
-				b.Fatal(err, f.Unsettled())
+				b.Fatal(err, f.StatusReport())
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 			}
 			back = append(back, time.Since(began))
 			if err := Await(within, f.Settled); err != nil {
-				b.Fatal(err, f.Unsettled())
+				b.Fatal(err, f.StatusReport())
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 		time.Sleep(2 * time.Second)
 		began := time.Now()
 		for _, p := range f.List {
-			if _, err := f.List[0].Ask(fleet.Ask{Machine: p.Name, SpanS: 60, Restart: true, Why: "upgrade"}); err != nil {
+			if _, err := f.List[0].RequestOperation(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true, Reason: "upgrade"}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -230,7 +230,7 @@
 		b.ReportMetric(took.Seconds(), "s-all-restarted")
 		b.ReportMetric(float64(clients.Lost.Load()), "lost")
 		b.ReportMetric(float64(clients.Served.Load()), "served")
-		b.ReportMetric(float64(clients.Refused.Load()+clients.Failed.Load()+clients.Nowhere.Load()), "refused-or-failed")
+		b.ReportMetric(float64(clients.Refused.Load()+clients.Failed.Load()+clients.Unreachable.Load()), "refused-or-failed")
 		b.ReportMetric(float64(clients.Crashed.Load()), "crashed-under")
 		if first != "" {
 			b.Log(first)
@@ -282,17 +282,17 @@
 // Bytes of the state a front and a work.
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
-		r := replica.New()
-		r.Apply(replica.Command{Found: &replica.Found{Name: "f", Fleet: 1, Rules: work.Defaults()}})
+		r := statemachine.New()
+		r.Apply(statemachine.Command{Found: &statemachine.Found{Name: "f", Fleet: 1, Rules: maintenance.DefaultRules()}})
 		empty := len(r.Snapshot())
 		for i := range 300 {
 			n := fmt.Sprintf("front-%03d", i)
-			r.Apply(replica.Command{Join: &replica.Join{Front: council.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
+			r.Apply(statemachine.Command{Join: &statemachine.Join{Front: membership.Front{Name: n, Zone: fmt.Sprintf("zone-%d", i%5), Machine: n, Address: fmt.Sprintf("10.0.%d.%d:7003", i/200, i%200),
 				ID: ^uint64(i), Start: ^uint64(i) / 3, Build: "0123456789ab"}}})
 		}
 		fronts := len(r.Snapshot())
 		for i := range 100 {
-			r.Apply(replica.Command{Ask: &replica.Ask{Work: work.Item{Machine: fmt.Sprintf("front-%03d", i), Span: 600 * Second, Why: "a new build"}}})
+			r.Apply(statemachine.Command{Request: &statemachine.Request{Operation: maintenance.Operation{Machine: fmt.Sprintf("front-%03d", i), Duration: 600 * Second, Reason: "a new build"}}})
 		}
 		b.ReportMetric(float64(fronts-empty)/300, "B/front")
 		b.ReportMetric(float64(len(r.Snapshot())-fronts)/100, "B/work")
--- a/lab/fleet/mixed_test.go
+++ b/lab/fleet/mixed_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"cherryramp/internal/decide/replica"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/fleet"
 )
 
@@ -47,14 +47,14 @@
 	for i, p := range f.List {
 		at := h.leader()
 		await(t, "the work is asked for", func() bool {
-			_, err := at.Ask(fleet.Ask{Machine: p.Name, SpanS: 60, Restart: true})
+			_, err := at.RequestOperation(fleet.OperationRequest{Machine: p.Name, SpanS: 60, EndsOnRestart: true})
 			return err == nil || strings.Contains(err.Error(), "not ended")
 		})
 		await(t, "it is out", func() bool { return phase(h.other(p), p.Name) == "out" })
 		if err := p.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		p.Use(program)
+		p.SetProgram(program)
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 			t.Errorf("version %d, %v", s.Version, err)
 		}
 	}
-	await(t, "the version is raised", func() bool { s, err := f.List[0].Status(); return err == nil && s.Version == replica.Version })
+	await(t, "the version is raised", func() bool { s, err := f.List[0].Status(); return err == nil && s.Version == statemachine.Version })
 	await(t, "what needs it is taken", func() bool { return f.List[0].Call(`FLEET RULES {"alone_s":5}`, nil) == nil })
 	await(t, "all live by it", func() bool {
 		for _, p := range f.List {
@@ -87,13 +87,13 @@
 	if err := back.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	back.Use(old)
+	back.SetProgram(old)
 	if err := back.Start(); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the older build says that it can't read the state", func() bool {
 		s, err := back.Status()
-		return err == nil && strings.Contains(s.Waits, "version")
+		return err == nil && strings.Contains(s.WaitsFor, "version")
 	})
 	if status, _, err := page(back, fmt.Sprintf("%016x", 7)); err != nil || status != 503 {
 		t.Errorf("the older build, out of the fleet, answers %d, %v", status, err)
@@ -102,7 +102,7 @@
 	if err := back.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	back.Use(program)
+	back.SetProgram(program)
 	if err := back.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/playversions.go
+++ b/lab/fleet/playversions.go
@@ -34,7 +34,7 @@
 	At      time.Duration
 	Front   int
 	Version uint64
-	May     bool
+	MayAct  bool
 	Reached bool
 }
 
@@ -47,7 +47,7 @@
 
 // Probe is a version whose settings have one class more, by which a front's answers
 // show what it acts on: it serves "probe-N", and no other probe.
-func Probe(n int) string {
+func ProbeSettings(n int) string {
 	var s struct {
 		Grades []map[string]any `json:"grades"`
 	}
@@ -73,7 +73,7 @@
 }
 
 // Propose stages a file at a front and proposes it.
-func (p *Process) Propose(file string, x fleet.Propose) (uint64, error) {
+func (p *Process) Propose(file string, x fleet.Proposal) (uint64, error) {
 	x.Upload = fmt.Sprint(time.Now().UnixNano())
 	for b := range slices.Chunk([]byte(file), 2400) {
 		if err := p.Call("FLEET VERSIONS STAGE "+x.Upload+" "+base64.StdEncoding.EncodeToString(b), nil); err != nil {
@@ -95,7 +95,7 @@
 }
 
 // Asks asks a front for a page of a class; away is its time to come back.
-func (p *Process) Asks(class, id string, within time.Duration) (status int, away string, err error) {
+func (p *Process) RequestPage(class, id string, within time.Duration) (status int, away string, err error) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+p.Listen+"/call/"+class+"/o1", nil)
 	if err != nil {
 		return 0, "", err
@@ -166,12 +166,12 @@
 func (v *versionDay) propose() {
 	v.out.Proposed++
 	k, at := v.out.Proposed, v.front()
-	x := fleet.Propose{Why: fmt.Sprintf("proposal %d", k), WatchS: 0.3 * float64(v.r.IntN(4)), Urgent: v.r.IntN(4) == 0}
+	x := fleet.Proposal{Reason: fmt.Sprintf("proposal %d", k), WatchS: 0.3 * float64(v.r.IntN(4)), Urgent: v.r.IntN(4) == 0}
 	if v.r.IntN(2) == 0 {
-		x.BarS = 0.5 + float64(v.r.IntN(3))
+		x.GateS = 0.5 + float64(v.r.IntN(3))
 	}
 	go func() {
-		n, err := at.Propose(Probe(k), x)
+		n, err := at.Propose(ProbeSettings(k), x)
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		if err == nil {
@@ -207,7 +207,7 @@
 	x := Sample{At: time.Since(v.began), Front: i}
 	if p.Up() && !p.Stopped() {
 		if s, ok := v.ask1(p); ok {
-			x.Version, x.May, x.Reached = s.Acts, s.May, true
+			x.Version, x.MayAct, x.Reached = s.ActiveVersion, s.MayAct, true
 		}
 	}
 	var list []fleet.Version
@@ -217,11 +217,11 @@
 	id, other := fmt.Sprintf("%016x", rand.Uint64()), fmt.Sprintf("%016x", rand.Uint64())
 	status, class := 0, 0
 	if rand.IntN(8) == 0 && p.Up() { // for the audits to be asked about
-		class, _, _ = p.Asks("page-asset", other, time.Second)
+		class, _, _ = p.RequestPage("page-asset", other, time.Second)
 	}
 	if old >= 0 && p.Up() {
 		// Whoever wakes at this moment acts on what it looks at then, not on what it knew.
-		status, _, _ = p.Asks(fmt.Sprintf("probe-%d", old), id, time.Second)
+		status, _, _ = p.RequestPage(fmt.Sprintf("probe-%d", old), id, time.Second)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -239,7 +239,7 @@
 		v.ids[id] = p.Name
 	}
 	for _, y := range list {
-		if y.Passed && y.N > v.passed {
+		if y.GatePassed && y.N > v.passed {
 			v.passed = y.N
 			v.out.Bars++
 			v.tell("the bar of version %d has passed, says %s", y.N, p.Name)
@@ -255,20 +255,20 @@
 		for i, p := range v.f.List {
 			list, err := p.Versions()
 			s, ok := v.ask1(p)
-			if err != nil || !ok || !s.May || slices.ContainsFunc(list, func(x fleet.Version) bool { return x.Phase == "checking" || x.Phase == "rolling" }) {
+			if err != nil || !ok || !s.MayAct || slices.ContainsFunc(list, func(x fleet.Version) bool { return x.Phase == "checking" || x.Phase == "rolling" }) {
 				return false
 			}
 			if i == 0 {
-				good = s.Acts
+				good = s.ActiveVersion
 			}
-			if s.Acts != good {
+			if s.ActiveVersion != good {
 				return false
 			}
 		}
 		return v.f.Settled()
 	}
 	if Await(120*time.Second, one) != nil {
-		v.broken("with contact back not all act on one version:\n%s", v.f.Unsettled())
+		v.broken("with contact back not all act on one version:\n%s", v.f.StatusReport())
 		return
 	}
 	v.tell("all act on one version")
@@ -279,7 +279,7 @@
 		}
 	}
 	time.Sleep(6 * time.Second) // heads of audits go into the log every five
-	var r fleet.Report
+	var r fleet.AuditReport
 	if err := p.Call(`FLEET AUDIT {"verify":true}`, &r); err != nil || len(r.Missing) > 0 {
 		v.broken("the audits can't be verified: %v, missing %v", err, r.Missing)
 		return
@@ -297,7 +297,7 @@
 		if v.out.Audited >= 200 {
 			break
 		}
-		var r fleet.Report
+		var r fleet.AuditReport
 		if err := p.Call(fmt.Sprintf(`FLEET AUDIT {"request":%q}`, id), &r); err != nil {
 			v.broken("the audits are not asked: %v", err)
 			return
@@ -360,7 +360,7 @@
 		}
 		for from := 0; from < len(list); {
 			to := from + 1
-			for to < len(list) && list[to].Version == list[from].Version && list[to].May == list[from].May && list[to].Reached == list[from].Reached {
+			for to < len(list) && list[to].Version == list[from].Version && list[to].MayAct == list[from].MayAct && list[to].Reached == list[from].Reached {
 				to++
 			}
 			s, end := list[from], list[min(to, len(list)-1)].At
@@ -368,7 +368,7 @@
 				Text: fmt.Sprintf("%s: version %d, %.1f to %.1f s", name, s.Version, s.At.Seconds(), end.Seconds())}
 			if s.Reached {
 				boxes = append(boxes, b)
-				if !s.May {
+				if !s.MayAct {
 					b.Fill, b.Text = "url(#shut)", b.Text+", may not act"
 					boxes = append(boxes, b)
 				}
--- a/lab/fleet/script_test.go
+++ b/lab/fleet/script_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"cherryramp/internal/decide/replica"
-	"cherryramp/internal/decide/work"
+	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/statemachine"
 )
 
 // The days that are written down break no promise in virtual time.
@@ -22,7 +22,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d, w := s.Virtual("", nil); len(d.Broken) > 0 {
+		if d, w := s.PlayVirtual("", nil); len(d.Broken) > 0 {
 			w.Dump(t.Output(), 60)
 			t.Errorf("%s: %v", f, d.Broken)
 		}
@@ -76,11 +76,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, d, _ := s.Shortest(replica.NoLostOut)
+	short, d, _ := s.Minimize(statemachine.DisableLostCount)
 	if len(d.Broken) == 0 || len(short.Steps) > 3 {
 		t.Errorf("%v\n%s", d.Broken, short)
 	}
-	if d, _ := short.Virtual("", nil); len(d.Broken) > 0 {
+	if d, _ := short.PlayVirtual("", nil); len(d.Broken) > 0 {
 		t.Errorf("with the rule: %v", d.Broken)
 	}
 	t.Logf("%s%v", short, d.Broken)
@@ -96,7 +96,7 @@
 // flapping plays a fleet of which so many fronts crash and come back all the time.
 func flapping(t testing.TB, fronts, flap int, span Micros) Day {
 	r := ShortRules()
-	r.Out, r.Zone, r.Percent, r.Hurt, r.Alone = fronts, fronts, 100, 60, 5*Second
+	r.MaxOut, r.MaxZoneOut, r.MaxFrontsPercent, r.UnhealthyPercent, r.LeaseSpan = fronts, fronts, 100, 60, 5*Second
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: 11, Rules: r, FanOut: 16})
 	c := &chaos{w: w, r: w.r, day: Day{Seed: 11, Fronts: fronts}, begun: map[uint64]Micros{}}
 	for _, f := range w.Fronts {
@@ -117,13 +117,13 @@
 		}
 		w.After(Micros(i)*300*Milli, down)
 	}
-	for w.now < end && !w.Checks.Failed() {
+	for w.now < end && !w.Checker.Failed() {
 		w.Run(w.now + 2*Second)
 		asked++
 		target := w.Fronts[asked%(fronts-flap)]
 		if l := w.Leader(); l != nil {
 			c.day.Asked++
-			w.order(l, replica.Command{Ask: &replica.Ask{Work: work.Item{Machine: target.Name, Span: Second}}}, func(replica.Word, error) {})
+			w.order(l, statemachine.Command{Request: &statemachine.Request{Operation: maintenance.Operation{Machine: target.Name, Duration: Second}}}, func(statemachine.Result, error) {})
 		}
 		c.tend()
 	}
--- a/lab/fleet/versions_bench_test.go
+++ b/lab/fleet/versions_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"cherryramp/internal/decide/replica"
-	"cherryramp/internal/decide/versions"
+	"cherryramp/internal/decide/rollout"
+	"cherryramp/internal/decide/statemachine"
 	"cherryramp/internal/fleet"
 )
 
@@ -15,7 +15,7 @@
 func together(b *testing.B, fronts int, seed uint64) *World {
 	b.Helper()
 	r := ShortRules()
-	r.Alone, r.Hurt, r.Empty = 10*Second, 90, Second
+	r.LeaseSpan, r.UnhealthyPercent, r.DrainTimeout = 10*Second, 90, Second
 	w := NewWorld(Spec{Fronts: fronts, Zones: 5, Seed: seed, Rules: r, FanOut: 16})
 	for _, f := range w.Fronts {
 		f.Start()
@@ -27,16 +27,16 @@
 }
 
 // proposes has the leader take in a version of so many bytes, and gives its number.
-func (w *World) proposes(b *testing.B, size int, v versions.Version) uint64 {
+func (w *World) proposes(b *testing.B, size int, v rollout.Version) uint64 {
 	b.Helper()
 	data := []byte(strings.Repeat(fmt.Sprintf("%016d", w.now), size/16+1))[:size]
-	v.Digest, v.Base = versions.Hash(data), w.Leader().node.Replica().State().Versions.Good
+	v.Digest, v.Base = rollout.Hash(data), w.Leader().node.Replica().State().Rollout.Stable
 	left := 0
 	for len(data) > 0 {
-		n := min(len(data), versions.MostPiece)
-		v.Pieces = append(v.Pieces, versions.Hash(data[:n]))
+		n := min(len(data), rollout.MaxPieceSize)
+		v.Pieces = append(v.Pieces, rollout.Hash(data[:n]))
 		left++
-		w.order(w.Leader(), replica.Command{Piece: data[:n]}, func(word replica.Word, err error) {
+		w.order(w.Leader(), statemachine.Command{Piece: data[:n]}, func(word statemachine.Result, err error) {
 			if err != nil || word.Err != "" {
 				b.Errorf("%v %v", word, err)
 			}
@@ -46,8 +46,8 @@
 	}
 	w.RunUntil(20*Second, func() bool { return left == 0 })
 	n := uint64(0)
-	w.order(w.Leader(), replica.Command{Propose: &v}, func(word replica.Word, err error) {
-		if n = word.Work; err != nil || word.Err != "" {
+	w.order(w.Leader(), statemachine.Command{Propose: &v}, func(word statemachine.Result, err error) {
+		if n = word.Number; err != nil || word.Err != "" {
 			b.Errorf("%v %v", word, err)
 		}
 	})
@@ -57,7 +57,7 @@
 
 func (w *World) allAct(n uint64) bool {
 	for _, f := range w.Fronts {
-		if f.node == nil || f.taker.Acts() != n {
+		if f.node == nil || f.taker.Active() != n {
 			return false
 		}
 	}
@@ -74,8 +74,8 @@
 					w := together(b, fronts, 5)
 					for _, x := range []struct {
 						name string
-						v    versions.Version
-					}{{"urgent", versions.Version{Urgent: true}}, {"by-steps", versions.Version{}}} {
+						v    rollout.Version
+					}{{"urgent", rollout.Version{Urgent: true}}, {"by-steps", rollout.Version{}}} {
 						began := w.now
 						n := w.proposes(b, size, x.v)
 						if !w.RunUntil(120*Second, func() bool { return w.allAct(n) }) {
@@ -100,14 +100,14 @@
 			w.Cut(f.Name, cut.Name, true)
 		}
 		began, stopped := w.now, Micros(0)
-		n := w.proposes(b, 4096, versions.Version{Urgent: true, Bar: 2 * Second})
+		n := w.proposes(b, 4096, rollout.Version{Urgent: true, Gate: 2 * Second})
 		if !w.RunUntil(120*Second, func() bool {
 			if stopped == 0 && !cut.acts() {
 				stopped = w.now
 			}
-			return w.Leader().node.Replica().State().Versions.Barred >= n
-		}) || w.Checks.Failed() {
-			b.Fatal("the bar does not pass", w.Checks.Broken())
+			return w.Leader().node.Replica().State().Rollout.EnforcedMin >= n
+		}) || w.Checker.Failed() {
+			b.Fatal("the bar does not pass", w.Checker.Violations())
 		}
 		b.ReportMetric(float64(stopped-began)/1e6, "s-until-it-stopped")
 		b.ReportMetric(float64(w.now-began)/1e6, "s-until-passed")
@@ -129,25 +129,25 @@
 						rest = append(rest, f.Name)
 					}
 				}
-				w.Part(rest, cut)
-				n := w.proposes(b, 64<<10, versions.Version{Urgent: true})
+				w.Partition(rest, cut)
+				n := w.proposes(b, 64<<10, rollout.Version{Urgent: true})
 				w.Run(w.now + 20*Second)
 				before, leader := 0, w.Leader()
 				for _, f := range w.Fronts {
-					before += w.Bytes[f.Name]
+					before += w.BytesSent[f.Name]
 				}
-				lead := w.Bytes[leader.Name]
-				w.Part()
+				lead := w.BytesSent[leader.Name]
+				w.Partition()
 				began := w.now
 				if !w.RunUntil(120*Second, func() bool { return w.allAct(n) }) {
 					b.Fatal("not all come up")
 				}
 				sum := -before
 				for _, f := range w.Fronts {
-					sum += w.Bytes[f.Name]
+					sum += w.BytesSent[f.Name]
 				}
 				b.ReportMetric(float64(w.now-began)/1e6, "s-all-up")
-				b.ReportMetric(float64(w.Bytes[leader.Name]-lead)/1024, "KB-leader")
+				b.ReportMetric(float64(w.BytesSent[leader.Name]-lead)/1024, "KB-leader")
 				b.ReportMetric(float64(sum)/1024, "KB-all")
 			}
 		})
@@ -162,9 +162,9 @@
 		clients := NewClients(f, 200)
 		var steps, urgent []time.Duration
 		for i := range 20 {
-			x := fleet.Propose{Urgent: i%2 == 0}
+			x := fleet.Proposal{Urgent: i%2 == 0}
 			began := time.Now()
-			n, err := f.List[i%12].Propose(Probe(i), x)
+			n, err := f.List[i%12].Propose(ProbeSettings(i), x)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -172,7 +172,7 @@
 				done = true
 				for _, p := range f.List {
 					s, err := p.Status()
-					done = done && err == nil && s.Acts == n
+					done = done && err == nil && s.ActiveVersion == n
 				}
 			}
 			if x.Urgent {
--- a/lab/fleet/virtual.go
+++ b/lab/fleet/virtual.go
@@ -16,10 +16,10 @@
 	"slices"
 	"sync"
 
-	"cherryramp/internal/decide/replica"
-	"cherryramp/internal/decide/versions"
-	"cherryramp/internal/decide/work"
-	"cherryramp/internal/fleet/agree"
+	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/rollout"
+	"cherryramp/internal/decide/statemachine"
+	"cherryramp/internal/fleet/consensus"
 )
 
 // Micros is a moment or a span of virtual time, in microseconds.
@@ -57,13 +57,13 @@
 
 // Spec is a fleet in virtual time.
 type Spec struct {
-	Fronts  int
-	Zones   int
-	First   int // named first members; 0: three, or as many as there are
-	Seed    uint64
-	Rules   work.Rules // zero: the defaults, with short spans
-	Without replica.Rule
-	FanOut  int
+	Fronts         int
+	Zones          int
+	InitialMembers int // named first members; 0: three, or as many as there are
+	Seed           uint64
+	Rules          maintenance.Rules // zero: the defaults, with short spans
+	Mutation       statemachine.Mutation
+	FanOut         int
 }
 
 // event is something that happens at a moment.
@@ -96,10 +96,10 @@
 // Front is one front of the world.
 type Front struct {
 	w        *World
-	cfg      agree.Config
+	cfg      consensus.Config
 	Name     string
 	Zone     string
-	node     *agree.Node
+	node     *consensus.Node
 	disk     [][]byte // what is durable
 	life     uint64   // counts starts, so that nothing of the one before reaches the next
 	paused   bool
@@ -113,10 +113,10 @@
 	outAs    uint64
 	emptyAt  Micros
 	hurt     bool // it says that it is in trouble
-	taker    *versions.Taker
-	notes    versions.Notes // on its disk
-	opened   bool           // all that the state wants was carried out since its lease held
-	seq      uint64         // of its audit
+	taker    *rollout.Applier
+	notes    rollout.ActivationRecord // on its disk
+	opened   bool                     // all that the state wants was carried out since its lease held
+	seq      uint64                   // of its audit
 	Restarts int
 	diedAt   Micros
 	lastID   uint64 // incarnation of its disk
@@ -124,54 +124,54 @@
 
 // World is a fleet in virtual time.
 type World struct {
-	spec     Spec
-	r        *mathrand.Rand
-	chance   stream // of the agreement library
-	drawing  bool
-	now      Micros
-	seq      uint64
-	queue    events
-	Fronts   []*Front
-	byName   map[string]*Front
-	cut      map[[2]string]bool // one-way
-	delay    Micros
-	jitter   Micros
-	tap      func(from string, s agree.Send) // sees what is sent; nil: nobody does
-	lag      map[string]Micros               // added to the delay of what a front sends
-	loss     float64
-	double   float64
-	last     map[[2]string]Micros
-	Sent     map[string]int // messages by front
-	Bytes    map[string]int
-	Checks   *Checker
-	Log      []string
-	Verbose  func(string)
-	restarts bool // whoever is out is restarted once it may be
+	spec         Spec
+	r            *mathrand.Rand
+	chance       stream // of the agreement library
+	drawing      bool
+	now          Micros
+	seq          uint64
+	queue        events
+	Fronts       []*Front
+	byName       map[string]*Front
+	cut          map[[2]string]bool // one-way
+	delay        Micros
+	jitter       Micros
+	tap          func(from string, s consensus.Message) // sees what is sent; nil: nobody does
+	lag          map[string]Micros                      // added to the delay of what a front sends
+	loss         float64
+	double       float64
+	last         map[[2]string]Micros
+	MessagesSent map[string]int // messages by front
+	BytesSent    map[string]int
+	Checker      *Checker
+	Log          []string
+	Verbose      func(string)
+	restarts     bool // whoever is out is restarted once it may be
 }
 
 // NewWorld makes a world in which nothing is started yet.
 func NewWorld(s Spec) *World {
 	w := &World{spec: s, r: mathrand.New(mathrand.NewPCG(s.Seed, 0xf1ee7)), byName: map[string]*Front{}, cut: map[[2]string]bool{},
-		delay: Milli, jitter: Milli, last: map[[2]string]Micros{}, lag: map[string]Micros{}, Sent: map[string]int{}, Bytes: map[string]int{}, restarts: true}
+		delay: Milli, jitter: Milli, last: map[[2]string]Micros{}, lag: map[string]Micros{}, MessagesSent: map[string]int{}, BytesSent: map[string]int{}, restarts: true}
 	var seed [32]byte
 	binary.LittleEndian.PutUint64(seed[:], s.Seed)
 	w.chance = stream{mathrand.NewChaCha8(seed)}
-	w.Checks = newChecker(w)
-	if s.Rules == (work.Rules{}) {
+	w.Checker = newChecker(w)
+	if s.Rules == (maintenance.Rules{}) {
 		w.spec.Rules = ShortRules()
 	}
-	var first []agree.Address
-	if s.First == 0 {
-		s.First = min(3, s.Fronts)
+	var first []consensus.Address
+	if s.InitialMembers == 0 {
+		s.InitialMembers = min(3, s.Fronts)
 	}
-	for i := range s.First {
-		first = append(first, agree.Address{Name: name(i), Address: "virtual"})
+	for i := range s.InitialMembers {
+		first = append(first, consensus.Address{Name: name(i), Address: "virtual"})
 	}
 	for i := range s.Fronts {
 		f := &Front{w: w, Name: name(i), Zone: fmt.Sprintf("z%d", i%max(1, s.Zones)), rate: 1 + 1e-4*(2*w.r.Float64()-1),
 			offset: Micros(w.r.Int64N(1_000_000_000))}
-		f.cfg = agree.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", First: first,
-			Rules: w.spec.Rules, Draw: w.draw, Tick: 100 * Milli, Lost: 3 * Second, Grace: 30 * Second, FanOut: max(1, s.FanOut), Snapshot: 200}
+		f.cfg = consensus.Config{Fleet: "virtual", Name: f.Name, Zone: f.Zone, Machine: f.Name, Address: "virtual", Build: "v1", FirstMembers: first,
+			Rules: w.spec.Rules, RandomID: w.draw, Tick: 100 * Milli, LostAfter: 3 * Second, SeatGrace: 30 * Second, FanOut: max(1, s.FanOut), SnapshotEntries: 200}
 		if s.FanOut == 0 {
 			f.cfg.FanOut = 8
 		}
@@ -182,9 +182,9 @@
 }
 
 // ShortRules are the defaults with spans that fit a short day.
-func ShortRules() work.Rules {
-	r := work.Defaults()
-	r.Accept, r.Empty, r.Back, r.Cold = 5*Second, 10*Second, 10*Second, 2*Second
+func ShortRules() maintenance.Rules {
+	r := maintenance.DefaultRules()
+	r.AcceptTimeout, r.DrainTimeout, r.ReturnTimeout, r.WarmUp = 5*Second, 10*Second, 10*Second, 2*Second
 	return r
 }
 
@@ -216,7 +216,7 @@
 // Run plays until a moment.
 func (w *World) Run(until Micros) {
 	defer w.library()()
-	for len(w.queue) > 0 && w.queue[0].at <= until && !w.Checks.Failed() {
+	for len(w.queue) > 0 && w.queue[0].at <= until && !w.Checker.Failed() {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
@@ -226,7 +226,7 @@
 
 // RunUntil plays until something holds, or a span has passed.
 func (w *World) RunUntil(within Micros, holds func() bool) bool {
-	for end := w.now + within; w.now < end && !w.Checks.Failed(); {
+	for end := w.now + within; w.now < end && !w.Checker.Failed(); {
 		if holds() {
 			return true
 		}
@@ -246,25 +246,25 @@
 	defer f.w.library()()
 	f.life++
 	f.Restarts++
-	r := &agree.Recovered{}
+	r := &consensus.Recovered{}
 	for _, record := range f.disk {
-		if err := r.Take(record); err != nil {
+		if err := r.Add(record); err != nil {
 			f.w.log("%s can't start: %v", f.Name, err)
 			return
 		}
 	}
 	if r.Identity.ID == 0 {
-		r.Identity = agree.Identity{Name: f.Name, ID: f.w.draw()}
-		f.disk = [][]byte{agree.IdentityRecord(r.Identity)}
+		r.Identity = consensus.Identity{Name: f.Name, ID: f.w.draw()}
+		f.disk = [][]byte{consensus.IdentityRecord(r.Identity)}
 	}
 	f.lastID, f.cfg.Start = r.Identity.ID, f.w.draw()
-	n, err := agree.New(f.cfg, r, f.clock())
+	n, err := consensus.New(f.cfg, r, f.clock())
 	if err != nil {
 		f.w.log("%s can't start: %v", f.Name, err)
 		return
 	}
-	n.Replica().Without(f.w.spec.Without)
-	f.taker, f.opened = versions.NewTaker(f.notes), false
+	n.Replica().SetMutation(f.w.spec.Mutation)
+	f.taker, f.opened = rollout.NewApplier(f.notes), false
 	f.node, f.out, f.open, f.paused, f.held = n, false, f.w.r.IntN(5), false, nil
 	f.w.log("%s starts (incarnation %x)", f.Name, r.Identity.ID)
 	f.tick(f.life)
@@ -298,7 +298,7 @@
 
 // host is what the program round the node does: it empties and fills the front.
 func (f *Front) host() {
-	out, permit := f.node.Out()
+	out, permit := f.node.OutOfService()
 	switch {
 	case out && !f.out:
 		f.out, f.outAs, f.emptyAt = true, permit, f.w.now+Micros(f.w.r.Int64N(int64(2*Second)))
@@ -307,39 +307,39 @@
 		f.out = false
 		f.w.log("%s takes clients again", f.Name)
 	}
-	f.w.Checks.host(f)
-	f.node.Host(f.out, f.out && f.w.now >= f.emptyAt, f.hurt)
-	boxes := f.node.Boxes()
+	f.w.Checker.host(f)
+	f.node.SetHostState(f.out, f.out && f.w.now >= f.emptyAt, f.hurt)
+	boxes := f.node.BoxesToLeave()
 	for _, b := range boxes {
-		f.node.LeftBox(b, true)
+		f.node.SetBoxLeft(b, true)
 	}
 	f.version(f.life)
-	if !f.node.Holds(f.clock()) {
+	if !f.node.MayAct(f.clock()) {
 		f.opened = false
 	}
-	f.w.Checks.box(f, boxes)
-	f.w.Checks.version(f)
-	f.opened = f.node.Holds(f.clock())
+	f.w.Checker.box(f, boxes)
+	f.w.Checker.version(f)
+	f.opened = f.node.MayAct(f.clock())
 }
 
 // acts tells whether the front may act now, as its program sees it before each act.
 func (f *Front) acts() bool {
 	now := f.clock()
-	if f.node.Rep(replica.NoLook) {
+	if f.node.HasMutation(statemachine.DisableLeaseCheck) {
 		return true
 	}
-	return f.opened && f.node.Holds(now) && f.taker.May(now) && f.node.Stale() == nil
+	return f.opened && f.node.MayAct(now) && f.taker.MayAct(now) && f.node.Stale() == nil
 }
 
 // version is what the program does for versions: the taker's actions, with the disk's
 // delays and what a version does to whoever takes it up.
 func (f *Front) version(life uint64) {
-	s := &f.node.Replica().State().Versions
+	s := &f.node.Replica().State().Rollout
 	target, candidate := s.Target(f.Name), uint64(0)
 	if c := s.Candidate(); c != nil {
-		candidate = c.N
+		candidate = c.Number
 	}
-	f.taker.Measure(s, f.Name, f.clock())
+	f.taker.Evaluate(s, f.Name, f.clock())
 	later := func(do func()) {
 		f.w.After(f.slow+Milli, func() { f.do(life, do) })
 	}
@@ -349,7 +349,7 @@
 		bad = string(s.Content(n))
 	}
 	switch do {
-	case versions.Check:
+	case rollout.Check:
 		later(func() {
 			var err error
 			if bad == "turned down "+f.Name {
@@ -357,44 +357,44 @@
 			}
 			f.taker.Checked(n, err)
 		})
-	case versions.Note, versions.Survive:
-		notes := f.taker.Noting(do, n)
+	case rollout.RecordActivation, rollout.RecordSurvival:
+		notes := f.taker.Record(do, n)
 		later(func() {
 			if !f.full {
 				f.notes = notes
 			}
-			f.taker.Noted(notes, !f.full, f.clock())
+			f.taker.Recorded(notes, !f.full, f.clock())
 		})
-	case versions.Take:
+	case rollout.Activate:
 		f.w.log("%s acts on version %d (%q), noted %+v, said %+v, candidate %d", f.Name, n, bad, f.notes, f.taker.Report(), candidate)
-		f.taker.Took(n, nil, s.Watch(n), f.clock())
-		f.w.Checks.took(f, n)
+		f.taker.Activated(n, nil, s.Watch(n), f.clock())
+		f.w.Checker.took(f, n)
 		if bad == "crashes" {
 			f.w.After(Second, func() {
-				if f.life == life && f.node != nil && f.taker.Acts() == n {
+				if f.life == life && f.node != nil && f.taker.Active() == n {
 					f.Crash()
 					f.w.After(2*Second, f.Start)
 				}
 			})
 		}
 	}
-	f.taker.Measure(s, f.Name, f.clock())
+	f.taker.Evaluate(s, f.Name, f.clock())
 	x := f.taker.Report()
 	f.seq++
-	x.Seq, x.Head = f.seq, "virtual"
-	if bad := string(s.Content(x.Acts)); bad == "fails" {
-		x.Bad = 50
+	x.AuditSeq, x.AuditHead = f.seq, "virtual"
+	if bad := string(s.Content(x.Active)); bad == "fails" {
+		x.FailedPercent = 50
 	}
-	x.Seen = true
-	f.node.SetStand(x)
+	x.HasSample = true
+	f.node.SetReport(x)
 }
 
 // pump writes and sends what the node has for it.
 func (f *Front) pump() {
-	for _, line := range f.node.Told() {
+	for _, line := range f.node.Events() {
 		f.w.log("%s: %s", f.Name, line)
 	}
-	f.w.Checks.seen(f)
+	f.w.Checker.seen(f)
 	out, ok := f.node.Ready()
 	if !ok {
 		return
@@ -417,7 +417,7 @@
 	f.w.After(f.slow+100+Micros(f.w.r.Int64N(500)), done)
 }
 
-func (f *Front) retry(out agree.Output) {
+func (f *Front) retry(out consensus.Output) {
 	if f.full {
 		life := f.life
 		f.w.After(Second, func() { f.do(life, func() { f.retry(out) }) })
@@ -427,7 +427,7 @@
 	f.finish(f.node, out)
 }
 
-func (f *Front) keep(out agree.Output) {
+func (f *Front) keep(out consensus.Output) {
 	if out.Rewrite != nil {
 		f.disk = slices.Clone(out.Rewrite)
 		return
@@ -435,24 +435,24 @@
 	f.disk = append(f.disk, out.Records...)
 }
 
-func (f *Front) finish(n *agree.Node, out agree.Output) {
-	for _, s := range out.Sends {
+func (f *Front) finish(n *consensus.Node, out consensus.Output) {
+	for _, s := range out.Messages {
 		f.w.send(f, s)
 	}
-	if err := n.Done(out); err != nil {
-		f.w.Checks.fail("%s: %v", f.Name, err)
+	if err := n.Advance(out); err != nil {
+		f.w.Checker.fail("%s: %v", f.Name, err)
 		return
 	}
 	f.pump()
 }
 
 // send brings a message on its way.
-func (w *World) send(f *Front, s agree.Send) {
+func (w *World) send(f *Front, s consensus.Message) {
 	if w.tap != nil {
 		w.tap(f.Name, s)
 	}
-	w.Sent[f.Name]++
-	w.Bytes[f.Name] += len(s.Payload) + 16
+	w.MessagesSent[f.Name]++
+	w.BytesSent[f.Name] += len(s.Payload) + 16
 	to, pair := w.byName[s.To], [2]string{f.Name, s.To}
 	if to == nil || w.cut[pair] || w.loss > 0 && w.r.Float64() < w.loss {
 		return
@@ -473,9 +473,9 @@
 				return
 			}
 			to.do(life, func() {
-				to.node.Clock(to.clock())
+				to.node.AdvanceClock(to.clock())
 				if err := to.node.Receive(f.Name, s.Kind, s.Payload); err != nil {
-					w.Checks.fail("%s can't read a message of %s: %v", to.Name, f.Name, err)
+					w.Checker.fail("%s can't read a message of %s: %v", to.Name, f.Name, err)
 				}
 				to.pump()
 			})
@@ -497,7 +497,7 @@
 // Wipe crashes a front and empties its disk.
 func (f *Front) Wipe() {
 	f.Crash()
-	f.disk, f.lastID, f.notes = nil, 0, versions.Notes{}
+	f.disk, f.lastID, f.notes = nil, 0, rollout.ActivationRecord{}
 	f.w.log("%s's disk is wiped", f.Name)
 }
 
@@ -522,7 +522,7 @@
 func (f *Front) Up() bool { return f.node != nil }
 
 // Node is the front's node; nil while it is down.
-func (f *Front) Node() *agree.Node { return f.node }
+func (f *Front) Node() *consensus.Node { return f.node }
 
 // Cut has nothing come from one front to another, or again.
 func (w *World) Cut(from, to string, on bool) {
@@ -535,7 +535,7 @@
 
 // Part parts the fronts into groups that hear nothing of each other; none: all
 // hear all.
-func (w *World) Part(groups ...[]string) {
+func (w *World) Partition(groups ...[]string) {
 	clear(w.cut)
 	if len(groups) == 0 {
 		w.log("all hear all")
@@ -556,7 +556,7 @@
 func (w *World) Leader() (best *Front) {
 	most := uint64(0)
 	for _, f := range w.Fronts {
-		if f.node != nil && f.node.Leads() {
+		if f.node != nil && f.node.IsLeader() {
 			if _, term := f.node.Leader(); term > most {
 				best, most = f, term
 			}
@@ -566,20 +566,20 @@
 }
 
 // Ask has a front asked for a work, and tells its word.
-func (w *World) Ask(at *Front, x work.Item, done func(replica.Word, error)) {
-	w.order(at, replica.Command{Ask: &replica.Ask{Work: x}}, done)
+func (w *World) RequestOperation(at *Front, x maintenance.Operation, done func(statemachine.Result, error)) {
+	w.order(at, statemachine.Command{Request: &statemachine.Request{Operation: x}}, done)
 }
 
 // Order has a front told a person's word.
-func (w *World) Order(at *Front, o replica.Order, done func(replica.Word, error)) {
-	w.order(at, replica.Command{Order: &o}, done)
+func (w *World) SubmitOrder(at *Front, o statemachine.Order, done func(statemachine.Result, error)) {
+	w.order(at, statemachine.Command{Order: &o}, done)
 }
 
 var errDown = errors.New("the front is down")
 
-func (w *World) order(at *Front, c replica.Command, done func(replica.Word, error)) {
+func (w *World) order(at *Front, c statemachine.Command, done func(statemachine.Result, error)) {
 	if at.node == nil || at.paused {
-		done(replica.Word{}, errDown)
+		done(statemachine.Result{}, errDown)
 		return
 	}
 	defer w.library()()
@@ -599,19 +599,19 @@
 		if f.node == nil {
 			continue
 		}
-		own := s.Council.Find(f.Name)
+		own := s.Members.Find(f.Name)
 		if own == nil || own.ID != f.node.ID() || own.Lost || f.node.Applied() != l.node.Applied() {
 			return false
 		}
 	}
-	return len(s.Seats.Voters) == s.Council.Target() && !s.Seats.Joint
+	return len(s.Seats.Voters) == s.Members.TargetVoters() && !s.Seats.Joint
 }
 
 // Digest is over what all fronts hold, for a comparison of two runs.
 func (w *World) Digest() string {
 	h := sha256.New()
 	for _, f := range w.Fronts {
-		_, _ = fmt.Fprintf(h, "%s %d %d\n", f.Name, f.life, w.Sent[f.Name])
+		_, _ = fmt.Fprintf(h, "%s %d %d\n", f.Name, f.life, w.MessagesSent[f.Name])
 		if f.node != nil {
 			_, _ = h.Write(f.node.Replica().Snapshot())
 		}
--- a/lab/fleet/virtual_test.go
+++ b/lab/fleet/virtual_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"cherryramp/internal/decide/replica"
-	"cherryramp/internal/decide/work"
+	"cherryramp/internal/decide/maintenance"
+	"cherryramp/internal/decide/statemachine"
 )
 
 // up starts a world's fronts and waits until all are of the fleet and all seats taken.
@@ -25,9 +25,9 @@
 
 func ended(t *testing.T, w *World) {
 	t.Helper()
-	if w.Checks.Failed() {
+	if w.Checker.Failed() {
 		w.Dump(t.Output(), 80)
-		t.Fatal(w.Checks.Broken())
+		t.Fatal(w.Checker.Violations())
 	}
 }
 
@@ -50,7 +50,7 @@
 	if target == leader {
 		target = w.Fronts[1]
 	}
-	w.Ask(target, work.Item{Machine: target.Name, Span: 60 * Second}, func(word replica.Word, err error) {
+	w.RequestOperation(target, maintenance.Operation{Machine: target.Name, Duration: 60 * Second}, func(word statemachine.Result, err error) {
 		if err != nil || word.Err != "" {
 			t.Errorf("ask: %+v, %v", word, err)
 		}
@@ -63,14 +63,14 @@
 	w.Run(w.Now() + 5*Second)
 	leader.Start()
 	if !w.RunUntil(30*Second, func() bool {
-		x := target.node.Replica().State().Work.On(target.Name)
-		return x != nil && x.Phase == work.Out
+		x := target.node.Replica().State().Maintenance.ForMachine(target.Name)
+		return x != nil && x.Phase == maintenance.Out
 	}) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come empty")
 	}
-	w.Order(target, replica.Order{What: replica.Finish, Work: 1}, func(replica.Word, error) {})
-	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Work.On(target.Name) == nil }) {
+	w.SubmitOrder(target, statemachine.Order{Action: statemachine.Finish, Operation: 1}, func(statemachine.Result, error) {})
+	if !w.RunUntil(30*Second, func() bool { return target.node.Replica().State().Maintenance.ForMachine(target.Name) == nil }) {
 		w.Dump(t.Output(), 60)
 		t.Fatal("it does not come back")
 	}
@@ -87,10 +87,10 @@
 	asks(t, w, w.Leader(), o[1], "")
 	w.Run(w.Now() + 10*Second)
 	s := w.Leader().node.Replica().State()
-	if x := s.Work.On(o[1].Name); x == nil || x.Phase != work.Asked {
+	if x := s.Maintenance.ForMachine(o[1].Name); x == nil || x.Phase != maintenance.Requested {
 		t.Fatalf("it has leave: %+v", x)
 	}
-	if why := s.Work.Why(o[1].Name, w.Leader().node.Replica().Fleet(), s.Now); !strings.Contains(why, "1 in trouble") {
+	if why := s.Maintenance.Explain(o[1].Name, w.Leader().node.Replica().Fleet(), s.Now); !strings.Contains(why, "1 in trouble") {
 		t.Error(why)
 	}
 	o[0].hurt = false
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.board = &http.Server{Handler: http.HandlerFunc(poll), ReadHeaderTimeout: process.Patience}
+	s.board = &http.Server{Handler: http.HandlerFunc(poll), ReadHeaderTimeout: process.Timeout}
 	go func() { _ = s.board.Serve(ln) }()
 	s.boardAt = ln.Addr().String()
 	return s, nil
@@ -198,7 +198,7 @@
 			err = errors.Join(fmt.Errorf("site: %w", err), s.Stop())
 		}
 	}()
-	if s.Listen, err = loopbacktest.Free(); err != nil {
+	if s.Listen, err = loopbacktest.FreeAddress(); err != nil {
 		return s, err
 	}
 	config := s.Config("lab", s.Listen, o.MemoryMB, o.Sockets)
@@ -208,7 +208,7 @@
 	}
 	env := append([]string{"ROUTER_CONFIG=" + path}, o.Env...)
 	if o.Operator != nil {
-		if s.Signed, err = loopbacktest.Free(); err != nil {
+		if s.Signed, err = loopbacktest.FreeAddress(); err != nil {
 			return s, err
 		}
 		s.Operator = filepath.Join(s.dir, "operator.json")
@@ -220,7 +220,7 @@
 	if s.front, err = process.Start(process.Options{Path: o.Front, Env: env, Log: o.Log, Core: o.Core}); err != nil {
 		return s, err
 	}
-	return s, s.front.Await()
+	return s, s.front.AwaitServing()
 }
 
 // Pid is the front's process.
--- a/lab/world/inside.go
+++ b/lab/world/inside.go
@@ -43,7 +43,7 @@
 func (x *inside) begin(known []gateway.Member, purges []gateway.Purge, serving func()) {
 	f, w := x.f, x.f.w
 	cfg := gateway.Config{Settings: w.spec.settings(f.zone), Zones: w.spec.zones(), Kinds: kinds, Seed: f.seed(),
-		Copies: gateway.Copies{Bytes: ownCopies, Flow: w.spec.Flow, Link: w.spec.Flow * 4}}
+		LocalCache: gateway.LocalCacheLimits{Bytes: ownCopies, Flow: w.spec.Flow, Link: w.spec.Flow * 4}}
 	var err error
 	if x.gate, err = gateway.New(cfg, w.loop, quiet); err != nil {
 		panic(err) // the settings are the world's own, and New has tried them
@@ -53,8 +53,8 @@
 	for _, c := range w.spec.Classes {
 		lanes, alone, repeat = append(lanes, c.Name), append(alone, c.Write), append(repeat, !c.Write)
 	}
-	x.gate.Use(upstream.New(upstream.Config{Lanes: lanes, Alone: alone, Streams: streams, Connections: 8, ConnectTime: connectTime,
-		IdleTime: connIdle, Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges, Repeat: repeat}, x, w.loop, x.gate, quiet))
+	x.gate.SetUpstream(upstream.New(upstream.Config{Lanes: lanes, Exclusive: alone, Streams: streams, MaxConns: 8, ConnectTimeout: connectTime,
+		IdleTimeout: connIdle, Cancel: cfg.Settings.Cancel, Hedges: cfg.Settings.Hedges, Repeatable: repeat}, x, w.loop, x.gate, quiet))
 	x.gate.Members(true, known)
 	for _, p := range purges {
 		x.gate.Purge(p)
@@ -79,10 +79,10 @@
 func (x *inside) leave(a *ask)            { x.gate.Leave(a.call) }
 func (x *inside) member(m gateway.Member) { x.gate.Members(false, []gateway.Member{m}) }
 func (x *inside) purge(p gateway.Purge)   { x.gate.Purge(p) }
-func (x *inside) heard()                  { x.gate.Heard() }
+func (x *inside) heard()                  { x.gate.BoardAnswered() }
 func (x *inside) mute(bool)               {}
-func (x *inside) settle()                 { x.gate.Settle() }
-func (x *inside) held() (int, int, int)   { return x.gate.Open(), 0, 0 }
+func (x *inside) settle()                 { x.gate.ProcessEvents() }
+func (x *inside) held() (int, int, int)   { return x.gate.OpenCalls(), 0, 0 }
 func (x *inside) reload()                 {}
 
 // retire has clients go elsewhere and waits for what is open.
@@ -158,12 +158,12 @@
 }
 
 // Flooded is part of upstream.Conn.
-func (p *pipe) Flooded() bool { return p.flooded }
+func (p *pipe) Overflowed() bool { return p.flooded }
 
 // Blocked is part of upstream.Conn: a link takes all that it is given.
 func (p *pipe) Blocked() bool { return false }
 
-func (p *pipe) Cut() bool { return false }
+func (p *pipe) CloseIfBlocked() bool { return false }
 
 // Close is part of upstream.Conn.
 func (p *pipe) Close() {
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"cherryramp/internal/ephemeral/keepertest"
+	"cherryramp/internal/ephemeral/zookeepertest"
 	"cherryramp/internal/gateway"
 	"cherryramp/internal/loop"
 	"cherryramp/lab/process"
@@ -128,7 +128,7 @@
 		if x.failed != nil {
 			return x.failed
 		}
-		if err := x.process.Await(); err != nil {
+		if err := x.process.AwaitServing(); err != nil {
 			return err
 		}
 	}
@@ -228,7 +228,7 @@
 	dir     string
 	listen  string
 	signed  string
-	keeper  *keepertest.Keeper // with ephemeral nodes
+	keeper  *zookeepertest.Server // with ephemeral nodes
 	board   *http.Server
 	client  *http.Client
 	rev     int64
@@ -281,7 +281,7 @@
 func (x *outside) wireMember(m gateway.Member) wireMember {
 	s := x.f.w.by[m.Name]
 	return wireMember{ID: m.Name, HostPort: x.f.doors[s].address, Locality: m.Zone, Flavor: m.Kind, Phase: phases[m.State], Size: m.Weight,
-		UpSince: m.Born / milli}
+		UpSince: m.StartedAt / milli}
 }
 
 func (x *outside) notice(n wireNotice) json.RawMessage {
@@ -307,7 +307,7 @@
 		return
 	}
 	go func() {
-		err := x.process.Await()
+		err := x.process.AwaitServing()
 		x.f.w.loop.Post(func() {
 			if err == nil && !x.over {
 				serving()
@@ -354,7 +354,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /board/poll", x.serveBoard)
-	x.board = &http.Server{Handler: mux, ReadHeaderTimeout: process.Patience}
+	x.board = &http.Server{Handler: mux, ReadHeaderTimeout: process.Timeout}
 	go func() { _ = x.board.Serve(board) }()
 	x.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, IdleConnTimeout: 4 * time.Second, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
@@ -402,13 +402,13 @@
 		}
 	}
 	if o.Ephemeral {
-		if x.keeper, err = keepertest.Open(f.ip + ":0"); err != nil {
+		if x.keeper, err = zookeepertest.Open(f.ip + ":0"); err != nil {
 			return nil, err
 		}
 		for _, m := range known {
 			x.node(m)
 		}
-		file["ephemeral"] = fmt.Appendf(nil, `{"servers":[%q],"path":%q}`, x.keeper.Addr(), keepertest.Root)
+		file["ephemeral"] = fmt.Appendf(nil, `{"servers":[%q],"path":%q}`, x.keeper.Addr(), zookeepertest.Root)
 	}
 	return file, nil
 }
@@ -509,7 +509,7 @@
 func (x *outside) settle() {}
 
 func (x *outside) held() (calls, kb, open int) {
-	return len(x.f.open), process.Resident(x.process.Pid()), process.Descriptors(x.process.Pid())
+	return len(x.f.open), process.ResidentKB(x.process.Pid()), process.OpenDescriptors(x.process.Pid())
 }
 
 // reload tells the front to read its files anew.
@@ -585,7 +585,7 @@
 			case err != nil:
 				a.lost(err)
 			default:
-				answer.Body, answer.Born = w.shrink(answer.Body)
+				answer.Body, answer.CreatedAt = w.shrink(answer.Body)
 				a.Answer(answer)
 			}
 		})
@@ -606,9 +606,9 @@
 		return gateway.Answer{Kind: gateway.Served, Body: body}, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		away, _ := strconv.ParseInt(resp.Header.Get("Srv-Wait-Ms"), 10, 64)
-		return gateway.Answer{Kind: gateway.Refused, Await: away * milli}, nil
+		return gateway.Answer{Kind: gateway.Refused, RetryAfter: away * milli}, nil
 	}
-	return gateway.Answer{Kind: gateway.Failed, Late: resp.StatusCode == http.StatusGatewayTimeout}, nil
+	return gateway.Answer{Kind: gateway.Failed, TimedOut: resp.StatusCode == http.StatusGatewayTimeout}, nil
 }
 
 func (x *outside) leave(a *ask) { a.cancel() }
