--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -30,60 +30,60 @@
 
 var cdniAlgorithms = []jose.SignatureAlgorithm{jose.HS256, jose.RS256, jose.ES256, jose.EdDSA}
 
-func (cdni) names(p *Profile) names {
-	n := names{telling: 1}
-	n.fields[inQuery], n.fields[inCookie] = []string{p.Query}, []string{p.Cookie}
+func (cdni) fieldNames(p *Profile) fieldNames {
+	n := fieldNames{identifying: 1}
+	n.byCarrier[inQuery], n.byCarrier[inCookie] = []string{p.Query}, []string{p.Cookie}
 	if p.Query != "" {
-		n.fields[inPath] = []string{";" + p.Query}
+		n.byCarrier[inPath] = []string{";" + p.Query}
 	}
 	return n
 }
 
-func (cdni) named() bool { return true }
+func (cdni) carriesKeyName() bool { return true }
 
-func (cdni) kin(f format) bool { _, ok := f.(cdni); return ok }
+func (cdni) sameFormat(f format) bool { _, ok := f.(cdni); return ok }
 
 // The token names its URIs itself.
-func (cdni) bound(*credential) bool { return false }
+func (cdni) signsURL(*credential) bool { return false }
 
 // claims are those that RFC 9246 registers, beside RFC 7519's.
 type claims struct {
-	Issuer    string   `json:"iss,omitempty"`
-	Subject   string   `json:"sub,omitempty"`
-	Audience  audience `json:"aud,omitempty"`
-	Expires   *number  `json:"exp,omitempty"`
-	NotBefore *number  `json:"nbf,omitempty"`
-	Issued    *number  `json:"iat,omitempty"`
-	ID        string   `json:"jti,omitempty"`
-	Version   *int     `json:"cdniv,omitempty"`
-	Critical  string   `json:"cdnicrit,omitempty"`
-	ClientIP  string   `json:"cdniip,omitempty"`
-	Container string   `json:"cdniuc,omitempty"`
-	Renew     *int64   `json:"cdniets,omitempty"`
-	Transport *int     `json:"cdnistt,omitempty"`
-	Depth     *int     `json:"cdnistd,omitempty"`
+	Issuer       string       `json:"iss,omitempty"`
+	Subject      string       `json:"sub,omitempty"`
+	Audience     audience     `json:"aud,omitempty"`
+	Expires      *numericDate `json:"exp,omitempty"`
+	NotBefore    *numericDate `json:"nbf,omitempty"`
+	Issued       *numericDate `json:"iat,omitempty"`
+	ID           string       `json:"jti,omitempty"`
+	Version      *int         `json:"cdniv,omitempty"`
+	Critical     string       `json:"cdnicrit,omitempty"`
+	ClientIP     string       `json:"cdniip,omitempty"`
+	Container    string       `json:"cdniuc,omitempty"`
+	RenewSeconds *int64       `json:"cdniets,omitempty"`
+	Transport    *int         `json:"cdnistt,omitempty"`
+	Depth        *int         `json:"cdnistd,omitempty"`
 }
 
-var cdniKnown = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniip",
+var cdniClaimNames = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniip",
 	"cdniuc", "cdniets", "cdnistt", "cdnistd"}
 
 // number is a NumericDate (RFC 7519, section 2), read to whole seconds.
-type number int64
+type numericDate int64
 
 // UnmarshalJSON is part of json.Unmarshaler.
-func (n *number) UnmarshalJSON(text []byte) error {
+func (n *numericDate) UnmarshalJSON(text []byte) error {
 	var f float64
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
 	}
-	if f <= 0 || f >= mostSeconds {
+	if f <= 0 || f >= unixSecondsLimit {
 		return errors.New("time is out of range")
 	}
-	*n = number(f)
+	*n = numericDate(f)
 	return nil
 }
 
-func (n *number) micros() Micros {
+func (n *numericDate) micros() Micros {
 	if n == nil {
 		return 0
 	}
@@ -113,28 +113,28 @@
 
 // The transports of a renewed token (RFC 9246, section 6.5).
 const (
-	noTransport = iota
-	byCookie
-	byQuery
+	transportNone = iota
+	transportCookie
+	transportQuery
 )
 
-func (cdni) read(c *credential) (*token, Refusal) {
-	text := c.values[0]
-	if text == "" || len(text) > mostToken {
+func (cdni) parse(cred *credential) (*token, Refusal) {
+	text := cred.values[0]
+	if text == "" || len(text) > maxTokenBytes {
 		return nil, MalformedSignature
 	}
 	jws, err := jose.ParseSignedCompact(text, cdniAlgorithms)
-	var wrong *jose.ErrUnexpectedSignatureAlgorithm
-	if errors.As(err, &wrong) && wrong.Got != "" {
+	var algorithmErr *jose.ErrUnexpectedSignatureAlgorithm
+	if errors.As(err, &algorithmErr) && algorithmErr.Got != "" {
 		return nil, WrongAlgorithm
 	}
 	if err != nil || len(jws.Signatures) != 1 {
 		return nil, MalformedSignature
 	}
-	head := jws.Signatures[0].Protected
+	header := jws.Signatures[0].Protected
 	t := &token{}
-	for _, p := range c.profiles {
-		if t.key = p.Ring.Find(head.KeyID); t.key == nil && head.KeyID == "" && len(p.Ring.Keys) == 1 {
+	for _, p := range cred.profiles {
+		if t.key = p.Ring.Find(header.KeyID); t.key == nil && header.KeyID == "" && len(p.Ring.Keys) == 1 {
 			t.key = p.Ring.Keys[0]
 		}
 		if t.key != nil {
@@ -145,15 +145,15 @@
 	switch {
 	case t.key == nil:
 		return nil, UnknownKey
-	case t.key.Alg != head.Algorithm:
+	case t.key.Alg != header.Algorithm:
 		return nil, WrongAlgorithm
 	}
-	var m claims
+	var claimSet claims
 	payload := jws.UnsafePayloadWithoutVerification()
-	if json.Unmarshal(payload, &m) != nil {
+	if json.Unmarshal(payload, &claimSet) != nil {
 		return nil, MalformedSignature
 	}
-	if refusal := t.claim(&m, payload); refusal != "" {
+	if refusal := t.applyClaims(&claimSet, payload); refusal != "" {
 		return nil, refusal
 	}
 	dot := strings.LastIndexByte(text, '.')
@@ -162,7 +162,7 @@
 	}
 	t.signed = text[:dot]
 	if t.key.Kind.Costly() {
-		t.proof = PendingSignature{token: t, public: t.key.Public, jws: jws}
+		t.proof = PendingSignature{token: t, publicKey: t.key.Public, jws: jws}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
@@ -175,73 +175,73 @@
 }
 
 // claim takes over what a token says.
-func (t *token) claim(m *claims, payload []byte) Refusal {
+func (t *token) applyClaims(claimSet *claims, payload []byte) Refusal {
 	p := t.profile
-	if m.Version != nil && *m.Version != 1 {
+	if claimSet.Version != nil && *claimSet.Version != 1 {
 		return UnknownCriticalClaim
 	}
-	var all map[string]json.RawMessage
-	if json.Unmarshal(payload, &all) != nil {
+	var rawClaims map[string]json.RawMessage
+	if json.Unmarshal(payload, &rawClaims) != nil {
 		return MalformedSignature
 	}
-	for name := range all { // names are compared as they stand; the decoder is laxer
-		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniKnown, lower) {
+	for name := range rawClaims { // names are compared as they stand; the decoder is laxer
+		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniClaimNames, lower) {
 			return MalformedSignature
 		}
 	}
-	if m.Critical != "" {
-		for name := range strings.SplitSeq(m.Critical, ",") {
-			if !slices.Contains(cdniKnown, name) || all[name] == nil {
+	if claimSet.Critical != "" {
+		for name := range strings.SplitSeq(claimSet.Critical, ",") {
+			if !slices.Contains(cdniClaimNames, name) || rawClaims[name] == nil {
 				return UnknownCriticalClaim
 			}
 		}
 	}
-	if len(p.Issuers) > 0 && !slices.Contains(p.Issuers, m.Issuer) {
+	if len(p.Issuers) > 0 && !slices.Contains(p.Issuers, claimSet.Issuer) {
 		return UntrustedIssuer
 	}
-	if len(m.Audience) > 0 && !slices.Contains(m.Audience, p.Audience) {
+	if len(claimSet.Audience) > 0 && !slices.Contains(claimSet.Audience, p.Audience) {
 		return WrongAudience
 	}
-	if m.Expires == nil && !p.AllowNoExpiry {
+	if claimSet.Expires == nil && !p.AllowNoExpiry {
 		return MalformedSignature
 	}
-	t.expires, t.begins, t.id = m.Expires.micros(), m.NotBefore.micros(), m.ID
+	t.expires, t.notBefore, t.id = claimSet.Expires.micros(), claimSet.NotBefore.micros(), claimSet.ID
 	var refusal Refusal
-	if t.scope, refusal = container(m.Container); refusal != "" {
+	if t.scope, refusal = parseContainer(claimSet.Container); refusal != "" {
 		return refusal
 	}
-	if m.ClientIP != "" {
-		text, ok := t.decrypt(m.ClientIP)
+	if claimSet.ClientIP != "" {
+		text, ok := t.decrypt(claimSet.ClientIP)
 		if ok {
-			t.nets, ok = readNets([]string{text})
+			t.networks, ok = parseNetworks([]string{text})
 		}
 		if !ok {
 			return WrongAddress
 		}
 	}
-	if m.Subject != "" {
+	if claimSet.Subject != "" {
 		var ok bool
-		if t.subject, ok = t.decrypt(m.Subject); !ok {
+		if t.subject, ok = t.decrypt(claimSet.Subject); !ok {
 			return MalformedSignature
 		}
 	}
-	transport := noTransport
-	if m.Transport != nil {
-		transport = *m.Transport
+	transport := transportNone
+	if claimSet.Transport != nil {
+		transport = *claimSet.Transport
 	}
 	switch {
-	case transport < noTransport || transport > byQuery || m.Depth != nil && *m.Depth < 0:
+	case transport < transportNone || transport > transportQuery || claimSet.Depth != nil && *claimSet.Depth < 0:
 		return MalformedSignature
-	case transport != noTransport && (m.Renew == nil || *m.Renew <= 0 || *m.Renew > mostRenewal):
+	case transport != transportNone && (claimSet.RenewSeconds == nil || *claimSet.RenewSeconds <= 0 || *claimSet.RenewSeconds > maxRenewalSeconds):
 		return MalformedSignature
-	case transport == byCookie:
-		t.renew = &renewal{claims: *m}
+	case transport == transportCookie:
+		t.renew = &renewal{claims: *claimSet}
 	}
 	return ""
 }
 
 // mostRenewal is the longest life of a renewed token that is taken, in seconds.
-const mostRenewal = 7 * 24 * 3600
+const maxRenewalSeconds = 7 * 24 * 3600
 
 // decrypt opens a JWE under the ring's secrets (RFC 9246, sections 2.1.2 and 2.1.10).
 func (t *token) decrypt(text string) (string, bool) {
@@ -261,9 +261,9 @@
 }
 
 // container reads cdniuc.
-func container(text string) (scope, Refusal) {
+func parseContainer(text string) (scope, Refusal) {
 	kind, value, ok := strings.Cut(text, ":")
-	if !ok || value == "" || len(value) > mostPattern {
+	if !ok || value == "" || len(value) > maxPatternBytes {
 		return scope{}, MalformedSignature
 	}
 	switch kind {
@@ -277,18 +277,18 @@
 	case "regex":
 		// The size of a compiled expression grows with its counts; the package
 		// bounds them at 1000 and their product as well.
-		x, err := regexp.CompilePOSIX("^(" + value + ")$")
+		expression, err := regexp.CompilePOSIX("^(" + value + ")$")
 		if err != nil {
 			return scope{}, MalformedSignature
 		}
-		return scope{kind: urlRegex, regex: x}, ""
+		return scope{kind: urlRegex, regex: expression}, ""
 	}
 	return scope{}, MalformedSignature
 }
 
-func hashes(want, url []byte) bool {
+func matchesHash(want, url []byte) bool {
 	sum := sha256.Sum256(url)
-	return equal(sum[:], want)
+	return constantTimeEqual(sum[:], want)
 }
 
 // renewal is what the next token is made from.
@@ -312,21 +312,21 @@
 	if k == nil {
 		return nil, nil
 	}
-	m := g.token.renew.claims
-	expires := now/1_000_000 + *m.Renew
-	n := number(expires)
-	m.Expires, m.NotBefore, m.Issued = &n, nil, nil
-	if m.ID != "" { // a new token is used anew
+	claimSet := g.token.renew.claims
+	expires := now/1_000_000 + *claimSet.RenewSeconds
+	exp := numericDate(expires)
+	claimSet.Expires, claimSet.NotBefore, claimSet.Issued = &exp, nil, nil
+	if claimSet.ID != "" { // a new token is used anew
 		sum := sha256.Sum256([]byte(g.token.signed))
-		m.ID = base64.RawURLEncoding.EncodeToString(sum[:12])
+		claimSet.ID = base64.RawURLEncoding.EncodeToString(sum[:12])
 	}
-	text, err := signJWT(k, &m)
+	text, err := signJWT(k, &claimSet)
 	if err != nil {
 		return nil, err
 	}
 	depth := 0
-	if m.Depth != nil {
-		depth = *m.Depth
+	if claimSet.Depth != nil {
+		depth = *claimSet.Depth
 	}
 	return &Cookie{Name: g.Profile.Cookie, Value: text, Path: firstSegments(g.Path, depth),
 		Expires: expires * 1_000_000}, nil
@@ -345,7 +345,7 @@
 	return path[:at+1]
 }
 
-func signJWT(k *keyring.Key, m *claims) (string, error) {
+func signJWT(k *keyring.Key, claimSet *claims) (string, error) {
 	var key any = k.Bytes
 	if k.Kind.Costly() {
 		key = k.Signer
@@ -355,7 +355,7 @@
 	if err != nil {
 		return "", err
 	}
-	payload, err := json.Marshal(m)
+	payload, err := json.Marshal(claimSet)
 	if err != nil {
 		return "", err
 	}
@@ -379,7 +379,7 @@
 }
 
 // sameNet tells whether a text is an address or a prefix.
-func sameNet(text string) bool {
+func isAddressOrPrefix(text string) bool {
 	_, err := netip.ParsePrefix(text)
 	_, err2 := netip.ParseAddr(text)
 	return err == nil || err2 == nil
--- a/internal/decide/grants/cloudfront.go
+++ b/internal/decide/grants/cloudfront.go
@@ -27,7 +27,7 @@
 	cfExpires = iota
 	cfPolicy
 	cfSignature
-	cfKey
+	cfKeyPairID
 	cfHash
 )
 
@@ -36,20 +36,20 @@
 var cfEncoding = base64.NewEncoding(
 	"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-~").WithPadding('_').Strict()
 
-func (cloudFront) names(*Profile) names {
-	n := names{telling: 1<<cfPolicy | 1<<cfKey}
-	n.fields[inQuery] = cfNames
+func (cloudFront) fieldNames(*Profile) fieldNames {
+	n := fieldNames{identifying: 1<<cfPolicy | 1<<cfKeyPairID}
+	n.byCarrier[inQuery] = cfNames
 	for _, name := range cfNames {
-		n.fields[inCookie] = append(n.fields[inCookie], "CloudFront-"+name)
+		n.byCarrier[inCookie] = append(n.byCarrier[inCookie], "CloudFront-"+name)
 	}
 	return n
 }
 
-func (cloudFront) named() bool { return true }
+func (cloudFront) carriesKeyName() bool { return true }
 
-func (cloudFront) kin(f format) bool { _, ok := f.(cloudFront); return ok }
+func (cloudFront) sameFormat(f format) bool { _, ok := f.(cloudFront); return ok }
 
-func (cloudFront) bound(c *credential) bool { return c.have&(1<<cfPolicy) == 0 }
+func (cloudFront) signsURL(cred *credential) bool { return cred.present&(1<<cfPolicy) == 0 }
 
 // cfStatement is the one form of policy that the guide describes.
 type cfPolicyDoc struct {
@@ -70,37 +70,37 @@
 	Seconds int64 `json:"AWS:EpochTime"`
 }
 
-const mostSeconds = 1_000_000_000_000 // a Unix time has 12 digits at most
+const unixSecondsLimit = 1_000_000_000_000 // a Unix time has 12 digits at most
 
 func (t *cfTime) micros() (Micros, bool) {
 	if t == nil {
 		return 0, true
 	}
-	return t.Seconds * 1_000_000, t.Seconds > 0 && t.Seconds < mostSeconds
+	return t.Seconds * 1_000_000, t.Seconds > 0 && t.Seconds < unixSecondsLimit
 }
 
-func (cloudFront) read(c *credential) (*token, Refusal) {
-	const must = 1<<cfSignature | 1<<cfKey
-	canned := c.have&(1<<cfExpires) != 0
-	if c.have&must != must || canned == (c.have&(1<<cfPolicy) != 0) {
+func (cloudFront) parse(cred *credential) (*token, Refusal) {
+	const required = 1<<cfSignature | 1<<cfKeyPairID
+	canned := cred.present&(1<<cfExpires) != 0
+	if cred.present&required != required || canned == (cred.present&(1<<cfPolicy) != 0) {
 		return nil, MalformedSignature
 	}
 	var hash crypto.Hash
 	switch {
-	case c.have&(1<<cfHash) == 0 || c.values[cfHash] == "SHA1":
+	case cred.present&(1<<cfHash) == 0 || cred.values[cfHash] == "SHA1":
 		hash = crypto.SHA1
-	case c.values[cfHash] == "SHA256":
+	case cred.values[cfHash] == "SHA256":
 		hash = crypto.SHA256
 	default:
 		return nil, WrongAlgorithm
 	}
-	signature, err := cfEncoding.DecodeString(c.values[cfSignature])
+	signature, err := cfEncoding.DecodeString(cred.values[cfSignature])
 	if err != nil || len(signature) == 0 || len(signature) > keyring.MaxRSABits/8 {
 		return nil, MalformedSignature
 	}
 	t := &token{}
-	for _, p := range c.profiles {
-		if t.key = p.Ring.Find(c.values[cfKey]); t.key != nil {
+	for _, p := range cred.profiles {
+		if t.key = p.Ring.Find(cred.values[cfKeyPairID]); t.key != nil {
 			t.profile = p
 			break
 		}
@@ -111,17 +111,17 @@
 	var policy []byte
 	if canned {
 		var ok bool
-		if t.expires, ok = seconds(c.values[cfExpires]); !ok {
+		if t.expires, ok = parseSeconds(cred.values[cfExpires]); !ok {
 			return nil, MalformedSignature
 		}
-		policy = cannedPolicy(c.url(t.profile.BaseURL), c.values[cfExpires])
-	} else if policy, err = cfEncoding.DecodeString(c.values[cfPolicy]); err != nil || !t.policy(policy) {
+		policy = cannedPolicy(cred.url(t.profile.BaseURL), cred.values[cfExpires])
+	} else if policy, err = cfEncoding.DecodeString(cred.values[cfPolicy]); err != nil || !t.applyPolicy(policy) {
 		return nil, MalformedSignature
 	}
 	t.signed = string(policy)
-	h := hash.New()
-	h.Write(policy)
-	t.proof = PendingSignature{token: t, public: t.key.Public, hash: hash, message: h.Sum(nil), signature: signature}
+	digest := hash.New()
+	digest.Write(policy)
+	t.proof = PendingSignature{token: t, publicKey: t.key.Public, hash: hash, message: digest.Sum(nil), signature: signature}
 	return t, ""
 }
 
@@ -138,25 +138,25 @@
 }
 
 // policy reads a custom policy. What it does not know refuses the whole.
-func (t *token) policy(text []byte) bool {
+func (t *token) applyPolicy(text []byte) bool {
 	var doc cfPolicyDoc
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if d.Decode(&doc) != nil || len(bytes.TrimSpace(text[d.InputOffset():])) > 0 || len(doc.Statement) != 1 {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if decoder.Decode(&doc) != nil || len(bytes.TrimSpace(text[decoder.InputOffset():])) > 0 || len(doc.Statement) != 1 {
 		return false
 	}
-	s := &doc.Statement[0]
-	var ok, ok2 bool
-	t.expires, ok = s.Condition.DateLessThan.micros()
-	t.begins, ok2 = s.Condition.DateGreaterThan.micros()
-	if !ok || !ok2 || t.expires == 0 || s.Resource == "" || len(s.Resource) > mostPattern {
+	statement := &doc.Statement[0]
+	var ok, notBeforeOK bool
+	t.expires, ok = statement.Condition.DateLessThan.micros()
+	t.notBefore, notBeforeOK = statement.Condition.DateGreaterThan.micros()
+	if !ok || !notBeforeOK || t.expires == 0 || statement.Resource == "" || len(statement.Resource) > maxPatternBytes {
 		return false
 	}
-	if s.Condition.IpAddress != nil {
-		if t.nets, ok = readNets([]string{s.Condition.IpAddress.SourceIP}); !ok {
+	if statement.Condition.IpAddress != nil {
+		if t.networks, ok = parseNetworks([]string{statement.Condition.IpAddress.SourceIP}); !ok {
 			return false
 		}
 	}
-	t.scope = scope{kind: urlPattern, pattern: s.Resource}
-	return !strings.Contains(s.Resource, "\\")
+	t.scope = scope{kind: urlPattern, pattern: statement.Resource}
+	return !strings.Contains(statement.Resource, "\\")
 }
--- a/internal/decide/grants/edgeauth.go
+++ b/internal/decide/grants/edgeauth.go
@@ -17,19 +17,19 @@
 // as ~url=PATH behind it, and a salt as ~salt=TEXT behind all.
 type edgeAuth struct{}
 
-func (edgeAuth) names(p *Profile) names {
-	n := names{telling: 1}
-	n.fields[inQuery], n.fields[inCookie], n.fields[inHeader] =
+func (edgeAuth) fieldNames(p *Profile) fieldNames {
+	n := fieldNames{identifying: 1}
+	n.byCarrier[inQuery], n.byCarrier[inCookie], n.byCarrier[inHeader] =
 		[]string{p.Query}, []string{p.Cookie}, []string{p.Header}
 	return n
 }
 
-func (edgeAuth) named() bool { return false }
+func (edgeAuth) carriesKeyName() bool { return false }
 
-func (edgeAuth) kin(f format) bool { _, ok := f.(edgeAuth); return ok }
+func (edgeAuth) sameFormat(f format) bool { _, ok := f.(edgeAuth); return ok }
 
-func (edgeAuth) bound(c *credential) bool {
-	token := c.values[0]
+func (edgeAuth) signsURL(cred *credential) bool {
+	token := cred.values[0]
 	return !strings.HasPrefix(token, "acl=") && !strings.Contains(token, "~acl=")
 }
 
@@ -47,17 +47,17 @@
 
 var eaNames = [eaFields]string{"ip", "st", "exp", "acl", "id", "data", "hmac"}
 
-func (edgeAuth) read(c *credential) (*token, Refusal) {
-	text := c.values[0]
+func (edgeAuth) parse(cred *credential) (*token, Refusal) {
+	text := cred.values[0]
 	var values [eaFields]string
-	if len(text) > mostToken {
+	if len(text) > maxTokenBytes {
 		return nil, MalformedSignature
 	}
 	next := 0
 	for rest, more := text, true; more; {
-		var f string
-		f, rest, more = strings.Cut(rest, "~")
-		name, value, ok := strings.Cut(f, "=")
+		var field string
+		field, rest, more = strings.Cut(rest, "~")
+		name, value, ok := strings.Cut(field, "=")
 		for next < eaFields && eaNames[next] != name {
 			next++
 		}
@@ -67,45 +67,45 @@
 		values[next] = value
 		next++
 	}
-	t := &token{profile: c.profiles[0]}
-	var ok, ok2 bool
-	t.expires, ok = seconds(values[eaExpires])
-	if t.begins, ok2 = seconds(values[eaStart]); values[eaStart] != "" && !ok2 {
+	t := &token{profile: cred.profiles[0]}
+	var ok, notBeforeOK bool
+	t.expires, ok = parseSeconds(values[eaExpires])
+	if t.notBefore, notBeforeOK = parseSeconds(values[eaStart]); values[eaStart] != "" && !notBeforeOK {
 		return nil, MalformedSignature
 	}
-	acl, bad := url.PathUnescape(values[eaACL])
-	data, bad2 := url.QueryUnescape(values[eaData])
-	id, bad3 := url.QueryUnescape(values[eaID])
-	ip, bad4 := url.PathUnescape(values[eaIP])
-	n := hex.DecodedLen(len(values[eaMAC]))
-	if !ok || bad != nil || bad2 != nil || bad3 != nil || bad4 != nil || n == 0 || n > len(t.mac) ||
-		len(acl) > mostPattern {
+	acl, aclErr := url.PathUnescape(values[eaACL])
+	data, dataErr := url.QueryUnescape(values[eaData])
+	id, idErr := url.QueryUnescape(values[eaID])
+	ip, ipErr := url.PathUnescape(values[eaIP])
+	macBytes := hex.DecodedLen(len(values[eaMAC]))
+	if !ok || aclErr != nil || dataErr != nil || idErr != nil || ipErr != nil || macBytes == 0 || macBytes > len(t.mac) ||
+		len(acl) > maxPatternBytes {
 		return nil, MalformedSignature
 	}
-	var digits [2 * len(t.mac)]byte
-	if _, err := hex.Decode(t.mac[:], digits[:copy(digits[:], values[eaMAC])]); err != nil {
+	var macHex [2 * len(t.mac)]byte
+	if _, err := hex.Decode(t.mac[:], macHex[:copy(macHex[:], values[eaMAC])]); err != nil {
 		return nil, MalformedSignature
 	}
 	if ip != "" {
-		if t.nets, ok = readNets([]string{ip}); !ok {
+		if t.networks, ok = parseNetworks([]string{ip}); !ok {
 			return nil, MalformedSignature
 		}
 	}
-	t.data, t.subject, t.scope = data, id, scope{kind: pathLists, pattern: acl}
+	t.data, t.subject, t.scope = data, id, scope{kind: pathPatterns, pattern: acl}
 	url := ""
 	if acl == "" {
 		t.scope = scope{}
-		url = c.path
+		url = cred.path
 	}
 	t.signed = text[:len(text)-len("~hmac=")-len(values[eaMAC])]
-	profiles := c.profiles
+	profiles := cred.profiles
 	t.verify = func() (found *keyring.Key) {
 		for _, p := range profiles { // every key, so that time does not tell which
-			if n != p.macSize {
+			if macBytes != p.macSize {
 				continue
 			}
 			for _, k := range p.Ring.Keys {
-				if equal(p.edgeMAC(k, t.signed, url), t.mac[:n]) {
+				if constantTimeEqual(p.edgeMAC(k, t.signed, url), t.mac[:macBytes]) {
 					found, t.profile = k, p
 				}
 			}
@@ -130,17 +130,17 @@
 // eaEscape escapes as the token libraries do: like a query component, with the
 // hex digits in lower case.
 func eaEscape(s string) string {
-	plain := true
+	unreserved := true
 	for i := range len(s) {
 		if c := s[i]; !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-_.~", c) >= 0) {
-			plain = false
+			unreserved = false
 			break
 		}
 	}
-	if plain {
+	if unreserved {
 		return s
 	}
-	const hexa = "0123456789abcdef"
+	const hexDigits = "0123456789abcdef"
 	b := make([]byte, 0, len(s)+16)
 	for i := range len(s) {
 		switch c := s[i]; {
@@ -149,7 +149,7 @@
 		case c == ' ':
 			b = append(b, '+')
 		default:
-			b = append(b, '%', hexa[c>>4], hexa[c&15])
+			b = append(b, '%', hexDigits[c>>4], hexDigits[c&15])
 		}
 	}
 	return string(b)
--- a/internal/decide/grants/google.go
+++ b/internal/decide/grants/google.go
@@ -36,41 +36,41 @@
 // The cookies, by profile.
 var gCookies = []string{"Cloud-CDN-Cookie", "Edge-Cache-Cookie"}
 
-const gToken = "edge-cache-token"
+const gPathToken = "edge-cache-token"
 
-func (google) names(*Profile) names {
-	n := names{telling: 1<<gPrefix | 1<<gKey}
-	n.fields[inQuery], n.fields[inCookie], n.fields[inPath] = gNames[:], gCookies, []string{"/" + gToken}
-	n.alone = [carriers]bool{inCookie: true, inPath: true}
+func (google) fieldNames(*Profile) fieldNames {
+	n := fieldNames{identifying: 1<<gPrefix | 1<<gKey}
+	n.byCarrier[inQuery], n.byCarrier[inCookie], n.byCarrier[inPath] = gNames[:], gCookies, []string{"/" + gPathToken}
+	n.single = [carrierCount]bool{inCookie: true, inPath: true}
 	return n
 }
 
-func (google) named() bool { return true }
+func (google) carriesKeyName() bool { return true }
 
-func (google) kin(f format) bool { _, ok := f.(google); return ok }
+func (google) sameFormat(f format) bool { _, ok := f.(google); return ok }
 
-func (google) bound(c *credential) bool {
-	return c.carrier == inPath || c.carrier == inQuery && c.have&(1<<gPrefix) == 0
+func (google) signsURL(cred *credential) bool {
+	return cred.carrier == inPath || cred.carrier == inQuery && cred.present&(1<<gPrefix) == 0
 }
 
-func (g google) read(c *credential) (*token, Refusal) {
-	values, ok, sep := c.values, true, "&"
-	switch c.carrier {
+func (g google) parse(cred *credential) (*token, Refusal) {
+	values, ok, sep := cred.values, true, "&"
+	switch cred.carrier {
 	case inQuery:
-		ok = g.ordered(c)
+		ok = g.fieldsInOrder(cred)
 	case inCookie:
 		sep = ":"
-		values, ok = gSplit(c.values[0]+c.values[1], sep, gPrefix)
+		values, ok = gSplit(cred.values[0]+cred.values[1], sep, gPrefix)
 	case inPath:
-		values, ok = gSplit(c.values[0], sep, gExpires)
+		values, ok = gSplit(cred.values[0], sep, gExpires)
 	}
 	t := &token{}
-	var ok2 bool
-	if t.expires, ok2 = seconds(values[gExpires]); !ok || !ok2 || len(values[gKey]) > keyring.MaxNameBytes {
+	var expiresOK bool
+	if t.expires, expiresOK = parseSeconds(values[gExpires]); !ok || !expiresOK || len(values[gKey]) > keyring.MaxNameBytes {
 		return nil, MalformedSignature
 	}
-	for _, p := range c.profiles {
-		if t.key = p.Ring.Find(values[gKey]); t.key != nil && g.carried(p, c) {
+	for _, p := range cred.profiles {
+		if t.key = p.Ring.Find(values[gKey]); t.key != nil && g.allowsCarrier(p, cred) {
 			t.profile = p
 			break
 		}
@@ -79,34 +79,34 @@
 		return nil, UnknownKey
 	}
 	p, k, media := t.profile, t.key, t.profile.Format == MediaCDN
-	signature, ok := g.decode(values[gSignature], media)
+	signature, ok := g.decodeSignature(values[gSignature], media)
 	if !ok {
 		return nil, MalformedSignature
 	}
-	before, signed := "", "Expires="+values[gExpires]+sep+"KeyName="+values[gKey]
+	signedBase, signed := "", "Expires="+values[gExpires]+sep+"KeyName="+values[gKey]
 	switch {
 	case values[gPrefix] != "":
-		prefix, ok := g.text(values[gPrefix])
-		if !ok || strings.ContainsAny(prefix, "?#") || len(prefix) > mostPattern {
+		prefix, ok := g.decodePrefix(values[gPrefix])
+		if !ok || strings.ContainsAny(prefix, "?#") || len(prefix) > maxPatternBytes {
 			return nil, MalformedSignature
 		}
 		t.scope = scope{kind: urlPrefix, pattern: prefix}
 		signed = "URLPrefix=" + values[gPrefix] + sep + signed
-	case c.carrier == inPath:
+	case cred.carrier == inPath:
 		// What stands before the token is covered, and all that is below it.
-		before = p.BaseURL + c.path[:c.first+1]
-		t.scope = scope{kind: urlPrefix, pattern: before}
-		signed = gToken + "=" + signed
+		signedBase = p.BaseURL + cred.path[:cred.start+1]
+		t.scope = scope{kind: urlPrefix, pattern: signedBase}
+		signed = gPathToken + "=" + signed
 	default:
-		before, signed = p.BaseURL, c.target[:len(c.target)-len("&Signature=")-len(values[gSignature])]
+		signedBase, signed = p.BaseURL, cred.target[:len(cred.target)-len("&Signature=")-len(values[gSignature])]
 	}
 	t.signed = signed
 	if media {
-		t.proof = PendingSignature{token: t, public: k.Public, message: []byte(before + signed), signature: signature}
+		t.proof = PendingSignature{token: t, publicKey: k.Public, message: []byte(signedBase + signed), signature: signature}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
-		if equal(p.mac(k, before, signed), signature) {
+		if constantTimeEqual(p.mac(k, signedBase, signed), signature) {
 			return k
 		}
 		return nil
@@ -115,39 +115,39 @@
 }
 
 // carried tells whether a profile's network has grants where this one stands.
-func (google) carried(p *Profile, c *credential) bool {
+func (google) allowsCarrier(p *Profile, cred *credential) bool {
 	media := p.Format == MediaCDN
-	return c.carrier == inQuery || c.carrier == inPath && media || c.carrier == inCookie && media == (c.have == 2)
+	return cred.carrier == inQuery || cred.carrier == inPath && media || cred.carrier == inCookie && media == (cred.present == 2)
 }
 
 // ordered tells whether a query's fields stand in one run in their order, and
 // last where they sign the URL itself.
-func (google) ordered(c *credential) bool {
-	first := gExpires
-	if c.have&(1<<gPrefix) != 0 {
-		first = gPrefix
+func (google) fieldsInOrder(cred *credential) bool {
+	firstField := gExpires
+	if cred.present&(1<<gPrefix) != 0 {
+		firstField = gPrefix
 	}
-	if c.count != gFields-first {
+	if cred.count != gFields-firstField {
 		return false
 	}
-	for i := range c.count {
-		if int(c.order[i]) != first+i || c.values[first+i] == "" {
+	for i := range cred.count {
+		if int(cred.order[i]) != firstField+i || cred.values[firstField+i] == "" {
 			return false
 		}
 	}
-	_, query, _ := strings.Cut(c.target, "?")
-	if strings.Count(query[c.first:c.last], "&") != c.count-1 {
+	_, query, _ := strings.Cut(cred.target, "?")
+	if strings.Count(query[cred.start:cred.end], "&") != cred.count-1 {
 		return false
 	}
-	return first == gPrefix || c.last == len(query)
+	return firstField == gPrefix || cred.end == len(query)
 }
 
 // gSplit reads the fields of a cookie or a path segment, which begin with first.
-func gSplit(text, sep string, first int) (values [maxFields]string, ok bool) {
-	for i := first; i < gFields; i++ {
-		var f string
-		f, text, ok = strings.Cut(text, sep)
-		name, value, _ := strings.Cut(f, "=")
+func gSplit(text, sep string, firstField int) (values [maxFields]string, ok bool) {
+	for i := firstField; i < gFields; i++ {
+		var field string
+		field, text, ok = strings.Cut(text, sep)
+		name, value, _ := strings.Cut(field, "=")
 		if name != gNames[i] || value == "" || ok != (i < gFields-1) {
 			return values, false
 		}
@@ -156,7 +156,7 @@
 	return values, true
 }
 
-func (google) decode(text string, media bool) ([]byte, bool) {
+func (google) decodeSignature(text string, media bool) ([]byte, bool) {
 	encoding, size := base64.URLEncoding.Strict(), sha1.Size
 	if media {
 		size = ed25519.SignatureSize
@@ -169,7 +169,7 @@
 }
 
 // text decodes a prefix, which is base64url with or without padding.
-func (google) text(text string) (string, bool) {
+func (google) decodePrefix(text string) (string, bool) {
 	b, err := base64.RawURLEncoding.Strict().DecodeString(strings.TrimRight(text, "="))
 	return string(b), err == nil && len(b) > 0
 }
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -33,11 +33,11 @@
 
 // Bounds of what a request may bring.
 const (
-	mostTarget  = 8 << 10 // bytes of a target
-	mostField   = 6 << 10 // bytes of a field of a signature
-	mostToken   = 4 << 10 // bytes of a token
-	mostPattern = 1 << 10 // bytes of a pattern of paths
-	mostDigits  = 12      // of a Unix time in seconds
+	maxTargetBytes  = 8 << 10 // bytes of a target
+	maxFieldBytes   = 6 << 10 // bytes of a field of a signature
+	maxTokenBytes   = 4 << 10 // bytes of a token
+	maxPatternBytes = 1 << 10 // bytes of a pattern of paths
+	maxTimeDigits   = 12      // of a Unix time in seconds
 )
 
 // Refusal is a reason for which a request is not let in. It holds no secret and
@@ -103,91 +103,91 @@
 	inCookie
 	inHeader
 	inPath
-	carriers
+	carrierCount
 )
 
 // Set judges requests by a set of profiles. It belongs to one goroutine.
 type ProfileSet struct {
-	families []*family
-	names    [carriers]map[string][]ref // of fields; of headers in lower case
-	begin    [carriers][256]bool        // first bytes of the names
-	branch   string
-	memory   memory
-	found    [carriers][]found // by family; used anew by each request
-	touched  []*found          // those that hold something
-	key, url []byte            // used anew by each request
-	one      credential        // used anew by each request
+	families         []*family
+	fieldRefs        [carrierCount]map[string][]fieldRef // of fields; of headers in lower case
+	firstBytes       [carrierCount][256]bool             // first bytes of the names
+	branch           string
+	cache            verdictCache
+	fieldValues      [carrierCount][]fieldValues // by family; used anew by each request
+	populated        []*fieldValues              // those that hold something
+	cacheKey, urlBuf []byte                      // used anew by each request
+	credential       credential                  // used anew by each request
 }
 
 // ref says which field of which family a name is.
-type ref struct{ family, field int }
+type fieldRef struct{ family, field int }
 
 // found is the fields of one family in one carrier of a request.
-type found struct {
-	values [maxFields]string
-	order  [maxFields]uint8 // fields in the order in which they came
-	have   uint16           // bits of fields
-	count  int
-	first  int // offset of the first field in the query
-	last   int // and of what follows the last
-	twice  bool
-	family *family
-	at     carrier
+type fieldValues struct {
+	values    [maxFields]string
+	order     [maxFields]uint8 // fields in the order in which they came
+	present   uint16           // bits of fields
+	count     int
+	start     int // offset of the first field in the query
+	end       int // and of what follows the last
+	duplicate bool
+	family    *family
+	carrier   carrier
 }
 
 const maxFields = 8
 
 // family is the profiles of one format that are carried under the same names.
 type family struct {
-	format   format
-	index    int
-	profiles []*Profile
-	names    names
+	format     format
+	index      int
+	profiles   []*Profile
+	fieldNames fieldNames
 }
 
 // names are where a format's fields stand.
-type names struct {
-	fields  [carriers][]string
-	telling uint16         // bits of the fields that tell the format from others
-	alone   [carriers]bool // any one field tells it, and there may be only one
+type fieldNames struct {
+	byCarrier   [carrierCount][]string
+	identifying uint16             // bits of the fields that tell the format from others
+	single      [carrierCount]bool // any one field tells it, and there may be only one
 }
 
 // credential is the one grant that a request holds, as text.
 type credential struct {
 	*family
-	*found
+	*fieldValues
 	carrier carrier
 	path    string // without signing fields
 	query   string // without signing fields
 	target  string
 	peer    netip.Addr
-	scratch *[]byte // for the whole URL
+	urlBuf  *[]byte // for the whole URL
 }
 
 // url is the whole URL without signing fields, as the issuer names it. It holds
 // until the next one is asked for.
 func (c *credential) url(base string) []byte {
-	b := append(append((*c.scratch)[:0], base...), c.path...)
+	b := append(append((*c.urlBuf)[:0], base...), c.path...)
 	if c.query != "" {
 		b = append(append(b, '?'), c.query...)
 	}
-	*c.scratch = b
+	*c.urlBuf = b
 	return b
 }
 
 // format reads one format of grants.
 type format interface {
 	// names tells under which names a profile's fields are carried.
-	names(p *Profile) names
+	fieldNames(p *Profile) fieldNames
 	// named tells whether a grant names its key.
-	named() bool
+	carriesKeyName() bool
 	// kin tells whether grants of another format are read by this one too.
-	kin(format) bool
+	sameFormat(format) bool
 	// bound tells whether the signature covers the URL itself, so that what was
 	// learnt of it holds for that URL only.
-	bound(c *credential) bool
+	signsURL(c *credential) bool
 	// read turns a credential into a token whose signature is not checked yet.
-	read(c *credential) (*token, Refusal)
+	parse(c *credential) (*token, Refusal)
 }
 
 // Config is what a set is made of.
@@ -200,41 +200,41 @@
 // New makes a set; it names the profile that can't be used.
 func New(cfg Config) (*ProfileSet, error) {
 	s := &ProfileSet{branch: cfg.Branch}
-	s.memory.init(cfg.MaxCachedVerdicts)
-	for c := range s.names {
-		s.names[c] = map[string][]ref{}
+	s.cache.init(cfg.MaxCachedVerdicts)
+	for c := range s.fieldRefs {
+		s.fieldRefs[c] = map[string][]fieldRef{}
 	}
 	for _, p := range cfg.Profiles {
 		if err := p.Check(); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
-		if err := s.add(p); err != nil {
+		if err := s.addProfile(p); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
 	}
-	for c := range s.found {
-		s.found[c] = make([]found, len(s.families))
+	for c := range s.fieldValues {
+		s.fieldValues[c] = make([]fieldValues, len(s.families))
 		for i, f := range s.families {
-			s.found[c][i].family, s.found[c][i].at = f, carrier(c)
+			s.fieldValues[c][i].family, s.fieldValues[c][i].carrier = f, carrier(c)
 		}
 	}
 	return s, nil
 }
 
 // add puts a profile to those that are carried alike, or into a family of its own.
-func (s *ProfileSet) add(p *Profile) error {
-	n := p.format.names(p)
-	for _, f := range s.families {
-		if f.format.kin(p.format) && sameNames(f.names, n) {
+func (set *ProfileSet) addProfile(p *Profile) error {
+	names := p.format.fieldNames(p)
+	for _, f := range set.families {
+		if f.format.sameFormat(p.format) && equalFieldNames(f.fieldNames, names) {
 			if p.Format == Timed {
 				return fmt.Errorf("query, cookie, header: profile %q is carried alike, and nothing else tells them apart",
 					f.profiles[0].Name)
 			}
 			for _, k := range p.Ring.Keys {
-				for _, o := range f.profiles {
-					if p.format.named() && o.Ring.Find(k.Name) != nil {
+				for _, other := range f.profiles {
+					if p.format.carriesKeyName() && other.Ring.Find(k.Name) != nil {
 						return fmt.Errorf("ring: key %q is in profile %q too, whose links are carried alike: which is meant?",
-							k.Name, o.Name)
+							k.Name, other.Name)
 					}
 				}
 			}
@@ -242,9 +242,9 @@
 			return nil
 		}
 	}
-	f := &family{format: p.format, index: len(s.families), profiles: []*Profile{p}, names: n}
-	s.families = append(s.families, f)
-	for c, list := range n.fields {
+	f := &family{format: p.format, index: len(set.families), profiles: []*Profile{p}, fieldNames: names}
+	set.families = append(set.families, f)
+	for c, list := range names.byCarrier {
 		for i, name := range list {
 			if name == "" {
 				continue
@@ -252,24 +252,24 @@
 			if carrier(c) == inHeader {
 				name = strings.ToLower(name)
 			}
-			s.begin[c][name[0]|caseless(carrier(c))] = true
-			s.names[c][name] = append(s.names[c][name], ref{f.index, i})
+			set.firstBytes[c][name[0]|caseBit(carrier(c))] = true
+			set.fieldRefs[c][name] = append(set.fieldRefs[c][name], fieldRef{f.index, i})
 		}
 	}
 	return nil
 }
 
 // caseless is the bit that tells small letters apart, where case does not count.
-func caseless(c carrier) byte {
+func caseBit(c carrier) byte {
 	if c == inHeader {
 		return 0x20
 	}
 	return 0
 }
 
-func sameNames(a, b names) bool {
-	for c := range a.fields {
-		if strings.Join(a.fields[c], "\x00") != strings.Join(b.fields[c], "\x00") {
+func equalFieldNames(a, b fieldNames) bool {
+	for c := range a.byCarrier {
+		if strings.Join(a.byCarrier[c], "\x00") != strings.Join(b.byCarrier[c], "\x00") {
 			return false
 		}
 	}
@@ -277,68 +277,68 @@
 }
 
 // Judge gives the verdict on a request, or a Proof that must be checked first.
-func (s *ProfileSet) Authorize(r *Request) Verdict {
-	c := &s.one
-	*c = credential{scratch: &s.url, peer: r.Peer}
-	if refusal := s.locate(r, c); refusal != "" {
+func (set *ProfileSet) Authorize(req *Request) Verdict {
+	cred := &set.credential
+	*cred = credential{urlBuf: &set.urlBuf, peer: req.Peer}
+	if refusal := set.locate(req, cred); refusal != "" {
 		return Verdict{Refusal: refusal}
 	}
-	s.key = c.appendKey(s.key[:0])
-	if t := s.memory.find(s.key, r.ReceivedAt); t != nil {
-		return s.judge(t, c, r)
+	set.cacheKey = cred.appendKey(set.cacheKey[:0])
+	if t := set.cache.get(set.cacheKey, req.ReceivedAt); t != nil {
+		return set.verdict(t, cred, req)
 	}
-	t, refusal := c.format.read(c)
+	t, refusal := cred.format.parse(cred)
 	if refusal != "" {
 		return Verdict{Refusal: refusal}
 	}
 	if !t.costly() {
-		if t.settle(t.check()) {
-			s.memory.grant(s.key, t)
+		if t.resolve(t.verifyMAC()) {
+			set.cache.addGenuine(set.cacheKey, t)
 		}
-		return s.judge(t, c, r)
+		return set.verdict(t, cred, req)
 	}
 	// What it claims is cheaper to judge than its signature.
-	if v := s.judge(t, c, r); v.Refusal != "" {
+	if v := set.verdict(t, cred, req); v.Refusal != "" {
 		return v
 	}
 	t.state = pending
-	s.memory.wait(s.key, t)
-	return s.judge(t, c, r)
+	set.cache.addPending(set.cacheKey, t)
+	return set.verdict(t, cred, req)
 }
 
 // Settle takes what a Proof's check gave.
-func (s *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
-	p.token.settle(genuine)
-	s.memory.settle(p.token, now)
+func (set *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
+	p.token.resolve(genuine)
+	set.cache.resolve(p.token, now)
 }
 
 // Forget drops a Proof that nobody will check; whoever comes with the same
 // credential later gets a new one.
-func (s *ProfileSet) Discard(p *PendingSignature) {
+func (set *ProfileSet) Discard(p *PendingSignature) {
 	if p.token.state == pending {
-		s.memory.drop(p.token)
+		set.cache.discard(p.token)
 	}
 }
 
 // judge holds a token's claims against a request. The token's signature is
 // good, or not yet known, or known to be forged.
-func (s *ProfileSet) judge(t *token, c *credential, r *Request) Verdict {
-	v := Verdict{Grant: Grant{Path: c.path, Query: c.query, Profile: t.profile, Key: t.key,
+func (set *ProfileSet) verdict(t *token, cred *credential, req *Request) Verdict {
+	v := Verdict{Grant: Grant{Path: cred.path, Query: cred.query, Profile: t.profile, Key: t.key,
 		Subject: t.subject, ID: t.id, Expires: t.expires, token: t}}
-	v.Refusal = s.refusal(t, c, r)
+	v.Refusal = set.checkToken(t, cred, req)
 	if v.Refusal == "" && t.state == pending {
 		v.Pending = &t.proof
 	}
 	return v
 }
 
-func (s *ProfileSet) refusal(t *token, c *credential, r *Request) Refusal {
+func (set *ProfileSet) checkToken(t *token, cred *credential, req *Request) Refusal {
 	if t.state == forged {
 		return SignatureMismatch
 	}
 	skew := t.profile.Skew
 	if t.key != nil {
-		switch t.key.ValidityAt(r.ReceivedAt) {
+		switch t.key.ValidityAt(req.ReceivedAt) {
 		case keyring.NotYetValid:
 			return KeyNotYetValid
 		case keyring.Retired:
@@ -351,15 +351,15 @@
 		}
 	}
 	switch {
-	case t.expires > 0 && r.ReceivedAt > t.expires+skew:
+	case t.expires > 0 && req.ReceivedAt > t.expires+skew:
 		return Expired
-	case t.begins > 0 && r.ReceivedAt < t.begins-skew:
+	case t.notBefore > 0 && req.ReceivedAt < t.notBefore-skew:
 		return NotYetValid
-	case !t.covers(c):
+	case !t.coversURL(cred):
 		return PathNotCovered
-	case !t.takes(r.Peer):
+	case !t.allowsAddress(req.Peer):
 		return WrongAddress
-	case t.profile.RequireBranch && t.data != s.branch && !(t.data == "" && t.profile.AllowMissingBranch):
+	case t.profile.RequireBranch && t.data != set.branch && !(t.data == "" && t.profile.AllowMissingBranch):
 		return WrongBranch
 	}
 	return ""
@@ -374,19 +374,19 @@
 		}
 	}
 	for i := range c.values {
-		if c.have&(1<<i) != 0 {
+		if c.present&(1<<i) != 0 {
 			b = append(b, byte(i))
 			b = append(b, c.values[i]...)
 			b = append(b, 0)
 		}
 	}
-	if t, ok := c.format.(*timed); ok && t.peer {
+	if t, ok := c.format.(*timed); ok && t.bindsPeer {
 		b = c.peer.AppendTo(b)
 	}
 	if c.carrier != inCookie && c.carrier != inHeader && (c.count > 1 || c.carrier == inPath) {
 		return append(b, c.target...) // and for where they stand
 	}
-	if c.format.bound(c) {
+	if c.format.signsURL(c) {
 		b = append(b, c.path...)
 		b = append(b, '?')
 		b = append(b, c.query...)
--- a/internal/decide/grants/grants_test.go
+++ b/internal/decide/grants/grants_test.go
@@ -30,18 +30,18 @@
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
 const (
-	at      = int64(1_800_000_000)
-	now     = at * 1_000_000
-	base    = "https://files.example"
-	target  = "/files/guide-video/17/9f3a?seg=3"
-	long    = "0123456789abcdef0123456789abcdef"
-	anyFile = base + "/files/*"
+	nowSeconds = int64(1_800_000_000)
+	now        = nowSeconds * 1_000_000
+	baseURL    = "https://files.example"
+	target     = "/files/guide-video/17/9f3a?seg=3"
+	longSecret = "0123456789abcdef0123456789abcdef"
+	anyFile    = baseURL + "/files/*"
 )
 
 var peer = netip.MustParseAddr("192.0.2.7")
 
 // pairs are made once: RSA keys take long.
-var pairs = func() (p struct {
+var testKeys = func() (p struct {
 	rsa *rsa.PrivateKey
 	ec  *ecdsa.PrivateKey
 	ed  ed25519.PrivateKey
@@ -56,11 +56,11 @@
 	return &keyring.Key{Name: name, State: keyring.Active, Kind: keyring.Secret, Bytes: []byte(secret), Skew: -1}
 }
 
-func signing(name string, kind keyring.Kind, s crypto.Signer) *keyring.Key {
+func signingKey(name string, kind keyring.Kind, s crypto.Signer) *keyring.Key {
 	return &keyring.Key{Name: name, State: keyring.Active, Kind: kind, Public: s.Public(), Signer: s, Skew: -1}
 }
 
-func ring(t testing.TB, keys ...*keyring.Key) *keyring.Ring {
+func newRing(t testing.TB, keys ...*keyring.Key) *keyring.Ring {
 	t.Helper()
 	r, err := keyring.New("ring", keys)
 	if err != nil {
@@ -70,37 +70,37 @@
 }
 
 // world is one profile of each format, by name.
-func world(t testing.TB) (*ProfileSet, map[string]*Profile) {
+func newTestProfiles(t testing.TB) (*ProfileSet, map[string]*Profile) {
 	t.Helper()
-	hs := ring(t, secretKey("old", "0123456789abcdef"), secretKey("new", "fedcba9876543210"))
-	all := map[string]*Profile{
-		"edge":  {Format: EdgeAuth, Ring: hs, Query: "hdnts", Cookie: "hdnts", Header: "X-Edge-Token", RequireBranch: true},
-		"cloud": {Format: CloudCDN, Ring: hs},
-		"media": {Format: MediaCDN, Ring: ring(t, signing("ed", keyring.Ed25519, pairs.ed))},
-		"front": {Format: CloudFront, Ring: ring(t, signing("KRSA", keyring.RSA, pairs.rsa), signing("KEC", keyring.P256, pairs.ec))},
+	secrets := newRing(t, secretKey("old", "0123456789abcdef"), secretKey("new", "fedcba9876543210"))
+	profiles := map[string]*Profile{
+		"edge":  {Format: EdgeAuth, Ring: secrets, Query: "hdnts", Cookie: "hdnts", Header: "X-Edge-Token", RequireBranch: true},
+		"cloud": {Format: CloudCDN, Ring: secrets},
+		"media": {Format: MediaCDN, Ring: newRing(t, signingKey("ed", keyring.Ed25519, testKeys.ed))},
+		"front": {Format: CloudFront, Ring: newRing(t, signingKey("KRSA", keyring.RSA, testKeys.rsa), signingKey("KEC", keyring.P256, testKeys.ec))},
 		"cdni": {Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, Issuers: []string{"uCDN"}, Audience: "dCDN",
-			Ring: ring(t, secretKey("hs", long), signing("rs", keyring.RSA, pairs.rsa),
-				signing("es", keyring.P256, pairs.ec), signing("ed", keyring.Ed25519, pairs.ed))},
-		"timed": {Format: Timed, Ring: hs, Query: "verify", TimedFormat: TimedFormat{Message: "{path}{expires}",
+			Ring: newRing(t, secretKey("hs", longSecret), signingKey("rs", keyring.RSA, testKeys.rsa),
+				signingKey("es", keyring.P256, testKeys.ec), signingKey("ed", keyring.Ed25519, testKeys.ed))},
+		"timed": {Format: Timed, Ring: secrets, Query: "verify", TimedFormat: TimedFormat{Message: "{path}{expires}",
 			Token: "{expires}-{mac}", Digest: "hmac-sha256", Encoding: "base64"}},
-		"plain": {Format: Timed, Ring: hs, Query: "md5", TimedFormat: TimedFormat{Message: "{expires}{path}{ip} {secret}",
+		"plain": {Format: Timed, Ring: secrets, Query: "md5", TimedFormat: TimedFormat{Message: "{expires}{path}{ip} {secret}",
 			Token: "{mac}", TimeParam: "e", Digest: "md5", Encoding: "base64url-nopad"}},
 	}
 	cfg := Config{Branch: "edge-1", MaxCachedVerdicts: 1000}
 	for _, name := range []string{"edge", "cloud", "media", "front", "cdni", "timed", "plain"} {
-		p := all[name]
-		p.Name, p.Tenant, p.BaseURL, p.Skew = name, "padma", base, 2_000_000
+		p := profiles[name]
+		p.Name, p.Tenant, p.BaseURL, p.Skew = name, "padma", baseURL, 2_000_000
 		cfg.Profiles = append(cfg.Profiles, p)
 	}
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, all
+	return s, profiles
 }
 
 // ask judges a request through to its end.
-func ask(s *ProfileSet, r Request) Verdict {
+func authorize(s *ProfileSet, r Request) Verdict {
 	if r.ReceivedAt == 0 {
 		r.ReceivedAt = now
 	}
@@ -115,113 +115,113 @@
 	return v
 }
 
-func cookie(text string) httpwire.Header { return httpwire.Header{{Name: "Cookie", Value: text}} }
+func cookieHeader(text string) httpwire.Header { return httpwire.Header{{Name: "Cookie", Value: text}} }
 
 // Links of every format, minted here, in every carriage: let in, and with one
 // byte of the grant altered, not.
-func TestMintedLinksAreLetInAndAlteredOnesAreNot(t *testing.T) {
-	s, all := world(t)
-	exp := (at + 60) * 1_000_000
-	wishes := map[string][]LinkSpec{
+func TestSignedLinksGrantedAndAlteredRefused(t *testing.T) {
+	s, profiles := newTestProfiles(t)
+	exp := (nowSeconds + 60) * 1_000_000
+	specs := map[string][]LinkSpec{
 		"edge": {{Data: "edge-1"}, {Scope: "/files/*", Data: "edge-1"}, {Scope: "/files/*", Address: "192.0.2.0/24",
 			Subject: "member 7", NotBefore: now, Data: "edge-1"}},
-		"cloud": {{}, {Scope: base + "/files/"}},
-		"media": {{}, {Scope: base + "/files/"}},
+		"cloud": {{}, {Scope: baseURL + "/files/"}},
+		"media": {{}, {Scope: baseURL + "/files/"}},
 		"front": {{KeyName: "KRSA"}, {KeyName: "KEC", SHA256: true}, {Scope: anyFile, Address: "192.0.2.0/24", NotBefore: now, KeyName: "KEC"}},
 		"cdni": {{KeyName: "hs"}, {KeyName: "rs", Scope: "regex:https://files\\.example/files/.*"}, {KeyName: "es", Subject: "member 7",
 			Address: "192.0.2.0/24"}, {KeyName: "ed", Audience: []string{"other", "dCDN"}, ID: "one"}},
 		"timed": {{}},
 		"plain": {{Address: "192.0.2.7"}},
 	}
-	for name, list := range wishes {
-		for i, w := range list {
-			w.Target, w.Expires = target, exp
+	for name, list := range specs {
+		for i, spec := range list {
+			spec.Target, spec.Expires = target, exp
 			if name == "cdni" {
-				w.Issuer = "uCDN"
+				spec.Issuer = "uCDN"
 			}
-			m, err := all[name].SignLink(w, rand.Reader)
+			link, err := profiles[name].SignLink(spec, rand.Reader)
 			if err != nil {
 				t.Fatalf("%s %d: %v", name, i, err)
 			}
-			var forms []Request
-			for _, link := range []string{m.Target, m.InPath} {
-				if link != "" {
-					forms = append(forms, Request{Target: link})
+			var requests []Request
+			for _, target := range []string{link.Target, link.InPath} {
+				if target != "" {
+					requests = append(requests, Request{Target: target})
 				}
 			}
-			if m.Cookie != "" {
-				forms = append(forms, Request{Target: target, Header: cookie("a=b; " + m.Cookie + "; c=d")})
+			if link.Cookie != "" {
+				requests = append(requests, Request{Target: target, Header: cookieHeader("a=b; " + link.Cookie + "; c=d")})
 			}
-			if field, value, ok := strings.Cut(m.Header, ": "); ok {
-				forms = append(forms, Request{Target: target, Header: httpwire.Header{{Name: strings.ToLower(field), Value: value}}})
+			if field, value, ok := strings.Cut(link.Header, ": "); ok {
+				requests = append(requests, Request{Target: target, Header: httpwire.Header{{Name: strings.ToLower(field), Value: value}}})
 			}
-			for _, r := range forms {
+			for _, req := range requests {
 				for range 2 { // judged, and remembered
-					v := ask(s, r)
-					if v.Refusal != "" || v.Path+"?"+v.Query != target || v.Profile.Name != name || v.Subject != w.Subject || v.Expires != exp {
-						t.Errorf("%s %d: %q: %+v, %s?%s", name, i, v.Refusal, r, v.Path, v.Query)
+					v := authorize(s, req)
+					if v.Refusal != "" || v.Path+"?"+v.Query != target || v.Profile.Name != name || v.Subject != spec.Subject || v.Expires != exp {
+						t.Errorf("%s %d: %q: %+v, %s?%s", name, i, v.Refusal, req, v.Path, v.Query)
 					}
 				}
-				late := r
+				late := req
 				late.ReceivedAt = exp + 2_000_001
-				if v := ask(s, late); v.Refusal != Expired {
+				if v := authorize(s, late); v.Refusal != Expired {
 					t.Errorf("%s %d: %q after the skew", name, i, v.Refusal)
 				}
-				alter(t, s, r)
+				checkAlteredRefused(t, s, req)
 			}
 		}
 	}
 }
 
-func alter(t *testing.T, s *ProfileSet, r Request) {
+func checkAlteredRefused(t *testing.T, s *ProfileSet, req Request) {
 	t.Helper()
 	rapid.Check(t, func(t *rapid.T) {
-		x := r
-		text := &x.Target
-		if len(r.Header) > 0 {
-			x.Header = append(httpwire.Header(nil), r.Header...)
-			text = &x.Header[0].Value
+		altered := req
+		text := &altered.Target
+		if len(req.Header) > 0 {
+			altered.Header = append(httpwire.Header(nil), req.Header...)
+			text = &altered.Header[0].Value
 		}
-		from, to := 5, len(*text)-6 // in a header, what is the grant
-		if len(r.Header) == 0 {
-			for from = 0; from < len(target) && (*text)[from] == target[from]; from++ {
+		first, last := 5, len(*text)-6 // in a header, what is the grant
+		if len(req.Header) == 0 {
+			for first = 0; first < len(target) && (*text)[first] == target[first]; first++ {
 			}
-			for to = len(*text) - 1; strings.HasSuffix(target, (*text)[to:]); to-- { // InPath
+			for last = len(*text) - 1; strings.HasSuffix(target, (*text)[last:]); last-- { // InPath
 			}
 		}
-		i := rapid.IntRange(from, to).Draw(t, "place")
+		i := rapid.IntRange(first, last).Draw(t, "place")
 		b := rapid.ByteRange('!', '~').Draw(t, "byte")
 		old := (*text)[i]
 		*text = (*text)[:i] + string(b) + (*text)[i+1:]
-		v := ask(s, x)
+		v := authorize(s, altered)
 		// A cookie beside the grant, and the case of hex digits, carry nothing.
 		if v.Refusal == "" && !strings.EqualFold(string(old), string(b)) {
-			t.Fatalf("let in with %q for %q at %d: %+v", b, old, i, x)
+			t.Fatalf("let in with %q for %q at %d: %+v", b, old, i, altered)
 		}
 	})
 }
 
 // Amazon's own signer mints; every form must be let in.
-func TestAmazonsOwnSigner(t *testing.T) {
-	s, _ := world(t)
-	for id, key := range map[string]crypto.Signer{"KRSA": pairs.rsa, "KEC": pairs.ec} {
+func TestLinksSignedByAWSSDK(t *testing.T) {
+	s, _ := newTestProfiles(t)
+	for id, key := range map[string]crypto.Signer{"KRSA": testKeys.rsa, "KEC": testKeys.ec} {
 		signer := sign.NewURLSigner(id, key)
-		canned, err := signer.Sign(base+target, time.Unix(at+60, 0))
+		canned, err := signer.Sign(baseURL+target, time.Unix(nowSeconds+60, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := ask(s, Request{Target: strings.TrimPrefix(canned, base)}); v.Refusal != "" || v.Query != "seg=3" {
+		if v := authorize(s, Request{Target: strings.TrimPrefix(canned, baseURL)}); v.Refusal != "" || v.Query != "seg=3" {
 			t.Errorf("%s canned: %q", id, v.Refusal)
 		}
 		policy := &sign.Policy{Statements: []sign.Statement{{Resource: "http*://files.example/files/*/9f3a?seg=?",
-			Condition: sign.Condition{DateLessThan: sign.NewAWSEpochTime(time.Unix(at+60, 0)),
-				DateGreaterThan: sign.NewAWSEpochTime(time.Unix(at-60, 0)),
+			Condition: sign.Condition{DateLessThan: sign.NewAWSEpochTime(time.Unix(nowSeconds+60, 0)),
+				DateGreaterThan: sign.NewAWSEpochTime(time.Unix(nowSeconds-60, 0)),
 				IPAddress:       &sign.IPAddress{SourceIP: "192.0.2.0/24"}}}}}
-		custom, err := signer.SignWithPolicy(base+target, policy)
+		custom, err := signer.SignWithPolicy(baseURL+target, policy)
 		if err != nil {
 			t.Fatal(err)
 		}
-		link := strings.TrimPrefix(custom, base)
+		link := strings.TrimPrefix(custom, baseURL)
 		_, fields, _ := strings.Cut(link, "seg=3&")
 		cookies := strings.Split("CloudFront-"+strings.ReplaceAll(fields, "&", "&CloudFront-"), "&")
 		if key, ok := key.(*rsa.PrivateKey); ok {
@@ -233,12 +233,12 @@
 				cookies[i] = c.Name + "=" + c.Value
 			}
 		}
-		var jar []string
+		var pairs []string
 		for i := range 47 { // fifty, of which three belong to the one grant
-			jar = append(jar, fmt.Sprintf("c%d=%d", i, i))
+			pairs = append(pairs, fmt.Sprintf("c%d=%d", i, i))
 		}
 		for i, c := range cookies {
-			jar = append(jar[:i*20], append([]string{c}, jar[i*20:]...)...)
+			pairs = append(pairs[:i*20], append([]string{c}, pairs[i*20:]...)...)
 		}
 		for _, x := range []struct {
 			what string
@@ -246,16 +246,16 @@
 			want Refusal
 		}{
 			{"custom", Request{Target: link}, ""},
-			{"cookies", Request{Target: target, Header: cookie(strings.Join(jar, "; "))}, ""},
+			{"cookies", Request{Target: target, Header: cookieHeader(strings.Join(pairs, "; "))}, ""},
 			{"other address", Request{Target: link, Peer: netip.MustParseAddr("192.0.3.7")}, WrongAddress},
 			{"mapped address", Request{Target: link, Peer: netip.MustParseAddr("::ffff:192.0.2.9")}, ""},
 			{"other part", Request{Target: strings.Replace(link, "seg=3", "seg=33", 1)}, PathNotCovered},
 			{"early", Request{Target: link, ReceivedAt: now - 63_000_000}, NotYetValid},
-			{"both", Request{Target: link, Header: cookie(strings.Join(jar, "; "))}, MultipleSignatures},
+			{"both", Request{Target: link, Header: cookieHeader(strings.Join(pairs, "; "))}, MultipleSignatures},
 			{"SHA-256 claimed", Request{Target: link + "&Hash-Algorithm=SHA256"}, SignatureMismatch},
 			{"MD5 claimed", Request{Target: link + "&Hash-Algorithm=MD5"}, WrongAlgorithm},
 		} {
-			if v := ask(s, x.r); v.Refusal != x.want {
+			if v := authorize(s, x.r); v.Refusal != x.want {
 				t.Errorf("%s %s: %q, want %q", id, x.what, v.Refusal, x.want)
 			}
 		}
@@ -263,12 +263,12 @@
 }
 
 // JWTs by another library than the one that verifies.
-func TestTokensOfAnotherLibrary(t *testing.T) {
-	s, _ := world(t)
-	mint := func(kid string, method jwt.SigningMethod, key any, change func(jwt.MapClaims)) string {
-		m := jwt.MapClaims{"iss": "uCDN", "aud": "dCDN", "exp": at + 60, "cdniuc": "regex:https://files\\.example/files/.*"}
-		change(m)
-		x := jwt.NewWithClaims(method, m)
+func TestTokensSignedByGolangJWT(t *testing.T) {
+	s, _ := newTestProfiles(t)
+	signToken := func(kid string, method jwt.SigningMethod, key any, change func(jwt.MapClaims)) string {
+		claimSet := jwt.MapClaims{"iss": "uCDN", "aud": "dCDN", "exp": nowSeconds + 60, "cdniuc": "regex:https://files\\.example/files/.*"}
+		change(claimSet)
+		x := jwt.NewWithClaims(method, claimSet)
 		x.Header["kid"] = kid
 		text, err := x.SignedString(key)
 		if err != nil {
@@ -276,50 +276,50 @@
 		}
 		return text
 	}
-	same := func(jwt.MapClaims) {}
-	put := func(name string, value any) func(jwt.MapClaims) {
-		return func(m jwt.MapClaims) { m[name] = value }
+	unchanged := func(jwt.MapClaims) {}
+	setClaim := func(name string, value any) func(jwt.MapClaims) {
+		return func(claimSet jwt.MapClaims) { claimSet[name] = value }
 	}
-	secret := []byte(long)
-	public, _ := json.Marshal(pairs.rsa.PublicKey)
-	hash := base64.RawURLEncoding.EncodeToString(sha256Of(base + target))
+	secret := []byte(longSecret)
+	public, _ := json.Marshal(testKeys.rsa.PublicKey)
+	hash := base64.RawURLEncoding.EncodeToString(sha256Of(baseURL + target))
 	for _, x := range []struct {
 		what, token string
 		want        Refusal
 	}{
-		{"HS256", mint("hs", jwt.SigningMethodHS256, secret, same), ""},
-		{"RS256", mint("rs", jwt.SigningMethodRS256, pairs.rsa, same), ""},
-		{"ES256", mint("es", jwt.SigningMethodES256, pairs.ec, same), ""},
-		{"EdDSA", mint("ed", jwt.SigningMethodEdDSA, pairs.ed, same), ""},
-		{"none", mint("hs", jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType, same), WrongAlgorithm},
-		{"HS384", mint("hs", jwt.SigningMethodHS384, secret, same), WrongAlgorithm},
-		{"public key as secret", mint("rs", jwt.SigningMethodHS256, public, same), WrongAlgorithm},
-		{"another kind's kid", mint("es", jwt.SigningMethodRS256, pairs.rsa, same), WrongAlgorithm},
-		{"unknown kid", mint("x", jwt.SigningMethodRS256, pairs.rsa, same), UnknownKey},
-		{"no kid, many keys", mint("", jwt.SigningMethodRS256, pairs.rsa, same), UnknownKey},
-		{"other secret", mint("hs", jwt.SigningMethodHS256, []byte(strings.ToUpper(long)), same), SignatureMismatch},
-		{"expired", mint("hs", jwt.SigningMethodHS256, secret, put("exp", at-3)), Expired},
-		{"early", mint("hs", jwt.SigningMethodHS256, secret, put("nbf", at+3)), NotYetValid},
-		{"other issuer", mint("hs", jwt.SigningMethodHS256, secret, put("iss", "x")), UntrustedIssuer},
-		{"other audience", mint("hs", jwt.SigningMethodHS256, secret, put("aud", []string{"x", "y"})), WrongAudience},
-		{"no expiry", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { delete(m, "exp") }), MalformedSignature},
-		{"no container", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "")), MalformedSignature},
-		{"expiry as text", mint("hs", jwt.SigningMethodHS256, secret, put("exp", "later")), MalformedSignature},
-		{"claim in capitals", mint("hs", jwt.SigningMethodHS256, secret, put("EXP", at+99)), MalformedSignature},
-		{"version 2", mint("hs", jwt.SigningMethodHS256, secret, put("cdniv", 2)), UnknownCriticalClaim},
-		{"known critical", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "exp,cdniuc")), ""},
-		{"unknown critical", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "exp,geo")), UnknownCriticalClaim},
-		{"critical but absent", mint("hs", jwt.SigningMethodHS256, secret, put("cdnicrit", "sub")), UnknownCriticalClaim},
-		{"hash", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "hash:sha-256;"+hash)), ""},
-		{"other hash", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "hash:sha-256;"+strings.Repeat("A", 43))), PathNotCovered},
-		{"expression for a part of the URI", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:/files/")), PathNotCovered},
-		{"expression made to explode", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:(x+x+)+y|((a*)*)*b")), PathNotCovered},
-		{"expression too large", mint("hs", jwt.SigningMethodHS256, secret, put("cdniuc", "regex:((a{999}){999}){9}")), MalformedSignature},
-		{"address not encrypted", mint("hs", jwt.SigningMethodHS256, secret, put("cdniip", "192.0.2.7")), WrongAddress},
-		{"renewal without a span", mint("hs", jwt.SigningMethodHS256, secret, put("cdnistt", 1)), MalformedSignature},
-		{"unknown transport", mint("hs", jwt.SigningMethodHS256, secret, func(m jwt.MapClaims) { m["cdnistt"], m["cdniets"] = 9, 5 }), MalformedSignature},
+		{"HS256", signToken("hs", jwt.SigningMethodHS256, secret, unchanged), ""},
+		{"RS256", signToken("rs", jwt.SigningMethodRS256, testKeys.rsa, unchanged), ""},
+		{"ES256", signToken("es", jwt.SigningMethodES256, testKeys.ec, unchanged), ""},
+		{"EdDSA", signToken("ed", jwt.SigningMethodEdDSA, testKeys.ed, unchanged), ""},
+		{"none", signToken("hs", jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType, unchanged), WrongAlgorithm},
+		{"HS384", signToken("hs", jwt.SigningMethodHS384, secret, unchanged), WrongAlgorithm},
+		{"public key as secret", signToken("rs", jwt.SigningMethodHS256, public, unchanged), WrongAlgorithm},
+		{"another kind's kid", signToken("es", jwt.SigningMethodRS256, testKeys.rsa, unchanged), WrongAlgorithm},
+		{"unknown kid", signToken("x", jwt.SigningMethodRS256, testKeys.rsa, unchanged), UnknownKey},
+		{"no kid, many keys", signToken("", jwt.SigningMethodRS256, testKeys.rsa, unchanged), UnknownKey},
+		{"other secret", signToken("hs", jwt.SigningMethodHS256, []byte(strings.ToUpper(longSecret)), unchanged), SignatureMismatch},
+		{"expired", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("exp", nowSeconds-3)), Expired},
+		{"early", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("nbf", nowSeconds+3)), NotYetValid},
+		{"other issuer", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("iss", "x")), UntrustedIssuer},
+		{"other audience", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("aud", []string{"x", "y"})), WrongAudience},
+		{"no expiry", signToken("hs", jwt.SigningMethodHS256, secret, func(claimSet jwt.MapClaims) { delete(claimSet, "exp") }), MalformedSignature},
+		{"no container", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "")), MalformedSignature},
+		{"expiry as text", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("exp", "later")), MalformedSignature},
+		{"claim in capitals", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("EXP", nowSeconds+99)), MalformedSignature},
+		{"version 2", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniv", 2)), UnknownCriticalClaim},
+		{"known critical", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdnicrit", "exp,cdniuc")), ""},
+		{"unknown critical", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdnicrit", "exp,geo")), UnknownCriticalClaim},
+		{"critical but absent", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdnicrit", "sub")), UnknownCriticalClaim},
+		{"hash", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "hash:sha-256;"+hash)), ""},
+		{"other hash", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "hash:sha-256;"+strings.Repeat("A", 43))), PathNotCovered},
+		{"expression for a part of the URI", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "regex:/files/")), PathNotCovered},
+		{"expression made to explode", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "regex:(x+x+)+y|((a*)*)*b")), PathNotCovered},
+		{"expression too large", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniuc", "regex:((a{999}){999}){9}")), MalformedSignature},
+		{"address not encrypted", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdniip", "192.0.2.7")), WrongAddress},
+		{"renewal without a span", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdnistt", 1)), MalformedSignature},
+		{"unknown transport", signToken("hs", jwt.SigningMethodHS256, secret, func(claimSet jwt.MapClaims) { claimSet["cdnistt"], claimSet["cdniets"] = 9, 5 }), MalformedSignature},
 	} {
-		if v := ask(s, Request{Target: target + "&" + DefaultCDNITokenName + "=" + x.token}); v.Refusal != x.want {
+		if v := authorize(s, Request{Target: target + "&" + DefaultCDNITokenName + "=" + x.token}); v.Refusal != x.want {
 			t.Errorf("%s: %q, want %q", x.what, v.Refusal, x.want)
 		}
 	}
@@ -329,10 +329,10 @@
 
 // A chain of renewed tokens, across a rotation of the signing key.
 func TestRenewalChain(t *testing.T) {
-	first := secretKey("first", long)
-	second := secretKey("second", strings.ToUpper(long))
+	first := secretKey("first", longSecret)
+	second := secretKey("second", strings.ToUpper(longSecret))
 	set := func(keys ...*keyring.Key) (*ProfileSet, *Profile) {
-		p := &Profile{Name: "c", Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, BaseURL: base, Ring: ring(t, keys...)}
+		p := &Profile{Name: "c", Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, BaseURL: baseURL, Ring: newRing(t, keys...)}
 		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
 			t.Fatal(err)
@@ -340,7 +340,7 @@
 		return s, p
 	}
 	s, p := set(first)
-	m, err := p.SignLink(LinkSpec{Target: target, Scope: "regex:" + base + "/files/.*", Expires: now + 10_000_000,
+	m, err := p.SignLink(LinkSpec{Target: target, Scope: "regex:" + baseURL + "/files/.*", Expires: now + 10_000_000,
 		RenewSeconds: 10, Depth: 2, ID: "chain"}, rand.Reader)
 	if err != nil {
 		t.Fatal(err)
@@ -356,7 +356,7 @@
 		if i == 4 {
 			s, _ = set(second)
 		}
-		v := ask(s, r)
+		v := authorize(s, r)
 		if v.Refusal != "" || seen[v.ID] || v.ID == "" {
 			t.Fatalf("segment %d: %q, id %q", i, v.Refusal, v.ID)
 		}
@@ -365,7 +365,7 @@
 		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (r.ReceivedAt/1_000_000+10)*1_000_000 {
 			t.Fatalf("segment %d: renewed as %+v, %v", i, c, err)
 		}
-		r = Request{Target: target, Header: cookie(c.Name + "=" + c.Value)}
+		r = Request{Target: target, Header: cookieHeader(c.Name + "=" + c.Value)}
 	}
 }
 
@@ -383,18 +383,18 @@
 		{key(keyring.Next, 0), ""}, {key(keyring.Next, now+1), KeyNotYetValid}, {key(keyring.Retiring, now+1), ""},
 		{key(keyring.Retiring, now), KeyRetired}, {key(keyring.Revoked, 0), KeyRevoked},
 	} {
-		p := &Profile{Name: "g", Format: CloudCDN, BaseURL: base, Ring: ring(t, x.key)}
+		p := &Profile{Name: "g", Format: CloudCDN, BaseURL: baseURL, Ring: newRing(t, x.key)}
 		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
 			t.Fatal(err)
 		}
 		m, _ := p.SignLink(LinkSpec{Target: target, KeyName: "k", Expires: now + 9_000_000}, nil)
-		if v := ask(s, Request{Target: m.Target}); v.Refusal != x.want {
+		if v := authorize(s, Request{Target: m.Target}); v.Refusal != x.want {
 			t.Errorf("%v %d: %q, want %q", x.key.State, x.key.TransitionAt-now, v.Refusal, x.want)
 		}
 		x.key.Skew = 4_000_000
 		for late, want := range map[Micros]Refusal{4_000_000: "", 4_000_001: Expired} {
-			if v := ask(s, Request{Target: m.Target, ReceivedAt: now + 9_000_000 + late}); x.want == "" && x.key.State == keyring.Next && v.Refusal != want {
+			if v := authorize(s, Request{Target: m.Target, ReceivedAt: now + 9_000_000 + late}); x.want == "" && x.key.State == keyring.Next && v.Refusal != want {
 				t.Errorf("skew of its own: %q at %d", v.Refusal, late)
 			}
 		}
@@ -402,74 +402,74 @@
 }
 
 // Independent of Mint: digests by the published recipes.
-func TestPublishedRecipes(t *testing.T) {
-	s, _ := world(t)
+func TestPublishedSignatureAlgorithms(t *testing.T) {
+	s, _ := newTestProfiles(t)
 	mac := func(text string) []byte {
 		h := hmac.New(sha1.New, []byte("fedcba9876543210"))
 		h.Write([]byte(text))
 		return h.Sum(nil)
 	}
-	text := fmt.Sprintf("%s&Expires=%d&KeyName=new", target, at+9)
-	link := text + "&Signature=" + base64.URLEncoding.EncodeToString(mac(base+text))
-	if v := ask(s, Request{Target: link}); v.Refusal != "" {
+	text := fmt.Sprintf("%s&Expires=%d&KeyName=new", target, nowSeconds+9)
+	link := text + "&Signature=" + base64.URLEncoding.EncodeToString(mac(baseURL+text))
+	if v := authorize(s, Request{Target: link}); v.Refusal != "" {
 		t.Error("signed URL:", v.Refusal)
 	}
-	text = fmt.Sprintf("URLPrefix=%s:Expires=%d:KeyName=new", base64.URLEncoding.EncodeToString([]byte(base+"/files/g")), at+9)
-	jar := "Cloud-CDN-Cookie=" + text + ":Signature=" + base64.URLEncoding.EncodeToString(mac(text))
-	if v := ask(s, Request{Target: target, Header: cookie(jar)}); v.Refusal != "" {
+	text = fmt.Sprintf("URLPrefix=%s:Expires=%d:KeyName=new", base64.URLEncoding.EncodeToString([]byte(baseURL+"/files/g")), nowSeconds+9)
+	cookies := "Cloud-CDN-Cookie=" + text + ":Signature=" + base64.URLEncoding.EncodeToString(mac(text))
+	if v := authorize(s, Request{Target: target, Header: cookieHeader(cookies)}); v.Refusal != "" {
 		t.Error("signed cookie:", v.Refusal)
 	}
-	if v := ask(s, Request{Target: "/files/page-asset/1/2", Header: cookie(jar)}); v.Refusal != PathNotCovered {
+	if v := authorize(s, Request{Target: "/files/page-asset/1/2", Header: cookieHeader(cookies)}); v.Refusal != PathNotCovered {
 		t.Error("signed cookie elsewhere:", v.Refusal)
 	}
-	sum := md5.Sum([]byte(fmt.Sprintf("%d/files/guide-video/17/9f3a192.0.2.7 fedcba9876543210", at+9)))
-	link = fmt.Sprintf("%s&md5=%s&e=%d", target, base64.RawURLEncoding.EncodeToString(sum[:]), at+9)
-	if v := ask(s, Request{Target: link}); v.Refusal != "" {
+	sum := md5.Sum([]byte(fmt.Sprintf("%d/files/guide-video/17/9f3a192.0.2.7 fedcba9876543210", nowSeconds+9)))
+	link = fmt.Sprintf("%s&md5=%s&e=%d", target, base64.RawURLEncoding.EncodeToString(sum[:]), nowSeconds+9)
+	if v := authorize(s, Request{Target: link}); v.Refusal != "" {
 		t.Error("secure link:", v.Refusal)
 	}
-	if v := ask(s, Request{Target: link, Peer: netip.MustParseAddr("192.0.2.8")}); v.Refusal != SignatureMismatch {
+	if v := authorize(s, Request{Target: link, Peer: netip.MustParseAddr("192.0.2.8")}); v.Refusal != SignatureMismatch {
 		t.Error("secure link, other address:", v.Refusal)
 	}
 }
 
 // What a token gives must hold wherever it stands: a remembered verdict may not
 // cover a place or an order that was never judged.
-func TestMemoryKeepsPlacesApart(t *testing.T) {
-	s, all := world(t)
-	m, err := all["media"].SignLink(LinkSpec{Target: target, Scope: base + "/files/", Expires: now + 9_000_000}, rand.Reader)
+func TestCachedVerdictDependsOnFieldPosition(t *testing.T) {
+	s, profiles := newTestProfiles(t)
+	link, err := profiles["media"].SignLink(LinkSpec{Target: target, Scope: baseURL + "/files/", Expires: now + 9_000_000}, rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := ask(s, Request{Target: m.InPath}); v.Refusal != "" {
+	if v := authorize(s, Request{Target: link.InPath}); v.Refusal != "" {
 		t.Fatal(v.Refusal)
 	}
-	segment := m.InPath[len("/files/"):strings.Index(m.InPath, "/guide-video")]
+	segment := link.InPath[len("/files/"):strings.Index(link.InPath, "/guide-video")]
 	moved := strings.Replace("/files/guide-video/TOKEN/17/9f3a?seg=3", "TOKEN", segment, 1)
-	if v := ask(s, Request{Target: moved}); v.Refusal != SignatureMismatch {
+	if v := authorize(s, Request{Target: moved}); v.Refusal != SignatureMismatch {
 		t.Errorf("moved in the path: %q", v.Refusal)
 	}
-	g, _ := all["cloud"].SignLink(LinkSpec{Target: target, Expires: now + 9_000_000}, nil)
-	ask(s, Request{Target: g.Target})
-	q := strings.Split(strings.SplitN(g.Target, "?", 2)[1], "&")
+	urlLink, _ := profiles["cloud"].SignLink(LinkSpec{Target: target, Expires: now + 9_000_000}, nil)
+	authorize(s, Request{Target: urlLink.Target})
+	params := strings.Split(strings.SplitN(urlLink.Target, "?", 2)[1], "&")
 	for _, order := range [][4]int{{0, 2, 1, 3}, {1, 0, 2, 3}, {1, 2, 3, 0}} {
-		var mixed []string
+		var reordered []string
 		for _, i := range order {
-			mixed = append(mixed, q[i])
+			reordered = append(reordered, params[i])
 		}
-		if v := ask(s, Request{Target: "/files/guide-video/17/9f3a?" + strings.Join(mixed, "&")}); v.Refusal == "" {
-			t.Errorf("let in as %v", mixed)
+		if v := authorize(s, Request{Target: "/files/guide-video/17/9f3a?" + strings.Join(reordered, "&")}); v.Refusal == "" {
+			t.Errorf("let in as %v", reordered)
 		}
 	}
 }
 
 // The memory is bounded in each kind, and no flood of forged links drives a
 // good one out.
-func TestMemoryBounds(t *testing.T) {
-	s, all := world(t)
-	good, _ := all["front"].SignLink(LinkSpec{Target: target, Expires: now + 99_000_000, KeyName: "KEC"}, rand.Reader)
-	ask(s, Request{Target: good.Target})
+func TestCacheBounds(t *testing.T) {
+	s, profiles := newTestProfiles(t)
+	good, _ := profiles["front"].SignLink(LinkSpec{Target: target, Expires: now + 99_000_000, KeyName: "KEC"}, rand.Reader)
+	authorize(s, Request{Target: good.Target})
 	for i := range 2000 {
-		ask(s, Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+100), 1)})
+		authorize(s, Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+100), 1)})
 	}
 	if g, f, p := s.CachedVerdicts(); g != 1 || f != 250 || p != 0 {
 		t.Errorf("remembers %d, %d, %d", g, f, p)
@@ -491,46 +491,46 @@
 	}
 }
 
-func benchmark(b *testing.B, name string, w LinkSpec, fresh, forge bool) {
-	s, all := world(b)
-	w.Target, w.Expires = target, now+60_000_000
+func benchmarkAuthorize(b *testing.B, name string, spec LinkSpec, uncached, forged bool) {
+	s, profiles := newTestProfiles(b)
+	spec.Target, spec.Expires = target, now+60_000_000
 	if name == "cdni" {
-		w.Issuer = "uCDN"
+		spec.Issuer = "uCDN"
 	}
-	m, err := all[name].SignLink(w, rand.Reader)
+	link, err := profiles[name].SignLink(spec, rand.Reader)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := Request{Target: m.Target, Peer: peer, ReceivedAt: now}
-	if forge { // the last sign but two of the signature, so that it can still be read
-		i := len(r.Target) - 3
-		for _, mark := range []string{"Signature=", DefaultCDNITokenName + "=", "hmac=", "verify="} {
-			if at := strings.Index(r.Target, mark); at >= 0 {
-				i = at + len(mark)
+	req := Request{Target: link.Target, Peer: peer, ReceivedAt: now}
+	if forged { // the last sign but two of the signature, so that it can still be read
+		i := len(req.Target) - 3
+		for _, prefix := range []string{"Signature=", DefaultCDNITokenName + "=", "hmac=", "verify="} {
+			if at := strings.Index(req.Target, prefix); at >= 0 {
+				i = at + len(prefix)
 			}
 		}
 		if name == "cdni" {
-			i = strings.LastIndexByte(r.Target, '.') + 5
+			i = strings.LastIndexByte(req.Target, '.') + 5
 		}
 		other := byte('4')
-		if r.Target[i] == other {
+		if req.Target[i] == other {
 			other = '5'
 		}
-		r.Target = r.Target[:i] + string(other) + r.Target[i+1:]
+		req.Target = req.Target[:i] + string(other) + req.Target[i+1:]
 	}
-	if fresh {
-		s.memory.init(0)
+	if uncached {
+		s.cache.init(0)
 	} else {
-		ask(s, r)
+		authorize(s, req)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		v := s.Authorize(&r)
+		v := s.Authorize(&req)
 		if v.Pending != nil {
 			s.Resolve(v.Pending, v.Pending.Verify(), now)
 			continue
 		}
-		if (v.Refusal != "") != forge {
+		if (v.Refusal != "") != forged {
 			b.Fatal(v.Refusal)
 		}
 	}
@@ -546,18 +546,18 @@
 		{"cdni-hs256", "cdni", LinkSpec{KeyName: "hs"}}, {"cdni-es256", "cdni", LinkSpec{KeyName: "es"}}, {"cdni-rs256", "cdni", LinkSpec{KeyName: "rs"}},
 		{"timed", "timed", LinkSpec{}},
 	} {
-		b.Run(x.name+"/first", func(b *testing.B) { benchmark(b, x.format, x.wish, true, false) })
-		b.Run(x.name+"/remembered", func(b *testing.B) { benchmark(b, x.format, x.wish, false, false) })
-		b.Run(x.name+"/forged", func(b *testing.B) { benchmark(b, x.format, x.wish, true, true) })
+		b.Run(x.name+"/first", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, true, false) })
+		b.Run(x.name+"/remembered", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, false, false) })
+		b.Run(x.name+"/forged", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, true, true) })
 	}
 }
 
 // Two described profiles under one name could not be told apart, and a described
 // token's subject is read back as it was named.
-func TestDescribedProfiles(t *testing.T) {
+func TestTimedProfiles(t *testing.T) {
 	d := TimedFormat{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
 	profile := func(name string) *Profile {
-		return &Profile{Name: name, Format: Timed, Ring: ring(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: d}
+		return &Profile{Name: name, Format: Timed, Ring: newRing(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: d}
 	}
 	if _, err := New(Config{Profiles: []*Profile{profile("a"), profile("b")}}); err == nil || !strings.Contains(err.Error(), `"a" is carried alike`) {
 		t.Error(err)
@@ -571,7 +571,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := ask(s, Request{Target: m.Target}); v.Refusal != "" || v.Subject != "member 13" {
+	if v := authorize(s, Request{Target: m.Target}); v.Refusal != "" || v.Subject != "member 13" {
 		t.Errorf("%q, subject %q", v.Refusal, v.Subject)
 	}
 }
--- a/internal/decide/grants/locate.go
+++ b/internal/decide/grants/locate.go
@@ -6,77 +6,77 @@
 )
 
 // locate finds the one credential of a request and parts it from the target.
-func (s *ProfileSet) locate(r *Request, c *credential) Refusal {
-	if len(r.Target) > mostTarget {
+func (set *ProfileSet) locate(req *Request, cred *credential) Refusal {
+	if len(req.Target) > maxTargetBytes {
 		return UnusableTarget
 	}
-	for _, x := range s.touched {
-		*x = found{family: x.family, at: x.at}
+	for _, values := range set.populated {
+		*values = fieldValues{family: values.family, carrier: values.carrier}
 	}
-	s.touched = s.touched[:0]
-	path, query, _ := strings.Cut(r.Target, "?")
-	path, refusal := s.inPath(path)
+	set.populated = set.populated[:0]
+	path, query, _ := strings.Cut(req.Target, "?")
+	path, refusal := set.extractPath(path)
 	if refusal != "" {
 		return refusal
 	}
-	if !plainPath(path) {
+	if !unambiguousPath(path) {
 		return UnusableTarget
 	}
-	if refusal := s.inQuery(query); refusal != "" {
+	if refusal := set.extractQuery(query); refusal != "" {
 		return refusal
 	}
-	for _, f := range r.Header {
-		if f.Name != "" && s.begin[inHeader][f.Name[0]|0x20] {
-			if refs := s.header(f.Name); refs != nil {
-				s.take(inHeader, refs, f.Value, 0, 0)
+	for _, field := range req.Header {
+		if field.Name != "" && set.firstBytes[inHeader][field.Name[0]|0x20] {
+			if refs := set.headerRefs(field.Name); refs != nil {
+				set.record(inHeader, refs, field.Value, 0, 0)
 			}
 		}
-		if len(f.Name) == len("Cookie") && strings.EqualFold(f.Name, "Cookie") {
-			s.inCookies(f.Value)
+		if len(field.Name) == len("Cookie") && strings.EqualFold(field.Name, "Cookie") {
+			set.extractCookies(field.Value)
 		}
 	}
-	c.path, c.target = path, r.Target
-	stray, many := false, 0
-	for _, x := range s.touched {
-		if n := &x.family.names; n.alone[x.at] {
-			x.twice = x.twice || x.count > 1
-		} else if x.have&n.telling == 0 {
+	cred.path, cred.target = path, req.Target
+	stray, credentials := false, 0
+	for _, values := range set.populated {
+		if names := &values.family.fieldNames; names.single[values.carrier] {
+			values.duplicate = values.duplicate || values.count > 1
+		} else if values.present&names.identifying == 0 {
 			stray = true // fields that some formats share, and none that tells which
 			continue
 		}
-		many++
-		if c.family == nil {
-			c.family, c.found, c.carrier = x.family, x, x.at
+		credentials++
+		if cred.family == nil {
+			cred.family, cred.fieldValues, cred.carrier = values.family, values, values.carrier
 		}
 	}
 	switch {
-	case many == 0 && stray:
+	case credentials == 0 && stray:
 		return MalformedSignature
-	case many == 0:
+	case credentials == 0:
 		return MissingSignature
-	case many > 1 || c.twice && (c.names.alone[c.carrier] || len(c.names.fields[c.carrier]) == 1):
+	case credentials > 1 || cred.duplicate && (cred.fieldNames.single[cred.carrier] || len(cred.fieldNames.byCarrier[cred.carrier]) == 1):
 		return MultipleSignatures
-	case c.twice:
+	case cred.duplicate:
 		return MalformedSignature
-	case stray && !s.shared(c):
+	case stray && !set.sharesStray(cred):
 		return MultipleSignatures
 	}
-	c.query = s.rest(query, c)
+	cred.query = set.stripQuery(query, cred)
 	return ""
 }
 
 // shared tells whether all stray fields are names that the chosen credential
 // has as well, in the same carrier.
-func (s *ProfileSet) shared(c *credential) bool {
-	for _, x := range s.touched {
-		if x == c.found {
+func (set *ProfileSet) sharesStray(cred *credential) bool {
+	for _, values := range set.populated {
+		if values == cred.fieldValues {
 			continue
 		}
-		if x.at != c.carrier {
+		if values.carrier != cred.carrier {
 			return false
 		}
-		for f, name := range x.family.names.fields[x.at] {
-			if x.have&(1<<f) != 0 && !has(c.names.fields[x.at], name) {
+		for field, name := range values.family.fieldNames.byCarrier[values.carrier] {
+			if values.present&(1<<field) != 0 && !containsName(cred.fieldNames.byCarrier[values.carrier], name) {
 				return false
 			}
 		}
@@ -84,7 +84,7 @@
 	return true
 }
 
-func has(list []string, name string) bool {
+func containsName(list []string, name string) bool {
 	for _, x := range list {
 		if x == name {
 			return true
@@ -93,27 +93,27 @@
 	return false
 }
 
-func (s *ProfileSet) take(at carrier, refs []ref, value string, from, to int) {
+func (set *ProfileSet) record(at carrier, refs []fieldRef, value string, start, end int) {
 	for _, ref := range refs {
-		x := &s.found[at][ref.family]
-		if x.have == 0 {
-			x.first = from
-			s.touched = append(s.touched, x)
+		values := &set.fieldValues[at][ref.family]
+		if values.present == 0 {
+			values.start = start
+			set.populated = append(set.populated, values)
 		}
-		x.last = to
-		if x.have&(1<<ref.field) != 0 {
-			x.twice = true
+		values.end = end
+		if values.present&(1<<ref.field) != 0 {
+			values.duplicate = true
 			continue
 		}
-		x.have |= 1 << ref.field
-		x.values[ref.field] = value
-		x.order[x.count] = uint8(ref.field)
-		x.count++
+		values.present |= 1 << ref.field
+		values.values[ref.field] = value
+		values.order[values.count] = uint8(ref.field)
+		values.count++
 	}
 }
 
 // header finds a header's name without allocating for its case.
-func (s *ProfileSet) header(name string) []ref {
+func (set *ProfileSet) headerRefs(name string) []fieldRef {
 	if len(name) > 64 {
 		return nil
 	}
@@ -125,33 +125,33 @@
 		}
 		lower[i] = b
 	}
-	return s.names[inHeader][string(lower[:len(name)])]
+	return set.fieldRefs[inHeader][string(lower[:len(name)])]
 }
 
 // inQuery takes the signing fields of a query. A name in another spelling than
 // the plain one is refused, so that no other reader of the URL takes it for one.
-func (s *ProfileSet) inQuery(query string) Refusal {
+func (set *ProfileSet) extractQuery(query string) Refusal {
 	for at := 0; at < len(query); {
 		end := len(query)
 		if i := strings.IndexByte(query[at:], '&'); i >= 0 {
 			end = at + i
 		}
 		name, value, _ := strings.Cut(query[at:end], "=")
-		var refs []ref
-		if name != "" && s.begin[inQuery][name[0]] {
-			refs = s.names[inQuery][name]
+		var refs []fieldRef
+		if name != "" && set.firstBytes[inQuery][name[0]] {
+			refs = set.fieldRefs[inQuery][name]
 		}
 		if refs == nil && strings.ContainsAny(name, "%+") {
-			plain, err := url.QueryUnescape(name)
+			decoded, err := url.QueryUnescape(name)
 			if err != nil {
 				return UnusableTarget
 			}
-			if s.names[inQuery][plain] != nil {
+			if set.fieldRefs[inQuery][decoded] != nil {
 				return MalformedSignature
 			}
 		}
 		if refs != nil {
-			s.take(inQuery, refs, value, at, end)
+			set.record(inQuery, refs, value, at, end)
 		}
 		at = end + 1
 	}
@@ -159,29 +159,29 @@
 }
 
 // rest is the query without the credential's fields.
-func (s *ProfileSet) rest(query string, c *credential) string {
-	if query == "" || c.carrier != inQuery {
+func (set *ProfileSet) stripQuery(query string, cred *credential) string {
+	if query == "" || cred.carrier != inQuery {
 		return query
 	}
-	mine := c.names.fields[inQuery]
+	names := cred.fieldNames.byCarrier[inQuery]
 	// The usual case allocates nothing: the fields stand together at an end.
-	if c.first > 0 && c.last == len(query) && strings.Count(query[c.first:], "&") == c.count-1 {
-		return query[:c.first-1]
+	if cred.start > 0 && cred.end == len(query) && strings.Count(query[cred.start:], "&") == cred.count-1 {
+		return query[:cred.start-1]
 	}
-	if c.first == 0 && strings.Count(query[:c.last], "&") == c.count-1 {
-		return strings.TrimPrefix(query[c.last:], "&")
+	if cred.start == 0 && strings.Count(query[:cred.end], "&") == cred.count-1 {
+		return strings.TrimPrefix(query[cred.end:], "&")
 	}
 	var keep []string
-	for _, p := range strings.Split(query, "&") {
-		if name, _, _ := strings.Cut(p, "="); !has(mine, name) {
-			keep = append(keep, p)
+	for _, pair := range strings.Split(query, "&") {
+		if name, _, _ := strings.Cut(pair, "="); !containsName(names, name) {
+			keep = append(keep, pair)
 		}
 	}
 	return strings.Join(keep, "&")
 }
 
 // inCookies takes the signing fields of a Cookie header (RFC 6265, section 5.4).
-func (s *ProfileSet) inCookies(value string) {
+func (set *ProfileSet) extractCookies(value string) {
 	for value != "" {
 		pair := value
 		if i := strings.IndexByte(value, ';'); i >= 0 {
@@ -190,9 +190,9 @@
 			value = ""
 		}
 		pair = strings.Trim(pair, " \t")
-		if i := strings.IndexByte(pair, '='); i > 0 && s.begin[inCookie][pair[0]] {
-			if refs := s.names[inCookie][pair[:i]]; refs != nil {
-				s.take(inCookie, refs, pair[i+1:], 0, 0)
+		if i := strings.IndexByte(pair, '='); i > 0 && set.firstBytes[inCookie][pair[0]] {
+			if refs := set.fieldRefs[inCookie][pair[:i]]; refs != nil {
+				set.record(inCookie, refs, pair[i+1:], 0, 0)
 			}
 		}
 	}
@@ -201,8 +201,8 @@
 // inPath takes signing fields that stand in the path: as a parameter of a
 // segment, ;NAME=VALUE, or as a segment of its own, /NAME=VALUE. It gives the
 // path without them.
-func (s *ProfileSet) inPath(path string) (string, Refusal) {
-	if len(s.names[inPath]) == 0 || !strings.Contains(path, "=") {
+func (set *ProfileSet) extractPath(path string) (string, Refusal) {
+	if len(set.fieldRefs[inPath]) == 0 || !strings.Contains(path, "=") {
 		return path, ""
 	}
 	for at := 0; at < len(path); {
@@ -210,20 +210,20 @@
 		if i < 0 {
 			break
 		}
-		mark := at + i
-		at = mark + 1
+		delimiter := at + i
+		at = delimiter + 1
 		end := len(path)
 		if i := strings.IndexAny(path[at:], "/;"); i >= 0 {
 			end = at + i
 		}
 		name, value, ok := strings.Cut(path[at:end], "=")
-		refs := s.names[inPath][path[mark:mark+1]+name]
+		refs := set.fieldRefs[inPath][path[delimiter:delimiter+1]+name]
 		if !ok || refs == nil {
 			continue
 		}
-		s.take(inPath, refs, value, mark, end)
-		path = path[:mark] + path[end:]
-		at = mark
+		set.record(inPath, refs, value, delimiter, end)
+		path = path[:delimiter] + path[end:]
+		at = delimiter
 	}
 	return path, ""
 }
@@ -231,12 +231,12 @@
 // plainPath refuses paths that can be read in more than one way: dot segments,
 // encoded or not, empty segments, encoded slashes and backslashes, and what
 // would decode to something that can be decoded again.
-func plainPath(path string) bool {
+func unambiguousPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
 	}
 	encoded := false
-	for i, from := 1, 1; i <= len(path); i++ {
+	for i, segmentStart := 1, 1; i <= len(path); i++ {
 		if i < len(path) && path[i] != '/' {
 			if path[i] == '\\' {
 				return false
@@ -244,15 +244,15 @@
 			encoded = encoded || path[i] == '%'
 			continue
 		}
-		if n := i - from; n == 0 || path[from] == '.' && (n == 1 || n == 2 && path[from+1] == '.') {
+		if n := i - segmentStart; n == 0 || path[segmentStart] == '.' && (n == 1 || n == 2 && path[segmentStart+1] == '.') {
 			return false
 		}
-		from = i + 1
+		segmentStart = i + 1
 	}
 	if !encoded {
 		return true
 	}
-	text, err := url.PathUnescape(path)
-	return err == nil && strings.Count(text, "/") == strings.Count(path, "/") && !strings.ContainsAny(text, "\\%\x00") &&
-		plainPath(text)
+	decoded, err := url.PathUnescape(path)
+	return err == nil && strings.Count(decoded, "/") == strings.Count(path, "/") && !strings.ContainsAny(decoded, "\\%\x00") &&
+		unambiguousPath(decoded)
 }
--- a/internal/decide/grants/profile.go
+++ b/internal/decide/grants/profile.go
@@ -49,48 +49,48 @@
 	Audience      string
 	TimedFormat   TimedFormat // of Timed
 
-	format  format
-	macs    map[*keyring.Key]hash.Hash
-	macSize int       // bytes of a keyed digest
-	sum     []byte    // used anew by each digest
-	text    [512]byte // used anew by each digest
+	format   format
+	macs     map[*keyring.Key]hash.Hash
+	macSize  int       // bytes of a keyed digest
+	macBuf   []byte    // used anew by each digest
+	inputBuf [512]byte // used anew by each digest
 }
 
 var digests = map[string]func() hash.Hash{"sha256": sha256.New, "sha1": sha1.New, "md5": md5.New}
 
-const leastHS256 = 32 // bytes
+const minHS256Bytes = 32 // bytes
 
 // Digests names the digests that EdgeAuth and Timed take.
 var Digests = []string{"sha256", "sha1", "md5"}
 
 // Check tells what of a profile can't be used; the error begins with its key.
 func (p *Profile) Check() error {
-	keyed := p.Digest
+	macDigest := p.Digest
 	kinds := []keyring.Kind{keyring.Secret}
 	switch p.Format {
 	case EdgeAuth:
 		p.format = edgeAuth{}
-		if keyed == "" {
-			keyed = "sha256"
+		if macDigest == "" {
+			macDigest = "sha256"
 		}
 	case CloudCDN:
-		p.format, keyed = google{}, "sha1"
+		p.format, macDigest = google{}, "sha1"
 	case MediaCDN:
-		p.format, keyed = google{}, ""
+		p.format, macDigest = google{}, ""
 		kinds = []keyring.Kind{keyring.Ed25519}
 	case CloudFront:
-		p.format, keyed = cloudFront{}, ""
+		p.format, macDigest = cloudFront{}, ""
 		kinds = []keyring.Kind{keyring.RSA, keyring.P256}
 	case CDNI:
-		p.format, keyed = cdni{}, ""
+		p.format, macDigest = cdni{}, ""
 		kinds = []keyring.Kind{keyring.Secret, keyring.RSA, keyring.P256, keyring.Ed25519}
 	case Timed:
 		d, err := p.TimedFormat.compile()
 		if err != nil {
 			return fmt.Errorf("describe.%w", err)
 		}
-		if p.format, keyed = d, ""; d.keyed {
-			keyed = d.digest
+		if p.format, macDigest = d, ""; d.useHMAC {
+			macDigest = d.digest
 		}
 	default:
 		return fmt.Errorf("format: %q is none of %v", p.Format, Formats)
@@ -107,14 +107,14 @@
 		if !slices.Contains(kinds, k.Kind) {
 			return fmt.Errorf("ring: key %q of kind %s can't be used with %s", k.Name, k.Kind, p.Format)
 		}
-		if p.Format == CDNI && k.Kind == keyring.Secret && len(k.Bytes) < leastHS256 {
+		if p.Format == CDNI && k.Kind == keyring.Secret && len(k.Bytes) < minHS256Bytes {
 			return fmt.Errorf("ring: key %q has %d bytes, HS256 needs %d (RFC 7518, section 3.2)", k.Name,
-				len(k.Bytes), leastHS256)
+				len(k.Bytes), minHS256Bytes)
 		}
-		if keyed != "" {
-			digest := digests[keyed]
+		if macDigest != "" {
+			digest := digests[macDigest]
 			if digest == nil {
-				return fmt.Errorf("digest: %q is none of %v", keyed, Digests)
+				return fmt.Errorf("digest: %q is none of %v", macDigest, Digests)
 			}
 			p.macs[k] = hmac.New(digest, k.Bytes)
 			p.macSize = p.macs[k].Size()
@@ -131,15 +131,15 @@
 	n := 0 // of text; what is put together is written at once, without an allocation
 	for _, text := range texts {
 		for text != "" {
-			if n == len(p.text) {
-				h.Write(p.text[:])
+			if n == len(p.inputBuf) {
+				h.Write(p.inputBuf[:])
 				n = 0
 			}
-			m := copy(p.text[n:], text)
+			m := copy(p.inputBuf[n:], text)
 			n, text = n+m, text[m:]
 		}
 	}
-	h.Write(p.text[:n])
-	p.sum = h.Sum(p.sum[:0])
-	return p.sum
+	h.Write(p.inputBuf[:n])
+	p.macBuf = h.Sum(p.macBuf[:0])
+	return p.macBuf
 }
--- a/internal/decide/grants/timed.go
+++ b/internal/decide/grants/timed.go
@@ -48,7 +48,7 @@
 )
 
 // piece is a run of plain text or a field of a template.
-type piece struct {
+type templatePart struct {
 	text  string
 	field string
 }
@@ -56,18 +56,18 @@
 // timed is a compiled description.
 type timed struct {
 	TimedFormat
-	message, token []piece
-	keyed          bool // HMAC; else a plain digest with the secret in the message
-	peer           bool // the address is the client's, and not in the token
+	message, token []templatePart
+	useHMAC        bool // HMAC; else a plain digest with the secret in the message
+	bindsPeer      bool // the address is the client's, and not in the token
 	digest         string
 }
 
-func template(key, text string, fields []string) ([]piece, error) {
-	var out []piece
+func parseTemplate(key, text string, fields []string) ([]templatePart, error) {
+	var parts []templatePart
 	for rest := text; rest != ""; {
 		plain, after, ok := strings.Cut(rest, "{")
 		if plain != "" {
-			out = append(out, piece{text: plain})
+			parts = append(parts, templatePart{text: plain})
 		}
 		if !ok {
 			break
@@ -76,27 +76,27 @@
 		if !ok || !slices.Contains(fields, name) {
 			return nil, fmt.Errorf("%s: field {%s} is none of %v", key, name, fields)
 		}
-		out = append(out, piece{field: name})
+		parts = append(parts, templatePart{field: name})
 		rest = more
 	}
-	return out, nil
+	return parts, nil
 }
 
 func (d TimedFormat) compile() (*timed, error) {
 	t := &timed{TimedFormat: d}
 	var err error
-	if t.message, err = template("message", d.Message, messageFields); err != nil {
+	if t.message, err = parseTemplate("message", d.Message, messageFields); err != nil {
 		return nil, err
 	}
-	if t.token, err = template("token", d.Token, tokenFields); err != nil {
+	if t.token, err = parseTemplate("token", d.Token, tokenFields); err != nil {
 		return nil, err
 	}
-	for i, p := range t.token {
-		if i > 0 && p.field != "" && t.token[i-1].field != "" {
-			return nil, fmt.Errorf("token: nothing parts {%s} from {%s}", t.token[i-1].field, p.field)
+	for i, part := range t.token {
+		if i > 0 && part.field != "" && t.token[i-1].field != "" {
+			return nil, fmt.Errorf("token: nothing parts {%s} from {%s}", t.token[i-1].field, part.field)
 		}
 	}
-	t.digest, t.keyed = strings.CutPrefix(d.Digest, "hmac-")
+	t.digest, t.useHMAC = strings.CutPrefix(d.Digest, "hmac-")
 	if digests[t.digest] == nil {
 		return nil, fmt.Errorf("digest: %q is none of %v, each also with hmac- before it", d.Digest, Digests)
 	}
@@ -107,12 +107,12 @@
 		t.TimeBase = 10
 	}
 	inMessage := func(name string) bool {
-		return slices.ContainsFunc(t.message, func(p piece) bool { return p.field == name })
+		return slices.ContainsFunc(t.message, func(part templatePart) bool { return part.field == name })
 	}
 	inToken := func(name string) int {
 		n := 0
-		for _, p := range t.token {
-			if p.field == name {
+		for _, part := range t.token {
+			if part.field == name {
 				n++
 			}
 		}
@@ -129,95 +129,95 @@
 		return nil, errors.New("message: {expires} is missing, so a link could be made to last")
 	case !inMessage("path") && !inMessage("dir") && !inMessage("url"):
 		return nil, errors.New("message: {path}, {dir} or {url} is missing, so a link would let in everything")
-	case t.keyed == inMessage("secret"):
+	case t.useHMAC == inMessage("secret"):
 		return nil, errors.New("message: {secret} belongs to plain digests, and must stand there with them")
 	}
-	t.peer = inMessage("ip") && inToken("ip") == 0
-	for _, p := range t.token {
-		if p.field != "" && p.field != "mac" && !inMessage(p.field) && p.field != "key" {
-			return nil, fmt.Errorf("token: {%s} is not in message, so anyone could alter it", p.field)
+	t.bindsPeer = inMessage("ip") && inToken("ip") == 0
+	for _, part := range t.token {
+		if part.field != "" && part.field != "mac" && !inMessage(part.field) && part.field != "key" {
+			return nil, fmt.Errorf("token: {%s} is not in message, so anyone could alter it", part.field)
 		}
 	}
 	return t, nil
 }
 
-func (t *timed) names(p *Profile) names {
-	n := names{telling: 1}
-	n.fields[inQuery] = []string{p.Query}
+func (t *timed) fieldNames(p *Profile) fieldNames {
+	n := fieldNames{identifying: 1}
+	n.byCarrier[inQuery] = []string{p.Query}
 	if t.TimeParam != "" {
-		n.fields[inQuery] = append(n.fields[inQuery], t.TimeParam)
+		n.byCarrier[inQuery] = append(n.byCarrier[inQuery], t.TimeParam)
 	}
-	n.fields[inCookie], n.fields[inHeader] = []string{p.Cookie}, []string{p.Header}
+	n.byCarrier[inCookie], n.byCarrier[inHeader] = []string{p.Cookie}, []string{p.Header}
 	return n
 }
 
-func (*timed) named() bool { return false }
+func (*timed) carriesKeyName() bool { return false }
 
-func (*timed) kin(f format) bool { _, ok := f.(*timed); return ok }
+func (*timed) sameFormat(f format) bool { _, ok := f.(*timed); return ok }
 
-func (t *timed) bound(*credential) bool { return true }
+func (t *timed) signsURL(*credential) bool { return true }
 
-func (*timed) read(c *credential) (*token, Refusal) {
-	text := c.values[0]
-	if text == "" || len(text) > mostToken {
+func (*timed) parse(cred *credential) (*token, Refusal) {
+	text := cred.values[0]
+	if text == "" || len(text) > maxTokenBytes {
 		return nil, MalformedSignature
 	}
-	x := &token{}
-	for _, p := range c.profiles {
+	t := &token{}
+	for _, p := range cred.profiles {
 		// Described alike as far as names go; the first whose form fits is it.
-		f := p.format.(*timed)
-		values, ok := f.split(text)
+		compiled := p.format.(*timed)
+		values, ok := compiled.parseToken(text)
 		if !ok {
 			continue
 		}
-		if f.TimeParam != "" {
-			values["expires"] = c.values[1]
+		if compiled.TimeParam != "" {
+			values["expires"] = cred.values[1]
 		}
-		moment, err := strconv.ParseInt(values["expires"], f.TimeBase, 64)
-		mac, ok := decodeMAC(f.Encoding, values["mac"])
-		if err != nil || moment <= 0 || moment >= mostSeconds || !ok || len(mac) != digests[f.digest]().Size() {
+		moment, err := strconv.ParseInt(values["expires"], compiled.TimeBase, 64)
+		mac, ok := decodeMAC(compiled.Encoding, values["mac"])
+		if err != nil || moment <= 0 || moment >= unixSecondsLimit || !ok || len(mac) != digests[compiled.digest]().Size() {
 			continue
 		}
-		x.profile = p
-		if x.subject, err = url.QueryUnescape(values["id"]); err != nil {
+		t.profile = p
+		if t.subject, err = url.QueryUnescape(values["id"]); err != nil {
 			continue
 		}
-		if x.expires = moment * 1_000_000; f.Lifetime > 0 {
-			x.begins, x.expires = x.expires, x.expires+f.Lifetime
+		if t.expires = moment * 1_000_000; compiled.Lifetime > 0 {
+			t.notBefore, t.expires = t.expires, t.expires+compiled.Lifetime
 		}
-		if ip := values["ip"]; ip != "" && !f.peer {
-			if x.nets, ok = readNets([]string{ip}); !ok {
+		if ip := values["ip"]; ip != "" && !compiled.bindsPeer {
+			if t.networks, ok = parseNetworks([]string{ip}); !ok {
 				continue
 			}
 		}
-		if f.peer {
-			values["ip"] = c.peer.Unmap().String()
+		if compiled.bindsPeer {
+			values["ip"] = cred.peer.Unmap().String()
 		}
-		path := c.path
-		x.signed = path + "\x00" + string(mac)
-		x.verify = func() (found *keyring.Key) {
+		path := cred.path
+		t.signed = path + "\x00" + string(mac)
+		t.verify = func() (found *keyring.Key) {
 			for _, k := range p.Ring.Keys {
 				if name := values["key"]; name != "" && name != k.Name {
 					continue
 				}
-				if equal(f.sum(p, k, values, path), mac) {
+				if constantTimeEqual(compiled.computeDigest(p, k, values, path), mac) {
 					found = k
 				}
 			}
 			return found
 		}
-		return x, ""
+		return t, ""
 	}
 	return nil, MalformedSignature
 }
 
 // split takes a token apart by its template.
-func (t *timed) split(text string) (map[string]string, bool) {
+func (t *timed) parseToken(text string) (map[string]string, bool) {
 	values := map[string]string{}
-	for i, p := range t.token {
-		if p.text != "" {
+	for i, part := range t.token {
+		if part.text != "" {
 			var ok bool
-			if text, ok = strings.CutPrefix(text, p.text); !ok {
+			if text, ok = strings.CutPrefix(text, part.text); !ok {
 				return nil, false
 			}
 			continue
@@ -231,18 +231,18 @@
 		if end == 0 {
 			return nil, false
 		}
-		values[p.field], text = text[:end], text[end:]
+		values[part.field], text = text[:end], text[end:]
 	}
 	return values, text == ""
 }
 
 // sum is the digest that a key gives.
-func (t *timed) sum(p *Profile, k *keyring.Key, values map[string]string, path string) []byte {
+func (t *timed) computeDigest(p *Profile, k *keyring.Key, values map[string]string, path string) []byte {
 	texts := make([]string, 0, 16)
-	for _, x := range t.message {
-		switch x.field {
+	for _, part := range t.message {
+		switch part.field {
 		case "":
-			texts = append(texts, x.text)
+			texts = append(texts, part.text)
 		case "path":
 			texts = append(texts, path)
 		case "dir":
@@ -254,10 +254,10 @@
 		case "secret":
 			texts = append(texts, string(k.Bytes))
 		default:
-			texts = append(texts, values[x.field])
+			texts = append(texts, values[part.field])
 		}
 	}
-	if t.keyed {
+	if t.useHMAC {
 		return p.mac(k, texts...)
 	}
 	h := digests[t.digest]()
--- a/internal/decide/grants/token.go
+++ b/internal/decide/grants/token.go
@@ -16,44 +16,44 @@
 )
 
 // state is what is known of a token's signature.
-type state uint8
+type signatureState uint8
 
 const (
-	unknown state = iota
-	pending       // a Proof of it is out
+	unverified signatureState = iota
+	pending                   // a Proof of it is out
 	genuine
 	forged
 )
 
 // token is what a credential says, and what is known of its signature.
 type token struct {
-	profile *Profile
-	key     *keyring.Key // nil until a nameless key was found
-	state   state
-	begins  Micros // 0: always
-	expires Micros // 0: never
-	subject string
-	id      string
-	data    string
-	signed  string   // what the signature covers, as far as it tells this token from others
-	mac     [64]byte // of keyed digests
-	scope   scope
-	nets    []netip.Prefix // empty: any
-	renew   *renewal
-	proof   PendingSignature
-	verify  func() *keyring.Key // of keyed digests: the key under which it is genuine
-	entry   *entry              // in the memory of verdicts
+	profile   *Profile
+	key       *keyring.Key // nil until a nameless key was found
+	state     signatureState
+	notBefore Micros // 0: always
+	expires   Micros // 0: never
+	subject   string
+	id        string
+	data      string
+	signed    string   // what the signature covers, as far as it tells this token from others
+	mac       [64]byte // of keyed digests
+	scope     scope
+	networks  []netip.Prefix // empty: any
+	renew     *renewal
+	proof     PendingSignature
+	verify    func() *keyring.Key // of keyed digests: the key under which it is genuine
+	entry     *entry              // in the memory of verdicts
 }
 
 func (t *token) costly() bool { return t.verify == nil }
 
-func (t *token) check() bool {
+func (t *token) verifyMAC() bool {
 	t.key = t.verify()
 	t.verify = nil
 	return t.key != nil
 }
 
-func (t *token) settle(good bool) bool {
+func (t *token) resolve(good bool) bool {
 	if t.state = forged; good {
 		t.state = genuine
 	}
@@ -62,12 +62,12 @@
 }
 
 // takes tells whether an address may use the token.
-func (t *token) takes(peer netip.Addr) bool {
-	if len(t.nets) == 0 {
+func (t *token) allowsAddress(peer netip.Addr) bool {
+	if len(t.networks) == 0 {
 		return true
 	}
 	peer = peer.Unmap().WithZone("")
-	for _, n := range t.nets {
+	for _, n := range t.networks {
 		if n.Contains(peer) {
 			return true
 		}
@@ -87,34 +87,34 @@
 type scopeKind uint8
 
 const (
-	signedURL   scopeKind = iota
-	anyPath               // the format covers no path
-	pathLists             // patterns parted by '!', of paths
-	urlPrefix             // plain text that the URL without its query begins with
-	urlPattern            // one pattern of the whole URL
-	urlRegex              // an expression that the whole URL fits
-	urlHash               // the digest of the whole URL
-	exactPath             // the path itself
-	nothingElse           // covers nothing
+	signedURL    scopeKind = iota
+	anyPath                // the format covers no path
+	pathPatterns           // patterns parted by '!', of paths
+	urlPrefix              // plain text that the URL without its query begins with
+	urlPattern             // one pattern of the whole URL
+	urlRegex               // an expression that the whole URL fits
+	urlHash                // the digest of the whole URL
+	exactPath              // the path itself
+	noURL                  // covers nothing
 )
 
-func (t *token) covers(c *credential) bool {
+func (t *token) coversURL(cred *credential) bool {
 	switch t.scope.kind {
 	case signedURL, anyPath:
 		return true
-	case pathLists:
-		return covers(t.scope.pattern, c.path)
+	case pathPatterns:
+		return matchesAny(t.scope.pattern, cred.path)
 	case urlPrefix:
-		url := c.url(t.profile.BaseURL)
-		return strings.HasPrefix(string(url[:len(t.profile.BaseURL)+len(c.path)]), t.scope.pattern)
+		url := cred.url(t.profile.BaseURL)
+		return strings.HasPrefix(string(url[:len(t.profile.BaseURL)+len(cred.path)]), t.scope.pattern)
 	case urlPattern:
-		return matches(t.scope.pattern, c.url(t.profile.BaseURL))
+		return matchesPattern(t.scope.pattern, cred.url(t.profile.BaseURL))
 	case urlRegex:
-		return t.scope.regex.Match(c.url(t.profile.BaseURL))
+		return t.scope.regex.Match(cred.url(t.profile.BaseURL))
 	case urlHash:
-		return hashes(t.scope.hash, c.url(t.profile.BaseURL))
+		return matchesHash(t.scope.hash, cred.url(t.profile.BaseURL))
 	case exactPath:
-		return t.scope.pattern == c.path
+		return t.scope.pattern == cred.path
 	}
 	return false
 }
@@ -123,7 +123,7 @@
 // nobody, so that Check may run on any goroutine, beside its set.
 type PendingSignature struct {
 	token     *token
-	public    crypto.PublicKey
+	publicKey crypto.PublicKey
 	hash      crypto.Hash
 	message   []byte // of Ed25519; else its digest under hash
 	signature []byte
@@ -136,10 +136,10 @@
 // Check tells whether the signature is genuine.
 func (p *PendingSignature) Verify() bool {
 	if p.jws != nil {
-		_, err := p.jws.Verify(p.public)
+		_, err := p.jws.Verify(p.publicKey)
 		return err == nil
 	}
-	switch key := p.public.(type) {
+	switch key := p.publicKey.(type) {
 	case *rsa.PublicKey:
 		return rsa.VerifyPKCS1v15(key, p.hash, p.message, p.signature) == nil
 	case *ecdsa.PublicKey:
@@ -151,8 +151,8 @@
 }
 
 // seconds reads a Unix time of digits alone.
-func seconds(s string) (Micros, bool) {
-	if s == "" || len(s) > mostDigits {
+func parseSeconds(s string) (Micros, bool) {
+	if s == "" || len(s) > maxTimeDigits {
 		return 0, false
 	}
 	for i := range len(s) {
@@ -166,10 +166,10 @@
 
 // covers tells whether one of the patterns, parted by '!', fits a path; '*'
 // stands for any run of signs and '?' for one.
-func covers(patterns, path string) bool {
+func matchesAny(patterns, path string) bool {
 	for more := true; more; {
 		var pattern string
-		if pattern, patterns, more = strings.Cut(patterns, "!"); matches(pattern, path) {
+		if pattern, patterns, more = strings.Cut(patterns, "!"); matchesPattern(pattern, path) {
 			return true
 		}
 	}
@@ -178,29 +178,29 @@
 
 // matches goes back only to the last '*', so it takes no more than the product
 // of the two lengths.
-func matches[T string | []byte](pattern string, s T) bool {
-	p, i, star, from := 0, 0, -1, 0
-	for i < len(s) {
+func matchesPattern[T string | []byte](pattern string, s T) bool {
+	patternPos, pos, star, restart := 0, 0, -1, 0
+	for pos < len(s) {
 		switch {
-		case p < len(pattern) && pattern[p] == '*':
-			star, from = p, i
-			p++
-		case p < len(pattern) && (pattern[p] == '?' || pattern[p] == s[i]):
-			p++
-			i++
+		case patternPos < len(pattern) && pattern[patternPos] == '*':
+			star, restart = patternPos, pos
+			patternPos++
+		case patternPos < len(pattern) && (pattern[patternPos] == '?' || pattern[patternPos] == s[pos]):
+			patternPos++
+			pos++
 		case star >= 0:
-			from++
-			p, i = star+1, from
+			restart++
+			patternPos, pos = star+1, restart
 		default:
 			return false
 		}
 	}
-	return strings.Trim(pattern[p:], "*") == ""
+	return strings.Trim(pattern[patternPos:], "*") == ""
 }
 
 // nets reads addresses and prefixes (RFC 4632, RFC 4291).
-func readNets(list []string) ([]netip.Prefix, bool) {
-	var nets []netip.Prefix
+func parseNetworks(list []string) ([]netip.Prefix, bool) {
+	var networks []netip.Prefix
 	for _, text := range list {
 		n, err := netip.ParsePrefix(text)
 		if err != nil {
@@ -213,7 +213,7 @@
 		if n.Addr().Is4In6() {
 			return nil, false // it could never hold an address as it is compared
 		}
-		nets = append(nets, n.Masked())
+		networks = append(networks, n.Masked())
 	}
-	return nets, true
+	return networks, true
 }
