--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -162,7 +162,7 @@
 	}
 	t.signed = text[:dot]
 	if t.key.Kind.Costly() {
-		t.proof = PendingSignature{token: t, publicKey: t.key.Public, jws: jws}
+		t.pendingSignature = PendingSignature{token: t, publicKey: t.key.Public, jws: jws}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
--- a/internal/decide/grants/cloudfront.go
+++ b/internal/decide/grants/cloudfront.go
@@ -121,7 +121,7 @@
 	t.signed = string(policy)
 	digest := hash.New()
 	digest.Write(policy)
-	t.proof = PendingSignature{token: t, publicKey: t.key.Public, hash: hash, message: digest.Sum(nil), signature: signature}
+	t.pendingSignature = PendingSignature{token: t, publicKey: t.key.Public, hash: hash, message: digest.Sum(nil), signature: signature}
 	return t, ""
 }
 
--- a/internal/decide/grants/google.go
+++ b/internal/decide/grants/google.go
@@ -102,7 +102,7 @@
 	}
 	t.signed = signed
 	if media {
-		t.proof = PendingSignature{token: t, publicKey: k.Public, message: []byte(signedBase + signed), signature: signature}
+		t.pendingSignature = PendingSignature{token: t, publicKey: k.Public, message: []byte(signedBase + signed), signature: signature}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -166,12 +166,12 @@
 
 // url is the whole URL without signing fields, as the issuer names it. It holds
 // until the next one is asked for.
-func (c *credential) url(base string) []byte {
-	b := append(append((*c.urlBuf)[:0], base...), c.path...)
-	if c.query != "" {
-		b = append(append(b, '?'), c.query...)
+func (cred *credential) url(base string) []byte {
+	b := append(append((*cred.urlBuf)[:0], base...), cred.path...)
+	if cred.query != "" {
+		b = append(append(b, '?'), cred.query...)
 	}
-	*c.urlBuf = b
+	*cred.urlBuf = b
 	return b
 }
 
@@ -199,26 +199,26 @@
 
 // New makes a set; it names the profile that can't be used.
 func New(cfg Config) (*ProfileSet, error) {
-	s := &ProfileSet{branch: cfg.Branch}
-	s.cache.init(cfg.MaxCachedVerdicts)
-	for c := range s.fieldRefs {
-		s.fieldRefs[c] = map[string][]fieldRef{}
+	set := &ProfileSet{branch: cfg.Branch}
+	set.cache.init(cfg.MaxCachedVerdicts)
+	for c := range set.fieldRefs {
+		set.fieldRefs[c] = map[string][]fieldRef{}
 	}
 	for _, p := range cfg.Profiles {
 		if err := p.Check(); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
-		if err := s.addProfile(p); err != nil {
+		if err := set.addProfile(p); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
 	}
-	for c := range s.fieldValues {
-		s.fieldValues[c] = make([]fieldValues, len(s.families))
-		for i, f := range s.families {
-			s.fieldValues[c][i].family, s.fieldValues[c][i].carrier = f, carrier(c)
+	for c := range set.fieldValues {
+		set.fieldValues[c] = make([]fieldValues, len(set.families))
+		for i, f := range set.families {
+			set.fieldValues[c][i].family, set.fieldValues[c][i].carrier = f, carrier(c)
 		}
 	}
-	return s, nil
+	return set, nil
 }
 
 // add puts a profile to those that are carried alike, or into a family of its own.
@@ -327,7 +327,7 @@
 		Subject: t.subject, ID: t.id, Expires: t.expires, token: t}}
 	v.Refusal = set.checkToken(t, cred, req)
 	if v.Refusal == "" && t.state == pending {
-		v.Pending = &t.proof
+		v.Pending = &t.pendingSignature
 	}
 	return v
 }
@@ -366,30 +366,30 @@
 }
 
 // appendKey writes what a verdict on a signature depends on.
-func (c *credential) appendKey(b []byte) []byte {
-	b = append(b, byte(c.index), byte(c.carrier), byte(c.count))
-	if c.count > 1 { // a format may care for the order in which they stand
-		for _, i := range c.order[:c.count] {
+func (cred *credential) appendKey(b []byte) []byte {
+	b = append(b, byte(cred.index), byte(cred.carrier), byte(cred.count))
+	if cred.count > 1 { // a format may care for the order in which they stand
+		for _, i := range cred.order[:cred.count] {
 			b = append(b, i)
 		}
 	}
-	for i := range c.values {
-		if c.present&(1<<i) != 0 {
+	for i := range cred.values {
+		if cred.present&(1<<i) != 0 {
 			b = append(b, byte(i))
-			b = append(b, c.values[i]...)
+			b = append(b, cred.values[i]...)
 			b = append(b, 0)
 		}
 	}
-	if t, ok := c.format.(*timed); ok && t.bindsPeer {
-		b = c.peer.AppendTo(b)
+	if t, ok := cred.format.(*timed); ok && t.bindsPeer {
+		b = cred.peer.AppendTo(b)
 	}
-	if c.carrier != inCookie && c.carrier != inHeader && (c.count > 1 || c.carrier == inPath) {
-		return append(b, c.target...) // and for where they stand
+	if cred.carrier != inCookie && cred.carrier != inHeader && (cred.count > 1 || cred.carrier == inPath) {
+		return append(b, cred.target...) // and for where they stand
 	}
-	if c.format.signsURL(c) {
-		b = append(b, c.path...)
+	if cred.format.signsURL(cred) {
+		b = append(b, cred.path...)
 		b = append(b, '?')
-		b = append(b, c.query...)
+		b = append(b, cred.query...)
 	}
 	return b
 }
@@ -424,7 +424,7 @@
 
 // Renews tells whether the grant is one of a chain of tokens, and whether the
 // next one costs a signature that takes long.
-func (g *Grant) Renewable() (costly, renews bool) {
+func (g *Grant) Renewable() (costly, renewable bool) {
 	if g.token == nil || g.token.renew == nil {
 		return false, false
 	}
--- a/internal/decide/grants/grants_test.go
+++ b/internal/decide/grants/grants_test.go
@@ -100,17 +100,17 @@
 }
 
 // ask judges a request through to its end.
-func authorize(s *ProfileSet, r Request) Verdict {
-	if r.ReceivedAt == 0 {
-		r.ReceivedAt = now
+func authorize(s *ProfileSet, req Request) Verdict {
+	if req.ReceivedAt == 0 {
+		req.ReceivedAt = now
 	}
-	if !r.Peer.IsValid() {
-		r.Peer = peer
+	if !req.Peer.IsValid() {
+		req.Peer = peer
 	}
-	v := s.Authorize(&r)
+	v := s.Authorize(&req)
 	if v.Pending != nil {
-		s.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
-		v = s.Authorize(&r)
+		s.Resolve(v.Pending, v.Pending.Verify(), req.ReceivedAt)
+		v = s.Authorize(&req)
 	}
 	return v
 }
@@ -240,7 +240,7 @@
 		for i, c := range cookies {
 			pairs = append(pairs[:i*20], append([]string{c}, pairs[i*20:]...)...)
 		}
-		for _, x := range []struct {
+		for _, tc := range []struct {
 			what string
 			r    Request
 			want Refusal
@@ -255,8 +255,8 @@
 			{"SHA-256 claimed", Request{Target: link + "&Hash-Algorithm=SHA256"}, SignatureMismatch},
 			{"MD5 claimed", Request{Target: link + "&Hash-Algorithm=MD5"}, WrongAlgorithm},
 		} {
-			if v := authorize(s, x.r); v.Refusal != x.want {
-				t.Errorf("%s %s: %q, want %q", id, x.what, v.Refusal, x.want)
+			if v := authorize(s, tc.r); v.Refusal != tc.want {
+				t.Errorf("%s %s: %q, want %q", id, tc.what, v.Refusal, tc.want)
 			}
 		}
 	}
@@ -268,9 +268,9 @@
 	signToken := func(kid string, method jwt.SigningMethod, key any, change func(jwt.MapClaims)) string {
 		claimSet := jwt.MapClaims{"iss": "uCDN", "aud": "dCDN", "exp": nowSeconds + 60, "cdniuc": "regex:https://files\\.example/files/.*"}
 		change(claimSet)
-		x := jwt.NewWithClaims(method, claimSet)
-		x.Header["kid"] = kid
-		text, err := x.SignedString(key)
+		token := jwt.NewWithClaims(method, claimSet)
+		token.Header["kid"] = kid
+		text, err := token.SignedString(key)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -283,7 +283,7 @@
 	secret := []byte(longSecret)
 	public, _ := json.Marshal(testKeys.rsa.PublicKey)
 	hash := base64.RawURLEncoding.EncodeToString(sha256Of(baseURL + target))
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		what, token string
 		want        Refusal
 	}{
@@ -319,8 +319,8 @@
 		{"renewal without a span", signToken("hs", jwt.SigningMethodHS256, secret, setClaim("cdnistt", 1)), MalformedSignature},
 		{"unknown transport", signToken("hs", jwt.SigningMethodHS256, secret, func(claimSet jwt.MapClaims) { claimSet["cdnistt"], claimSet["cdniets"] = 9, 5 }), MalformedSignature},
 	} {
-		if v := authorize(s, Request{Target: target + "&" + DefaultCDNITokenName + "=" + x.token}); v.Refusal != x.want {
-			t.Errorf("%s: %q, want %q", x.what, v.Refusal, x.want)
+		if v := authorize(s, Request{Target: target + "&" + DefaultCDNITokenName + "=" + tc.token}); v.Refusal != tc.want {
+			t.Errorf("%s: %q, want %q", tc.what, v.Refusal, tc.want)
 		}
 	}
 }
@@ -331,7 +331,7 @@
 func TestRenewalChain(t *testing.T) {
 	first := secretKey("first", longSecret)
 	second := secretKey("second", strings.ToUpper(longSecret))
-	set := func(keys ...*keyring.Key) (*ProfileSet, *Profile) {
+	newSet := func(keys ...*keyring.Key) (*ProfileSet, *Profile) {
 		p := &Profile{Name: "c", Format: CDNI, Query: DefaultCDNITokenName, Cookie: DefaultCDNITokenName, BaseURL: baseURL, Ring: newRing(t, keys...)}
 		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
@@ -339,33 +339,33 @@
 		}
 		return s, p
 	}
-	s, p := set(first)
-	m, err := p.SignLink(LinkSpec{Target: target, Scope: "regex:" + baseURL + "/files/.*", Expires: now + 10_000_000,
+	s, p := newSet(first)
+	link, err := p.SignLink(LinkSpec{Target: target, Scope: "regex:" + baseURL + "/files/.*", Expires: now + 10_000_000,
 		RenewSeconds: 10, Depth: 2, ID: "chain"}, rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, seen := Request{Target: m.Target}, map[string]bool{}
+	req, seen := Request{Target: link.Target}, map[string]bool{}
 	for i := range 6 {
-		r.ReceivedAt = now + int64(i)*8_000_000
+		req.ReceivedAt = now + int64(i)*8_000_000
 		if i == 2 {
 			retiring := *first
-			retiring.State, retiring.TransitionAt = keyring.Retiring, r.ReceivedAt+9_000_000
-			s, _ = set(&retiring, second)
+			retiring.State, retiring.TransitionAt = keyring.Retiring, req.ReceivedAt+9_000_000
+			s, _ = newSet(&retiring, second)
 		}
 		if i == 4 {
-			s, _ = set(second)
+			s, _ = newSet(second)
 		}
-		v := authorize(s, r)
+		v := authorize(s, req)
 		if v.Refusal != "" || seen[v.ID] || v.ID == "" {
 			t.Fatalf("segment %d: %q, id %q", i, v.Refusal, v.ID)
 		}
 		seen[v.ID] = true
-		c, err := v.Renew(r.ReceivedAt)
-		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (r.ReceivedAt/1_000_000+10)*1_000_000 {
+		c, err := v.Renew(req.ReceivedAt)
+		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (req.ReceivedAt/1_000_000+10)*1_000_000 {
 			t.Fatalf("segment %d: renewed as %+v, %v", i, c, err)
 		}
-		r = Request{Target: target, Header: cookieHeader(c.Name + "=" + c.Value)}
+		req = Request{Target: target, Header: cookieHeader(c.Name + "=" + c.Value)}
 	}
 }
 
@@ -376,25 +376,25 @@
 		k.State, k.TransitionAt = state, moment
 		return k
 	}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		key  *keyring.Key
 		want Refusal
 	}{
 		{key(keyring.Next, 0), ""}, {key(keyring.Next, now+1), KeyNotYetValid}, {key(keyring.Retiring, now+1), ""},
 		{key(keyring.Retiring, now), KeyRetired}, {key(keyring.Revoked, 0), KeyRevoked},
 	} {
-		p := &Profile{Name: "g", Format: CloudCDN, BaseURL: baseURL, Ring: newRing(t, x.key)}
+		p := &Profile{Name: "g", Format: CloudCDN, BaseURL: baseURL, Ring: newRing(t, tc.key)}
 		s, err := New(Config{Profiles: []*Profile{p}, MaxCachedVerdicts: 10})
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, _ := p.SignLink(LinkSpec{Target: target, KeyName: "k", Expires: now + 9_000_000}, nil)
-		if v := authorize(s, Request{Target: m.Target}); v.Refusal != x.want {
-			t.Errorf("%v %d: %q, want %q", x.key.State, x.key.TransitionAt-now, v.Refusal, x.want)
+		link, _ := p.SignLink(LinkSpec{Target: target, KeyName: "k", Expires: now + 9_000_000}, nil)
+		if v := authorize(s, Request{Target: link.Target}); v.Refusal != tc.want {
+			t.Errorf("%v %d: %q, want %q", tc.key.State, tc.key.TransitionAt-now, v.Refusal, tc.want)
 		}
-		x.key.Skew = 4_000_000
+		tc.key.Skew = 4_000_000
 		for late, want := range map[Micros]Refusal{4_000_000: "", 4_000_001: Expired} {
-			if v := authorize(s, Request{Target: m.Target, ReceivedAt: now + 9_000_000 + late}); x.want == "" && x.key.State == keyring.Next && v.Refusal != want {
+			if v := authorize(s, Request{Target: link.Target, ReceivedAt: now + 9_000_000 + late}); tc.want == "" && tc.key.State == keyring.Next && v.Refusal != want {
 				t.Errorf("skew of its own: %q at %d", v.Refusal, late)
 			}
 		}
@@ -555,9 +555,9 @@
 // Two described profiles under one name could not be told apart, and a described
 // token's subject is read back as it was named.
 func TestTimedProfiles(t *testing.T) {
-	d := TimedFormat{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
+	timedFormat := TimedFormat{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
 	profile := func(name string) *Profile {
-		return &Profile{Name: name, Format: Timed, Ring: newRing(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: d}
+		return &Profile{Name: name, Format: Timed, Ring: newRing(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: timedFormat}
 	}
 	if _, err := New(Config{Profiles: []*Profile{profile("a"), profile("b")}}); err == nil || !strings.Contains(err.Error(), `"a" is carried alike`) {
 		t.Error(err)
@@ -567,11 +567,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := p.SignLink(LinkSpec{Target: target, Expires: now + 9_000_000, Subject: "member 13"}, nil)
+	link, err := p.SignLink(LinkSpec{Target: target, Expires: now + 9_000_000, Subject: "member 13"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := authorize(s, Request{Target: m.Target}); v.Refusal != "" || v.Subject != "member 13" {
+	if v := authorize(s, Request{Target: link.Target}); v.Refusal != "" || v.Subject != "member 13" {
 		t.Errorf("%q, subject %q", v.Refusal, v.Subject)
 	}
 }
--- a/internal/decide/grants/locate.go
+++ b/internal/decide/grants/locate.go
@@ -10,8 +10,8 @@
 	if len(req.Target) > maxTargetBytes {
 		return UnusableTarget
 	}
-	for _, values := range set.populated {
-		*values = fieldValues{family: values.family, carrier: values.carrier}
+	for _, fields := range set.populated {
+		*fields = fieldValues{family: fields.family, carrier: fields.carrier}
 	}
 	set.populated = set.populated[:0]
 	path, query, _ := strings.Cut(req.Target, "?")
@@ -37,16 +37,16 @@
 	}
 	cred.path, cred.target = path, req.Target
 	stray, credentials := false, 0
-	for _, values := range set.populated {
-		if names := &values.family.fieldNames; names.single[values.carrier] {
-			values.duplicate = values.duplicate || values.count > 1
-		} else if values.present&names.identifying == 0 {
+	for _, fields := range set.populated {
+		if names := &fields.family.fieldNames; names.single[fields.carrier] {
+			fields.duplicate = fields.duplicate || fields.count > 1
+		} else if fields.present&names.identifying == 0 {
 			stray = true // fields that some formats share, and none that tells which
 			continue
 		}
 		credentials++
 		if cred.family == nil {
-			cred.family, cred.fieldValues, cred.carrier = values.family, values, values.carrier
+			cred.family, cred.fieldValues, cred.carrier = fields.family, fields, fields.carrier
 		}
 	}
 	switch {
@@ -68,15 +68,15 @@
 // shared tells whether all stray fields are names that the chosen credential
 // has as well, in the same carrier.
 func (set *ProfileSet) sharesStray(cred *credential) bool {
-	for _, values := range set.populated {
-		if values == cred.fieldValues {
+	for _, fields := range set.populated {
+		if fields == cred.fieldValues {
 			continue
 		}
-		if values.carrier != cred.carrier {
+		if fields.carrier != cred.carrier {
 			return false
 		}
-		for field, name := range values.family.fieldNames.byCarrier[values.carrier] {
-			if values.present&(1<<field) != 0 && !containsName(cred.fieldNames.byCarrier[values.carrier], name) {
+		for field, name := range fields.family.fieldNames.byCarrier[fields.carrier] {
+			if fields.present&(1<<field) != 0 && !containsName(cred.fieldNames.byCarrier[fields.carrier], name) {
 				return false
 			}
 		}
@@ -95,20 +95,20 @@
 
 func (set *ProfileSet) record(at carrier, refs []fieldRef, value string, start, end int) {
 	for _, ref := range refs {
-		values := &set.fieldValues[at][ref.family]
-		if values.present == 0 {
-			values.start = start
-			set.populated = append(set.populated, values)
+		fields := &set.fieldValues[at][ref.family]
+		if fields.present == 0 {
+			fields.start = start
+			set.populated = append(set.populated, fields)
 		}
-		values.end = end
-		if values.present&(1<<ref.field) != 0 {
-			values.duplicate = true
+		fields.end = end
+		if fields.present&(1<<ref.field) != 0 {
+			fields.duplicate = true
 			continue
 		}
-		values.present |= 1 << ref.field
-		values.values[ref.field] = value
-		values.order[values.count] = uint8(ref.field)
-		values.count++
+		fields.present |= 1 << ref.field
+		fields.values[ref.field] = value
+		fields.order[fields.count] = uint8(ref.field)
+		fields.count++
 	}
 }
 
--- a/internal/decide/grants/sign.go
+++ b/internal/decide/grants/sign.go
@@ -270,12 +270,12 @@
 }
 
 func (p *Profile) signTimed(t *timed, key *keyring.Key, spec LinkSpec) (SignedLink, error) {
-	moment := spec.Expires
+	timestamp := spec.Expires
 	if t.Lifetime > 0 {
-		moment -= t.Lifetime
+		timestamp -= t.Lifetime
 	}
 	path, _, _ := strings.Cut(spec.Target, "?")
-	values := map[string]string{"expires": strconv.FormatInt(moment/1_000_000, t.TimeBase), "ip": spec.Address,
+	values := map[string]string{"expires": strconv.FormatInt(timestamp/1_000_000, t.TimeBase), "ip": spec.Address,
 		"id": url.QueryEscape(spec.Subject), "nonce": spec.ID, "key": key.Name}
 	values["mac"] = encodeMAC(t.Encoding, t.computeDigest(p, key, values, path))
 	var text strings.Builder
--- a/internal/decide/grants/timed.go
+++ b/internal/decide/grants/timed.go
@@ -173,16 +173,16 @@
 		if compiled.TimeParam != "" {
 			values["expires"] = cred.values[1]
 		}
-		moment, err := strconv.ParseInt(values["expires"], compiled.TimeBase, 64)
+		timestamp, err := strconv.ParseInt(values["expires"], compiled.TimeBase, 64)
 		mac, ok := decodeMAC(compiled.Encoding, values["mac"])
-		if err != nil || moment <= 0 || moment >= unixSecondsLimit || !ok || len(mac) != digests[compiled.digest]().Size() {
+		if err != nil || timestamp <= 0 || timestamp >= unixSecondsLimit || !ok || len(mac) != digests[compiled.digest]().Size() {
 			continue
 		}
 		t.profile = p
 		if t.subject, err = url.QueryUnescape(values["id"]); err != nil {
 			continue
 		}
-		if t.expires = moment * 1_000_000; compiled.Lifetime > 0 {
+		if t.expires = timestamp * 1_000_000; compiled.Lifetime > 0 {
 			t.notBefore, t.expires = t.expires, t.expires+compiled.Lifetime
 		}
 		if ip := values["ip"]; ip != "" && !compiled.bindsPeer {
--- a/internal/decide/grants/token.go
+++ b/internal/decide/grants/token.go
@@ -27,22 +27,22 @@
 
 // token is what a credential says, and what is known of its signature.
 type token struct {
-	profile   *Profile
-	key       *keyring.Key // nil until a nameless key was found
-	state     signatureState
-	notBefore Micros // 0: always
-	expires   Micros // 0: never
-	subject   string
-	id        string
-	data      string
-	signed    string   // what the signature covers, as far as it tells this token from others
-	mac       [64]byte // of keyed digests
-	scope     scope
-	networks  []netip.Prefix // empty: any
-	renew     *renewal
-	proof     PendingSignature
-	verify    func() *keyring.Key // of keyed digests: the key under which it is genuine
-	entry     *entry              // in the memory of verdicts
+	profile          *Profile
+	key              *keyring.Key // nil until a nameless key was found
+	state            signatureState
+	notBefore        Micros // 0: always
+	expires          Micros // 0: never
+	subject          string
+	id               string
+	data             string
+	signed           string   // what the signature covers, as far as it tells this token from others
+	mac              [64]byte // of keyed digests
+	scope            scope
+	networks         []netip.Prefix // empty: any
+	renew            *renewal
+	pendingSignature PendingSignature
+	verify           func() *keyring.Key // of keyed digests: the key under which it is genuine
+	entry            *entry              // in the memory of verdicts
 }
 
 func (t *token) costly() bool { return t.verify == nil }
@@ -57,7 +57,7 @@
 	if t.state = forged; good {
 		t.state = genuine
 	}
-	t.proof = PendingSignature{token: t} // what it was checked with is of no more use
+	t.pendingSignature = PendingSignature{token: t} // what it was checked with is of no more use
 	return good
 }
 
