--- a/internal/decide/grants/cache.go
+++ b/internal/decide/grants/cache.go
@@ -1,31 +1,33 @@
 package grants
 
-// How long a forged signature is remembered. Long enough that a flood of one
-// link costs one check; short, since it holds room that attackers choose.
+// forgedTTL is how long the verdict on a forged signature is cached: long enough
+// that a flood of one link costs one verification, and short, since attackers
+// choose what takes up the space.
 const forgedTTL Micros = 10_000_000
 
-// entry is a remembered verdict on one credential.
+// entry is the cached verdict on one credential.
 type entry struct {
 	key        string
 	token      *token
-	expiresAt  Micros // of a forged one
+	expiresAt  Micros // only if the signature is forged
 	segment    *segment
 	prev, next *entry
 }
 
-// segment is the entries of one kind, the latest used first.
+// segment holds the entries of one kind, most recently used first.
 type segment struct {
-	head       entry // of a ring
+	head       entry // sentinel of a circular list
 	count      int
 	maxEntries int
 	bytes      int
 }
 
-// mostBytes of keys and tokens a segment may hold, per entry that it may hold.
+// maxBytesPerEntry times maxEntries bounds the bytes of keys and tokens in a
+// segment.
 const maxBytesPerEntry = 1024
 
-// entryCost is what an entry takes beside its key, in bytes: itself, its token,
-// and its share of the map.
+// entryOverheadBytes is the memory of an entry besides its key: the entry, its
+// token and its share of the map.
 const entryOverheadBytes = 560
 
 func (s *segment) init(maxEntries int) {
@@ -48,15 +50,15 @@
 	e.segment = nil
 }
 
-// memory holds verdicts on credentials: genuine ones for as long as they are
-// used, forged ones shortly, and those whose proof is out. Each kind has room
-// of its own, so that no flood of forged links drives out a good one. A set
-// that takes another's place begins with an empty one, so what a rotation or a
-// revocation changed holds at once.
+// verdictCache holds verdicts on credentials: genuine ones as long as they are
+// used, forged ones for forgedTTL, and those with a pending signature. Each kind
+// has its own limit, so that a flood of forged links doesn't evict genuine ones.
+// A set that replaces another starts with an empty cache, so that a rotation or
+// revocation of keys takes effect at once.
 //
-// A list of latest use was chosen over a wheel of expiries: an entry that has
-// run out is refused by its claims whether it is here or not, so that nothing
-// but room depends on when it goes.
+// Entries are evicted by least recent use and not by expiry: the claims of an
+// expired token are refused whether it is cached or not, so the time of eviction
+// affects memory only.
 type verdictCache struct {
 	byKey                    map[string]*entry
 	genuine, forged, pending segment
@@ -69,7 +71,7 @@
 	cache.pending.init(maxEntries / 4)
 }
 
-// find gives what is known of a credential, or nil.
+// get returns the cached token of a credential, or nil.
 func (cache *verdictCache) get(key []byte, now Micros) *token {
 	e := cache.byKey[string(key)]
 	if e == nil {
@@ -101,6 +103,8 @@
 	cache.evict(s)
 }
 
+// evict removes the least recently used entries until the segment is within its
+// limits.
 func (cache *verdictCache) evict(s *segment) {
 	for s.count > s.maxEntries || s.bytes > s.maxEntries*maxBytesPerEntry {
 		cache.remove(s.head.prev)
@@ -113,8 +117,8 @@
 	e.token.entry = nil
 }
 
-// settle moves a token whose proof came back to where it belongs. One that was
-// driven out meanwhile is not taken in again.
+// resolve moves a pending token to the genuine or the forged segment. A token that
+// was evicted meanwhile is not added again.
 func (cache *verdictCache) resolve(t *token, now Micros) {
 	e := t.entry
 	if e == nil {
@@ -135,8 +139,8 @@
 	}
 }
 
-// Remembered counts the verdicts held: on genuine and on forged signatures, and
-// those whose proof is out.
+// CachedVerdicts returns the numbers of cached verdicts on genuine, forged and
+// pending signatures.
 func (set *ProfileSet) CachedVerdicts() (genuine, forged, pending int) {
 	return set.cache.genuine.count, set.cache.forged.count, set.cache.pending.count
 }
--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -15,17 +15,19 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// cdni is CDNI URI Signing (RFC 9246): a signed JWT in the query, as a path
-// parameter, or in a cookie, which may have its holder handed the next one.
+// cdni is CDNI URI Signing (RFC 9246): a signed JWT in the query, in a path
+// parameter or in a cookie. A token may ask for its renewal: the response then
+// sets a cookie with the next token.
 //
-// The key is chosen by kid among the profile's ring, and its own algorithm must
-// be the one that the token names; the token's alg chooses nothing. A container
-// of URIs, cdniuc, must be there. An expression must fit the whole URI, and is
-// matched by an engine whose time is linear in the URI. cdniip and sub are
-// encrypted to a key of the ring (RFC 7516, direct).
+// The key is selected from the profile's ring by kid. The token's alg must equal
+// the key's algorithm and never selects one. The URI container, cdniuc, is
+// required. A regular expression must match the whole URI; the engine takes time
+// linear in the length of the URI. cdniip and sub are encrypted with a secret of
+// the ring (RFC 7516, direct).
 type cdni struct{}
 
-// PackageName is the usual name of the field that carries the token.
+// DefaultCDNITokenName is the usual name of the query parameter, path parameter or
+// cookie that carries the token.
 const DefaultCDNITokenName = "URISigningPackage"
 
 var cdniAlgorithms = []jose.SignatureAlgorithm{jose.HS256, jose.RS256, jose.ES256, jose.EdDSA}
@@ -43,10 +45,10 @@
 
 func (cdni) sameFormat(f format) bool { _, ok := f.(cdni); return ok }
 
-// The token names its URIs itself.
+// signsURL returns false: the token names its URIs itself.
 func (cdni) signsURL(*credential) bool { return false }
 
-// claims are those that RFC 9246 registers, beside RFC 7519's.
+// claims are the registered claims of RFC 9246 and RFC 7519.
 type claims struct {
 	Issuer       string       `json:"iss,omitempty"`
 	Subject      string       `json:"sub,omitempty"`
@@ -67,10 +69,10 @@
 var cdniClaimNames = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniip",
 	"cdniuc", "cdniets", "cdnistt", "cdnistd"}
 
-// number is a NumericDate (RFC 7519, section 2), read to whole seconds.
+// numericDate is a NumericDate (RFC 7519, section 2), truncated to seconds.
 type numericDate int64
 
-// UnmarshalJSON is part of json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler.
 func (n *numericDate) UnmarshalJSON(text []byte) error {
 	var f float64
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -90,10 +92,10 @@
 	return Micros(*n) * 1_000_000
 }
 
-// audience is one name or a list of them (RFC 7519, section 4.1.3).
+// audience is one name or a list of names (RFC 7519, section 4.1.3).
 type audience []string
 
-// UnmarshalJSON is part of json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler.
 func (a *audience) UnmarshalJSON(text []byte) error {
 	var one string
 	if json.Unmarshal(text, &one) == nil {
@@ -103,7 +105,7 @@
 	return json.Unmarshal(text, (*[]string)(a))
 }
 
-// MarshalJSON is part of json.Marshaler.
+// MarshalJSON implements json.Marshaler.
 func (a audience) MarshalJSON() ([]byte, error) {
 	if len(a) == 1 {
 		return json.Marshal(a[0])
@@ -111,7 +113,7 @@
 	return json.Marshal([]string(a))
 }
 
-// The transports of a renewed token (RFC 9246, section 6.5).
+// Values of cdnistt, the transport of a renewed token (RFC 9246, section 6.5).
 const (
 	transportNone = iota
 	transportCookie
@@ -158,7 +160,7 @@
 	}
 	dot := strings.LastIndexByte(text, '.')
 	if _, err := base64.RawURLEncoding.Strict().DecodeString(text[dot+1:]); err != nil {
-		return nil, MalformedSignature // the library takes signatures with loose last bits
+		return nil, MalformedSignature // go-jose accepts base64 with nonzero trailing bits
 	}
 	t.signed = text[:dot]
 	if t.key.Kind.Costly() {
@@ -174,7 +176,8 @@
 	return t, ""
 }
 
-// claim takes over what a token says.
+// applyClaims checks the claims that don't depend on the request, and copies the
+// others to the token.
 func (t *token) applyClaims(claimSet *claims, payload []byte) Refusal {
 	p := t.profile
 	if claimSet.Version != nil && *claimSet.Version != 1 {
@@ -184,7 +187,7 @@
 	if json.Unmarshal(payload, &rawClaims) != nil {
 		return MalformedSignature
 	}
-	for name := range rawClaims { // names are compared as they stand; the decoder is laxer
+	for name := range rawClaims { // claim names are case-sensitive, the JSON decoder is not
 		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniClaimNames, lower) {
 			return MalformedSignature
 		}
@@ -240,10 +243,11 @@
 	return ""
 }
 
-// mostRenewal is the longest life of a renewed token that is taken, in seconds.
+// maxRenewalSeconds is the longest accepted lifetime of a renewed token.
 const maxRenewalSeconds = 7 * 24 * 3600
 
-// decrypt opens a JWE under the ring's secrets (RFC 9246, sections 2.1.2 and 2.1.10).
+// decrypt decrypts a JWE with the ring's secrets (RFC 9246, sections 2.1.2 and
+// 2.1.10).
 func (t *token) decrypt(text string) (string, bool) {
 	jwe, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT},
 		[]jose.ContentEncryption{jose.A256GCM})
@@ -260,14 +264,14 @@
 	return "", false
 }
 
-// container reads cdniuc.
+// parseContainer parses the URI container, cdniuc.
 func parseContainer(text string) (scope, Refusal) {
 	kind, value, ok := strings.Cut(text, ":")
 	if !ok || value == "" || len(value) > maxPatternBytes {
 		return scope{}, MalformedSignature
 	}
 	switch kind {
-	case "hash": // RFC 6920, section 5: the algorithm and the digest
+	case "hash": // RFC 6920, section 5: algorithm and digest
 		name, sum, _ := strings.Cut(value, ";")
 		hash, err := base64.RawURLEncoding.Strict().DecodeString(sum)
 		if name != "sha-256" || err != nil || len(hash) != sha256.Size {
@@ -275,8 +279,8 @@
 		}
 		return scope{kind: urlHash, hash: hash}, ""
 	case "regex":
-		// The size of a compiled expression grows with its counts; the package
-		// bounds them at 1000 and their product as well.
+		// The size of a compiled expression grows with its repetition counts; package
+		// regexp limits each to 1000, and their product as well.
 		expression, err := regexp.CompilePOSIX("^(" + value + ")$")
 		if err != nil {
 			return scope{}, MalformedSignature
@@ -291,19 +295,21 @@
 	return constantTimeEqual(sum[:], want)
 }
 
-// renewal is what the next token is made from.
+// renewal holds the claims for the next token of a chain.
 type renewal struct{ claims claims }
 
-// Cookie is a token to be handed out: the answer sets it for what lies under a path.
+// Cookie is a renewed token, which the response sets as a cookie for the paths
+// below Path.
 type Cookie struct {
 	Name, Value, Path string
 	Expires           Micros
 }
 
-// Renew makes the next token of a chain (RFC 9246, section 3), for answers to a
-// granted request; nil where the grant has none. It is signed by the ring's
-// signing key, whichever signed the one before, so a chain outlives a rotation.
-// A grant whose ring can't sign gives nil too, and its chain ends.
+// Renew returns the next token of a chain (RFC 9246, section 3), for the response
+// to a granted request, or nil if the grant is not to be renewed. It is signed by
+// the ring's signing key, whichever key signed the last one, so that a chain
+// survives a key rotation. If the ring has no signing key, Renew returns nil and
+// the chain ends.
 func (g *Grant) Renew(now Micros) (*Cookie, error) {
 	if g.token == nil || g.token.renew == nil {
 		return nil, nil
@@ -316,7 +322,7 @@
 	expires := now/1_000_000 + *claimSet.RenewSeconds
 	exp := numericDate(expires)
 	claimSet.Expires, claimSet.NotBefore, claimSet.Issued = &exp, nil, nil
-	if claimSet.ID != "" { // a new token is used anew
+	if claimSet.ID != "" { // the uses of the new token are counted separately
 		sum := sha256.Sum256([]byte(g.token.signed))
 		claimSet.ID = base64.RawURLEncoding.EncodeToString(sum[:12])
 	}
@@ -332,7 +338,8 @@
 		Expires: expires * 1_000_000}, nil
 }
 
-// firstSegments is the path of the first so many segments, all but the last at most.
+// firstSegments returns the first n segments of a path with the slash after them,
+// but never the last segment.
 func firstSegments(path string, n int) string {
 	at := 0
 	for range n {
@@ -378,7 +385,7 @@
 	return jwe.CompactSerialize()
 }
 
-// sameNet tells whether a text is an address or a prefix.
+// isAddressOrPrefix reports whether text is an IP address or prefix.
 func isAddressOrPrefix(text string) bool {
 	_, err := netip.ParsePrefix(text)
 	_, err2 := netip.ParseAddr(text)
--- a/internal/decide/grants/cloudfront.go
+++ b/internal/decide/grants/cloudfront.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"crypto"
-	_ "crypto/sha1" // by number, of signatures
+	_ "crypto/sha1" // for crypto.SHA1.New
 	"encoding/base64"
 	"encoding/json"
 	"strings"
@@ -11,16 +11,16 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// cloudFront is Amazon CloudFront's signed URLs and cookies, as its developer
-// guide has them: a policy in JSON, signed by RSA PKCS #1 v1.5 or ECDSA P-256
-// over its SHA-1, or SHA-256 where Hash-Algorithm says so.
+// cloudFront is Amazon CloudFront's signed URLs and cookies, as described in its
+// developer guide: a JSON policy, signed by RSA PKCS #1 v1.5 or ECDSA P-256 over
+// its SHA-1 digest, or SHA-256 if Hash-Algorithm says so.
 //
 //	URL?...&Expires=UNIX&Signature=SIG&Key-Pair-Id=ID    canned: one URL and an expiry
-//	URL?...&Policy=B64&Signature=SIG&Key-Pair-Id=ID      custom: what the policy says
+//	URL?...&Policy=B64&Signature=SIG&Key-Pair-Id=ID      custom: any policy
 //	Cookie: CloudFront-Policy=B64; CloudFront-Signature=SIG; CloudFront-Key-Pair-Id=ID
 //
-// Cookies carry both forms under the prefix CloudFront-. Order is free. Its
-// base64 has - for +, ~ for / and _ for =.
+// Cookies carry both forms under the prefix CloudFront-. The fields may be in any
+// order. The base64 alphabet has - for +, ~ for / and _ for =.
 type cloudFront struct{}
 
 const (
@@ -51,7 +51,7 @@
 
 func (cloudFront) signsURL(cred *credential) bool { return cred.present&(1<<cfPolicy) == 0 }
 
-// cfStatement is the one form of policy that the guide describes.
+// cfPolicyDoc is a policy in the one form that the developer guide describes.
 type cfPolicyDoc struct {
 	Statement []cfStatement
 }
@@ -70,7 +70,7 @@
 	Seconds int64 `json:"AWS:EpochTime"`
 }
 
-const unixSecondsLimit = 1_000_000_000_000 // a Unix time has 12 digits at most
+const unixSecondsLimit = 1_000_000_000_000 // Unix times have at most 12 digits
 
 func (t *cfTime) micros() (Micros, bool) {
 	if t == nil {
@@ -125,7 +125,7 @@
 	return t, ""
 }
 
-// cannedPolicy is the text that stands for a URL and an expiry.
+// cannedPolicy returns the policy that is signed for one URL and an expiry.
 func cannedPolicy(url []byte, expires string) []byte {
 	var b bytes.Buffer
 	b.Grow(len(url) + 96)
@@ -137,7 +137,8 @@
 	return b.Bytes()
 }
 
-// policy reads a custom policy. What it does not know refuses the whole.
+// applyPolicy parses a custom policy into the token. It returns false if the policy
+// has unknown fields or is invalid.
 func (t *token) applyPolicy(text []byte) bool {
 	var doc cfPolicyDoc
 	decoder := json.NewDecoder(bytes.NewReader(text))
--- a/internal/decide/grants/edgeauth.go
+++ b/internal/decide/grants/edgeauth.go
@@ -8,13 +8,13 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// edgeAuth is Akamai's EdgeAuth 2.0, as its published token libraries make it:
+// edgeAuth is Akamai's EdgeAuth 2.0, as its published token libraries generate it:
 //
 //	ip=A~st=UNIX~exp=UNIX~acl=PATTERNS~id=TEXT~data=TEXT~hmac=HEX
 //
-// with every field but exp and hmac optional, in this order. The digest covers
-// all before ~hmac=; a token without acl is for one URL, whose path then stands
-// as ~url=PATH behind it, and a salt as ~salt=TEXT behind all.
+// in this order, with all fields but exp and hmac optional. The digest covers all
+// before ~hmac=. A token without acl is for one URL, and the digest then also
+// covers ~url=PATH. With a salt, it covers ~salt=TEXT at the end.
 type edgeAuth struct{}
 
 func (edgeAuth) fieldNames(p *Profile) fieldNames {
@@ -33,7 +33,7 @@
 	return !strings.HasPrefix(token, "acl=") && !strings.Contains(token, "~acl=")
 }
 
-// The fields in their order.
+// Indices of the fields, in their order in a token.
 const (
 	eaIP = iota
 	eaStart
@@ -100,7 +100,7 @@
 	t.signed = text[:len(text)-len("~hmac=")-len(values[eaMAC])]
 	profiles := cred.profiles
 	t.verify = func() (found *keyring.Key) {
-		for _, p := range profiles { // every key, so that time does not tell which
+		for _, p := range profiles { // all keys are tried, so that the time doesn't reveal which one matches
 			if macBytes != p.macSize {
 				continue
 			}
@@ -115,6 +115,8 @@
 	return t, ""
 }
 
+// edgeMAC returns the digest of the signed text and, unless url is empty, of the
+// URL's path.
 func (p *Profile) edgeMAC(k *keyring.Key, signed, url string) []byte {
 	var parts [5]string
 	list := append(parts[:0], signed)
@@ -127,8 +129,8 @@
 	return p.mac(k, list...)
 }
 
-// eaEscape escapes as the token libraries do: like a query component, with the
-// hex digits in lower case.
+// eaEscape escapes like a query component, but with lower-case hex digits, as the
+// token libraries do.
 func eaEscape(s string) string {
 	unreserved := true
 	for i := range len(s) {
--- a/internal/decide/grants/google.go
+++ b/internal/decide/grants/google.go
@@ -9,18 +9,19 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// google is the signed requests of Google's networks, as their documentation
-// has them: Cloud CDN with HMAC-SHA1 keys, Media CDN with Ed25519 ones.
+// google is the signed requests of Google's networks, as documented there: Cloud
+// CDN with HMAC-SHA1 keys and Media CDN with Ed25519 keys.
 //
-//	URL?...&Expires=UNIX&KeyName=NAME&Signature=SIG              the URL itself
-//	URL?...&URLPrefix=B64&Expires=UNIX&KeyName=NAME&Signature=SIG   URLs that begin so
+//	URL?...&Expires=UNIX&KeyName=NAME&Signature=SIG                 the URL itself
+//	URL?...&URLPrefix=B64&Expires=UNIX&KeyName=NAME&Signature=SIG   URLs with a prefix
 //	Cookie: Cloud-CDN-Cookie=URLPrefix=B64:Expires=UNIX:KeyName=NAME:Signature=SIG
-//	/path/edge-cache-token=Expires=UNIX&KeyName=NAME&Signature=SIG/more   Media CDN alone
+//	/path/edge-cache-token=Expires=UNIX&KeyName=NAME&Signature=SIG/more   Media CDN only
 //
-// The fields stand in this order, at the end of the query or, with URLPrefix,
-// anywhere in one run. Signatures are base64url; Cloud CDN's with padding.
+// The fields must be in this order and adjacent, at the end of the query or, with
+// URLPrefix, anywhere in it. Signatures are base64url; Cloud CDN's are padded.
 //
-// Both networks' fields have the same names, so the key's name tells which it is.
+// The fields of both networks have the same names; the key's name decides which
+// profile applies.
 type google struct{}
 
 const (
@@ -33,7 +34,7 @@
 
 var gNames = [gFields]string{"URLPrefix", "Expires", "KeyName", "Signature"}
 
-// The cookies, by profile.
+// gCookies are the cookie names of Cloud CDN and Media CDN.
 var gCookies = []string{"Cloud-CDN-Cookie", "Edge-Cache-Cookie"}
 
 const gPathToken = "edge-cache-token"
@@ -93,7 +94,7 @@
 		t.scope = scope{kind: urlPrefix, pattern: prefix}
 		signed = "URLPrefix=" + values[gPrefix] + sep + signed
 	case cred.carrier == inPath:
-		// What stands before the token is covered, and all that is below it.
+		// The token covers all paths that begin with the part before it.
 		signedBase = p.BaseURL + cred.path[:cred.start+1]
 		t.scope = scope{kind: urlPrefix, pattern: signedBase}
 		signed = gPathToken + "=" + signed
@@ -114,14 +115,15 @@
 	return t, ""
 }
 
-// carried tells whether a profile's network has grants where this one stands.
+// allowsCarrier reports whether the profile's network uses the credential's carrier
+// and, for cookies, its cookie name.
 func (google) allowsCarrier(p *Profile, cred *credential) bool {
 	media := p.Format == MediaCDN
 	return cred.carrier == inQuery || cred.carrier == inPath && media || cred.carrier == inCookie && media == (cred.present == 2)
 }
 
-// ordered tells whether a query's fields stand in one run in their order, and
-// last where they sign the URL itself.
+// fieldsInOrder reports whether the fields in a query are adjacent and in order,
+// and, if the URL itself is signed, at the end of the query.
 func (google) fieldsInOrder(cred *credential) bool {
 	firstField := gExpires
 	if cred.present&(1<<gPrefix) != 0 {
@@ -142,7 +144,8 @@
 	return firstField == gPrefix || cred.end == len(query)
 }
 
-// gSplit reads the fields of a cookie or a path segment, which begin with first.
+// gSplit parses the fields of a cookie or a path segment, which begin with
+// firstField.
 func gSplit(text, sep string, firstField int) (values [maxFields]string, ok bool) {
 	for i := firstField; i < gFields; i++ {
 		var field string
@@ -156,6 +159,8 @@
 	return values, true
 }
 
+// decodeSignature decodes a signature and checks its size. Media CDN's may be
+// unpadded.
 func (google) decodeSignature(text string, media bool) ([]byte, bool) {
 	encoding, size := base64.URLEncoding.Strict(), sha1.Size
 	if media {
@@ -168,7 +173,7 @@
 	return b, err == nil && len(b) == size
 }
 
-// text decodes a prefix, which is base64url with or without padding.
+// decodePrefix decodes a URL prefix, which is base64url with or without padding.
 func (google) decodePrefix(text string) (string, bool) {
 	b, err := base64.RawURLEncoding.Strict().DecodeString(strings.TrimRight(text, "="))
 	return string(b), err == nil && len(b) > 0
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -1,21 +1,21 @@
-// Package grants decides whether a signed link or token lets a request in. A
-// request's target, header and peer address come in, with the moment at which
-// its last byte came; a verdict goes out: granted, with scope, subject, expiry
-// and key, or one named refusal.
+// Package grants authorizes requests by signed links and tokens. The input is a
+// request's target, header and peer address with the time at which its last byte
+// was received; the output is a verdict: a grant with scope, subject, expiry and
+// key, or one named refusal.
 //
-// It knows the formats of several content networks, a file each, and tells them
-// apart by the names under which their fields are carried. A request holds one
-// grant; two are refused, even where both are good.
+// It supports the formats of several content networks, one file each, and tells
+// them apart by the names of their fields. A request may carry one grant; two are
+// refused, even if both are valid.
 //
-// Nothing here does I/O or asks a clock. What costs tens of microseconds, an
-// RSA, ECDSA or Ed25519 signature, is not checked here but handed out as a
-// Proof, which may be checked on any goroutine; all the rest belongs to one
-// owner, as the event loop.
+// The package does no I/O and reads no clock. RSA, ECDSA and Ed25519 signatures,
+// which take tens of microseconds to verify, are returned as a PendingSignature,
+// which may be verified on any goroutine; everything else belongs to a single
+// goroutine, such as the event loop.
 //
-// The order of judgement is by cost. Of a keyed digest the signature comes
-// first, and what it claims is judged once it is known to be genuine. Of a
-// costly signature what it claims comes first, so that the flood of links that
-// could let nothing in costs no signature.
+// The cheaper check runs first. A keyed digest is verified before the claims of
+// its token are checked. The claims of a token with a costly signature are
+// checked before the signature, so that a flood of links that would be refused
+// anyway costs no signature verification.
 package grants
 
 import (
@@ -28,25 +28,26 @@
 	"cherryramp/internal/httpwire"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a Unix time or a duration in microseconds.
 type Micros = int64
 
-// Bounds of what a request may bring.
+// Limits on the parts of a request.
 const (
-	maxTargetBytes  = 8 << 10 // bytes of a target
-	maxFieldBytes   = 6 << 10 // bytes of a field of a signature
-	maxTokenBytes   = 4 << 10 // bytes of a token
-	maxPatternBytes = 1 << 10 // bytes of a pattern of paths
-	maxTimeDigits   = 12      // of a Unix time in seconds
+	maxTargetBytes  = 8 << 10 // of a request target
+	maxFieldBytes   = 6 << 10 // of one signing field
+	maxTokenBytes   = 4 << 10 // of a token
+	maxPatternBytes = 1 << 10 // of a pattern, prefix or expression for URLs
+	maxTimeDigits   = 12      // of a decimal Unix time in seconds
 )
 
-// Refusal is a reason for which a request is not let in. It holds no secret and
-// nothing that the client sent. The empty one is none.
+// Refusal is the reason why a request is refused. It contains no secret and
+// nothing that the client sent. The empty string means no refusal.
 type Refusal string
 
+// Error implements error.
 func (r Refusal) Error() string { return string(r) }
 
-// The refusals.
+// The reasons for refusal.
 const (
 	MissingSignature     Refusal = "no signature"
 	MultipleSignatures   Refusal = "more than one signature"
@@ -68,34 +69,34 @@
 	UnusableTarget       Refusal = "target can't be used"
 )
 
-// Request is what a client sent.
+// Request is a client's request.
 type Request struct {
-	Target     string // as it stands in the request line
+	Target     string // as in the request line
 	Header     httpwire.Header
 	Peer       netip.Addr
-	ReceivedAt Micros // when its last byte was here
+	ReceivedAt Micros // when the last byte was received
 }
 
-// Grant is what a good signature lets in.
+// Grant describes a request that a valid signature authorizes.
 type Grant struct {
-	Path, Query string // the target without signing fields
+	Path, Query string // of the target, without signing fields
 	Profile     *Profile
 	Key         *keyring.Key
-	Subject     string // whom the issuer named; empty: nobody
-	ID          string // of the one token, for those that are used once
-	Expires     Micros // without skew
+	Subject     string // named by the issuer; empty: none
+	ID          string // of the token, to limit its uses; empty: none
+	Expires     Micros // without clock skew; 0: never
 	token       *token
 }
 
-// Verdict is the answer to a request. Exactly one of Refusal and Proof is set
-// where nothing is granted.
+// Verdict is the decision on a request. If the request is not granted, exactly
+// one of Refusal and Pending is set.
 type Verdict struct {
 	Grant
 	Refusal Refusal
-	Pending *PendingSignature // to be checked first; then Settle gives the verdict
+	Pending *PendingSignature // to be verified and passed to Resolve, before Authorize is called again
 }
 
-// carrier is where in a request a grant stands.
+// carrier is the part of a request that carries a grant.
 type carrier uint8
 
 const (
@@ -106,30 +107,31 @@
 	carrierCount
 )
 
-// Set judges requests by a set of profiles. It belongs to one goroutine.
+// ProfileSet authorizes requests by a set of profiles and caches the verdicts. It
+// must be used by one goroutine only.
 type ProfileSet struct {
 	families         []*family
-	fieldRefs        [carrierCount]map[string][]fieldRef // of fields; of headers in lower case
-	firstBytes       [carrierCount][256]bool             // first bytes of the names
+	fieldRefs        [carrierCount]map[string][]fieldRef // by field name; header names in lower case
+	firstBytes       [carrierCount][256]bool             // first bytes of the field names
 	branch           string
 	cache            verdictCache
-	fieldValues      [carrierCount][]fieldValues // by family; used anew by each request
-	populated        []*fieldValues              // those that hold something
-	cacheKey, urlBuf []byte                      // used anew by each request
-	credential       credential                  // used anew by each request
+	fieldValues      [carrierCount][]fieldValues // by family; reused by each request
+	populated        []*fieldValues              // those in fieldValues with a field
+	cacheKey, urlBuf []byte                      // reused by each request
+	credential       credential                  // reused by each request
 }
 
-// ref says which field of which family a name is.
+// fieldRef refers to a field of a family by indices.
 type fieldRef struct{ family, field int }
 
-// found is the fields of one family in one carrier of a request.
+// fieldValues holds the fields of one family in one carrier of a request.
 type fieldValues struct {
 	values    [maxFields]string
-	order     [maxFields]uint8 // fields in the order in which they came
-	present   uint16           // bits of fields
+	order     [maxFields]uint8 // field indices in order of appearance
+	present   uint16           // bit set of field indices
 	count     int
-	start     int // offset of the first field in the query
-	end       int // and of what follows the last
+	start     int // offset of the first field in the query or path
+	end       int // offset after the last field
 	duplicate bool
 	family    *family
 	carrier   carrier
@@ -137,7 +139,7 @@
 
 const maxFields = 8
 
-// family is the profiles of one format that are carried under the same names.
+// family is a group of profiles of one format with the same field names.
 type family struct {
 	format     format
 	index      int
@@ -145,14 +147,14 @@
 	fieldNames fieldNames
 }
 
-// names are where a format's fields stand.
+// fieldNames lists the names of a format's fields.
 type fieldNames struct {
 	byCarrier   [carrierCount][]string
-	identifying uint16             // bits of the fields that tell the format from others
-	single      [carrierCount]bool // any one field tells it, and there may be only one
+	identifying uint16             // bit set of the fields that distinguish the format from others
+	single      [carrierCount]bool // carriers where any one field identifies the format, and only one may occur
 }
 
-// credential is the one grant that a request holds, as text.
+// credential is the one grant that a request carries, unparsed.
 type credential struct {
 	*family
 	*fieldValues
@@ -161,11 +163,11 @@
 	query   string // without signing fields
 	target  string
 	peer    netip.Addr
-	urlBuf  *[]byte // for the whole URL
+	urlBuf  *[]byte // reused by url
 }
 
-// url is the whole URL without signing fields, as the issuer names it. It holds
-// until the next one is asked for.
+// url returns the whole URL without signing fields, beginning with base. The
+// result is valid until the next call.
 func (cred *credential) url(base string) []byte {
 	b := append(append((*cred.urlBuf)[:0], base...), cred.path...)
 	if cred.query != "" {
@@ -175,29 +177,30 @@
 	return b
 }
 
-// format reads one format of grants.
+// format parses one format of grants.
 type format interface {
-	// names tells under which names a profile's fields are carried.
+	// fieldNames returns the names of a profile's fields.
 	fieldNames(p *Profile) fieldNames
-	// named tells whether a grant names its key.
+	// carriesKeyName reports whether a grant names its key.
 	carriesKeyName() bool
-	// kin tells whether grants of another format are read by this one too.
+	// sameFormat reports whether this format also parses grants of another one.
 	sameFormat(format) bool
-	// bound tells whether the signature covers the URL itself, so that what was
-	// learnt of it holds for that URL only.
+	// signsURL reports whether the signature covers the URL itself, so that its
+	// cached verdict is valid for that URL only.
 	signsURL(c *credential) bool
-	// read turns a credential into a token whose signature is not checked yet.
+	// parse returns a credential's token, with the signature not verified yet.
 	parse(c *credential) (*token, Refusal)
 }
 
-// Config is what a set is made of.
+// Config configures a ProfileSet.
 type Config struct {
 	Profiles          []*Profile
-	Branch            string // own name, which a grant's data must give
-	MaxCachedVerdicts int    // verdicts held at most, half of them for forged ones
+	Branch            string // own name, which a token's data must match if its profile requires it
+	MaxCachedVerdicts int    // half for genuine signatures, a quarter each for forged and pending ones
 }
 
-// New makes a set; it names the profile that can't be used.
+// New returns a set of the profiles. The error names the first profile that can't
+// be used.
 func New(cfg Config) (*ProfileSet, error) {
 	set := &ProfileSet{branch: cfg.Branch}
 	set.cache.init(cfg.MaxCachedVerdicts)
@@ -221,19 +224,20 @@
 	return set, nil
 }
 
-// add puts a profile to those that are carried alike, or into a family of its own.
+// addProfile adds a profile to the family with the same format and field names,
+// or to a new one.
 func (set *ProfileSet) addProfile(p *Profile) error {
 	names := p.format.fieldNames(p)
 	for _, f := range set.families {
 		if f.format.sameFormat(p.format) && equalFieldNames(f.fieldNames, names) {
 			if p.Format == Timed {
-				return fmt.Errorf("query, cookie, header: profile %q is carried alike, and nothing else tells them apart",
+				return fmt.Errorf("query, cookie, header: profile %q uses the same field names, and nothing else tells them apart",
 					f.profiles[0].Name)
 			}
 			for _, k := range p.Ring.Keys {
 				for _, other := range f.profiles {
 					if p.format.carriesKeyName() && other.Ring.Find(k.Name) != nil {
-						return fmt.Errorf("ring: key %q is in profile %q too, whose links are carried alike: which is meant?",
+						return fmt.Errorf("ring: key %q is also in profile %q, which uses the same field names, so its links are ambiguous",
 							k.Name, other.Name)
 					}
 				}
@@ -259,7 +263,8 @@
 	return nil
 }
 
-// caseless is the bit that tells small letters apart, where case does not count.
+// caseBit returns the ASCII bit that maps a letter to lower case, for carriers
+// with case-insensitive names, and 0 for others.
 func caseBit(c carrier) byte {
 	if c == inHeader {
 		return 0x20
@@ -276,7 +281,8 @@
 	return true
 }
 
-// Judge gives the verdict on a request, or a Proof that must be checked first.
+// Authorize returns the verdict on a request. If a costly signature must be
+// verified first, it sets Verdict.Pending.
 func (set *ProfileSet) Authorize(req *Request) Verdict {
 	cred := &set.credential
 	*cred = credential{urlBuf: &set.urlBuf, peer: req.Peer}
@@ -297,7 +303,7 @@
 		}
 		return set.verdict(t, cred, req)
 	}
-	// What it claims is cheaper to judge than its signature.
+	// Checking the claims is cheaper than verifying the signature.
 	if v := set.verdict(t, cred, req); v.Refusal != "" {
 		return v
 	}
@@ -306,22 +312,22 @@
 	return set.verdict(t, cred, req)
 }
 
-// Settle takes what a Proof's check gave.
+// Resolve records the result of p.Verify.
 func (set *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
 	p.token.resolve(genuine)
 	set.cache.resolve(p.token, now)
 }
 
-// Forget drops a Proof that nobody will check; whoever comes with the same
-// credential later gets a new one.
+// Discard drops a pending signature that won't be verified. A later request with
+// the same credential gets a new one.
 func (set *ProfileSet) Discard(p *PendingSignature) {
 	if p.token.state == pending {
 		set.cache.discard(p.token)
 	}
 }
 
-// judge holds a token's claims against a request. The token's signature is
-// good, or not yet known, or known to be forged.
+// verdict checks a token's claims against a request. The token's signature is
+// genuine, forged or not verified yet.
 func (set *ProfileSet) verdict(t *token, cred *credential, req *Request) Verdict {
 	v := Verdict{Grant: Grant{Path: cred.path, Query: cred.query, Profile: t.profile, Key: t.key,
 		Subject: t.subject, ID: t.id, Expires: t.expires, token: t}}
@@ -332,6 +338,7 @@
 	return v
 }
 
+// checkToken returns the reason to refuse the token for a request, if any.
 func (set *ProfileSet) checkToken(t *token, cred *credential, req *Request) Refusal {
 	if t.state == forged {
 		return SignatureMismatch
@@ -365,10 +372,11 @@
 	return ""
 }
 
-// appendKey writes what a verdict on a signature depends on.
+// appendKey appends the cache key: everything that the verdict on the signature
+// depends on.
 func (cred *credential) appendKey(b []byte) []byte {
 	b = append(b, byte(cred.index), byte(cred.carrier), byte(cred.count))
-	if cred.count > 1 { // a format may care for the order in which they stand
+	if cred.count > 1 { // the order of the fields matters to some formats
 		for _, i := range cred.order[:cred.count] {
 			b = append(b, i)
 		}
@@ -384,7 +392,7 @@
 		b = cred.peer.AppendTo(b)
 	}
 	if cred.carrier != inCookie && cred.carrier != inHeader && (cred.count > 1 || cred.carrier == inPath) {
-		return append(b, cred.target...) // and for where they stand
+		return append(b, cred.target...) // the position of the fields matters too
 	}
 	if cred.format.signsURL(cred) {
 		b = append(b, cred.path...)
@@ -394,8 +402,8 @@
 	return b
 }
 
-// Digest names the token in tables that count its uses: by what was signed, and
-// not by the signature, which others could word anew.
+// Digest identifies the token in tables that count its uses. It covers the ID or
+// the signed text, not the signature, which others could encode differently.
 func (g *Grant) Digest() (d [16]byte) {
 	h := sha256.New()
 	h.Write([]byte(g.Profile.Name))
@@ -409,8 +417,8 @@
 	return d
 }
 
-// Ends is the moment from which the grant can let nothing in, skew and all; the
-// end of time where it never runs out.
+// ExpiresWithSkew returns the time from which the grant is refused as expired,
+// with the allowed clock skew included, or the maximum if it never expires.
 func (g *Grant) ExpiresWithSkew() Micros {
 	if g.Expires == 0 {
 		return 1<<63 - 1
@@ -422,8 +430,8 @@
 	return g.Expires + skew + 1
 }
 
-// Renews tells whether the grant is one of a chain of tokens, and whether the
-// next one costs a signature that takes long.
+// Renewable reports whether the grant's token is to be renewed, and whether signing
+// the next one is costly.
 func (g *Grant) Renewable() (costly, renewable bool) {
 	if g.token == nil || g.token.renew == nil {
 		return false, false
--- a/internal/decide/grants/grants_test.go
+++ b/internal/decide/grants/grants_test.go
@@ -40,7 +40,7 @@
 
 var peer = netip.MustParseAddr("192.0.2.7")
 
-// pairs are made once: RSA keys take long.
+// testKeys are generated once, since generating RSA keys is slow.
 var testKeys = func() (p struct {
 	rsa *rsa.PrivateKey
 	ec  *ecdsa.PrivateKey
@@ -69,7 +69,8 @@
 	return r
 }
 
-// world is one profile of each format, by name.
+// newTestProfiles returns a set with a profile of each format (two of Timed), and
+// the profiles by name.
 func newTestProfiles(t testing.TB) (*ProfileSet, map[string]*Profile) {
 	t.Helper()
 	secrets := newRing(t, secretKey("old", "0123456789abcdef"), secretKey("new", "fedcba9876543210"))
@@ -99,7 +100,7 @@
 	return s, profiles
 }
 
-// ask judges a request through to its end.
+// authorize returns the verdict on a request after verifying a pending signature.
 func authorize(s *ProfileSet, req Request) Verdict {
 	if req.ReceivedAt == 0 {
 		req.ReceivedAt = now
@@ -117,8 +118,9 @@
 
 func cookieHeader(text string) httpwire.Header { return httpwire.Header{{Name: "Cookie", Value: text}} }
 
-// Links of every format, minted here, in every carriage: let in, and with one
-// byte of the grant altered, not.
+// A link of any format signed by SignLink is granted in every carrier, cached or
+// not, until its expiry plus the skew, and refused with one byte of the grant
+// altered.
 func TestSignedLinksGrantedAndAlteredRefused(t *testing.T) {
 	s, profiles := newTestProfiles(t)
 	exp := (nowSeconds + 60) * 1_000_000
@@ -156,7 +158,7 @@
 				requests = append(requests, Request{Target: target, Header: httpwire.Header{{Name: strings.ToLower(field), Value: value}}})
 			}
 			for _, req := range requests {
-				for range 2 { // judged, and remembered
+				for range 2 { // verified, then from the cache
 					v := authorize(s, req)
 					if v.Refusal != "" || v.Path+"?"+v.Query != target || v.Profile.Name != name || v.Subject != spec.Subject || v.Expires != exp {
 						t.Errorf("%s %d: %q: %+v, %s?%s", name, i, v.Refusal, req, v.Path, v.Query)
@@ -165,7 +167,7 @@
 				late := req
 				late.ReceivedAt = exp + 2_000_001
 				if v := authorize(s, late); v.Refusal != Expired {
-					t.Errorf("%s %d: %q after the skew", name, i, v.Refusal)
+					t.Errorf("%s %d: got refusal %q after expiry and skew, want expired", name, i, v.Refusal)
 				}
 				checkAlteredRefused(t, s, req)
 			}
@@ -173,6 +175,8 @@
 	}
 }
 
+// checkAlteredRefused checks that a request with one byte of its grant replaced is
+// refused.
 func checkAlteredRefused(t *testing.T, s *ProfileSet, req Request) {
 	t.Helper()
 	rapid.Check(t, func(t *rapid.T) {
@@ -182,11 +186,11 @@
 			altered.Header = append(httpwire.Header(nil), req.Header...)
 			text = &altered.Header[0].Value
 		}
-		first, last := 5, len(*text)-6 // in a header, what is the grant
+		first, last := 5, len(*text)-6 // the range of the grant in the header value
 		if len(req.Header) == 0 {
 			for first = 0; first < len(target) && (*text)[first] == target[first]; first++ {
 			}
-			for last = len(*text) - 1; strings.HasSuffix(target, (*text)[last:]); last-- { // InPath
+			for last = len(*text) - 1; strings.HasSuffix(target, (*text)[last:]); last-- { // in a SignedLink.InPath
 			}
 		}
 		i := rapid.IntRange(first, last).Draw(t, "place")
@@ -194,14 +198,15 @@
 		old := (*text)[i]
 		*text = (*text)[:i] + string(b) + (*text)[i+1:]
 		v := authorize(s, altered)
-		// A cookie beside the grant, and the case of hex digits, carry nothing.
+		// Other cookies and the case of hex digits are not signed.
 		if v.Refusal == "" && !strings.EqualFold(string(old), string(b)) {
-			t.Fatalf("let in with %q for %q at %d: %+v", b, old, i, altered)
+			t.Fatalf("granted with %q in place of %q at %d: %+v", b, old, i, altered)
 		}
 	})
 }
 
-// Amazon's own signer mints; every form must be let in.
+// Links and cookies signed by the AWS SDK are granted, so that the CloudFront format
+// doesn't only agree with SignLink.
 func TestLinksSignedByAWSSDK(t *testing.T) {
 	s, _ := newTestProfiles(t)
 	for id, key := range map[string]crypto.Signer{"KRSA": testKeys.rsa, "KEC": testKeys.ec} {
@@ -234,7 +239,7 @@
 			}
 		}
 		var pairs []string
-		for i := range 47 { // fifty, of which three belong to the one grant
+		for i := range 47 { // 50 cookies, of which 3 belong to the grant
 			pairs = append(pairs, fmt.Sprintf("c%d=%d", i, i))
 		}
 		for i, c := range cookies {
@@ -262,7 +267,8 @@
 	}
 }
 
-// JWTs by another library than the one that verifies.
+// JWTs signed by golang-jwt, another library than the verifying one, are granted, and
+// refused with a claim or a header that doesn't hold.
 func TestTokensSignedByGolangJWT(t *testing.T) {
 	s, _ := newTestProfiles(t)
 	signToken := func(kid string, method jwt.SigningMethod, key any, change func(jwt.MapClaims)) string {
@@ -327,7 +333,8 @@
 
 func sha256Of(text string) []byte { d := crypto.SHA256.New(); d.Write([]byte(text)); return d.Sum(nil) }
 
-// A chain of renewed tokens, across a rotation of the signing key.
+// A chain of renewed tokens continues across a rotation of the signing key: each
+// token is granted, has a new ID and yields the cookie for the next request.
 func TestRenewalChain(t *testing.T) {
 	first := secretKey("first", longSecret)
 	second := secretKey("second", strings.ToUpper(longSecret))
@@ -358,18 +365,19 @@
 		}
 		v := authorize(s, req)
 		if v.Refusal != "" || seen[v.ID] || v.ID == "" {
-			t.Fatalf("segment %d: %q, id %q", i, v.Refusal, v.ID)
+			t.Fatalf("segment %d: got refusal %q, ID %q", i, v.Refusal, v.ID)
 		}
 		seen[v.ID] = true
 		c, err := v.Renew(req.ReceivedAt)
 		if err != nil || c == nil || c.Path != "/files/guide-video/" || c.Expires != (req.ReceivedAt/1_000_000+10)*1_000_000 {
-			t.Fatalf("segment %d: renewed as %+v, %v", i, c, err)
+			t.Fatalf("segment %d: got renewed cookie %+v, error %v", i, c, err)
 		}
 		req = Request{Target: target, Header: cookieHeader(c.Name + "=" + c.Value)}
 	}
 }
 
-// The states of keys, and a skew of a key's own.
+// A key's state decides whether its links are granted, and a key's own skew replaces
+// the profile's.
 func TestKeyStates(t *testing.T) {
 	key := func(state keyring.State, moment Micros) *keyring.Key {
 		k := secretKey("k", "0123456789abcdef")
@@ -395,13 +403,14 @@
 		tc.key.Skew = 4_000_000
 		for late, want := range map[Micros]Refusal{4_000_000: "", 4_000_001: Expired} {
 			if v := authorize(s, Request{Target: link.Target, ReceivedAt: now + 9_000_000 + late}); tc.want == "" && tc.key.State == keyring.Next && v.Refusal != want {
-				t.Errorf("skew of its own: %q at %d", v.Refusal, late)
+				t.Errorf("key with its own skew: got refusal %q at %d µs after expiry", v.Refusal, late)
 			}
 		}
 	}
 }
 
-// Independent of Mint: digests by the published recipes.
+// Digests computed as the networks document them, independently of SignLink, are
+// accepted.
 func TestPublishedSignatureAlgorithms(t *testing.T) {
 	s, _ := newTestProfiles(t)
 	mac := func(text string) []byte {
@@ -432,8 +441,9 @@
 	}
 }
 
-// What a token gives must hold wherever it stands: a remembered verdict may not
-// cover a place or an order that was never judged.
+// A cached verdict applies only to the position and the order of the fields for
+// which it was verified: a token moved in the path, or fields in another order,
+// would otherwise be granted from the cache.
 func TestCachedVerdictDependsOnFieldPosition(t *testing.T) {
 	s, profiles := newTestProfiles(t)
 	link, err := profiles["media"].SignLink(LinkSpec{Target: target, Scope: baseURL + "/files/", Expires: now + 9_000_000}, rand.Reader)
@@ -446,7 +456,7 @@
 	segment := link.InPath[len("/files/"):strings.Index(link.InPath, "/guide-video")]
 	moved := strings.Replace("/files/guide-video/TOKEN/17/9f3a?seg=3", "TOKEN", segment, 1)
 	if v := authorize(s, Request{Target: moved}); v.Refusal != SignatureMismatch {
-		t.Errorf("moved in the path: %q", v.Refusal)
+		t.Errorf("token moved in the path: got refusal %q, want signature mismatch", v.Refusal)
 	}
 	urlLink, _ := profiles["cloud"].SignLink(LinkSpec{Target: target, Expires: now + 9_000_000}, nil)
 	authorize(s, Request{Target: urlLink.Target})
@@ -457,13 +467,14 @@
 			reordered = append(reordered, params[i])
 		}
 		if v := authorize(s, Request{Target: "/files/guide-video/17/9f3a?" + strings.Join(reordered, "&")}); v.Refusal == "" {
-			t.Errorf("let in as %v", reordered)
+			t.Errorf("granted with fields in the order %v", reordered)
 		}
 	}
 }
 
-// The memory is bounded in each kind, and no flood of forged links drives a
-// good one out.
+// Each segment of the cache is bounded, and a flood of forged links doesn't evict a
+// genuine entry. Requests with one credential share one pending signature, until
+// Discard drops it.
 func TestCacheBounds(t *testing.T) {
 	s, profiles := newTestProfiles(t)
 	good, _ := profiles["front"].SignLink(LinkSpec{Target: target, Expires: now + 99_000_000, KeyName: "KEC"}, rand.Reader)
@@ -472,10 +483,10 @@
 		authorize(s, Request{Target: strings.Replace(good.Target, "seg=3", fmt.Sprint("seg=", i+100), 1)})
 	}
 	if g, f, p := s.CachedVerdicts(); g != 1 || f != 250 || p != 0 {
-		t.Errorf("remembers %d, %d, %d", g, f, p)
+		t.Errorf("got %d genuine, %d forged, %d pending cached verdicts, want 1, 250, 0", g, f, p)
 	}
 	if v := s.Authorize(&Request{Target: good.Target, Peer: peer, ReceivedAt: now}); v.Refusal != "" || v.Pending != nil {
-		t.Error("the good one was driven out")
+		t.Error("the genuine entry was evicted")
 	}
 	var last Verdict
 	for i := range 400 {
@@ -483,11 +494,11 @@
 	}
 	again := s.Authorize(&Request{Target: strings.Replace(good.Target, "seg=3", "seg=9399", 1), Peer: peer, ReceivedAt: now})
 	if again.Pending != last.Pending {
-		t.Error("two proofs of one credential")
+		t.Error("two pending signatures for one credential")
 	}
 	s.Discard(last.Pending)
 	if _, _, p := s.CachedVerdicts(); p != 249 {
-		t.Errorf("%d proofs are out", p)
+		t.Errorf("got %d pending signatures after Discard, want 249", p)
 	}
 }
 
@@ -502,7 +513,7 @@
 		b.Fatal(err)
 	}
 	req := Request{Target: link.Target, Peer: peer, ReceivedAt: now}
-	if forged { // the last sign but two of the signature, so that it can still be read
+	if forged { // alter one character of the signature, which must still be decodable
 		i := len(req.Target) - 3
 		for _, prefix := range []string{"Signature=", DefaultCDNITokenName + "=", "hmac=", "verify="} {
 			if at := strings.Index(req.Target, prefix); at >= 0 {
@@ -539,27 +550,27 @@
 func BenchmarkVerdict(b *testing.B) {
 	for _, x := range []struct {
 		name, format string
-		wish         LinkSpec
+		spec         LinkSpec
 	}{
 		{"edgeauth", "edge", LinkSpec{Scope: "/files/*", Data: "edge-1"}}, {"cloudcdn", "cloud", LinkSpec{}}, {"mediacdn", "media", LinkSpec{}},
 		{"cloudfront-canned-rsa", "front", LinkSpec{KeyName: "KRSA"}}, {"cloudfront-custom-p256", "front", LinkSpec{KeyName: "KEC", Scope: anyFile}},
 		{"cdni-hs256", "cdni", LinkSpec{KeyName: "hs"}}, {"cdni-es256", "cdni", LinkSpec{KeyName: "es"}}, {"cdni-rs256", "cdni", LinkSpec{KeyName: "rs"}},
 		{"timed", "timed", LinkSpec{}},
 	} {
-		b.Run(x.name+"/first", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, true, false) })
-		b.Run(x.name+"/remembered", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, false, false) })
-		b.Run(x.name+"/forged", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.wish, true, true) })
+		b.Run(x.name+"/first", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.spec, true, false) })
+		b.Run(x.name+"/remembered", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.spec, false, false) })
+		b.Run(x.name+"/forged", func(b *testing.B) { benchmarkAuthorize(b, x.format, x.spec, true, true) })
 	}
 }
 
-// Two described profiles under one name could not be told apart, and a described
-// token's subject is read back as it was named.
+// Two Timed profiles with the same field names are refused, since their links could
+// not be told apart, and a token's subject is returned as it was given to SignLink.
 func TestTimedProfiles(t *testing.T) {
 	timedFormat := TimedFormat{Message: "{path}{expires}{id}", Token: "{expires}_{id}_{mac}", Digest: "hmac-sha256", Encoding: "hex"}
 	profile := func(name string) *Profile {
 		return &Profile{Name: name, Format: Timed, Ring: newRing(t, secretKey(name, "0123456789abcdef")), Query: "t", TimedFormat: timedFormat}
 	}
-	if _, err := New(Config{Profiles: []*Profile{profile("a"), profile("b")}}); err == nil || !strings.Contains(err.Error(), `"a" is carried alike`) {
+	if _, err := New(Config{Profiles: []*Profile{profile("a"), profile("b")}}); err == nil || !strings.Contains(err.Error(), `"a" uses the same field names`) {
 		t.Error(err)
 	}
 	p := profile("a")
--- a/internal/decide/grants/locate.go
+++ b/internal/decide/grants/locate.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// locate finds the one credential of a request and parts it from the target.
+// locate finds the one credential of a request and removes it from the path and
+// the query.
 func (set *ProfileSet) locate(req *Request, cred *credential) Refusal {
 	if len(req.Target) > maxTargetBytes {
 		return UnusableTarget
@@ -41,7 +42,7 @@
 		if names := &fields.family.fieldNames; names.single[fields.carrier] {
 			fields.duplicate = fields.duplicate || fields.count > 1
 		} else if fields.present&names.identifying == 0 {
-			stray = true // fields that some formats share, and none that tells which
+			stray = true // only fields that several formats share
 			continue
 		}
 		credentials++
@@ -65,8 +66,8 @@
 	return ""
 }
 
-// shared tells whether all stray fields are names that the chosen credential
-// has as well, in the same carrier.
+// sharesStray reports whether all stray fields are ones that the chosen
+// credential has as well, in the same carrier.
 func (set *ProfileSet) sharesStray(cred *credential) bool {
 	for _, fields := range set.populated {
 		if fields == cred.fieldValues {
@@ -93,6 +94,8 @@
 	return false
 }
 
+// record stores a field's value for every family that has the field. In a query or
+// a path, the field extends from start to end.
 func (set *ProfileSet) record(at carrier, refs []fieldRef, value string, start, end int) {
 	for _, ref := range refs {
 		fields := &set.fieldValues[at][ref.family]
@@ -112,7 +115,7 @@
 	}
 }
 
-// header finds a header's name without allocating for its case.
+// headerRefs looks up a header name in any case, without allocating.
 func (set *ProfileSet) headerRefs(name string) []fieldRef {
 	if len(name) > 64 {
 		return nil
@@ -128,8 +131,8 @@
 	return set.fieldRefs[inHeader][string(lower[:len(name)])]
 }
 
-// inQuery takes the signing fields of a query. A name in another spelling than
-// the plain one is refused, so that no other reader of the URL takes it for one.
+// extractQuery records the signing fields of a query. A field name that is
+// percent-encoded is refused, since another parser of the URL would recognize it.
 func (set *ProfileSet) extractQuery(query string) Refusal {
 	for at := 0; at < len(query); {
 		end := len(query)
@@ -158,13 +161,13 @@
 	return ""
 }
 
-// rest is the query without the credential's fields.
+// stripQuery returns the query without the credential's fields.
 func (set *ProfileSet) stripQuery(query string, cred *credential) string {
 	if query == "" || cred.carrier != inQuery {
 		return query
 	}
 	names := cred.fieldNames.byCarrier[inQuery]
-	// The usual case allocates nothing: the fields stand together at an end.
+	// The usual case, adjacent fields at one end, allocates nothing.
 	if cred.start > 0 && cred.end == len(query) && strings.Count(query[cred.start:], "&") == cred.count-1 {
 		return query[:cred.start-1]
 	}
@@ -180,7 +183,8 @@
 	return strings.Join(keep, "&")
 }
 
-// inCookies takes the signing fields of a Cookie header (RFC 6265, section 5.4).
+// extractCookies records the signing fields of a Cookie header (RFC 6265,
+// section 5.4).
 func (set *ProfileSet) extractCookies(value string) {
 	for value != "" {
 		pair := value
@@ -198,9 +202,9 @@
 	}
 }
 
-// inPath takes signing fields that stand in the path: as a parameter of a
-// segment, ;NAME=VALUE, or as a segment of its own, /NAME=VALUE. It gives the
-// path without them.
+// extractPath records the signing fields in the path: a parameter of a segment,
+// ;NAME=VALUE, or a segment of its own, /NAME=VALUE. It returns the path without
+// them.
 func (set *ProfileSet) extractPath(path string) (string, Refusal) {
 	if len(set.fieldRefs[inPath]) == 0 || !strings.Contains(path, "=") {
 		return path, ""
@@ -228,9 +232,9 @@
 	return path, ""
 }
 
-// plainPath refuses paths that can be read in more than one way: dot segments,
-// encoded or not, empty segments, encoded slashes and backslashes, and what
-// would decode to something that can be decoded again.
+// unambiguousPath reports whether all parsers read a path in the same way. It
+// excludes dot segments, encoded or not, empty segments, encoded slashes,
+// backslashes and NUL bytes, and paths that could be decoded twice.
 func unambiguousPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
--- a/internal/decide/grants/profile.go
+++ b/internal/decide/grants/profile.go
@@ -14,56 +14,58 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// The formats.
+// Names of the formats.
 const (
 	EdgeAuth   = "edgeauth"   // Akamai EdgeAuth 2.0
 	CloudCDN   = "cloudcdn"   // Google Cloud CDN: HMAC-SHA1
 	MediaCDN   = "mediacdn"   // Google Media CDN: Ed25519
 	CloudFront = "cloudfront" // Amazon CloudFront
 	CDNI       = "cdni"       // CDNI URI Signing, RFC 9246
-	Timed      = "timed"      // keyed digests as an operator describes them
+	Timed      = "timed"      // digests with an expiry, as described by a TimedFormat
 )
 
-// Formats names all formats.
+// Formats lists the names of all formats.
 var Formats = []string{EdgeAuth, CloudCDN, MediaCDN, CloudFront, CDNI, Timed}
 
-// Profile is one way in which links are signed: a format, a ring, and what an
-// operator has to say of the format.
+// Profile configures one way of signing links: a format, a key ring and the options
+// of the format.
 type Profile struct {
 	Name    string
-	Tenant  string // whose links these are
+	Tenant  string // owner of the links
 	Format  string
 	Ring    *keyring.Ring
-	BaseURL string // scheme and host that signed URLs begin with
-	Skew    Micros // that clocks may differ by, where the key has none of its own
+	BaseURL string // scheme and host of signed URLs
+	Skew    Micros // allowed clock skew, unless the key has its own
 
-	Query, Cookie, Header string // names of the one field of a token; empty: not carried there
+	Query, Cookie, Header string // field names of a token in one field; empty: not accepted there
 
-	RequireBranch      bool // a token's data must name the own branch
-	AllowMissingBranch bool // or may be left out
+	RequireBranch      bool // a token's data must name the ProfileSet's branch
+	AllowMissingBranch bool // or be empty
 
-	Digest        string // of EdgeAuth and Timed: sha256, sha1, md5; Timed: also hmac-sha256 and so on
+	Digest        string // of EdgeAuth: sha256 (default), sha1, md5
 	Salt          string // of EdgeAuth
-	AllowNoExpiry bool   // of CDNI: tokens without an expiry are good
+	AllowNoExpiry bool   // of CDNI: tokens without an expiry are valid
 	Issuers       []string
 	Audience      string
 	TimedFormat   TimedFormat // of Timed
 
 	format   format
 	macs     map[*keyring.Key]hash.Hash
-	macSize  int       // bytes of a keyed digest
-	macBuf   []byte    // used anew by each digest
-	inputBuf [512]byte // used anew by each digest
+	macSize  int       // bytes of an HMAC
+	macBuf   []byte    // reused by mac
+	inputBuf [512]byte // reused by mac
 }
 
 var digests = map[string]func() hash.Hash{"sha256": sha256.New, "sha1": sha1.New, "md5": md5.New}
 
-const minHS256Bytes = 32 // bytes
+const minHS256Bytes = 32 // of a key (RFC 7518, section 3.2)
 
-// Digests names the digests that EdgeAuth and Timed take.
+// Digests lists the digests of EdgeAuth and Timed; Timed also has each with the
+// prefix hmac-.
 var Digests = []string{"sha256", "sha1", "md5"}
 
-// Check tells what of a profile can't be used; the error begins with its key.
+// Check validates a profile and prepares it for use. An error begins with the
+// setting's key.
 func (p *Profile) Check() error {
 	macDigest := p.Digest
 	kinds := []keyring.Kind{keyring.Secret}
@@ -93,10 +95,10 @@
 			macDigest = d.digest
 		}
 	default:
-		return fmt.Errorf("format: %q is none of %v", p.Format, Formats)
+		return fmt.Errorf("format: %q is not one of %v", p.Format, Formats)
 	}
 	if p.BaseURL == "" && slices.Contains([]string{CloudCDN, MediaCDN, CloudFront, CDNI}, p.Format) {
-		return errors.New("base: missing, what is signed begins with it")
+		return errors.New("base: missing; signed URLs begin with it")
 	}
 	if base, err := url.Parse(p.BaseURL); p.BaseURL != "" &&
 		(err != nil || base.Host == "" || base.Scheme+"://"+base.Host != p.BaseURL) {
@@ -114,7 +116,7 @@
 		if macDigest != "" {
 			digest := digests[macDigest]
 			if digest == nil {
-				return fmt.Errorf("digest: %q is none of %v", macDigest, Digests)
+				return fmt.Errorf("digest: %q is not one of %v", macDigest, Digests)
 			}
 			p.macs[k] = hmac.New(digest, k.Bytes)
 			p.macSize = p.macs[k].Size()
@@ -123,12 +125,12 @@
 	return nil
 }
 
-// mac gives the keyed digest of texts put together. It holds until the next one
-// is asked for.
+// mac returns the HMAC of the concatenated texts. The result is valid until the
+// next call.
 func (p *Profile) mac(k *keyring.Key, texts ...string) []byte {
 	h := p.macs[k]
 	h.Reset()
-	n := 0 // of text; what is put together is written at once, without an allocation
+	n := 0 // bytes in inputBuf, which collects the texts without an allocation
 	for _, text := range texts {
 		for text != "" {
 			if n == len(p.inputBuf) {
--- a/internal/decide/grants/sign.go
+++ b/internal/decide/grants/sign.go
@@ -17,28 +17,31 @@
 	"cherryramp/internal/decide/keyring"
 )
 
+// constantTimeEqual reports whether a and b are equal, in a time that doesn't depend
+// on their contents.
 func constantTimeEqual(a, b []byte) bool { return hmac.Equal(a, b) }
 
-// Wish is what a link is to let in.
+// LinkSpec specifies a link to be signed. Fields that the profile's format doesn't
+// have are ignored.
 type LinkSpec struct {
 	Target       string   // path and query
-	KeyName      string   // its name; empty: the ring's signing key
-	Expires      Micros   // whole seconds count
-	NotBefore    Micros   // 0: at once
-	Scope        string   // patterns, a prefix, a resource or a container, as the format has it; empty: the target alone
-	Address      string   // one address or prefix; empty: any
-	Subject      string   // whom it is for
-	ID           string   // of the one token
-	Data         string   // the branch, of EdgeAuth
-	SHA256       bool     // of CloudFront
-	RenewSeconds int64    // s that renewed tokens last, of CDNI; 0: none are
-	Depth        int      // segments that the renewed cookie is for
+	KeyName      string   // empty: the ring's signing key
+	Expires      Micros   // truncated to seconds
+	NotBefore    Micros   // 0: valid immediately
+	Scope        string   // patterns, prefix, resource or container, depending on the format; empty: the target only
+	Address      string   // address or prefix of the client; empty: any
+	Subject      string   // user of the link
+	ID           string   // of the token
+	Data         string   // of EdgeAuth: the branch
+	SHA256       bool     // of CloudFront: sign a SHA-256 digest, not SHA-1
+	RenewSeconds int64    // of CDNI: lifetime of renewed tokens in seconds; 0: no renewal
+	Depth        int      // of CDNI: path segments in the path of the renewed cookie
 	Issuer       string   // of CDNI
-	Audience     []string // audience, of CDNI
+	Audience     []string // of CDNI
 }
 
-// Minted is a link in each form in which its format may be carried; what it may
-// not be carried in is empty.
+// SignedLink is a signed link in each form that the format and the profile allow. The
+// others are empty.
 type SignedLink struct {
 	Target string // with the grant in the query
 	InPath string // with the grant in the path
@@ -46,8 +49,8 @@
 	Header string // Name: value
 }
 
-// Mint signs a link. The profile must belong to a Set; random is for signatures
-// that need it.
+// SignLink signs a link. The profile must belong to a ProfileSet. random is the
+// source of randomness for signatures that need one.
 func (p *Profile) SignLink(spec LinkSpec, random io.Reader) (SignedLink, error) {
 	key := p.Ring.SigningKey()
 	if spec.KeyName != "" {
@@ -56,13 +59,13 @@
 		}
 	}
 	if key == nil || key.Kind != keyring.Secret && key.Signer == nil {
-		return SignedLink{}, fmt.Errorf("ring %q holds no key that signs", p.Ring.Name)
+		return SignedLink{}, fmt.Errorf("ring %q has no signing key", p.Ring.Name)
 	}
 	if path, _, _ := strings.Cut(spec.Target, "?"); !unambiguousPath(path) {
-		return SignedLink{}, errors.New("target: can be read in more than one way")
+		return SignedLink{}, errors.New("target: the path is ambiguous")
 	}
 	if spec.Address != "" && !isAddressOrPrefix(spec.Address) {
-		return SignedLink{}, fmt.Errorf("address: %q is no address or prefix", spec.Address)
+		return SignedLink{}, fmt.Errorf("address: %q is not an address or prefix", spec.Address)
 	}
 	switch format := p.format.(type) {
 	case edgeAuth:
@@ -76,10 +79,10 @@
 	case *timed:
 		return p.signTimed(format, key, spec)
 	}
-	return SignedLink{}, fmt.Errorf("profile %q belongs to no set", p.Name)
+	return SignedLink{}, fmt.Errorf("profile %q is not in a profile set", p.Name)
 }
 
-// with adds fields to a target's query.
+// appendQuery appends fields to a target's query.
 func appendQuery(target, fields string) string {
 	if strings.Contains(target, "?") {
 		return target + "&" + fields
@@ -89,7 +92,8 @@
 
 func unixSeconds(m Micros) string { return strconv.FormatInt(m/1_000_000, 10) }
 
-// carried puts a one-field token wherever the profile has it.
+// placeToken returns a link with a token of one field in each carrier that the
+// profile accepts.
 func (p *Profile) placeToken(target, token string) SignedLink {
 	var link SignedLink
 	if p.Query != "" {
@@ -237,7 +241,7 @@
 			}
 		}
 		if secret == nil {
-			return SignedLink{}, fmt.Errorf("ring %q holds no secret of 32 bytes to encrypt to", p.Ring.Name)
+			return SignedLink{}, fmt.Errorf("ring %q has no 32-byte secret to encrypt with", p.Ring.Name)
 		}
 		var err error
 		for _, x := range []struct {
@@ -285,7 +289,7 @@
 			continue
 		}
 		if values[part.field] == "" {
-			return SignedLink{}, fmt.Errorf("the description's {%s} is not given", part.field)
+			return SignedLink{}, fmt.Errorf("no value for {%s} in the token template", part.field)
 		}
 		text.WriteString(values[part.field])
 	}
--- a/internal/decide/grants/timed.go
+++ b/internal/decide/grants/timed.go
@@ -13,33 +13,34 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// Description tells how a network makes its timed digests. Message and Token
-// are templates: text with fields in braces.
+// TimedFormat describes how a network computes digests of URLs with an expiry.
+// Message, the text to be digested, and Token are templates: text with fields in
+// braces.
 //
-//	{expires}  moment in seconds, in Base: the last one, or with Life the first
+//	{expires}  Unix time in seconds: the expiry, or with Lifetime the time of issue
 //	{path}     the path without signing fields
-//	{dir}      the path up to and with its last slash; the link then covers all below it
+//	{dir}      the path through its last slash; the link then covers all paths below it
 //	{url}      scheme, host and path
 //	{ip}       the client's address
-//	{id}       whom the link is for
-//	{nonce}    any word
+//	{id}       the user of the link
+//	{nonce}    any text
 //	{key}      the key's name
-//	{secret}   the secret itself, of plain digests
-//	{mac}      the digest, of Token
+//	{secret}   the secret; only in Message, for plain digests
+//	{mac}      the digest; only in Token
 //
-// Token is what the one field carries, as "{expires}_{mac}"; where Separate
-// names a query parameter, the moment stands there instead.
+// Token is the format of the token's field, for example "{expires}_{mac}". If
+// TimeParam names a query parameter, that carries {expires} instead.
 type TimedFormat struct {
 	Message   string
 	Token     string
-	TimeParam string // of the moment; empty: in Token
+	TimeParam string // query parameter for {expires}; empty: it is in Token
 	Digest    string // hmac-sha256, hmac-sha1, hmac-md5; plain: sha256, sha1, md5
 	Encoding  string // hex, base64, base64url, base64url-nopad
-	TimeBase  int    // of the moment, 10 or 16
-	Lifetime  Micros // of a link whose moment is when it was issued; 0: it is when it ends
+	TimeBase  int    // base of {expires}: 10 (default) or 16
+	Lifetime  Micros // from the time of issue; 0: {expires} is the expiry
 }
 
-// Encodings names the encodings.
+// Encodings lists the encodings of a digest.
 var Encodings = []string{"hex", "base64", "base64url", "base64url-nopad"}
 
 var (
@@ -47,21 +48,23 @@
 	tokenFields   = []string{"expires", "ip", "id", "nonce", "key", "mac"}
 )
 
-// piece is a run of plain text or a field of a template.
+// templatePart is either literal text or a field of a template.
 type templatePart struct {
 	text  string
 	field string
 }
 
-// timed is a compiled description.
+// timed is a compiled TimedFormat.
 type timed struct {
 	TimedFormat
 	message, token []templatePart
-	useHMAC        bool // HMAC; else a plain digest with the secret in the message
-	bindsPeer      bool // the address is the client's, and not in the token
+	useHMAC        bool // otherwise a plain digest with the secret in the message
+	bindsPeer      bool // {ip} is the address of the connection, not taken from the token
 	digest         string
 }
 
+// parseTemplate splits a template into its parts. key is the setting's name, for
+// errors.
 func parseTemplate(key, text string, fields []string) ([]templatePart, error) {
 	var parts []templatePart
 	for rest := text; rest != ""; {
@@ -74,7 +77,7 @@
 		}
 		name, more, ok := strings.Cut(after, "}")
 		if !ok || !slices.Contains(fields, name) {
-			return nil, fmt.Errorf("%s: field {%s} is none of %v", key, name, fields)
+			return nil, fmt.Errorf("%s: field {%s} is not one of %v", key, name, fields)
 		}
 		parts = append(parts, templatePart{field: name})
 		rest = more
@@ -82,6 +85,8 @@
 	return parts, nil
 }
 
+// compile checks the description and parses its templates. An error begins with the
+// setting's key.
 func (d TimedFormat) compile() (*timed, error) {
 	t := &timed{TimedFormat: d}
 	var err error
@@ -93,15 +98,15 @@
 	}
 	for i, part := range t.token {
 		if i > 0 && part.field != "" && t.token[i-1].field != "" {
-			return nil, fmt.Errorf("token: nothing parts {%s} from {%s}", t.token[i-1].field, part.field)
+			return nil, fmt.Errorf("token: no text separates {%s} from {%s}", t.token[i-1].field, part.field)
 		}
 	}
 	t.digest, t.useHMAC = strings.CutPrefix(d.Digest, "hmac-")
 	if digests[t.digest] == nil {
-		return nil, fmt.Errorf("digest: %q is none of %v, each also with hmac- before it", d.Digest, Digests)
+		return nil, fmt.Errorf("digest: %q is not one of %v, with or without the prefix hmac-", d.Digest, Digests)
 	}
 	if !slices.Contains(Encodings, d.Encoding) {
-		return nil, fmt.Errorf("encoding: %q is none of %v", d.Encoding, Encodings)
+		return nil, fmt.Errorf("encoding: %q is not one of %v", d.Encoding, Encodings)
 	}
 	if t.TimeBase == 0 {
 		t.TimeBase = 10
@@ -122,20 +127,20 @@
 	case t.TimeBase != 10 && t.TimeBase != 16:
 		return nil, fmt.Errorf("base: %d is not 10 or 16", t.TimeBase)
 	case inToken("mac") != 1:
-		return nil, errors.New("token: {mac} must stand there once")
+		return nil, errors.New("token: {mac} must occur exactly once")
 	case inToken("expires")+map[bool]int{true: 1}[d.TimeParam != ""] != 1:
-		return nil, errors.New("token: {expires} must stand there once, or separate name its parameter")
+		return nil, errors.New("token: {expires} must occur exactly once, or separate must name its query parameter instead")
 	case !inMessage("expires"):
-		return nil, errors.New("message: {expires} is missing, so a link could be made to last")
+		return nil, errors.New("message: {expires} is missing, so the expiry would not be signed")
 	case !inMessage("path") && !inMessage("dir") && !inMessage("url"):
-		return nil, errors.New("message: {path}, {dir} or {url} is missing, so a link would let in everything")
+		return nil, errors.New("message: {path}, {dir} or {url} is missing, so a link would cover every path")
 	case t.useHMAC == inMessage("secret"):
-		return nil, errors.New("message: {secret} belongs to plain digests, and must stand there with them")
+		return nil, errors.New("message: {secret} is required for plain digests and not allowed for HMAC")
 	}
 	t.bindsPeer = inMessage("ip") && inToken("ip") == 0
 	for _, part := range t.token {
 		if part.field != "" && part.field != "mac" && !inMessage(part.field) && part.field != "key" {
-			return nil, fmt.Errorf("token: {%s} is not in message, so anyone could alter it", part.field)
+			return nil, fmt.Errorf("token: {%s} is not in message, so it would not be signed", part.field)
 		}
 	}
 	return t, nil
@@ -164,7 +169,8 @@
 	}
 	t := &token{}
 	for _, p := range cred.profiles {
-		// Described alike as far as names go; the first whose form fits is it.
+		// The profiles have the same field names; the first one whose template matches
+		// applies.
 		compiled := p.format.(*timed)
 		values, ok := compiled.parseToken(text)
 		if !ok {
@@ -211,7 +217,7 @@
 	return nil, MalformedSignature
 }
 
-// split takes a token apart by its template.
+// parseToken returns the values of a token's fields by its template.
 func (t *timed) parseToken(text string) (map[string]string, bool) {
 	values := map[string]string{}
 	for i, part := range t.token {
@@ -236,7 +242,7 @@
 	return values, text == ""
 }
 
-// sum is the digest that a key gives.
+// computeDigest returns the digest of the message under a key.
 func (t *timed) computeDigest(p *Profile, k *keyring.Key, values map[string]string, path string) []byte {
 	texts := make([]string, 0, 16)
 	for _, part := range t.message {
@@ -267,6 +273,7 @@
 	return h.Sum(nil)
 }
 
+// encodeMAC encodes a digest. Standard base64 is also percent-encoded.
 func encodeMAC(encoding string, mac []byte) string {
 	switch encoding {
 	case "hex":
@@ -279,6 +286,7 @@
 	return base64.RawURLEncoding.EncodeToString(mac)
 }
 
+// decodeMAC reverses encodeMAC.
 func decodeMAC(encoding, text string) ([]byte, bool) {
 	var mac []byte
 	var err error
--- a/internal/decide/grants/token.go
+++ b/internal/decide/grants/token.go
@@ -15,53 +15,57 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// state is what is known of a token's signature.
+// signatureState is the state of a token's signature.
 type signatureState uint8
 
 const (
 	unverified signatureState = iota
-	pending                   // a Proof of it is out
+	pending                   // a PendingSignature was handed out
 	genuine
 	forged
 )
 
-// token is what a credential says, and what is known of its signature.
+// token is a parsed credential with the state of its signature.
 type token struct {
 	profile          *Profile
-	key              *keyring.Key // nil until a nameless key was found
+	key              *keyring.Key // nil until verified, if the token doesn't name its key
 	state            signatureState
 	notBefore        Micros // 0: always
 	expires          Micros // 0: never
 	subject          string
 	id               string
 	data             string
-	signed           string   // what the signature covers, as far as it tells this token from others
-	mac              [64]byte // of keyed digests
+	signed           string   // the part of the signed text that identifies the token
+	mac              [64]byte // of EdgeAuth
 	scope            scope
 	networks         []netip.Prefix // empty: any
 	renew            *renewal
 	pendingSignature PendingSignature
-	verify           func() *keyring.Key // of keyed digests: the key under which it is genuine
-	entry            *entry              // in the memory of verdicts
+	verify           func() *keyring.Key // of keyed digests: returns the matching key or nil
+	entry            *entry              // in the verdict cache
 }
 
+// costly reports whether the signature is to be verified as a PendingSignature. It
+// is valid only before verifyMAC.
 func (t *token) costly() bool { return t.verify == nil }
 
+// verifyMAC verifies a keyed digest and sets the token's key.
 func (t *token) verifyMAC() bool {
 	t.key = t.verify()
 	t.verify = nil
 	return t.key != nil
 }
 
+// resolve records whether the signature is genuine, and returns that.
 func (t *token) resolve(good bool) bool {
 	if t.state = forged; good {
 		t.state = genuine
 	}
-	t.pendingSignature = PendingSignature{token: t} // what it was checked with is of no more use
+	t.pendingSignature = PendingSignature{token: t} // frees the inputs of the verification
 	return good
 }
 
-// takes tells whether an address may use the token.
+// allowsAddress reports whether a client address may use the token.
 func (t *token) allowsAddress(peer netip.Addr) bool {
 	if len(t.networks) == 0 {
 		return true
@@ -75,8 +79,8 @@
 	return false
 }
 
-// scope is the URLs that a token lets in. The zero one holds for the URL that
-// the signature itself covers.
+// scope is the set of URLs that a token covers. The zero value is the URL that the
+// signature itself covers.
 type scope struct {
 	kind    scopeKind
 	pattern string
@@ -89,15 +93,16 @@
 const (
 	signedURL    scopeKind = iota
 	anyPath                // the format covers no path
-	pathPatterns           // patterns parted by '!', of paths
-	urlPrefix              // plain text that the URL without its query begins with
-	urlPattern             // one pattern of the whole URL
-	urlRegex               // an expression that the whole URL fits
-	urlHash                // the digest of the whole URL
+	pathPatterns           // path patterns, separated by '!'
+	urlPrefix              // prefix of the URL without its query
+	urlPattern             // one pattern for the whole URL
+	urlRegex               // regular expression for the whole URL
+	urlHash                // SHA-256 digest of the whole URL
 	exactPath              // the path itself
 	noURL                  // covers nothing
 )
 
+// coversURL reports whether the request's URL is in the token's scope.
 func (t *token) coversURL(cred *credential) bool {
 	switch t.scope.kind {
 	case signedURL, anyPath:
@@ -119,21 +124,21 @@
 	return false
 }
 
-// Proof is a signature whose check takes long. It is plain data and shared with
-// nobody, so that Check may run on any goroutine, beside its set.
+// PendingSignature is a signature that is costly to verify. Verify may run on any
+// goroutine, concurrently with the ProfileSet, since nothing else uses its data.
 type PendingSignature struct {
 	token     *token
 	publicKey crypto.PublicKey
 	hash      crypto.Hash
-	message   []byte // of Ed25519; else its digest under hash
+	message   []byte // for Ed25519 the message, otherwise its digest by hash
 	signature []byte
 	jws       *jose.JSONWebSignature
 }
 
-// Tenant is whose link it claims to be.
+// Tenant returns the owner of the link, by the profile of the claimed key.
 func (p *PendingSignature) Tenant() string { return p.token.profile.Tenant }
 
-// Check tells whether the signature is genuine.
+// Verify reports whether the signature is genuine.
 func (p *PendingSignature) Verify() bool {
 	if p.jws != nil {
 		_, err := p.jws.Verify(p.publicKey)
@@ -150,7 +155,7 @@
 	return false
 }
 
-// seconds reads a Unix time of digits alone.
+// parseSeconds parses a Unix time in seconds, which must be all digits.
 func parseSeconds(s string) (Micros, bool) {
 	if s == "" || len(s) > maxTimeDigits {
 		return 0, false
@@ -164,8 +169,8 @@
 	return n * 1_000_000, err == nil && n > 0
 }
 
-// covers tells whether one of the patterns, parted by '!', fits a path; '*'
-// stands for any run of signs and '?' for one.
+// matchesAny reports whether a path matches one of the patterns, which are
+// separated by '!'.
 func matchesAny(patterns, path string) bool {
 	for more := true; more; {
 		var pattern string
@@ -176,8 +181,9 @@
 	return false
 }
 
-// matches goes back only to the last '*', so it takes no more than the product
-// of the two lengths.
+// matchesPattern reports whether s matches a pattern, in which '*' matches any
+// sequence of bytes and '?' any one byte. It backtracks to the last '*' only, so
+// its time is bounded by the product of the two lengths.
 func matchesPattern[T string | []byte](pattern string, s T) bool {
 	patternPos, pos, star, restart := 0, 0, -1, 0
 	for pos < len(s) {
@@ -198,7 +204,7 @@
 	return strings.Trim(pattern[patternPos:], "*") == ""
 }
 
-// nets reads addresses and prefixes (RFC 4632, RFC 4291).
+// parseNetworks parses addresses and prefixes (RFC 4632, RFC 4291).
 func parseNetworks(list []string) ([]netip.Prefix, bool) {
 	var networks []netip.Prefix
 	for _, text := range list {
@@ -211,7 +217,7 @@
 			n = netip.PrefixFrom(a, a.BitLen())
 		}
 		if n.Addr().Is4In6() {
-			return nil, false // it could never hold an address as it is compared
+			return nil, false // can't match, since client addresses are unmapped
 		}
 		networks = append(networks, n.Masked())
 	}
