--- a/cmd/ramplab/exchange.go
+++ b/cmd/ramplab/exchange.go
@@ -52,7 +52,7 @@
 		fmt.Printf("%d served, %d refused, %d failed, %d lost; %d fills\n", r.Served, r.Refused, r.Failed, r.Lost, r.Fills)
 		tellVerdict(r.Verdict)
 	}
-	if err == nil && len(r.Verdict.Broken) > 0 {
+	if err == nil && len(r.Verdict.Violations) > 0 {
 		err = errNotMet
 	}
 	return err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	v := history.Judge(h)
+	v := history.Check(h)
 	if c.JSON {
 		text, err := json.Marshal(v)
 		if err != nil {
@@ -79,31 +79,31 @@
 	} else {
 		tellVerdict(v)
 	}
-	if len(v.Broken) > 0 {
+	if len(v.Violations) > 0 {
 		return errNotMet
 	}
 	return nil
 }
 
 func tellVerdict(v *history.Verdict) {
-	fmt.Printf("events: %v\nhard limits: over by %.1f requests at the most (below 0: never); used at the end: %.0f%%\n", v.Counts, v.Over, 100*v.Used)
-	for _, p := range v.Purged {
-		fmt.Printf("purge %s: obeyed by %d fronts after %.3f s, complete after %.3f s\n", p.ID, p.Fronts, p.Obeyed, p.Complete)
+	fmt.Printf("events: %v\nhard limits: over by %.1f requests at the most (below 0: never); used at the end: %.0f%%\n", v.Counts, v.MaxExcess, 100*v.Utilization)
+	for _, p := range v.Purges {
+		fmt.Printf("purge %s: obeyed by %d fronts after %.3f s, complete after %.3f s\n", p.ID, p.Fronts, p.Applied, p.Complete)
 	}
-	if len(v.Cut) > 0 {
-		fmt.Printf("not whole, judged up to there: %v\n", v.Cut)
+	if len(v.Truncated) > 0 {
+		fmt.Printf("not whole, judged up to there: %v\n", v.Truncated)
 	}
-	if v.Missed > 0 {
-		fmt.Printf("%d events were not written\n", v.Missed)
+	if v.Dropped > 0 {
+		fmt.Printf("%d events were not written\n", v.Dropped)
 	}
-	for _, f := range v.Broken {
-		fmt.Printf("BROKEN %s: %s\n", f.Promise, f.Text)
-		for _, e := range f.Shows {
+	for _, f := range v.Violations {
+		fmt.Printf("BROKEN %s: %s\n", f.Property, f.Text)
+		for _, e := range f.Evidence {
 			b, _ := json.Marshal(e)
 			fmt.Printf("    %s\n", b)
 		}
 	}
-	if len(v.Broken) == 0 {
+	if len(v.Violations) == 0 {
 		fmt.Println("no promise broken")
 	}
 }
--- a/cmd/ramplab/experiment.go
+++ b/cmd/ramplab/experiment.go
@@ -186,11 +186,11 @@
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
 	if c.Again {
-		if err := s.Drop(c.Arm); err != nil {
+		if err := s.DeleteArm(c.Arm); err != nil {
 			return err
 		}
 	}
-	if err := s.Begin(arm); err != nil {
+	if err := s.BeginArm(arm); err != nil {
 		return err
 	}
 	var jobs []experiment.Job
@@ -235,13 +235,13 @@
 	if c.A == c.B {
 		return fmt.Errorf("--a, --b: %q is one arm", c.A)
 	}
-	d := &experiment.Design{Looks: c.Looks, First: c.First, Batch: c.Batch, Least: c.Least}
+	d := &experiment.Design{Looks: c.Looks, InitialSeeds: c.First, BatchDays: c.Batch, MinEffect: c.Least}
 	for _, m := range experiment.Measures {
 		if m.Name == c.Measure {
-			d.Of = m.Of
+			d.Measure = m.Of
 		}
 	}
-	if d.Of == nil {
+	if d.Measure == nil {
 		return fmt.Errorf("%q is no measure", c.Measure)
 	}
 	s, err := experiment.OpenStore(c.Store)
@@ -265,7 +265,7 @@
 		if arm, x.play, err = x.flags.arm(x.name); err != nil {
 			return err
 		}
-		if err := s.Begin(arm); err != nil {
+		if err := s.BeginArm(arm); err != nil {
 			return err
 		}
 	}
@@ -276,7 +276,7 @@
 	for i, f := range d.Files {
 		want[f] = i
 	}
-	asked := map[experiment.Want]bool{}
+	asked := map[experiment.PlannedDay]bool{}
 	for look := 1; ; {
 		var sets [2][]experiment.Day
 		for i, x := range sides {
@@ -285,7 +285,7 @@
 				return err
 			}
 			for _, day := range all { // others may have been played into the arm: they were not asked for
-				if asked[experiment.Want{File: day.File, Seed: day.Seed}] {
+				if asked[experiment.PlannedDay{File: day.File, Seed: day.Seed}] {
 					sets[i] = append(sets[i], day)
 				}
 			}
--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -108,15 +108,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, e := flood.Run(flood.Load{Address: s.Listen, GoodRate: f.Rate / f.Fronts, For: f.For, Connections: 32, Patience: 5 * time.Second,
-				Good: func(n int) string { return idle.Text("guide-video", "9f3a", run, n*f.Fronts+i, 2*time.Second) }})
+			r, e := flood.Run(flood.Options{Address: s.Listen, GoodRate: f.Rate / f.Fronts, Duration: f.For, Connections: 32, Timeout: 5 * time.Second,
+				Good: func(n int) string { return idle.RequestText("guide-video", "9f3a", run, n*f.Fronts+i, 2*time.Second) }})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e != nil {
 				return
 			}
 			all.Merge(r.Good.Times)
-			t.Lost += r.Good.Lost
+			t.Lost += r.Good.Failed
 			for status, n := range r.Good.Count {
 				t.Count[status] += n
 			}
@@ -154,7 +154,7 @@
 	EmptyKB, HeldKB        int
 	EachBytes, KernelBytes float64 // a connection; the kernel's for both ends
 	IdleCPU                float64 // of a core
-	Woken                  *idle.Tally
+	Woken                  *idle.Stats
 	WokenKB                int
 }
 
@@ -230,7 +230,7 @@
 			return herds, err
 		}
 		herds = append(herds, h)
-		if _, err := h.Do(idle.Order{Do: "open", Address: s.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
+		if _, err := h.Do(idle.Command{Action: "open", Address: s.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
 			Patience: 10 * time.Second}); err != nil {
 			return herds, err
 		}
@@ -240,9 +240,9 @@
 }
 
 // wake has all ask within the span.
-func (c *idleCommand) wake(herds []*idle.Worker) (*idle.Tally, error) {
+func (c *idleCommand) wake(herds []*idle.Worker) (*idle.Stats, error) {
 	start := time.Now().Add(2 * time.Second)
-	sum := &idle.Tally{}
+	sum := &idle.Stats{}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var err error
@@ -250,7 +250,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out, e := h.Do(idle.Order{Do: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
+			out, e := h.Do(idle.Command{Action: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e == nil {
@@ -262,7 +262,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fmt.Printf("%-24s %s\n", fmt.Sprintf("all wake within %v", c.Within), sum.Report(start))
+	fmt.Printf("%-24s %s\n", fmt.Sprintf("all wake within %v", c.Within), sum.Summary(start))
 	return sum, nil
 }
 
@@ -281,7 +281,7 @@
 	Clients, Pace   int
 	Senders         bool
 	None, Beside    *times
-	Slow            *idle.Slow
+	Slow            *idle.SlowStats
 	EmptyKB, MostKB int
 }
 
@@ -304,7 +304,7 @@
 	}
 	out.None.report("requests alone")
 	out.EmptyKB = c.resident()
-	order := idle.Order{Do: "drip", Class: "guide-video", Object: site.Large, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
+	order := idle.Command{Action: "drip", Class: "guide-video", Object: site.LargeObject, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
 		Pace: c.Pace, Read: !c.Senders, For: c.For}
 	if c.Spread {
 		order.Stride = 256
@@ -338,8 +338,8 @@
 	}
 	out.MostKB = most
 	fmt.Printf("%d slow clients at %d bytes/s: %d whole, %d ended by the front after %v to %v, %d left; resident %d KB at most, %d before\n",
-		c.Clients, c.Pace, out.Slow.Whole, out.Slow.Ended, out.Slow.Fastest.Round(time.Millisecond), out.Slow.Slowest.Round(time.Millisecond),
-		out.Slow.Left, out.MostKB, out.EmptyKB)
+		c.Clients, c.Pace, out.Slow.Completed, out.Slow.Ended, out.Slow.Fastest.Round(time.Millisecond), out.Slow.Slowest.Round(time.Millisecond),
+		out.Slow.Unfinished, out.MostKB, out.EmptyKB)
 	return writeJSON(c.JSON, out)
 }
 
--- a/cmd/ramplab/load.go
+++ b/cmd/ramplab/load.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	o := load.Options{Address: c.Address, Curve: curve, Even: c.Even, For: c.For, Patience: c.Patience, Idle: c.Idle, Connections: c.Connections,
+	o := load.Options{Address: c.Address, Curve: curve, EvenlySpaced: c.Even, Duration: c.For, Timeout: c.Patience, IdleTimeout: c.Idle, Connections: c.Connections,
 		Threads: c.Threads, Precise: c.Precise, Seed: c.Seed}
 	if c.Targets != "" {
 		list, err := targets(c.Targets)
@@ -61,7 +61,7 @@
 			return err
 		}
 		t := &load.Targets{Host: c.Host, List: list}
-		o.Kinds, o.Maker = t.Kinds(), t.Maker
+		o.Kinds, o.NewGenerator = t.Kinds(), t.NewGenerator
 	} else {
 		mix := &load.Mix{Objects: c.Objects, Zipf: c.Zipf, Body: 200}
 		for _, name := range slices.Sorted(maps.Keys(c.Mix)) {
@@ -70,7 +70,7 @@
 		if err := mix.Check(); err != nil {
 			return err
 		}
-		o.Kinds, o.Maker = mix.Kinds(), mix.Maker
+		o.Kinds, o.NewGenerator = mix.Kinds(), mix.NewGenerator
 	}
 	if err := transport.Setup(slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 		return err
@@ -89,7 +89,7 @@
 	if c.Times != "" {
 		all := hdrhistogram.New(1, 60_000_000, 3)
 		for _, k := range r.Kinds {
-			all.Merge(k.Times)
+			all.Merge(k.Latency)
 		}
 		f, err := os.Create(c.Times)
 		if err != nil {
@@ -145,18 +145,18 @@
 			_ = bar.Finish()
 			return
 		case <-tick.C:
-			bar.Describe(fmt.Sprintf("%d due, %d answered, %d lost", p.Due.Load(), p.Answered.Load(), p.Lost.Load()))
+			bar.Describe(fmt.Sprintf("%d due, %d answered, %d lost", p.Due.Load(), p.Answered.Load(), p.Failed.Load()))
 			_ = bar.Set(int(min(time.Since(start), span).Milliseconds()))
 		}
 	}
 }
 
 func printLoad(r *load.Result) {
-	fmt.Printf("%d requests in %.1f s on %d connections, %.1f MB of answers\n", r.Due, r.Took.Seconds(), r.Connections, float64(r.Bytes)/1e6)
+	fmt.Printf("%d requests in %.1f s on %d connections, %.1f MB of answers\n", r.Due, r.Elapsed.Seconds(), r.Connections, float64(r.Bytes)/1e6)
 	for _, k := range r.Kinds {
-		fmt.Printf("  %-16s %s", k.Name, quantiles(k.Times))
-		for _, end := range slices.Sorted(maps.Keys(k.Ends)) {
-			fmt.Printf("  %s: %d", end, k.Ends[end])
+		fmt.Printf("  %-16s %s", k.Name, quantiles(k.Latency))
+		for _, end := range slices.Sorted(maps.Keys(k.Outcomes)) {
+			fmt.Printf("  %s: %d", end, k.Outcomes[end])
 		}
 		fmt.Println()
 	}
@@ -194,8 +194,8 @@
 	}
 	var kinds []kind
 	for _, k := range r.Kinds {
-		kinds = append(kinds, kind{k.Name, k.Ends, times(k.Times)})
+		kinds = append(kinds, kind{k.Name, k.Outcomes, times(k.Latency)})
 	}
-	return map[string]any{"due": r.Due, "took_s": r.Took.Seconds(), "connections": r.Connections, "bytes": r.Bytes, "kinds": kinds,
-		"lag": times(r.Lag), "queued": times(r.Queued), "seconds": r.Ticks}
+	return map[string]any{"due": r.Due, "took_s": r.Elapsed.Seconds(), "connections": r.Connections, "bytes": r.Bytes, "kinds": kinds,
+		"lag": times(r.Lag), "queued": times(r.Queued), "seconds": r.Seconds}
 }
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -122,7 +122,7 @@
 			return err
 		}
 		defer func() { err = errors.Join(err, s.Stop()) }()
-		address = s.Signed
+		address = s.SignedListen
 	}
 	cases, may := w.Cases(), int64(0)
 	for _, x := range cases {
@@ -143,8 +143,8 @@
 	}
 	fmt.Printf("%d cases, %d failed\n", len(cases), len(failed))
 	if s != nil {
-		fmt.Printf("%d requests reached the cache node, %d may\n", s.Box.Taken(), may)
-		if s.Box.Taken() > may {
+		fmt.Printf("%d requests reached the cache node, %d may\n", s.Box.Requests(), may)
+		if s.Box.Requests() > may {
 			return errNotMet
 		}
 	}
@@ -213,8 +213,8 @@
 	if err != nil {
 		return err
 	}
-	r, err := flood.Run(flood.Load{Address: s.Signed, GoodRate: c.Good, ForgedRate: c.Forged, For: c.For, Connections: c.Connections,
-		Patience: 5 * time.Second, Good: func(i int) string { return good[i%len(good)] }, Forged: func(i int) string { return forged[i%len(forged)] }})
+	r, err := flood.Run(flood.Options{Address: s.SignedListen, GoodRate: c.Good, ForgedRate: c.Forged, Duration: c.For, Connections: c.Connections,
+		Timeout: 5 * time.Second, Good: func(i int) string { return good[i%len(good)] }, Forged: func(i int) string { return forged[i%len(forged)] }})
 	if err != nil {
 		return err
 	}
@@ -222,12 +222,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("good    %s\nforged  %s\n", r.Good.Report(), r.Forged.Report())
+	fmt.Printf("good    %s\nforged  %s\n", r.Good.Summary(), r.Forged.Summary())
 	n := r.Forged.Count[403] + r.Forged.Count[503]
-	reached := s.Box.Taken() + s.Parent.Taken() + s.Origin.Taken()
+	reached := s.Box.Requests() + s.Parent.Requests() + s.Origin.Requests()
 	fmt.Printf("forged turned away a second: %.0f; front's CPU: %.2f s a second; reached a node: %d, of %d good ones sent; resident %d KB\n",
-		float64(n)/r.Spent.Seconds(), (after-before).Seconds()/r.Spent.Seconds(), reached, c.Good*int(c.For/time.Second), process.ResidentKB(s.Pid()))
-	if reached > int64(r.Good.Count[200]+r.Good.Lost) || r.Forged.Count[200] > 0 {
+		float64(n)/r.Elapsed.Seconds(), (after-before).Seconds()/r.Elapsed.Seconds(), reached, c.Good*int(c.For/time.Second), process.ResidentKB(s.Pid()))
+	if reached > int64(r.Good.Count[200]+r.Good.Failed) || r.Forged.Count[200] > 0 {
 		return errNotMet
 	}
 	return nil
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -61,7 +61,7 @@
 // connectedPair is two connected sides on one loop, with a fault proxy between them.
 type connectedPair struct {
 	loop           *loop.Loop
-	line           *faultproxy.Line
+	line           *faultproxy.Proxy
 	a, b           *Conn
 	client, server *side
 }
@@ -167,13 +167,13 @@
 		do   func(pair *connectedPair)
 		want error // of the side that connected
 	}{
-		"one direction stalls": {func(pair *connectedPair) { pair.line.Freeze(faultproxy.Back, true) }, ErrSilent},
+		"one direction stalls": {func(pair *connectedPair) { pair.line.Freeze(faultproxy.Backward, true) }, ErrSilent},
 		"both directions stall": {func(pair *connectedPair) {
-			pair.line.Freeze(faultproxy.Back, true)
-			pair.line.Freeze(faultproxy.There, true)
+			pair.line.Freeze(faultproxy.Backward, true)
+			pair.line.Freeze(faultproxy.Forward, true)
 		}, ErrSilent},
-		"the peer is gone": {func(pair *connectedPair) { pair.line.Half(faultproxy.Back) }, ErrSilent},
-		"it is reset":      {func(pair *connectedPair) { pair.line.Cut() }, nil},
+		"the peer is gone": {func(pair *connectedPair) { pair.line.Blackhole(faultproxy.Backward) }, ErrSilent},
+		"it is reset":      {func(pair *connectedPair) { pair.line.ResetAll() }, nil},
 		"it is closed":     {func(pair *connectedPair) { pair.onLoop(pair.a.Close) }, ErrClosed},
 		"a second hello":   {func(pair *connectedPair) { pair.onLoop(func() { pair.b.Send(frame.KindHello, 0, frame.Hello{}) }) }, ErrFrameOrder},
 		"too much credit": {func(pair *connectedPair) {
@@ -198,8 +198,8 @@
 			if err := await(t, client.down, "its end"); err == nil || test.want != nil && !errors.Is(err, test.want) {
 				t.Errorf("ended with %v, want %v", err, test.want)
 			}
-			pair.line.Freeze(faultproxy.Back, false)
-			pair.line.Freeze(faultproxy.There, false)
+			pair.line.Freeze(faultproxy.Backward, false)
+			pair.line.Freeze(faultproxy.Forward, false)
 			await(t, server.down, "the other side's end")
 			pair.onLoop(func() { pair.a.Close(); pair.b.Close() })
 			if len(client.down) > 0 || len(server.down) > 0 {
--- a/lab/experiment/design.go
+++ b/lab/experiment/design.go
@@ -14,16 +14,16 @@
 // of two arms is better. It looks at what there is between batches of days; as it
 // looks several times, each look asks for more than a single one would.
 type Design struct {
-	Files []string
-	Of    func(r *world.Result) float64
-	Looks int     // at most
-	First int     // seeds of each scenario before the first look, 2 at least
-	Batch int     // days between two looks
-	Least float64 // an effect below this matters to nobody; 0: any does
+	Files        []string
+	Measure      func(r *world.Result) float64
+	Looks        int     // at most
+	InitialSeeds int     // seeds of each scenario before the first look, 2 at least
+	BatchDays    int     // days between two looks
+	MinEffect    float64 // an effect below this matters to nobody; 0: any does
 }
 
 // Want is a day that both arms are to play.
-type Want struct {
+type PlannedDay struct {
 	File string
 	Seed uint64
 }
@@ -32,7 +32,7 @@
 type Step struct {
 	Verdict         string // better, worse, alike, can't tell; empty: play Days
 	Mean, Low, High float64
-	Days            []Want
+	Days            []PlannedDay
 }
 
 // pocock are the critical values of group-sequential tests with equal steps at 5%,
@@ -42,19 +42,19 @@
 var pocock = []float64{1.960, 2.178, 2.289, 2.361, 2.413, 2.453, 2.485, 2.512, 2.535, 2.555}
 
 // MostLooks is the most that a design may have.
-const MostLooks = 10
+const MaxLooks = 10
 
 // Check names what no design can have.
 func (d *Design) Check() error {
 	switch {
 	case len(d.Files) == 0:
 		return fmt.Errorf("experiment: no scenarios")
-	case d.Looks < 1 || d.Looks > MostLooks:
-		return fmt.Errorf("experiment: %d looks, 1 to %d are possible", d.Looks, MostLooks)
-	case d.First < 2 || d.Batch < 1:
-		return fmt.Errorf("experiment: %d seeds first and %d days a batch, 2 and 1 are the least", d.First, d.Batch)
-	case d.Least < 0:
-		return fmt.Errorf("experiment: an effect of %v that matters", d.Least)
+	case d.Looks < 1 || d.Looks > MaxLooks:
+		return fmt.Errorf("experiment: %d looks, 1 to %d are possible", d.Looks, MaxLooks)
+	case d.InitialSeeds < 2 || d.BatchDays < 1:
+		return fmt.Errorf("experiment: %d seeds first and %d days a batch, 2 and 1 are the least", d.InitialSeeds, d.BatchDays)
+	case d.MinEffect < 0:
+		return fmt.Errorf("experiment: an effect of %v that matters", d.MinEffect)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 		if i < 0 {
 			continue
 		}
-		s, x := &strata[i], d.Of(p.B)-d.Of(p.A)
+		s, x := &strata[i], d.Measure(p.B)-d.Measure(p.A)
 		s.n++
 		delta := x - s.sum // Welford: sum holds the mean
 		s.sum += delta / float64(s.n)
@@ -93,8 +93,8 @@
 	}
 	var step Step
 	for i := range strata {
-		for s := &strata[i]; s.n < d.First; s.n++ {
-			step.Days = append(step.Days, Want{s.file, s.next})
+		for s := &strata[i]; s.n < d.InitialSeeds; s.n++ {
+			step.Days = append(step.Days, PlannedDay{s.file, s.next})
 			s.next++
 		}
 	}
@@ -110,7 +110,7 @@
 		step.Verdict = "better"
 	case step.High < 0:
 		step.Verdict = "worse"
-	case variance == 0 || step.Low > -d.Least && step.High < d.Least:
+	case variance == 0 || step.Low > -d.MinEffect && step.High < d.MinEffect:
 		step.Verdict = "alike"
 	case look >= d.Looks:
 		step.Verdict = "can't tell"
@@ -147,8 +147,8 @@
 // allocate spreads a batch over the scenarios so that the mean's variance falls most
 // with each day (Neyman's allocation, reached day by day). It looks at variances
 // only, never at which arm is ahead.
-func (d *Design) allocate(strata []stratum) (days []Want) {
-	for range d.Batch {
+func (d *Design) allocate(strata []stratum) (days []PlannedDay) {
+	for range d.BatchDays {
 		best, gain := 0, -1.0
 		for i, s := range strata {
 			if g := s.guess / float64(s.n*(s.n+1)); g > gain {
@@ -156,7 +156,7 @@
 			}
 		}
 		s := &strata[best]
-		days = append(days, Want{s.file, s.next})
+		days = append(days, PlannedDay{s.file, s.next})
 		s.n, s.next = s.n+1, s.next+1
 	}
 	return days
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -36,18 +36,18 @@
 
 // Effect is what the second of two builds makes of a measure, over the first.
 type Effect struct {
-	Measure     string
-	Pairs       int
-	A, B        float64 // means
-	Mean        float64 // of the differences
-	Low, High   float64 // 95% of the means of resampled differences
-	Better, All int     // pairs in which B is better, and in which they differ
+	Measure           string
+	Pairs             int
+	A, B              float64 // means
+	Mean              float64 // of the differences
+	Low, High         float64 // 95% of the means of resampled differences
+	Better, Differing int     // pairs in which B is better, and in which they differ
 }
 
 // Verdict says what can be said.
 func (e Effect) Verdict() string {
 	switch {
-	case e.All == 0:
+	case e.Differing == 0:
 		return "alike"
 	case e.Pairs < fewest:
 		return "too few"
@@ -61,7 +61,7 @@
 
 func (e Effect) String() string {
 	return fmt.Sprintf("%-26s %8.4f %8.4f  %+.4f (%+.4f to %+.4f)  better on %d of %d that differ: %s", e.Measure, e.A, e.B, e.Mean, e.Low, e.High,
-		e.Better, e.All, e.Verdict())
+		e.Better, e.Differing, e.Verdict())
 }
 
 const (
@@ -141,7 +141,7 @@
 		x, y := of(p.A), of(p.B)
 		e.A, e.B = e.A+x/n, e.B+y/n
 		if y != x {
-			e.All++
+			e.Differing++
 		}
 		if y > x {
 			e.Better++
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -91,7 +91,7 @@
 			pairs = append(pairs, Pair{x.File, x.Seed, &world.Result{G: base}, &world.Result{G: base + effect + noise[x.File]*r.NormFloat64()}})
 			count[x.File]++
 		}
-		if len(pairs) > d.First*len(d.Files) {
+		if len(pairs) > d.InitialSeeds*len(d.Files) {
 			look++
 		}
 	}
@@ -101,7 +101,7 @@
 // than once in twenty; it finds one that is there, plays less where it is plain,
 // and gives noisy scenarios more days.
 func TestDesign(t *testing.T) {
-	d := &Design{Files: []string{"a", "b", "c", "d"}, Of: func(r *world.Result) float64 { return r.G }, Looks: 5, First: 4, Batch: 12}
+	d := &Design{Files: []string{"a", "b", "c", "d"}, Measure: func(r *world.Result) float64 { return r.G }, Looks: 5, InitialSeeds: 4, BatchDays: 12}
 	if err := d.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -124,12 +124,12 @@
 	if plain != 16 || hidden <= 2*plain || count["d"] < 2*count["a"] {
 		t.Errorf("%d days for a plain effect, %d for none; by scenario %v", plain, hidden, count)
 	}
-	d.Least = 0.05
+	d.MinEffect = 0.05
 	if step, n, _ := duel(t, d, 0, noise, 3); step.Verdict != "alike" || n >= hidden {
 		t.Errorf("%q after %d", step.Verdict, n)
 	}
-	for _, bad := range []Design{{}, {Files: d.Files, Looks: 11, First: 2, Batch: 1}, {Files: d.Files, Looks: 2, First: 1, Batch: 1},
-		{Files: d.Files, Looks: 2, First: 2, Batch: 1, Least: -1}} {
+	for _, bad := range []Design{{}, {Files: d.Files, Looks: 11, InitialSeeds: 2, BatchDays: 1}, {Files: d.Files, Looks: 2, InitialSeeds: 1, BatchDays: 1},
+		{Files: d.Files, Looks: 2, InitialSeeds: 2, BatchDays: 1, MinEffect: -1}} {
 		if bad.Check() == nil {
 			t.Errorf("%+v is taken", bad)
 		}
@@ -149,7 +149,7 @@
 	}
 	s := open()
 	arm := Arm{Name: "today", Build: "1"}
-	if err := s.Begin(arm); err != nil {
+	if err := s.BeginArm(arm); err != nil {
 		t.Fatal(err)
 	}
 	const text = `name "small" site { branch "b" at "north-hub" 2 boxes 1 fronts parents 1 } warm 1s run 3s load 20/s at 1s storm for 1s`
@@ -176,10 +176,10 @@
 		t.Fatal(err)
 	}
 	s = open()
-	if err := s.Begin(Arm{Name: "today", Build: "2"}); err == nil || !strings.Contains(err.Error(), "another build") {
+	if err := s.BeginArm(Arm{Name: "today", Build: "2"}); err == nil || !strings.Contains(err.Error(), "another build") {
 		t.Error(err)
 	}
-	if err := s.Begin(arm); err != nil {
+	if err := s.BeginArm(arm); err != nil {
 		t.Fatal(err)
 	}
 	if err := run(context.Background(), s); err != nil || played != 6 {
@@ -197,7 +197,7 @@
 	if err := run(context.Background(), s); err == nil || !strings.Contains(err.Error(), "small.scn, seed 5") {
 		t.Error(err)
 	}
-	if err := errors.Join(s.Drop("today"), s.Close()); err != nil {
+	if err := errors.Join(s.DeleteArm("today"), s.Close()); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/experiment/store.go
+++ b/lab/experiment/store.go
@@ -99,7 +99,7 @@
 }
 
 // Begin begins an arm, or goes on with one that is the same but for when it began.
-func (s *Store) Begin(a Arm) error {
+func (s *Store) BeginArm(a Arm) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(armBucket)
 		if old := b.Get([]byte(a.Name)); old != nil {
@@ -125,7 +125,7 @@
 }
 
 // Drop forgets an arm and its days.
-func (s *Store) Drop(arm string) error {
+func (s *Store) DeleteArm(arm string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if tx.Bucket(armBucket).Get([]byte(arm)) == nil {
 			return fmt.Errorf("experiment: there is no arm %q", arm)
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -21,21 +21,21 @@
 
 // The directions.
 const (
-	There Direction = iota
-	Back
+	Forward Direction = iota
+	Backward
 )
 
 // Settings are those of one direction. They may be changed at any time, and hold for
 // what comes from then on.
 type Settings struct {
-	Delay  time.Duration
-	Jitter time.Duration // added, up to that
-	Rate   float64       // bytes a second; 0: any
-	CutAt  int64         // byte of a connection's direction at which it is reset, counted from 1; 0: none
+	Delay   time.Duration
+	Jitter  time.Duration // added, up to that
+	Rate    float64       // bytes a second; 0: any
+	ResetAt int64         // byte of a connection's direction at which it is reset, counted from 1; 0: none
 }
 
 // Line is a stand-in that listens.
-type Line struct {
+type Proxy struct {
 	ln net.Listener
 	to string
 
@@ -52,19 +52,19 @@
 
 // pair is a connection with both of its ends.
 type pair struct {
-	l    *Line
+	l    *Proxy
 	ends [2]net.Conn // of who connected, of whom it is for
 	mute [2]bool     // nothing of that direction is passed on any more, unheard
 }
 
 // Open listens at an address, or at one of this process's own if it is empty, and passes
 // connections on to another.
-func Open(listen, to string, seed uint64) (*Line, error) {
+func Open(listen, to string, seed uint64) (*Proxy, error) {
 	ln, err := loopbacktest.ListenAt(listen)
 	if err != nil {
 		return nil, fmt.Errorf("line: %w", err)
 	}
-	l := &Line{ln: ln, to: to, r: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]bool{}}
+	l := &Proxy{ln: ln, to: to, r: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	l.wg.Add(1)
 	go l.accept()
@@ -72,10 +72,10 @@
 }
 
 // Addr is where it listens.
-func (l *Line) Addr() string { return l.ln.Addr().String() }
+func (l *Proxy) Addr() string { return l.ln.Addr().String() }
 
 // Set changes a direction.
-func (l *Line) Set(d Direction, s Settings) {
+func (l *Proxy) Set(d Direction, s Settings) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settings[d] = s
@@ -84,7 +84,7 @@
 
 // Freeze has a direction stand still, or move again: nothing of it comes meanwhile,
 // and all of it after.
-func (l *Line) Freeze(d Direction, frozen bool) {
+func (l *Proxy) Freeze(d Direction, frozen bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.frozen[d] = frozen
@@ -92,7 +92,7 @@
 }
 
 // Cut resets all connections.
-func (l *Line) Cut() {
+func (l *Proxy) ResetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
@@ -102,7 +102,7 @@
 
 // Half has one end of each connection be gone without the other hearing of it: a
 // direction's bytes go nowhere from now on, and neither does its end.
-func (l *Line) Half(d Direction) {
+func (l *Proxy) Blackhole(d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
@@ -111,25 +111,25 @@
 }
 
 // Passed counts the bytes of a direction that came out.
-func (l *Line) Passed(d Direction) int64 {
+func (l *Proxy) BytesForwarded(d Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed[d]
 }
 
 // Close ends the line and all connections on it.
-func (l *Line) Close() error {
+func (l *Proxy) Close() error {
 	err := l.ln.Close()
 	l.mu.Lock()
 	l.closed = true
 	l.changed.Broadcast()
 	l.mu.Unlock()
-	l.Cut()
+	l.ResetAll()
 	l.wg.Wait()
 	return err
 }
 
-func (l *Line) accept() {
+func (l *Proxy) accept() {
 	defer l.wg.Done()
 	for {
 		c, err := l.ln.Accept()
@@ -213,9 +213,9 @@
 			due = last
 		}
 		last = due
-		cut := s.CutAt > 0 && seen+int64(n) >= s.CutAt
+		cut := s.ResetAt > 0 && seen+int64(n) >= s.ResetAt
 		if cut {
-			n, err = int(max(0, s.CutAt-1-seen)), errCut
+			n, err = int(max(0, s.ResetAt-1-seen)), errCut
 		}
 		seen += int64(n)
 		if n > 0 {
--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -35,7 +35,7 @@
 	return ln.Addr().String()
 }
 
-func open(t *testing.T) (*Line, *net.TCPConn) {
+func open(t *testing.T) (*Proxy, *net.TCPConn) {
 	t.Helper()
 	l, err := Open("", echo(t), 1)
 	if err != nil {
@@ -65,8 +65,8 @@
 // Bytes come whole and in order, never earlier than the delay and the bandwidth say.
 func TestLateAndInOrder(t *testing.T) {
 	l, c := open(t)
-	l.Set(There, Settings{Delay: 40 * time.Millisecond, Jitter: 10 * time.Millisecond})
-	l.Set(Back, Settings{Delay: 20 * time.Millisecond, Rate: 1e6})
+	l.Set(Forward, Settings{Delay: 40 * time.Millisecond, Jitter: 10 * time.Millisecond})
+	l.Set(Backward, Settings{Delay: 20 * time.Millisecond, Rate: 1e6})
 	big := make([]byte, 200_000)
 	for i := range big {
 		big[i] = byte(i * 7 / 3)
@@ -83,8 +83,8 @@
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("its end came as %d, %v", n, err)
 	}
-	if l.Passed(There) != 200_001 || l.Passed(Back) != 200_001 {
-		t.Errorf("%d and %d bytes passed", l.Passed(There), l.Passed(Back))
+	if l.BytesForwarded(Forward) != 200_001 || l.BytesForwarded(Backward) != 200_001 {
+		t.Errorf("%d and %d bytes passed", l.BytesForwarded(Forward), l.BytesForwarded(Backward))
 	}
 }
 
@@ -114,13 +114,13 @@
 func TestCutAtAByte(t *testing.T) {
 	for _, at := range []int64{1, 2, 4096, 5000} {
 		l, c := open(t)
-		l.Set(Back, Settings{CutAt: at})
+		l.Set(Backward, Settings{ResetAt: at})
 		go func() { _, _ = c.Write(make([]byte, 10_000)) }()
 		got, err := io.ReadAll(c)
 		if err == nil || int64(len(got)) > at-1 || !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("cut at byte %d: %d bytes, %v", at, len(got), err)
 		}
-		if n := l.Passed(Back); n != at-1 {
+		if n := l.BytesForwarded(Backward); n != at-1 {
 			t.Errorf("cut at byte %d: %d passed", at, n)
 		}
 	}
@@ -130,7 +130,7 @@
 func TestHalfOpenAndCut(t *testing.T) {
 	l, c := open(t)
 	ask(t, c, []byte("up"))
-	l.Half(There)
+	l.Blackhole(Forward)
 	if _, err := c.Write([]byte("gone")); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 		t.Error(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	l.Cut()
+	l.ResetAll()
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
--- a/lab/fleet/boxes.go
+++ b/lab/fleet/boxes.go
@@ -139,7 +139,7 @@
 func (b *Box) fill(object string) filled {
 	b.s.Fills.Add(1)
 	f := filled{history.Now(), time.Now().UnixMilli()}
-	b.s.hist.Write(history.Event{At: f.mono, E: "fill", Box: b.Name, Object: object})
+	b.s.hist.Write(history.Event{At: f.mono, Kind: "fill", Box: b.Name, Object: object})
 	return f
 }
 
--- a/lab/fleet/exchange.go
+++ b/lab/fleet/exchange.go
@@ -193,7 +193,7 @@
 // Tell notes what happened to whom.
 func (d *ExchangeDay) Log(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	d.world.Write(history.Event{E: "world", Told: text})
+	d.world.Write(history.Event{Kind: "world", Detail: text})
 	if d.o.Verbose != nil {
 		d.o.Verbose(fmt.Sprintf("%7.2f  %s", time.Since(d.began).Seconds(), text))
 	}
@@ -263,7 +263,7 @@
 		r.Header.Set("Req-Wait-Ms", fmt.Sprint(clientWait.Milliseconds()))
 		r.Header.Set("X-Bucket", "17")
 	}
-	e := history.Event{At: history.Now(), E: "request", ID: n, Front: p.Name, Object: object, Tenant: tenant}
+	e := history.Event{At: history.Now(), Kind: "request", ID: n, Front: p.Name, Object: object, Tenant: tenant}
 	answer, err := d.http.Do(r)
 	var body []byte
 	if err == nil {
@@ -280,7 +280,7 @@
 		e.Excuse = "the front was killed or stopped"
 		d.Excused.Add(1)
 	case err != nil:
-		e.Told = err.Error()
+		e.Detail = err.Error()
 		d.Lost.Add(1)
 	default:
 		e.Status = answer.StatusCode
@@ -307,7 +307,7 @@
 		at := history.Now()
 		err = p.Call(fmt.Sprintf(`FLEET PURGE ASK {"kind":%q,"name":%q,"asked":%q}`, kind, name, asked), &word)
 		if err == nil {
-			d.world.Write(history.Event{At: at, E: "numbered", Asked: asked, Purge: word["id"], End: history.Now()})
+			d.world.Write(history.Event{At: at, Kind: "numbered", RequestKey: asked, Purge: word["id"], End: history.Now()})
 			return word["id"], nil
 		}
 	}
@@ -337,15 +337,15 @@
 			}
 		}
 	}
-	w := history.World{Sites: map[string]string{}, Settle: d.settled, Ended: ended, Seed: d.o.Seed}
+	w := history.RunInfo{Sites: map[string]string{}, SettledAt: d.settled, EndedAt: ended, Seed: d.o.Seed}
 	for _, p := range d.List {
 		w.Fronts = append(w.Fronts, p.Name)
 		w.Sites[p.Name] = p.Zone
 	}
 	if !d.o.Disabled["limits"] && !d.o.Disabled["all"] {
-		w.Limits = append(w.Limits, history.Promise{Limit: "acme-rate", Kind: "rate", Amount: d.o.Limit, Burst: d.o.Burst, Hard: true})
+		w.Limits = append(w.Limits, history.LimitSpec{Limit: "acme-rate", Kind: "rate", Amount: d.o.Limit, Burst: d.o.Burst, Hard: true})
 	}
-	if err := errors.Join(d.world.Close(), d.asks.Close(), history.WriteWorld(d.HistoryDir, w)); err != nil {
+	if err := errors.Join(d.world.Close(), d.asks.Close(), history.WriteRunInfo(d.HistoryDir, w)); err != nil {
 		return nil, err
 	}
 	d.world, d.asks = nil, nil
@@ -353,7 +353,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return history.Judge(h), nil
+	return history.Check(h), nil
 }
 
 // Close ends all that the day started.
--- a/lab/fleet/exchange_test.go
+++ b/lab/fleet/exchange_test.go
@@ -41,11 +41,11 @@
 	require.NoError(t, d.rest())
 	v, err := d.Finish()
 	require.NoError(t, err)
-	for _, f := range v.Broken {
-		if strings.HasPrefix(f.Promise, "used ") && v.Used > 0.5 {
+	for _, f := range v.Violations {
+		if strings.HasPrefix(f.Property, "used ") && v.Utilization > 0.5 {
 			continue // a machine that is busy with other tests; the figure itself is measured alone
 		}
-		t.Errorf("%s: %s\n%+v", f.Promise, f.Text, f.Shows)
+		t.Errorf("%s: %s\n%+v", f.Property, f.Text, f.Evidence)
 	}
 	return v
 }
@@ -85,7 +85,7 @@
 	d := day(t, ExchangeOptions{Seed: 21})
 	require.NoError(t, d.cut(4*time.Second))
 	v := d.whole(t)
-	require.NotEmpty(t, v.Purged)
+	require.NotEmpty(t, v.Purges)
 	require.Positive(t, v.Counts["takes of acme-rate"])
 }
 
@@ -204,7 +204,7 @@
 	d.Partition()
 	v, err := d.Finish()
 	require.NoError(t, err)
-	require.Positive(t, v.Counts["broken limit acme-rate"], "over by %.1f at the most", v.Over)
+	require.Positive(t, v.Counts["broken limit acme-rate"], "over by %.1f at the most", v.MaxExcess)
 
 	d = day(t, ExchangeOptions{Seed: 25, Program: without("ack"), Disabled: map[string]bool{"verdicts": true, "paths": true, "limits": true}})
 	in, out = apart()
@@ -222,7 +222,7 @@
 // Guards that a folder can be judged twice, with a line changed, and cut off in a line.
 func TestJudgeOfAFolder(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, history.WriteWorld(dir, history.World{Fronts: []string{"a", "b"}, Limits: []history.Promise{{Limit: "l", Kind: "rate", Amount: 10, Burst: 2, Hard: true}}}))
+	require.NoError(t, history.WriteRunInfo(dir, history.RunInfo{Fronts: []string{"a", "b"}, Limits: []history.LimitSpec{{Limit: "l", Kind: "rate", Amount: 10, Burst: 2, Hard: true}}}))
 	var lines []string
 	for i := range 20 {
 		lines = append(lines, fmt.Sprintf(`{"t":%d,"by":"a","e":"take","limit":"l","who":"w","ok":true,"part":1}`, int64(i)*100_000_000))
@@ -234,14 +234,14 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "a.jsonl"), []byte(text), 0o600))
 		h, err := history.Read(dir)
 		require.NoError(t, err)
-		return history.Judge(h)
+		return history.Check(h)
 	}
 	good := strings.Join(lines, "\n") + "\n"
-	require.Empty(t, write(good).Broken)
-	require.Empty(t, write(good).Broken)
-	require.NotEmpty(t, write(strings.Replace(good, `"filled":10`, `"filled":0.5`, 1)+"").Cut, "a line that can't be read is told")
-	require.Equal(t, "complete too early", write(strings.Replace(good, `"t":1,"by":"a","e":"ask"`, `"t":15,"by":"a","e":"ask"`, 1)).Broken[0].Promise)
-	require.Equal(t, "limit l", write(strings.Replace(good, `"t":1000000000`, `"t":900000000`, 1) + `{"t":900000001,"by":"b","e":"take","limit":"l","who":"w","ok":true}` + "\n" + `{"t":900000002,"by":"b","e":"take","limit":"l","who":"w","ok":true}` + "\n").Broken[0].Promise)
-	require.Equal(t, "one answer", write(good + `{"t":40,"by":"c","e":"request","id":1,"front":"b","end":50,"status":200}` + "\n").Broken[0].Promise)
-	require.NotEmpty(t, write(good[:len(good)-9]).Cut)
+	require.Empty(t, write(good).Violations)
+	require.Empty(t, write(good).Violations)
+	require.NotEmpty(t, write(strings.Replace(good, `"filled":10`, `"filled":0.5`, 1)+"").Truncated, "a line that can't be read is told")
+	require.Equal(t, "complete too early", write(strings.Replace(good, `"t":1,"by":"a","e":"ask"`, `"t":15,"by":"a","e":"ask"`, 1)).Violations[0].Property)
+	require.Equal(t, "limit l", write(strings.Replace(good, `"t":1000000000`, `"t":900000000`, 1) + `{"t":900000001,"by":"b","e":"take","limit":"l","who":"w","ok":true}` + "\n" + `{"t":900000002,"by":"b","e":"take","limit":"l","who":"w","ok":true}` + "\n").Violations[0].Property)
+	require.Equal(t, "one answer", write(good + `{"t":40,"by":"c","e":"request","id":1,"front":"b","end":50,"status":200}` + "\n").Violations[0].Property)
+	require.NotEmpty(t, write(good[:len(good)-9]).Truncated)
 }
--- a/lab/fleet/processes.go
+++ b/lab/fleet/processes.go
@@ -63,7 +63,7 @@
 	o     Options
 	Site  *site.Site
 	List  []*Process
-	lines map[[2]int]*faultproxy.Line
+	lines map[[2]int]*faultproxy.Proxy
 }
 
 // instances tells fleets of one process apart, whose addresses must differ.
@@ -89,7 +89,7 @@
 	if o.Fronts < 1 || o.Fronts > 200 {
 		return nil, fmt.Errorf("fleet: %d fronts: 1 to 200 are possible as processes", o.Fronts)
 	}
-	f = &Processes{o: o, lines: map[[2]int]*faultproxy.Line{}}
+	f = &Processes{o: o, lines: map[[2]int]*faultproxy.Proxy{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(fmt.Errorf("fleet: %w", err), f.Close())
@@ -443,10 +443,10 @@
 func (f *Processes) BlockLink(from, to *Process, on bool) {
 	i, j := f.index(from), f.index(to)
 	if l := f.lines[[2]int{i, j}]; l != nil {
-		l.Freeze(faultproxy.There, on)
+		l.Freeze(faultproxy.Forward, on)
 	}
 	if l := f.lines[[2]int{j, i}]; l != nil {
-		l.Freeze(faultproxy.Back, on)
+		l.Freeze(faultproxy.Backward, on)
 	}
 }
 
@@ -455,10 +455,10 @@
 	i := f.index(from)
 	for j := range f.List {
 		if l := f.lines[[2]int{i, j}]; l != nil {
-			l.Set(faultproxy.There, s)
+			l.Set(faultproxy.Forward, s)
 		}
 		if l := f.lines[[2]int{j, i}]; l != nil {
-			l.Set(faultproxy.Back, s)
+			l.Set(faultproxy.Backward, s)
 		}
 	}
 }
@@ -466,7 +466,7 @@
 // Reset resets all connections between fronts.
 func (f *Processes) ResetConnections() {
 	for _, l := range f.lines {
-		l.Cut()
+		l.ResetAll()
 	}
 }
 
--- a/lab/flood/flood.go
+++ b/lab/flood/flood.go
@@ -18,39 +18,39 @@
 )
 
 // Load is what is sent.
-type Load struct {
+type Options struct {
 	Address     string
 	Good        func(i int) string // the bytes of the i-th good request
 	Forged      func(i int) string
 	GoodRate    int // a second
 	ForgedRate  int
-	For         time.Duration
+	Duration    time.Duration
 	Connections int // of each kind
-	Patience    time.Duration
+	Timeout     time.Duration
 }
 
 // Side is what became of one kind.
-type Side struct {
-	Times *hdrhistogram.Histogram // us, of those served or refused
-	Count map[int]int             // by status
-	Lost  int                     // without a whole answer
-	Late  int                     // sent over a second after they were due, as all connections were busy
+type Stats struct {
+	Times  *hdrhistogram.Histogram // us, of those served or refused
+	Count  map[int]int             // by status
+	Failed int                     // without a whole answer
+	Late   int                     // sent over a second after they were due, as all connections were busy
 }
 
 // Result is what came of a load.
 type Result struct {
-	Good, Forged Side
-	Spent        time.Duration
+	Good, Forged Stats
+	Elapsed      time.Duration
 }
 
 // Run sends a load.
-func Run(l Load) (*Result, error) {
+func Run(l Options) (*Result, error) {
 	r := &Result{}
 	var wg sync.WaitGroup
 	errs := make(chan error, 2)
 	start := time.Now()
 	for _, x := range []struct {
-		side *Side
+		side *Stats
 		make func(int) string
 		rate int
 	}{{&r.Good, l.Good, l.GoodRate}, {&r.Forged, l.Forged, l.ForgedRate}} {
@@ -63,7 +63,7 @@
 		}()
 	}
 	wg.Wait()
-	r.Spent = time.Since(start)
+	r.Elapsed = time.Since(start)
 	for range 2 {
 		if err := <-errs; err != nil {
 			return nil, err
@@ -74,11 +74,11 @@
 
 // send spreads one kind over its connections; the next due request goes on the
 // first that is free.
-func (l *Load) send(side *Side, text func(int) string, rate int, start time.Time) error {
+func (l *Options) send(side *Stats, text func(int) string, rate int, start time.Time) error {
 	if rate == 0 {
 		return nil
 	}
-	total := int(l.For.Seconds() * float64(rate))
+	total := int(l.Duration.Seconds() * float64(rate))
 	gap := time.Second / time.Duration(rate)
 	var next atomic.Int64
 	var mu sync.Mutex
@@ -88,7 +88,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := client{address: l.Address, patience: l.Patience}
+			c := client{address: l.Address, patience: l.Timeout}
 			defer c.close()
 			for {
 				i := int(next.Add(1)) - 1
@@ -104,7 +104,7 @@
 					side.Late++
 				}
 				if err != nil {
-					side.Lost++
+					side.Failed++
 				} else {
 					side.Count[status]++
 					if err := side.Times.RecordValue(max(1, time.Since(due).Microseconds())); err != nil && failed == nil {
@@ -162,7 +162,7 @@
 }
 
 // Report writes a side in a line.
-func (s *Side) Report() string {
-	return fmt.Sprintf("%v lost %d late %d, p50 %.1f ms, p99 %.1f ms, max %.1f ms", s.Count, s.Lost, s.Late,
+func (s *Stats) Summary() string {
+	return fmt.Sprintf("%v lost %d late %d, p50 %.1f ms, p99 %.1f ms, max %.1f ms", s.Count, s.Failed, s.Late,
 		float64(s.Times.ValueAtQuantile(50))/1000, float64(s.Times.ValueAtQuantile(99))/1000, float64(s.Times.Max())/1000)
 }
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -31,23 +31,23 @@
 
 // Event is one thing that happened.
 type Event struct {
-	At int64  `json:"t"`
-	By string `json:"by"`
-	E  string `json:"e"`
+	At   int64  `json:"t"`
+	By   string `json:"by"`
+	Kind string `json:"e"`
 
 	// Of limits.
-	Limit  string  `json:"limit,omitempty"`
-	Who    string  `json:"who,omitempty"`
-	OK     bool    `json:"ok,omitempty"`
-	Part   uint64  `json:"part,omitempty"`
-	Amount float64 `json:"amount,omitempty"`
-	Site   string  `json:"site,omitempty"`
-	Keeper uint64  `json:"keeper,omitempty"`
+	Limit   string  `json:"limit,omitempty"`
+	Subject string  `json:"who,omitempty"`
+	OK      bool    `json:"ok,omitempty"`
+	Lease   uint64  `json:"part,omitempty"`
+	Amount  float64 `json:"amount,omitempty"`
+	Site    string  `json:"site,omitempty"`
+	Owner   uint64  `json:"keeper,omitempty"`
 
 	// Of purges.
-	Purge string `json:"purge,omitempty"` // its number
-	Asked string `json:"asked,omitempty"`
-	Scope string `json:"scope,omitempty"`
+	Purge      string `json:"purge,omitempty"` // its number
+	RequestKey string `json:"asked,omitempty"`
+	Scope      string `json:"scope,omitempty"`
 
 	// Of requests.
 	ID     uint64 `json:"id,omitempty"`
@@ -74,35 +74,35 @@
 	Boxes     int      `json:"boxes,omitempty"`
 	Ready     int      `json:"ready,omitempty"`
 
-	Missing int64  `json:"missing,omitempty"` // events that could not be written
-	Told    string `json:"told,omitempty"`    // of the world: what happened to whom
+	Dropped int64  `json:"missing,omitempty"` // events that could not be written
+	Detail  string `json:"told,omitempty"`    // of the world: what happened to whom
 }
 
 // Promise is a limit as the world sets it.
-type Promise struct {
-	Limit  string  `json:"limit"`
-	Kind   string  `json:"kind"`
-	Amount float64 `json:"amount"`
-	Burst  float64 `json:"burst"`
-	Hard   bool    `json:"hard"`
-	Over   float64 `json:"over"` // of a soft one: the most above it, as printed
-	BackS  float64 `json:"back_s"`
+type LimitSpec struct {
+	Limit           string  `json:"limit"`
+	Kind            string  `json:"kind"`
+	Amount          float64 `json:"amount"`
+	Burst           float64 `json:"burst"`
+	Hard            bool    `json:"hard"`
+	MaxExcess       float64 `json:"over"` // of a soft one: the most above it, as printed
+	RecoverySeconds float64 `json:"back_s"`
 }
 
 // World is what a run was.
-type World struct {
-	Fronts []string          `json:"fronts"`
-	Sites  map[string]string `json:"sites"` // of fronts
-	Limits []Promise         `json:"limits"`
-	Settle int64             `json:"settle"` // from when on all is in contact and has had time; 0: never
-	Ended  int64             `json:"ended"`
-	Seed   uint64            `json:"seed"`
+type RunInfo struct {
+	Fronts    []string          `json:"fronts"`
+	Sites     map[string]string `json:"sites"` // of fronts
+	Limits    []LimitSpec       `json:"limits"`
+	SettledAt int64             `json:"settle"` // from when on all is in contact and has had time; 0: never
+	EndedAt   int64             `json:"ended"`
+	Seed      uint64            `json:"seed"`
 }
 
 const worldFile = "world.json"
 
 // WriteWorld writes what a run was, beside its histories.
-func WriteWorld(folder string, w World) error {
+func WriteRunInfo(folder string, w RunInfo) error {
 	b, err := json.MarshalIndent(w, "", " ")
 	if err != nil {
 		return err
@@ -154,10 +154,10 @@
 
 // History is all that a folder holds, in order.
 type History struct {
-	World  World
-	Events []Event
-	Cut    []string // files whose last line is not whole: judged up to there
-	Missed int64    // events that were not written
+	Run       RunInfo
+	Events    []Event
+	Truncated []string // files whose last line is not whole: judged up to there
+	Dropped   int64    // events that were not written
 }
 
 // Read reads a folder.
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	if err := json.Unmarshal(b, &h.World); err != nil {
+	if err := json.Unmarshal(b, &h.Run); err != nil {
 		return nil, fmt.Errorf("history: %s: %w", worldFile, err)
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "*.jsonl"))
@@ -195,16 +195,16 @@
 						continue
 					}
 				}
-				h.Cut = append(h.Cut, fmt.Sprintf("%s, line %d", filepath.Base(p), n+1))
+				h.Truncated = append(h.Truncated, fmt.Sprintf("%s, line %d", filepath.Base(p), n+1))
 				continue
 			}
-			if missed = max(missed, e.Missing); e.E == "began" {
-				h.Missed += missed
+			if missed = max(missed, e.Dropped); e.Kind == "began" {
+				h.Dropped += missed
 				missed = 0
 			}
 			h.Events = append(h.Events, e)
 		}
-		h.Missed += missed
+		h.Dropped += missed
 	}
 	slices.SortStableFunc(h.Events, func(a, b Event) int {
 		switch {
--- a/lab/history/judge.go
+++ b/lab/history/judge.go
@@ -14,55 +14,55 @@
 
 // Verdict is what a judge found.
 type Verdict struct {
-	Broken []Fault        `json:"broken"`
-	Counts map[string]int `json:"counts"`
-	Cut    []string       `json:"cut,omitempty"`
-	Missed int64          `json:"missed,omitempty"`
-	Used   float64        `json:"used,omitempty"` // of the first limit, in steady state at the end, as a part of 1
-	Over   float64        `json:"over"`           // the most that a hard limit was over, in requests; below 0: never
-	Purged []Purged       `json:"purges,omitempty"`
+	Violations  []Violation    `json:"broken"`
+	Counts      map[string]int `json:"counts"`
+	Truncated   []string       `json:"cut,omitempty"`
+	Dropped     int64          `json:"missed,omitempty"`
+	Utilization float64        `json:"used,omitempty"` // of the first limit, in steady state at the end, as a part of 1
+	MaxExcess   float64        `json:"over"`           // the most that a hard limit was over, in requests; below 0: never
+	Purges      []PurgeTiming  `json:"purges,omitempty"`
 }
 
 // Purged is how long a purge took, in seconds.
-type Purged struct {
+type PurgeTiming struct {
 	ID       string  `json:"id"`
-	Obeyed   float64 `json:"obeyed_s"` // asked to obeyed everywhere
+	Applied  float64 `json:"obeyed_s"` // asked to obeyed everywhere
 	Complete float64 `json:"complete_s"`
 	Fronts   int     `json:"fronts"`
 }
 
 // Fault is a broken promise, with the shortest part of the history that shows it.
-type Fault struct {
-	Promise string  `json:"promise"`
-	Text    string  `json:"text"`
-	Shows   []Event `json:"shows"`
+type Violation struct {
+	Property string  `json:"promise"`
+	Text     string  `json:"text"`
+	Evidence []Event `json:"shows"`
 }
 
 const mostShown = 40
 
 func (v *Verdict) fault(promise string, shows []Event, format string, args ...any) {
 	v.Counts["broken "+promise]++
-	if len(v.Broken) < 20 {
-		v.Broken = append(v.Broken, Fault{Promise: promise, Text: fmt.Sprintf(format, args...), Shows: slices.Clone(shows[:min(len(shows), mostShown)])})
+	if len(v.Violations) < 20 {
+		v.Violations = append(v.Violations, Violation{Property: promise, Text: fmt.Sprintf(format, args...), Evidence: slices.Clone(shows[:min(len(shows), mostShown)])})
 	}
 }
 
 // Judge holds a history against all promises.
-func Judge(h *History) *Verdict {
-	v := &Verdict{Counts: map[string]int{}, Cut: h.Cut, Missed: h.Missed, Over: math.Inf(-1)}
+func Check(h *History) *Verdict {
+	v := &Verdict{Counts: map[string]int{}, Truncated: h.Truncated, Dropped: h.Dropped, MaxExcess: math.Inf(-1)}
 	for _, e := range h.Events {
-		v.Counts[e.E]++
+		v.Counts[e.Kind]++
 	}
 	v.requests(h)
-	for _, p := range h.World.Limits {
+	for _, p := range h.Run.Limits {
 		v.limit(h, p)
 	}
 	v.purges(h)
 	v.numbers(h)
 	v.verdicts(h)
 	v.orders(h)
-	if math.IsInf(v.Over, 0) {
-		v.Over = 0
+	if math.IsInf(v.MaxExcess, 0) {
+		v.MaxExcess = 0
 	}
 	return v
 }
@@ -72,7 +72,7 @@
 	ran := map[uint64]Event{}
 	answers := map[uint64]Event{}
 	for _, e := range h.Events {
-		switch e.E {
+		switch e.Kind {
 		case "request":
 			if old, twice := answers[e.ID]; twice {
 				v.fault("one answer", []Event{old, e}, "request %d has two answers", e.ID)
@@ -94,11 +94,11 @@
 }
 
 // limit: in any window no more is let through than the limit allows.
-func (v *Verdict) limit(h *History, p Promise) {
+func (v *Verdict) limit(h *History, p LimitSpec) {
 	var takes []Event
 	tried := 0
 	for _, e := range h.Events {
-		if e.E == "take" && e.Limit == p.Limit {
+		if e.Kind == "take" && e.Limit == p.Limit {
 			if tried++; e.OK {
 				takes = append(takes, e)
 			}
@@ -108,7 +108,7 @@
 	if p.Kind == "rate" {
 		rate := p.Amount
 		if !p.Hard {
-			rate += p.Over
+			rate += p.MaxExcess
 		}
 		// The greatest of (j-i+1) - burst - rate (t_j-t_i), in one pass.
 		least, first, worst, from, to := math.Inf(1), 0, math.Inf(-1), 0, 0
@@ -122,11 +122,11 @@
 			}
 		}
 		if p.Hard {
-			v.Over = max(v.Over, worst)
+			v.MaxExcess = max(v.MaxExcess, worst)
 		}
 		burst := 0.0
 		if !p.Hard { // each front that is alone may begin with one request
-			burst = float64(len(h.World.Fronts))
+			burst = float64(len(h.Run.Fronts))
 		}
 		if worst > burst+1e-9 {
 			span := time.Duration(takes[to].At - takes[from].At)
@@ -134,21 +134,21 @@
 		}
 	}
 	v.matched(h, p, takes)
-	if s := h.World.Settle; s != 0 && h.World.Ended > s {
+	if s := h.Run.SettledAt; s != 0 && h.Run.EndedAt > s {
 		n, asked := 0, 0
 		for _, e := range h.Events {
-			if e.E == "take" && e.Limit == p.Limit && e.At >= s && e.At < h.World.Ended {
+			if e.Kind == "take" && e.Limit == p.Limit && e.At >= s && e.At < h.Run.EndedAt {
 				asked++
 				if e.OK {
 					n++
 				}
 			}
 		}
-		span := float64(h.World.Ended-s) / 1e9
+		span := float64(h.Run.EndedAt-s) / 1e9
 		if p.Kind == "rate" && float64(asked) > 1.2*p.Amount*span && span >= 1 {
 			used := float64(n) / (p.Amount * span)
-			if v.Used == 0 {
-				v.Used = used
+			if v.Utilization == 0 {
+				v.Utilization = used
 			}
 			if used < 0.8 {
 				v.fault("used "+p.Limit, nil, "%.0f%% of it is used at the end, while %d requests ask for %.0f", 100*used, asked, p.Amount*span)
@@ -159,8 +159,8 @@
 
 // matched: whatever a client was served under a limit was let through by a part, in that
 // front, between its asking and its answer; so nothing passes by the limit.
-func (v *Verdict) matched(h *History, p Promise, takes []Event) {
-	if h.Missed > 0 || len(h.Cut) > 0 {
+func (v *Verdict) matched(h *History, p LimitSpec, takes []Event) {
+	if h.Dropped > 0 || len(h.Truncated) > 0 {
 		return
 	}
 	by := map[string][]Event{}
@@ -169,7 +169,7 @@
 	}
 	var served []Event
 	for _, e := range h.Events {
-		if e.E == "request" && e.Status == 200 && e.Tenant != "" && slices.ContainsFunc(takes, func(t Event) bool { return t.Who == e.Tenant }) {
+		if e.Kind == "request" && e.Status == 200 && e.Tenant != "" && slices.ContainsFunc(takes, func(t Event) bool { return t.Subject == e.Tenant }) {
 			served = append(served, e)
 		}
 	}
@@ -220,16 +220,16 @@
 	whole := map[string]Event{}
 	open := map[string][]Event{}
 	for _, e := range h.Events {
-		switch e.E {
+		switch e.Kind {
 		case "ask":
-			if _, ok := asked[e.Asked]; !ok {
-				asked[e.Asked] = e.At
+			if _, ok := asked[e.RequestKey]; !ok {
+				asked[e.RequestKey] = e.At
 			}
 		case "obey":
 			if e.Purge == "" {
 				continue
 			}
-			scope[e.Purge], named[e.Purge] = e.Scope, e.Asked
+			scope[e.Purge], named[e.Purge] = e.Scope, e.RequestKey
 			if obeys[e.Purge] == nil {
 				obeys[e.Purge] = map[string][]obey{}
 			}
@@ -248,30 +248,30 @@
 	}
 	for a, at := range asked {
 		if len(numbers[a]) == 0 {
-			if h.World.Settle != 0 {
+			if h.Run.SettledAt != 0 {
 				v.fault("told", nil, "purge %q was asked for and nobody obeys it", a)
 			}
 			continue
 		}
 		done := false
 		for _, id := range numbers[a] {
-			p := Purged{ID: id, Fronts: len(obeys[id])}
+			p := PurgeTiming{ID: id, Fronts: len(obeys[id])}
 			for _, list := range obeys[id] {
-				p.Obeyed = max(p.Obeyed, float64(list[0].at-at)/1e9)
+				p.Applied = max(p.Applied, float64(list[0].at-at)/1e9)
 			}
 			if e, ok := whole[id]; ok {
 				done = true
 				p.Complete = float64(e.At-at) / 1e9
-				v.Purged = append(v.Purged, p)
+				v.Purges = append(v.Purges, p)
 			}
 		}
-		if !done && h.World.Settle != 0 {
+		if !done && h.Run.SettledAt != 0 {
 			v.fault("complete", nil, "purge %q (%s) is not complete, though all are in contact", a, strings.Join(numbers[a], ", "))
 		}
 	}
-	slices.SortFunc(v.Purged, func(a, b Purged) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(v.Purges, func(a, b PurgeTiming) int { return cmp.Compare(a.ID, b.ID) })
 	for _, e := range h.Events {
-		if e.E != "request" || e.Status != 200 || e.Filled == 0 {
+		if e.Kind != "request" || e.Status != 200 || e.Filled == 0 {
 			continue
 		}
 		for id, s := range scope {
@@ -306,7 +306,7 @@
 // does not serve then, or began to serve later with what it had missed.
 func (v *Verdict) early(h *History, whole map[string]Event, obeyed func(id, front string) (int64, bool), open map[string][]Event) {
 	for id, w := range whole {
-		for _, f := range h.World.Fronts {
+		for _, f := range h.Run.Fronts {
 			if at, ok := obeyed(id, f); ok && at <= w.At {
 				continue
 			}
@@ -314,7 +314,7 @@
 			serves := false
 			for _, e := range open[f] {
 				if e.At <= w.At {
-					serves = e.E == "open"
+					serves = e.Kind == "open"
 				}
 			}
 			if !serves {
@@ -323,7 +323,7 @@
 			// One that trusts nothing from before it opened, after the purge was asked, obeys it.
 			returned := false
 			for _, e := range open[f] {
-				if e.E == "open" && e.At <= w.At && strings.HasPrefix(e.How(), "by copies") {
+				if e.Kind == "open" && e.At <= w.At && strings.HasPrefix(e.OpenMode(), "by copies") {
 					returned = true
 				}
 			}
@@ -335,7 +335,7 @@
 }
 
 // How is how a front opened.
-func (e Event) How() string { return e.State }
+func (e Event) OpenMode() string { return e.State }
 
 // numbers: a purge asked for again under the same name is the same one, for as long as
 // whoever numbered it is there; checked as a register that is written once.
@@ -366,8 +366,8 @@
 	}
 	var ops []porcupine.Operation
 	for _, e := range h.Events {
-		if e.E == "numbered" {
-			ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: in{e.Asked}, Call: e.At, Output: e.Purge, Return: e.End})
+		if e.Kind == "numbered" {
+			ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: in{e.RequestKey}, Call: e.At, Output: e.Purge, Return: e.End})
 		}
 	}
 	v.Counts["numbered"] = len(ops)
@@ -383,14 +383,14 @@
 // acts on one past its bound.
 func (v *Verdict) verdicts(h *History) {
 	for _, e := range h.Events {
-		if e.E != "verdict" {
+		if e.Kind != "verdict" {
 			continue
 		}
 		if e.BoundMS > 0 && e.AgeMS > e.BoundMS {
 			v.fault("stale verdict", []Event{e}, "%s acts on a verdict on %s that is %.0f ms old, %.0f at most", e.By, e.Box, e.AgeMS, e.BoundMS)
 		}
 		if e.State == "failing" && e.OK {
-			if len(e.Witnesses) < 2 && len(h.World.Fronts) > 1 {
+			if len(e.Witnesses) < 2 && len(h.Run.Fronts) > 1 {
 				v.fault("witnesses", []Event{e}, "a verdict on %s rests on %v alone", e.Box, e.Witnesses)
 			}
 			if e.Sites < min(2, e.Possible) {
@@ -406,7 +406,7 @@
 // orders: nobody goes by an order of edges past its bound.
 func (v *Verdict) orders(h *History) {
 	for _, e := range h.Events {
-		if e.E == "order" && e.BoundMS > 0 && e.AgeMS > e.BoundMS {
+		if e.Kind == "order" && e.BoundMS > 0 && e.AgeMS > e.BoundMS {
 			v.fault("stale order", []Event{e}, "%s goes by an order for %s that is %.0f ms old, %.0f at most", e.By, e.Region, e.AgeMS, e.BoundMS)
 		}
 	}
--- a/lab/idle/idle.go
+++ b/lab/idle/idle.go
@@ -19,7 +19,7 @@
 const dialers = 64
 
 // Herd is connections that have each been answered once and are idle.
-type Herd struct {
+type Pool struct {
 	conns    []net.Conn
 	patience time.Duration
 }
@@ -31,8 +31,8 @@
 
 // Open opens so many connections to an address, the first from the source of a
 // number, and has each ask once; text makes the bytes of the i-th request.
-func Open(address string, first, n int, patience time.Duration, text func(i int) string) (*Herd, error) {
-	h := &Herd{conns: make([]net.Conn, n), patience: patience}
+func Open(address string, first, n int, patience time.Duration, text func(i int) string) (*Pool, error) {
+	h := &Pool{conns: make([]net.Conn, n), patience: patience}
 	var wg sync.WaitGroup
 	errs := make(chan error, dialers)
 	next := make(chan int, dialers)
@@ -72,7 +72,7 @@
 
 // ask sends a request and gives its answer's status, and the time to stay away
 // that a refusal tells.
-func (h *Herd) ask(c net.Conn, text string) (status int, away time.Duration, err error) {
+func (h *Pool) ask(c net.Conn, text string) (status int, away time.Duration, err error) {
 	_ = c.SetDeadline(time.Now().Add(h.patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		return 0, 0, err
@@ -94,8 +94,8 @@
 
 // Wake has all ask within a span from a moment on, evenly spread over it. Who is
 // refused comes back as told, three times at most.
-func (h *Herd) Wake(start time.Time, span, patience time.Duration, text func(i int) string) *Tally {
-	t := &Tally{Count: map[int]int{}}
+func (h *Pool) Wake(start time.Time, span, patience time.Duration, text func(i int) string) *Stats {
+	t := &Stats{Count: map[int]int{}}
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -115,17 +115,17 @@
 			took := now.Sub(due)
 			mu.Lock()
 			defer mu.Unlock()
-			t.Asked += asked
+			t.Requests += asked
 			if err != nil {
 				t.Lost++
-				t.Why = err.Error()
+				t.LossReason = err.Error()
 				return
 			}
 			t.Count[status]++
 			if status == http.StatusOK && took <= patience {
 				t.InTime++
 			}
-			t.Calm = now
+			t.LastAnswer = now
 			_ = times.RecordValue(max(1, took.Microseconds())) // within the histogram, by the patience
 		}()
 	}
@@ -135,7 +135,7 @@
 }
 
 // Close ends all connections.
-func (h *Herd) Close() {
+func (h *Pool) Close() {
 	for _, c := range h.conns {
 		if c != nil {
 			_ = c.Close()
@@ -144,9 +144,9 @@
 }
 
 // Report writes what became of a herd that woke at a moment, in a line.
-func (t *Tally) Report(start time.Time) string {
+func (t *Stats) Summary(start time.Time) string {
 	h := hdrhistogram.Import(t.Times)
 	return fmt.Sprintf("%v in %d requests, %d served within the patience of the first, lost %d %s, p50 %.0f ms, p99 %.0f ms, all answered after %.0f ms",
-		t.Count, t.Asked, t.InTime, t.Lost, t.Why, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
-		float64(t.Calm.Sub(start).Microseconds())/1000)
+		t.Count, t.Requests, t.InTime, t.Lost, t.LossReason, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
+		float64(t.LastAnswer.Sub(start).Microseconds())/1000)
 }
--- a/lab/idle/slow.go
+++ b/lab/idle/slow.go
@@ -16,8 +16,8 @@
 
 // drip holds slow clients: readers ask for an object and read so many bytes a
 // second of it, senders send so many bytes a second of a request.
-func (o *Order) drip() (*Slow, error) {
-	s := &Slow{}
+func (o *Command) drip() (*SlowStats, error) {
+	s := &SlowStats{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	room := make(chan struct{}, dialers)
@@ -44,9 +44,9 @@
 			defer mu.Unlock()
 			switch took := time.Since(start); {
 			case whole:
-				s.Whole++
+				s.Completed++
 			case !ended:
-				s.Left++
+				s.Unfinished++
 			default:
 				if s.Ended == 0 || took < s.Fastest {
 					s.Fastest = took
@@ -64,7 +64,7 @@
 	}
 }
 
-func (o *Order) slowConn(i int) (net.Conn, error) {
+func (o *Command) slowConn(i int) (net.Conn, error) {
 	d := net.Dialer{Timeout: o.Patience, LocalAddr: source(o.First + i*max(1, o.Stride)), Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) {
@@ -78,9 +78,9 @@
 }
 
 // crawl tells whether an answer came whole, or else whether the front ended it.
-func (o *Order) crawl(c net.Conn, i int, end time.Time) (whole, ended bool) {
+func (o *Command) crawl(c net.Conn, i int, end time.Time) (whole, ended bool) {
 	_ = c.SetDeadline(end)
-	text := Text(o.Class, o.Object, 2, o.First+i, o.Patience)
+	text := RequestText(o.Class, o.Object, 2, o.First+i, o.Patience)
 	step := max(1, o.Pace/4)
 	tick := time.Second / 4
 	if o.Pace < 4 {
@@ -105,7 +105,7 @@
 				_ = c.SetDeadline(end)
 				time.Sleep(time.Second / 2)
 				again++
-				_, err = io.WriteString(c, Text(o.Class, o.Object, 2+again, o.First+i, o.Patience))
+				_, err = io.WriteString(c, RequestText(o.Class, o.Object, 2+again, o.First+i, o.Patience))
 				n = 0
 			}
 			if got += n; got >= 240_000 {
--- a/lab/idle/worker.go
+++ b/lab/idle/worker.go
@@ -14,8 +14,8 @@
 )
 
 // Order is what a worker is told to do, as a line of JSON.
-type Order struct {
-	Do       string // open, wake, drip, close
+type Command struct {
+	Action   string `json:"Do"` // open, wake, drip, close
 	Address  string
 	Class    string
 	Object   string
@@ -31,37 +31,37 @@
 }
 
 // Outcome is what a worker answers.
-type Outcome struct {
+type Reply struct {
 	Error string
-	Woken *Tally
-	Slow  *Slow
+	Woken *Stats
+	Slow  *SlowStats
 }
 
 // Tally is what became of requests, in a form that can be added up.
-type Tally struct {
-	Count  map[int]int // by the last answer's status
-	Asked  int         // requests, with those that came back as told
-	Lost   int
-	Why    string                 // of one that was lost
-	InTime int                    // served within the patience of the first try
-	Calm   time.Time              // of the last answer
-	Times  *hdrhistogram.Snapshot // us, of the whole answers from when they were due
+type Stats struct {
+	Count      map[int]int // by the last answer's status
+	Requests   int         `json:"Asked"` // requests, with those that came back as told
+	Lost       int
+	LossReason string                 `json:"Why"` // of one that was lost
+	InTime     int                    // served within the patience of the first try
+	LastAnswer time.Time              `json:"Calm"` // of the last answer
+	Times      *hdrhistogram.Snapshot // us, of the whole answers from when they were due
 }
 
 // Add takes over another tally.
-func (t *Tally) Add(o *Tally) {
+func (t *Stats) Add(o *Stats) {
 	if t.Count == nil {
 		t.Count = map[int]int{}
 	}
 	for status, n := range o.Count {
 		t.Count[status] += n
 	}
-	if o.Why != "" {
-		t.Why = o.Why
+	if o.LossReason != "" {
+		t.LossReason = o.LossReason
 	}
-	t.Asked, t.Lost, t.InTime = t.Asked+o.Asked, t.Lost+o.Lost, t.InTime+o.InTime
-	if o.Calm.After(t.Calm) {
-		t.Calm = o.Calm
+	t.Requests, t.Lost, t.InTime = t.Requests+o.Requests, t.Lost+o.Lost, t.InTime+o.InTime
+	if o.LastAnswer.After(t.LastAnswer) {
+		t.LastAnswer = o.LastAnswer
 	}
 	if t.Times == nil {
 		t.Times = o.Times
@@ -73,20 +73,20 @@
 }
 
 // Slow is what became of slow clients.
-type Slow struct {
-	Ended   int           // by the front
-	Whole   int           // answered whole
-	Left    int           // still open when time ran out
-	Fastest time.Duration // to the first that was ended
-	Slowest time.Duration // to the last
+type SlowStats struct {
+	Ended      int           // by the front
+	Completed  int           `json:"Whole"` // answered whole
+	Unfinished int           `json:"Left"`  // still open when time ran out
+	Fastest    time.Duration // to the first that was ended
+	Slowest    time.Duration // to the last
 }
 
 // Serve carries out orders from a reader until it ends; it is a worker's process.
 func Serve(r io.Reader, w io.Writer) error {
 	d, e := json.NewDecoder(r), json.NewEncoder(w)
-	var h *Herd
+	var h *Pool
 	for {
-		var o Order
+		var o Command
 		if err := d.Decode(&o); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-func (o *Order) carryOut(h **Herd) (out Outcome, err error) {
-	switch o.Do {
+func (o *Command) carryOut(h **Pool) (out Reply, err error) {
+	switch o.Action {
 	case "open":
 		*h, err = Open(o.Address, o.First, o.Count, o.Patience, o.text(0))
 	case "wake":
@@ -113,18 +113,18 @@
 	case "close":
 		(*h).Close()
 	default:
-		err = fmt.Errorf("idle: %q is no order", o.Do)
+		err = fmt.Errorf("idle: %q is no order", o.Action)
 	}
 	return out, err
 }
 
 // text makes the bytes of requests; their ids differ by connection and run.
-func (o *Order) text(run int) func(i int) string {
-	return func(i int) string { return Text(o.Class, o.Object, run, o.First+i, o.Patience) }
+func (o *Command) text(run int) func(i int) string {
+	return func(i int) string { return RequestText(o.Class, o.Object, run, o.First+i, o.Patience) }
 }
 
 // Text is a request of the platform's protocol, with an id of its own.
-func Text(class, object string, run, i int, patience time.Duration) string {
+func RequestText(class, object string, run, i int, patience time.Duration) string {
 	return fmt.Sprintf("GET /call/%s/%s?seg=%d HTTP/1.1\r\nHost: lab\r\nReq-Id: %04x%012x\r\nReq-Wait-Ms: %d\r\nX-Bucket: 17\r\n\r\n",
 		class, object, i%8, run, i, patience.Milliseconds())
 }
@@ -156,7 +156,7 @@
 }
 
 // Do has an order carried out.
-func (w *Worker) Do(o Order) (out Outcome, err error) {
+func (w *Worker) Do(o Command) (out Reply, err error) {
 	if err = json.NewEncoder(w.in).Encode(o); err == nil {
 		err = w.out.Decode(&out)
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -31,7 +31,7 @@
 const second Micros = 1_000_000
 
 // Maker makes requests. Each thread has one of its own.
-type Maker interface {
+type Generator interface {
 	// Pick says which of Kinds the next request is that comes due.
 	Pick() int
 	// Append appends the bytes of a request of a kind, sent now by a client that
@@ -41,18 +41,18 @@
 
 // Options say what is sent.
 type Options struct {
-	Address     string
-	Curve       []world.Point // requests a second by the moment of the run
-	Even        bool          // evenly spaced; else as a Poisson process
-	For         time.Duration
-	Patience    time.Duration // that a client has, from when its request is due
-	Idle        time.Duration // after which a connection that is not used is closed
-	Connections int           // at most, in all
-	Threads     int
-	Precise     bool // requests leave to some ten microseconds, for a core a thread
-	Seed        uint64
-	Kinds       []string
-	Maker       func(thread int, r *rand.Rand) Maker
+	Address      string
+	Curve        []world.Point // requests a second by the moment of the run
+	EvenlySpaced bool          // evenly spaced; else as a Poisson process
+	Duration     time.Duration
+	Timeout      time.Duration // that a client has, from when its request is due
+	IdleTimeout  time.Duration // after which a connection that is not used is closed
+	Connections  int           // at most, in all
+	Threads      int
+	Precise      bool // requests leave to some ten microseconds, for a core a thread
+	Seed         uint64
+	Kinds        []string
+	NewGenerator func(thread int, r *rand.Rand) Generator
 }
 
 // Check names what can't be run.
@@ -60,7 +60,7 @@
 	switch {
 	case len(o.Curve) == 0 || o.Curve[0].At != 0:
 		return errors.New("load: no rate from the first moment on")
-	case o.For <= 0 || o.Patience <= 0 || o.Idle <= 0:
+	case o.Duration <= 0 || o.Timeout <= 0 || o.IdleTimeout <= 0:
 		return errors.New("load: the run, the clients' patience and the connections' idle time must be above 0")
 	case o.Threads < 1 || o.Connections < o.Threads:
 		return fmt.Errorf("load: %d connections for %d threads", o.Connections, o.Threads)
@@ -72,37 +72,37 @@
 
 // Ends of requests, beside statuses.
 const (
-	Late    = "late"    // no whole answer while its client waited
-	Refused = "connect" // no connection came up
-	Broken  = "broken"  // the connection ended with no whole answer
-	Garbled = "garbled" // an answer that can't be read
+	TimedOut       = "late"    // no whole answer while its client waited
+	ConnectFailed  = "connect" // no connection came up
+	ConnectionLost = "broken"  // the connection ended with no whole answer
+	Malformed      = "garbled" // an answer that can't be read
 )
 
 // Kind is what became of one kind of requests.
-type Kind struct {
-	Name  string
-	Ends  map[string]int // by status, or one of the ends above
-	Times *hdrhistogram.Histogram
+type KindResult struct {
+	Name     string
+	Outcomes map[string]int // by status, or one of the ends above
+	Latency  *hdrhistogram.Histogram
 }
 
 // Tick is one second of the run, by when requests were due.
-type Tick struct {
+type SecondResult struct {
 	Due      int
-	Ends     map[string]int
-	P50, P99 Micros // of those that were answered
+	Outcomes map[string]int `json:"Ends"`
+	P50, P99 Micros         // of those that were answered
 	times    *hdrhistogram.Histogram
 }
 
 // Result is what came of a run.
 type Result struct {
-	Kinds       []Kind
-	Ticks       []Tick
+	Kinds       []KindResult
+	Seconds     []SecondResult
 	Due         int
 	Lag         *hdrhistogram.Histogram // from when a request was due to when this tool came to it
 	Queued      *hdrhistogram.Histogram // from then to when a connection was free for it
 	Connections int                     // opened, in all
 	Bytes       int64                   // of answers
-	Took        time.Duration
+	Elapsed     time.Duration
 }
 
 // Times are in microseconds, up to a minute.
@@ -111,7 +111,7 @@
 func newTimes(digits int) *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
 
 // Progress counts what has been done so far; it may be read at any time.
-type Progress struct{ Due, Answered, Lost atomic.Int64 }
+type Progress struct{ Due, Answered, Failed atomic.Int64 }
 
 // Run sends a load and gives what came of it.
 func Run(o Options, p *Progress) (*Result, error) {
@@ -139,23 +139,23 @@
 	for _, t := range threads[1:] {
 		x := &t.result
 		for i := range x.Kinds {
-			r.Kinds[i].Times.Merge(x.Kinds[i].Times)
-			add(r.Kinds[i].Ends, x.Kinds[i].Ends)
+			r.Kinds[i].Latency.Merge(x.Kinds[i].Latency)
+			add(r.Kinds[i].Outcomes, x.Kinds[i].Outcomes)
 		}
-		for i := range x.Ticks {
+		for i := range x.Seconds {
 			y := r.tick(i)
-			y.Due += x.Ticks[i].Due
-			add(y.Ends, x.Ticks[i].Ends)
-			y.times.Merge(x.Ticks[i].times)
+			y.Due += x.Seconds[i].Due
+			add(y.Outcomes, x.Seconds[i].Outcomes)
+			y.times.Merge(x.Seconds[i].times)
 		}
 		r.Lag.Merge(x.Lag)
 		r.Queued.Merge(x.Queued)
 		r.Due, r.Connections, r.Bytes = r.Due+x.Due, r.Connections+x.Connections, r.Bytes+x.Bytes
 	}
-	for i := range r.Ticks {
-		r.Ticks[i].P50, r.Ticks[i].P99 = r.Ticks[i].times.ValueAtQuantile(50), r.Ticks[i].times.ValueAtQuantile(99)
+	for i := range r.Seconds {
+		r.Seconds[i].P50, r.Seconds[i].P99 = r.Seconds[i].times.ValueAtQuantile(50), r.Seconds[i].times.ValueAtQuantile(99)
 	}
-	r.Took = time.Duration(time.Now().UnixMicro()-begin) * time.Microsecond
+	r.Elapsed = time.Duration(time.Now().UnixMicro()-begin) * time.Microsecond
 	return r
 }
 
@@ -165,11 +165,11 @@
 	}
 }
 
-func (r *Result) tick(i int) *Tick {
-	for len(r.Ticks) <= i {
-		r.Ticks = append(r.Ticks, Tick{Ends: map[string]int{}, times: newTimes(2)})
+func (r *Result) tick(i int) *SecondResult {
+	for len(r.Seconds) <= i {
+		r.Seconds = append(r.Seconds, SecondResult{Outcomes: map[string]int{}, times: newTimes(2)})
 	}
-	return &r.Ticks[i]
+	return &r.Seconds[i]
 }
 
 // request is one that is due or out.
@@ -183,7 +183,7 @@
 	o        *Options
 	l        *loop.Loop
 	r        *rand.Rand
-	maker    Maker
+	maker    Generator
 	begin    Micros
 	end      Micros // of what is due
 	next     Micros
@@ -200,15 +200,15 @@
 }
 
 func newThread(o *Options, i int, begin Micros, p *Progress) *thread {
-	t := &thread{o: o, r: rand.New(rand.NewPCG(o.Seed, uint64(i))), begin: begin, end: begin + o.For.Microseconds(), next: begin, progress: p}
+	t := &thread{o: o, r: rand.New(rand.NewPCG(o.Seed, uint64(i))), begin: begin, end: begin + o.Duration.Microseconds(), next: begin, progress: p}
 	if t.l = loop.New(func() {}); o.Precise {
 		t.l = loop.NewOn(&precise{}, func() {})
 	}
-	t.maker = o.Maker(i, t.r)
+	t.maker = o.NewGenerator(i, t.r)
 	t.most = o.Connections / o.Threads
 	t.result = Result{Lag: newTimes(3), Queued: newTimes(3)}
 	for _, name := range o.Kinds {
-		t.result.Kinds = append(t.result.Kinds, Kind{name, map[string]int{}, newTimes(3)})
+		t.result.Kinds = append(t.result.Kinds, KindResult{name, map[string]int{}, newTimes(3)})
 	}
 	t.timer.Init(t.arrive)
 	return t
@@ -247,7 +247,7 @@
 		gap := float64(pauseless) * 2
 		if rate > 0 {
 			gap = 1e6 / rate
-			if !t.o.Even {
+			if !t.o.EvenlySpaced {
 				gap *= t.r.ExpFloat64()
 			}
 		}
@@ -255,7 +255,7 @@
 			t.next += max(1, Micros(gap))
 			return t.next < t.end
 		}
-		if rate <= 0 || !t.o.Even {
+		if rate <= 0 || !t.o.EvenlySpaced {
 			t.next += pauseless
 			continue
 		}
@@ -303,14 +303,14 @@
 	t.open--
 	took := min(max(1, t.l.Now()-x.due), longest)
 	k, tick := &t.result.Kinds[x.kind], t.result.tick(int((x.due-t.begin)/second))
-	k.Ends[how]++
-	tick.Ends[how]++
+	k.Outcomes[how]++
+	tick.Outcomes[how]++
 	if status {
-		_ = k.Times.RecordValue(took)
+		_ = k.Latency.RecordValue(took)
 		_ = tick.times.RecordValue(took)
 		t.progress.Answered.Add(1)
 	} else {
-		t.progress.Lost.Add(1)
+		t.progress.Failed.Add(1)
 	}
 	t.finish()
 }
@@ -321,8 +321,8 @@
 	c.deadline.Init(c.due)
 	t.count++
 	t.result.Connections++
-	t.l.Set(&c.deadline, x.due+t.o.Patience.Microseconds())
-	transport.Dial(t.l, t.o.Address, mostAnswer, &t.held, c, x.due+t.o.Patience.Microseconds(), func(conn *transport.Conn, err error) {
+	t.l.Set(&c.deadline, x.due+t.o.Timeout.Microseconds())
+	transport.Dial(t.l, t.o.Address, mostAnswer, &t.held, c, x.due+t.o.Timeout.Microseconds(), func(conn *transport.Conn, err error) {
 		switch {
 		case c.over && err == nil: // its client has gone
 			conn.Close()
@@ -331,9 +331,9 @@
 			c.over = true
 			t.l.Stop(&c.deadline)
 			t.gone()
-			how := Refused
-			if t.l.Now() >= x.due+t.o.Patience.Microseconds() {
-				how = Late
+			how := ConnectFailed
+			if t.l.Now() >= x.due+t.o.Timeout.Microseconds() {
+				how = TimedOut
 			}
 			t.ended(x, how, false)
 		default:
@@ -358,10 +358,10 @@
 		if !ok {
 			return x, false
 		}
-		if x.due+t.o.Patience.Microseconds() > t.l.Now() {
+		if x.due+t.o.Timeout.Microseconds() > t.l.Now() {
 			return x, true
 		}
-		t.ended(x, Late, false)
+		t.ended(x, TimedOut, false)
 	}
 }
 
@@ -383,13 +383,13 @@
 // send sends a request that this connection is free for.
 func (c *client) send(x request, now Micros) {
 	t := c.t
-	until := x.due + t.o.Patience.Microseconds()
+	until := x.due + t.o.Timeout.Microseconds()
 	t.buf = t.maker.Append(t.buf[:0], x.kind, now, until)
 	_ = t.result.Queued.RecordValue(min(max(0, now-x.due), longest))
 	c.request, c.busy = x, true
 	t.l.Set(&c.deadline, until)
 	if _, err := c.conn.Send(t.buf); err != nil {
-		c.lose(Broken)
+		c.lose(ConnectionLost)
 	}
 }
 
@@ -402,7 +402,7 @@
 		c.t.gone()
 		return
 	}
-	c.lose(Late)
+	c.lose(TimedOut)
 }
 
 // lose gives up a connection and what is out on it.
@@ -435,7 +435,7 @@
 	})
 	switch {
 	case err != nil || r != nil && !c.busy || r == nil && conn.Overflowed():
-		c.lose(Garbled)
+		c.lose(Malformed)
 		return
 	case r == nil:
 		return
@@ -452,7 +452,7 @@
 		c.send(next, t.l.Now())
 	} else {
 		t.idle = append(t.idle, c)
-		t.l.SetCoarse(&c.deadline, t.l.Now()+t.o.Idle.Microseconds())
+		t.l.SetCoarse(&c.deadline, t.l.Now()+t.o.IdleTimeout.Microseconds())
 	}
 	t.ended(x, strconv.Itoa(r.Status), true)
 }
@@ -465,7 +465,7 @@
 	if !c.over && !c.busy {
 		c.t.idle = slices.DeleteFunc(c.t.idle, func(o *client) bool { return o == c })
 	}
-	c.lose(Broken)
+	c.lose(ConnectionLost)
 }
 
 // queue is requests that wait for a connection, in order.
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -30,8 +30,8 @@
 func options(address string, rate float64) Options {
 	mix := &Mix{Classes: []Class{{Name: "guide-video", Share: 3, Parts: 8}, {Name: "payout-confirm", Share: 1, Write: true, Parts: 1}}, Objects: 100,
 		Zipf: 1.2, Body: 10}
-	return Options{Address: address, Curve: []world.Point{{Rate: rate}}, For: time.Second, Patience: 2 * time.Second, Idle: 4 * time.Second,
-		Connections: 64, Threads: 2, Seed: 1, Kinds: mix.Kinds(), Maker: mix.Maker}
+	return Options{Address: address, Curve: []world.Point{{Rate: rate}}, Duration: time.Second, Timeout: 2 * time.Second, IdleTimeout: 4 * time.Second,
+		Connections: 64, Threads: 2, Seed: 1, Kinds: mix.Kinds(), NewGenerator: mix.NewGenerator}
 }
 
 func run(t *testing.T, o Options) *Result {
@@ -42,7 +42,7 @@
 	}
 	ended := 0
 	for _, k := range r.Kinds {
-		for _, n := range k.Ends {
+		for _, n := range k.Outcomes {
 			ended += n
 		}
 	}
@@ -83,10 +83,10 @@
 	r := run(t, options(s.Listener.Addr().String(), 500))
 	ends := map[string]int{}
 	for _, k := range r.Kinds {
-		add(ends, k.Ends)
+		add(ends, k.Outcomes)
 	}
-	if odd.Load() > 0 || r.Due < 350 || r.Due > 650 || ends["200"] == 0 || ends["503"] == 0 || ends[Broken] == 0 || ends[Garbled] == 0 ||
-		r.Kinds[0].Ends["200"] <= r.Kinds[1].Ends["200"] {
+	if odd.Load() > 0 || r.Due < 350 || r.Due > 650 || ends["200"] == 0 || ends["503"] == 0 || ends[ConnectionLost] == 0 || ends[Malformed] == 0 ||
+		r.Kinds[0].Outcomes["200"] <= r.Kinds[1].Outcomes["200"] {
 		t.Errorf("%d due, %d odd, %v", r.Due, odd.Load(), ends)
 	}
 	ln, err := loopbacktest.Listen()
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	if r := run(t, options(ln.Addr().String(), 200)); r.Kinds[0].Ends[Refused]+r.Kinds[1].Ends[Refused] != r.Due {
+	if r := run(t, options(ln.Addr().String(), 200)); r.Kinds[0].Outcomes[ConnectFailed]+r.Kinds[1].Outcomes[ConnectFailed] != r.Due {
 		t.Errorf("nobody listens: %+v", r.Kinds)
 	}
 }
@@ -114,7 +114,7 @@
 	r := run(t, o)
 	slow := 0.0
 	for _, k := range r.Kinds {
-		for _, b := range k.Times.Distribution() {
+		for _, b := range k.Latency.Distribution() {
 			if b.From > 100_000 {
 				slow += float64(b.Count)
 			}
@@ -128,8 +128,8 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	o.Address, o.Patience = ln.Addr().String(), 300*time.Millisecond
-	if r := run(t, o); r.Kinds[0].Ends[Late]+r.Kinds[1].Ends[Late] != r.Due {
+	o.Address, o.Timeout = ln.Addr().String(), 300*time.Millisecond
+	if r := run(t, o); r.Kinds[0].Outcomes[TimedOut]+r.Kinds[1].Outcomes[TimedOut] != r.Due {
 		t.Errorf("nothing is said: %+v", r.Kinds)
 	}
 }
@@ -140,7 +140,7 @@
 	curve := []world.Point{{Rate: 100}, {At: 10 * second, Rate: 0}, {At: 20 * second, Rate: 0, Ramp: true}, {At: 40 * second, Rate: 400}}
 	for _, even := range []bool{false, true} {
 		o := options("", 1)
-		o.Curve, o.Even, o.For, o.Threads, o.Connections = curve, even, 60*time.Second, 1, 1
+		o.Curve, o.EvenlySpaced, o.Duration, o.Threads, o.Connections = curve, even, 60*time.Second, 1, 1
 		x := newThread(&o, 0, 0, &Progress{})
 		var counts [6]float64
 		var gaps []float64
@@ -170,7 +170,7 @@
 
 // What makes no load is refused by name.
 func TestOptionsAreChecked(t *testing.T) {
-	for _, change := range []func(o *Options){func(o *Options) { o.Curve = nil }, func(o *Options) { o.For = 0 }, func(o *Options) { o.Connections = 1 },
+	for _, change := range []func(o *Options){func(o *Options) { o.Curve = nil }, func(o *Options) { o.Duration = 0 }, func(o *Options) { o.Connections = 1 },
 		func(o *Options) { o.Kinds = nil }} {
 		o := options("", 1)
 		change(&o)
@@ -229,12 +229,12 @@
 		b.Run(fmt.Sprintf("%.0f precise %v", x.rate, x.precise), func(b *testing.B) {
 			for range b.N {
 				o := options(address, x.rate)
-				o.Threads, o.For, o.Precise = 1, 2*time.Second, x.precise
+				o.Threads, o.Duration, o.Precise = 1, 2*time.Second, x.precise
 				r, err := Run(o, &Progress{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(r.Kinds[0].Ends["200"]+r.Kinds[1].Ends["200"])/r.Took.Seconds(), "requests/s")
+				b.ReportMetric(float64(r.Kinds[0].Outcomes["200"]+r.Kinds[1].Outcomes["200"])/r.Elapsed.Seconds(), "requests/s")
 				b.ReportMetric(float64(r.Lag.ValueAtQuantile(50)), "lag-p50-us")
 				b.ReportMetric(float64(r.Lag.ValueAtQuantile(99)), "lag-p99-us")
 			}
--- a/lab/load/makers.go
+++ b/lab/load/makers.go
@@ -52,7 +52,7 @@
 }
 
 // Maker makes the platform's requests.
-func (m *Mix) Maker(_ int, r *rand.Rand) Maker {
+func (m *Mix) NewGenerator(_ int, r *rand.Rand) Generator {
 	x := &mixMaker{Mix: m, r: r, zipf: rand.NewZipf(r, m.Zipf, 1, uint64(m.Objects-1)), body: strings.Repeat("x", m.Body)}
 	for _, c := range m.Classes {
 		x.sum += c.Share
@@ -120,7 +120,9 @@
 func (t *Targets) Kinds() []string { return []string{"target"} }
 
 // Maker gives each thread a place of its own in the list.
-func (t *Targets) Maker(thread int, _ *rand.Rand) Maker { return &targetMaker{t, thread * 7919} }
+func (t *Targets) NewGenerator(thread int, _ *rand.Rand) Generator {
+	return &targetMaker{t, thread * 7919}
+}
 
 type targetMaker struct {
 	*Targets
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -31,15 +31,15 @@
 var settings string
 
 // Tag names the copy that nodes answer with.
-const Tag = "t1"
+const CopyTag = "t1"
 
 // Large is the name of an object whose parts are as long as parts can be.
-const Large = "large"
+const LargeObject = "large"
 
 // Body is what nodes hold under a name and a part.
 func Body(name, part string) []byte {
 	size := 14_000
-	if name == Large {
+	if name == LargeObject {
 		size = 240_000
 	}
 	return bytes.Repeat([]byte(name+"/"+part+";"), size/(len(name)+len(part)+2))
@@ -53,7 +53,7 @@
 }
 
 // Taken counts the requests that came.
-func (n *Node) Taken() int64 { return n.taken.Load() }
+func (n *Node) Requests() int64 { return n.taken.Load() }
 
 // Addr is where it listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
@@ -104,10 +104,10 @@
 			}
 			n.taken.Add(1)
 			body, word := Body(fields["name"], fields["piece"]), "ok"
-			if fields["cached"] == Tag {
+			if fields["cached"] == CopyTag {
 				body, word = nil, "current"
 			}
-			_, _ = fmt.Fprintf(w, "%s %s sum=%s,t0=%d,why=warm %d\r\n", words[1], word, Tag, n.born.UnixMilli(), len(body))
+			_, _ = fmt.Fprintf(w, "%s %s sum=%s,t0=%d,why=warm %d\r\n", words[1], word, CopyTag, n.born.UnixMilli(), len(body))
 			_, _ = w.Write(body)
 			_, _ = w.WriteString("\r\n")
 		}
@@ -121,9 +121,9 @@
 
 // Site is a front with what it talks to.
 type Site struct {
-	Listen, Signed      string // the front's addresses
-	Box, Parent, Origin *Node
-	Operator            string // path of the operator's file
+	Listen, SignedListen string // the front's addresses
+	Box, Parent, Origin  *Node
+	Operator             string // path of the operator's file
 
 	dir     string
 	board   *http.Server
@@ -208,11 +208,11 @@
 	}
 	env := append([]string{"ROUTER_CONFIG=" + path}, o.Env...)
 	if o.Operator != nil {
-		if s.Signed, err = loopbacktest.FreeAddress(); err != nil {
+		if s.SignedListen, err = loopbacktest.FreeAddress(); err != nil {
 			return s, err
 		}
 		s.Operator = filepath.Join(s.dir, "operator.json")
-		if err = os.WriteFile(s.Operator, o.Operator(s.Signed), 0o600); err != nil {
+		if err = os.WriteFile(s.Operator, o.Operator(s.SignedListen), 0o600); err != nil {
 			return s, err
 		}
 		env = append(env, "CHERRYRAMP_OPERATOR="+s.Operator)
