--- a/cmd/ramplab/experiment.go
+++ b/cmd/ramplab/experiment.go
@@ -86,7 +86,7 @@
 			return playElsewhere(lab, order{j, a.Sockets, a.Front})
 		}, nil
 	case a.Sockets:
-		return x, experiment.OnSockets(world.Sockets{Front: a.Front}), nil
+		return x, experiment.OnSockets(world.SocketOptions{Front: a.Front}), nil
 	}
 	return x, experiment.InVirtualTime, nil
 }
@@ -137,7 +137,7 @@
 	}
 	play := experiment.InVirtualTime
 	if o.Sockets {
-		play = experiment.OnSockets(world.Sockets{Front: o.Front})
+		play = experiment.OnSockets(world.SocketOptions{Front: o.Front})
 	}
 	d, err := play(context.Background(), o.Job)
 	if err != nil {
--- a/cmd/ramplab/sim.go
+++ b/cmd/ramplab/sim.go
@@ -84,9 +84,9 @@
 		var r *world.Result
 		var err error
 		if c.Sockets {
-			r, err = days[i].PlayOnSockets(world.None, world.Sockets{Front: front, Log: log, Ephemeral: c.Ephemeral})
+			r, err = days[i].PlayOnSockets(world.NoMutation, world.SocketOptions{Front: front, Log: log, Ephemeral: c.Ephemeral})
 		} else {
-			r, err = days[i].Play(world.None)
+			r, err = days[i].Play(world.NoMutation)
 		}
 		out[i] = played{files[i], days[i].Spec.Seed, time.Since(start), r}
 		return err
@@ -180,7 +180,7 @@
 		return err
 	}
 	m := world.Mutation(c.Mutate)
-	if _, ok := world.Mutations[m]; m != world.None && !ok {
+	if _, ok := world.Mutations[m]; m != world.NoMutation && !ok {
 		return fmt.Errorf("%q can't be broken; see --list", c.Mutate)
 	}
 	bar := progressbar.NewOptions(c.Days, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("days"),
@@ -228,7 +228,7 @@
 }
 
 func sortedMutations() (out []world.Mutation) {
-	for _, p := range world.Promises {
+	for _, p := range world.Properties {
 		for m, breaks := range world.Mutations {
 			if breaks == p {
 				out = append(out, m)
--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	spec, plan := world.Default(), world.Plan{For: endless}
+	spec, plan := world.Default(), world.Plan{Duration: endless}
 	spec.Rate = c.Rate
 	if c.Scenario != "" {
 		text, err := os.ReadFile(c.Scenario)
@@ -56,7 +56,7 @@
 		return fmt.Errorf("--rate: %v: 0 to 10000 are possible", c.Rate)
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd())) && term.IsTerminal(int(os.Stdin.Fd()))
-	o := world.Sockets{Front: front, Operator: keys.Operator}
+	o := world.SocketOptions{Front: front, Operator: keys.Operator}
 	if !live {
 		o.Log = os.Stderr
 	}
@@ -66,7 +66,7 @@
 	}
 	var ui *tea.Program
 	if live {
-		branches, hubs, _, fronts := w.Names()
+		branches, hubs, _, fronts := w.FaultTargets()
 		m := &viewModel{w: w, links: func(v world.View) []string { return links(v, keys) }, keys: troubleKeys(branches, hubs, fronts)}
 		ui = tea.NewProgram(m)
 		w.Watch(250_000, func(v world.View) { ui.Send(v) })
@@ -138,22 +138,22 @@
 // troubleKey is a trouble that a key brings.
 type troubleKey struct {
 	key     string
-	trouble world.Trouble
+	trouble world.Fault
 }
 
 func troubleKeys(branches, hubs, fronts []string) []troubleKey {
 	const second = 1_000_000
-	list := []world.Trouble{
-		{Kind: world.LoseBranch, Target: branches[0], For: 12 * second},
-		{Kind: world.LoseBranch, Target: branches[len(branches)-1], For: 12 * second, Silent: true},
-		{Kind: world.LoseParents, Target: hubs[0], For: 15 * second},
-		{Kind: world.OriginSlow, X: 3, For: 10 * second},
-		{Kind: world.OriginStops, For: 5 * second},
-		{Kind: world.PurgeGroups, X: 0.4},
-		{Kind: world.Storm, For: 10 * second},
-		{Kind: world.Surge, X: 3, For: 10 * second},
-		{Kind: world.Resets},
-		{Kind: world.KillFront, Target: fronts[len(fronts)-1], For: 3 * second},
+	list := []world.Fault{
+		{Kind: world.LoseBranch, Target: branches[0], Duration: 12 * second},
+		{Kind: world.LoseBranch, Target: branches[len(branches)-1], Duration: 12 * second, Silent: true},
+		{Kind: world.LoseParents, Target: hubs[0], Duration: 15 * second},
+		{Kind: world.OriginSlow, Amount: 3, Duration: 10 * second},
+		{Kind: world.OriginStops, Duration: 5 * second},
+		{Kind: world.PurgeGroups, Amount: 0.4},
+		{Kind: world.RetryStorm, Duration: 10 * second},
+		{Kind: world.Surge, Amount: 3, Duration: 10 * second},
+		{Kind: world.ResetConnections},
+		{Kind: world.KillFront, Target: fronts[len(fronts)-1], Duration: 3 * second},
 	}
 	var keys []troubleKey
 	for i, t := range list {
@@ -212,7 +212,7 @@
 	return m, nil
 }
 
-func (m *viewModel) inject(t world.Trouble) tea.Cmd {
+func (m *viewModel) inject(t world.Fault) tea.Cmd {
 	m.said = t.Label()
 	return func() tea.Msg {
 		told := make(chan error, 1)
@@ -280,7 +280,7 @@
 	}
 	fmt.Fprintln(&b)
 	for _, t := range v.Troubles {
-		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", t.Label(), float64(t.At+t.For-v.At)/1e6)))
+		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", t.Label(), float64(t.At+t.Duration-v.At)/1e6)))
 	}
 	if v.Broken > 0 {
 		fmt.Fprintln(&b, brokenStyle.Render(fmt.Sprintf("promises broken %d times", v.Broken)))
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -23,13 +23,13 @@
 
 // InVirtualTime plays a day in this process.
 func InVirtualTime(_ context.Context, j Job) (Day, error) {
-	return play(j, func(s *scenario.Scenario) (*world.Result, error) { return s.Play(world.None) })
+	return play(j, func(s *scenario.Scenario) (*world.Result, error) { return s.Play(world.NoMutation) })
 }
 
 // OnSockets plays days before a built front.
-func OnSockets(o world.Sockets) Player {
+func OnSockets(o world.SocketOptions) Player {
 	return func(_ context.Context, j Job) (Day, error) {
-		return play(j, func(s *scenario.Scenario) (*world.Result, error) { return s.PlayOnSockets(world.None, o) })
+		return play(j, func(s *scenario.Scenario) (*world.Result, error) { return s.PlayOnSockets(world.NoMutation, o) })
 	}
 }
 
@@ -40,8 +40,8 @@
 	}
 	s.Spec.Seed += j.Seed
 	d := Day{File: j.File, Name: s.Name, Seed: j.Seed}
-	for _, t := range s.Plan.Troubles {
-		d.Marks = append(d.Marks, Mark{t.Label(), t.At, t.For})
+	for _, t := range s.Plan.Faults {
+		d.Marks = append(d.Marks, Mark{t.Label(), t.At, t.Duration})
 	}
 	start := time.Now()
 	d.Result, err = do(s)
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -42,8 +42,8 @@
 // Options say what is sent.
 type Options struct {
 	Address      string
-	Curve        []world.Point // requests a second by the moment of the run
-	EvenlySpaced bool          // evenly spaced; else as a Poisson process
+	Curve        []world.RatePoint // requests a second by the moment of the run
+	EvenlySpaced bool              // evenly spaced; else as a Poisson process
 	Duration     time.Duration
 	Timeout      time.Duration // that a client has, from when its request is due
 	IdleTimeout  time.Duration // after which a connection that is not used is closed
@@ -243,7 +243,7 @@
 // has no memory.
 func (t *thread) step() bool {
 	for t.next < t.end {
-		rate := world.Rate(t.o.Curve, t.next-t.begin) / float64(t.o.Threads)
+		rate := world.RateAt(t.o.Curve, t.next-t.begin) / float64(t.o.Threads)
 		gap := float64(pauseless) * 2
 		if rate > 0 {
 			gap = 1e6 / rate
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -30,7 +30,7 @@
 func options(address string, rate float64) Options {
 	mix := &Mix{Classes: []Class{{Name: "guide-video", Share: 3, Parts: 8}, {Name: "payout-confirm", Share: 1, Write: true, Parts: 1}}, Objects: 100,
 		Zipf: 1.2, Body: 10}
-	return Options{Address: address, Curve: []world.Point{{Rate: rate}}, Duration: time.Second, Timeout: 2 * time.Second, IdleTimeout: 4 * time.Second,
+	return Options{Address: address, Curve: []world.RatePoint{{Rate: rate}}, Duration: time.Second, Timeout: 2 * time.Second, IdleTimeout: 4 * time.Second,
 		Connections: 64, Threads: 2, Seed: 1, Kinds: mix.Kinds(), NewGenerator: mix.NewGenerator}
 }
 
@@ -137,7 +137,7 @@
 // Arrivals follow the curve, rising or not, and are as irregular as a Poisson
 // process unless they are to be even.
 func TestArrivals(t *testing.T) {
-	curve := []world.Point{{Rate: 100}, {At: 10 * second, Rate: 0}, {At: 20 * second, Rate: 0, Ramp: true}, {At: 40 * second, Rate: 400}}
+	curve := []world.RatePoint{{Rate: 100}, {At: 10 * second, Rate: 0}, {At: 20 * second, Rate: 0, Ramp: true}, {At: 40 * second, Rate: 400}}
 	for _, even := range []bool{false, true} {
 		o := options("", 1)
 		o.Curve, o.EvenlySpaced, o.Duration, o.Threads, o.Connections = curve, even, 60*time.Second, 1, 1
--- a/lab/scenario/chaos.go
+++ b/lab/scenario/chaos.go
@@ -12,7 +12,7 @@
 // that overlap as they fall.
 func Random(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 3))
-	s := &Scenario{Name: fmt.Sprint("chaos ", seed), Spec: world.Default(), Plan: world.Plan{Warm: 10 * 1_000_000, For: 30 * 1_000_000}}
+	s := &Scenario{Name: fmt.Sprint("chaos ", seed), Spec: world.Default(), Plan: world.Plan{WarmUp: 10 * 1_000_000, Duration: 30 * 1_000_000}}
 	s.Spec.Seed = seed
 	s.Spec.Rate = 60 + 240*r.Float64()
 	s.Spec.Branches = nil
@@ -21,18 +21,18 @@
 			Boxes: 1 + r.IntN(5), Fronts: 1 + r.IntN(2)})
 	}
 	s.Spec.Parents = 1 + r.IntN(4)
-	s.Spec.Repeats = world.Repeats{Most: r.IntN(4), Obey: r.IntN(2) == 0}
+	s.Spec.Retries = world.RetryPolicy{MaxRetries: r.IntN(4), HonorRetryAfter: r.IntN(2) == 0}
 	if r.IntN(3) > 0 {
-		s.Spec.Repeats.Wait = [2]world.Micros{r.Int64N(300_000), 300_000 + r.Int64N(500_000)}
+		s.Spec.Retries.Wait = [2]world.Micros{r.Int64N(300_000), 300_000 + r.Int64N(500_000)}
 	}
 	w, err := world.New(s.Spec)
 	if err != nil {
 		panic(err) // it is made from good values only
 	}
-	branches, hubs, caches, fronts := w.Names()
+	branches, hubs, caches, fronts := w.FaultTargets()
 	pick := func(list []string) string { return list[r.IntN(len(list))] }
 	for range r.IntN(9) {
-		t := world.Trouble{At: r.Int64N(int64(s.Plan.For)), For: 500_000 + r.Int64N(12_000_000), Silent: r.IntN(3) == 0}
+		t := world.Fault{At: r.Int64N(int64(s.Plan.Duration)), Duration: 500_000 + r.Int64N(12_000_000), Silent: r.IntN(3) == 0}
 		switch r.IntN(18) {
 		case 0, 1:
 			t.Kind, t.Target = world.LoseBranch, pick(branches)
@@ -43,27 +43,27 @@
 		case 5:
 			t.Kind, t.Target = world.DrainServer, pick(caches)
 		case 6:
-			t.Kind, t.X = world.OriginSlow, 1.5+4*r.Float64()
+			t.Kind, t.Amount = world.OriginSlow, 1.5+4*r.Float64()
 		case 7:
 			t.Kind = world.OriginStops
 		case 8:
-			t.Kind, t.X, t.For = world.PurgeGroups, 0.2+0.8*r.Float64(), 0
+			t.Kind, t.Amount, t.Duration = world.PurgeGroups, 0.2+0.8*r.Float64(), 0
 		case 9:
-			t.Kind, t.X, t.For = world.PurgeHot, float64(1+r.IntN(60)), 0
+			t.Kind, t.Amount, t.Duration = world.PurgeHot, float64(1+r.IntN(60)), 0
 		case 10:
-			t.Kind, t.X = world.Scan, 0.3*r.Float64()
+			t.Kind, t.Amount = world.Scan, 0.3*r.Float64()
 		case 11:
-			t.Kind, t.X = world.Surge, 1+2*r.Float64()
+			t.Kind, t.Amount = world.Surge, 1+2*r.Float64()
 		case 12:
-			t.Kind = world.Storm
+			t.Kind = world.RetryStorm
 		case 13:
 			t.Kind, t.Target = world.CutBranch, pick(branches)
 		case 14:
-			t.Kind, t.For = world.Resets, 0
+			t.Kind, t.Duration = world.ResetConnections, 0
 		case 15:
-			t.Kind, t.X = world.SpoiltAnswers, 0.05*r.Float64()
+			t.Kind, t.Amount = world.CorruptAnswers, 0.05*r.Float64()
 		case 16:
-			t.Kind, t.X = world.LostAnswers, 0.05*r.Float64()
+			t.Kind, t.Amount = world.LoseAnswers, 0.05*r.Float64()
 		default:
 			switch r.IntN(7) {
 			case 4:
@@ -73,19 +73,19 @@
 			case 6:
 				t.Kind, t.Target = world.RestartFront, pick(fronts)
 			case 0:
-				t.Kind = world.Deaf
+				t.Kind = world.RegisterUnreachable
 			case 1:
-				t.Kind, t.X = world.TellsLate, 5*r.Float64()
+				t.Kind, t.Amount = world.RegisterLate, 5*r.Float64()
 			case 2:
 				t.Kind, t.Target = world.KillFront, pick(fronts)
 			default:
-				t.Kind, t.Target, t.X = world.Flap, pick(caches), float64(1+r.IntN(6))
+				t.Kind, t.Target, t.Amount = world.FlapServer, pick(caches), float64(1+r.IntN(6))
 			}
 		}
 		if t.Kind != world.LoseBranch && t.Kind != world.LoseParents && t.Kind != world.LoseServer {
 			t.Silent = false
 		}
-		s.Plan.Troubles = append(s.Plan.Troubles, t)
+		s.Plan.Faults = append(s.Plan.Faults, t)
 	}
 	return s
 }
@@ -101,7 +101,7 @@
 }
 
 // PlayOnSockets plays a scenario before built fronts, in the system's time.
-func (s *Scenario) PlayOnSockets(m world.Mutation, o world.Sockets) (*world.Result, error) {
+func (s *Scenario) PlayOnSockets(m world.Mutation, o world.SocketOptions) (*world.Result, error) {
 	w, err := world.NewOnSockets(s.Spec, o)
 	if err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 // Shrink finds a shorter day on which a promise is still broken: without troubles
 // that are not needed, with the rest shorter, less load and an earlier end. It
 // plays so many days at most.
-func (s *Scenario) Shrink(p world.Promise, m world.Mutation, plays int) *Scenario {
+func (s *Scenario) Shrink(p world.Property, m world.Mutation, plays int) *Scenario {
 	best := *s
 	try := func(change func(s *Scenario) bool) bool {
 		next := best
-		next.Plan.Troubles = slices.Clone(best.Plan.Troubles)
+		next.Plan.Faults = slices.Clone(best.Plan.Faults)
 		if plays <= 0 || !change(&next) {
 			return false
 		}
@@ -132,28 +132,28 @@
 	for again := true; again && plays > 0; {
 		again = false
 		// Halves of the troubles first, then one by one (Zeller and Hildebrandt, 2002).
-		for size := max(1, len(best.Plan.Troubles)/2); size >= 1; size /= 2 {
-			for i := 0; i+size <= len(best.Plan.Troubles); {
-				if try(func(s *Scenario) bool { s.Plan.Troubles = slices.Delete(s.Plan.Troubles, i, i+size); return true }) {
+		for size := max(1, len(best.Plan.Faults)/2); size >= 1; size /= 2 {
+			for i := 0; i+size <= len(best.Plan.Faults); {
+				if try(func(s *Scenario) bool { s.Plan.Faults = slices.Delete(s.Plan.Faults, i, i+size); return true }) {
 					again = true
 				} else {
 					i += size
 				}
 			}
 		}
-		for i := range best.Plan.Troubles {
+		for i := range best.Plan.Faults {
 			for try(func(s *Scenario) bool {
-				t := &s.Plan.Troubles[i]
-				t.For /= 2
-				return t.For >= 250_000
+				t := &s.Plan.Faults[i]
+				t.Duration /= 2
+				return t.Duration >= 250_000
 			}) {
 				again = true
 			}
 		}
-		for try(func(s *Scenario) bool { s.Plan.For = s.Plan.For * 3 / 4; return s.Plan.For > 1_000_000 }) {
+		for try(func(s *Scenario) bool { s.Plan.Duration = s.Plan.Duration * 3 / 4; return s.Plan.Duration > 1_000_000 }) {
 			again = true
 		}
-		for try(func(s *Scenario) bool { s.Plan.Warm /= 2; return s.Plan.Warm > 100_000 }) {
+		for try(func(s *Scenario) bool { s.Plan.WarmUp /= 2; return s.Plan.WarmUp > 100_000 }) {
 			again = true
 		}
 		for try(func(s *Scenario) bool { s.Spec.Rate *= 0.6; return s.Spec.Rate > 2 }) {
@@ -170,16 +170,16 @@
 		text += fmt.Sprintf("  branch %q at %q %d boxes %d fronts\n", b.Name, b.Hub, b.Boxes, b.Fronts)
 	}
 	text += fmt.Sprintf("  parents %d\n}\n", s.Spec.Parents)
-	x := s.Spec.Repeats
-	text += fmt.Sprintf("clients retry %d times after %s to %s", x.Most, seconds(x.Wait[0]), seconds(x.Wait[1]))
-	if x.Obey {
+	x := s.Spec.Retries
+	text += fmt.Sprintf("clients retry %d times after %s to %s", x.MaxRetries, seconds(x.Wait[0]), seconds(x.Wait[1]))
+	if x.HonorRetryAfter {
 		text += " obeying"
 	}
-	text += fmt.Sprintf("\nload %s/s\nwarm %s\nrun %s\n", number(s.Spec.Rate), seconds(s.Plan.Warm), seconds(s.Plan.For))
-	for _, t := range s.Plan.Troubles {
+	text += fmt.Sprintf("\nload %s/s\nwarm %s\nrun %s\n", number(s.Spec.Rate), seconds(s.Plan.WarmUp), seconds(s.Plan.Duration))
+	for _, t := range s.Plan.Faults {
 		text += "at " + seconds(t.At) + " " + phrase(t)
-		if t.For > 0 {
-			text += " for " + seconds(t.For)
+		if t.Duration > 0 {
+			text += " for " + seconds(t.Duration)
 		}
 		if t.Silent {
 			text += " silently"
@@ -195,26 +195,26 @@
 func number(x float64) string { return fmt.Sprintf("%.6f", x) }
 
 // phrase is a trouble in the language's words.
-func phrase(t world.Trouble) string {
+func phrase(t world.Fault) string {
 	switch t.Kind {
 	case world.OriginSlow, world.Surge:
-		return fmt.Sprintf("%s %sx", t.Kind, number(t.X))
+		return fmt.Sprintf("%s %sx", t.Kind, number(t.Amount))
 	case world.PurgeGroups:
-		return fmt.Sprintf("purge %s%% of groups", number(100*t.X))
+		return fmt.Sprintf("purge %s%% of groups", number(100*t.Amount))
 	case world.PurgeHot:
-		return fmt.Sprintf("purge %d hot objects", int(t.X))
-	case world.Scan, world.SpoiltAnswers:
-		return fmt.Sprintf("%s %s%%", t.Kind, number(100*t.X))
-	case world.LostAnswers:
-		return fmt.Sprintf("lose %s%% of answers", number(100*t.X))
-	case world.Resets:
+		return fmt.Sprintf("purge %d hot objects", int(t.Amount))
+	case world.Scan, world.CorruptAnswers:
+		return fmt.Sprintf("%s %s%%", t.Kind, number(100*t.Amount))
+	case world.LoseAnswers:
+		return fmt.Sprintf("lose %s%% of answers", number(100*t.Amount))
+	case world.ResetConnections:
 		return "reset connections"
-	case world.TellsLate:
-		return "register late " + seconds(world.Micros(t.X*1e6))
+	case world.RegisterLate:
+		return "register late " + seconds(world.Micros(t.Amount*1e6))
 	case world.KillFront, world.RestartFront, world.ReloadFront:
 		return fmt.Sprintf("%s front %q", t.Kind, t.Target)
-	case world.Flap:
-		return fmt.Sprintf("flap %q %d times", t.Target, int(t.X))
+	case world.FlapServer:
+		return fmt.Sprintf("flap %q %d times", t.Target, int(t.Amount))
 	}
 	if t.Target != "" {
 		return fmt.Sprintf("%s %q", t.Kind, t.Target)
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	s := &Scenario{Name: name, Spec: spec, Plan: world.Plan{Warm: 30 * 1_000_000, For: 60 * 1_000_000}}
+	s := &Scenario{Name: name, Spec: spec, Plan: world.Plan{WarmUp: 30 * 1_000_000, Duration: 60 * 1_000_000}}
 	s.Spec.Classes = slices.Clone(s.Spec.Classes)
 	var where []lexer.Position
 	for _, x := range f.Statements {
@@ -254,12 +254,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %s: %w", name, err)
 	}
-	for i := range s.Plan.Troubles {
-		if err := w.Check(&s.Plan.Troubles[i]); err != nil {
+	for i := range s.Plan.Faults {
+		if err := w.CheckFault(&s.Plan.Faults[i]); err != nil {
 			return nil, fmt.Errorf("scenario: %s: %w", where[i], err)
 		}
-		if s.Plan.Troubles[i].At > s.Plan.For {
-			return nil, fmt.Errorf("scenario: %s: it begins after the day, which has %gs", where[i], float64(s.Plan.For)/1e6)
+		if s.Plan.Faults[i].At > s.Plan.Duration {
+			return nil, fmt.Errorf("scenario: %s: it begins after the day, which has %gs", where[i], float64(s.Plan.Duration)/1e6)
 		}
 	}
 	return s, nil
@@ -272,21 +272,21 @@
 	case x.Seed != nil:
 		s.Spec.Seed = *x.Seed
 	case x.Warm != nil:
-		s.Plan.Warm = int64(*x.Warm)
+		s.Plan.WarmUp = int64(*x.Warm)
 	case x.Run != nil:
-		s.Plan.For = int64(*x.Run)
+		s.Plan.Duration = int64(*x.Run)
 	case x.Site != nil:
 		return s.site(x.Site)
 	case x.Class != nil:
 		return s.class(x.Class)
 	case x.Clients != nil:
 		c := x.Clients
-		s.Spec.Repeats = world.Repeats{Most: c.Most, Obey: c.Obey}
+		s.Spec.Retries = world.RetryPolicy{MaxRetries: c.Most, HonorRetryAfter: c.Obey}
 		if c.Least != nil {
-			s.Spec.Repeats.Wait = [2]world.Micros{int64(*c.Least), int64(*c.Least)}
+			s.Spec.Retries.Wait = [2]world.Micros{int64(*c.Least), int64(*c.Least)}
 		}
 		if c.Last != nil {
-			s.Spec.Repeats.Wait[1] = int64(*c.Last)
+			s.Spec.Retries.Wait[1] = int64(*c.Last)
 		}
 	case x.Load != nil:
 		return s.load(x.Load)
@@ -297,7 +297,7 @@
 		if err != nil {
 			return err
 		}
-		s.Plan.Troubles = append(s.Plan.Troubles, t)
+		s.Plan.Faults = append(s.Plan.Faults, t)
 		*where = append(*where, x.Pos)
 	}
 	return nil
@@ -314,12 +314,12 @@
 		case x.Parents != nil:
 			s.Spec.Parents = *x.Parents
 		case x.Held != nil:
-			s.Spec.Held = *x.Held
+			s.Spec.MaxHeld = *x.Held
 		case x.Fleet != nil:
 			if x.Fleet.Nodes < 1 || x.Fleet.Fronts < 1 || x.Fleet.Nodes > 100_000 {
 				return fmt.Errorf("a fleet of %d nodes and %d fronts", x.Fleet.Nodes, x.Fleet.Fronts)
 			}
-			s.Spec.Fleet(x.Fleet.Nodes, x.Fleet.Fronts)
+			s.Spec.Resize(x.Fleet.Nodes, x.Fleet.Fronts)
 		}
 	}
 	if branches != nil {
@@ -338,7 +338,7 @@
 		for _, y := range []struct {
 			from *span
 			to   *world.Micros
-		}{{x.GiveUp, &c.GiveUp}, {x.Aim, &c.Aim}, {x.Send, &c.Send}, {x.Fresh, &c.Fresh}, {x.Drift, &c.Drift}} {
+		}{{x.GiveUp, &c.GiveUp}, {x.Aim, &c.Aim}, {x.Send, &c.SendTime}, {x.Fresh, &c.Fresh}, {x.Drift, &c.DriftPeriod}} {
 			if y.from != nil {
 				*y.to = int64(*y.from)
 			}
@@ -346,7 +346,7 @@
 		for _, y := range []struct {
 			from *share
 			to   *float64
-		}{{x.Share, &c.Share}, {x.Once, &c.Once}, {x.Local, &c.Local}, {(*share)(x.Worth), &c.Worth}, {(*share)(x.Zipf), &c.Zipf}} {
+		}{{x.Share, &c.Share}, {x.Once, &c.OneTimeShare}, {x.Local, &c.LocalShare}, {(*share)(x.Worth), &c.Worth}, {(*share)(x.Zipf), &c.Zipf}} {
 			if y.from != nil {
 				*y.to = float64(*y.from)
 			}
@@ -365,9 +365,9 @@
 	return err
 }
 
-func curve(list []*loadPoint) (points []world.Point, err error) {
+func curve(list []*loadPoint) (points []world.RatePoint, err error) {
 	for i, x := range list {
-		p := world.Point{Rate: float64(x.Rate), Ramp: x.Ramp}
+		p := world.RatePoint{Rate: float64(x.Rate), Ramp: x.Ramp}
 		if x.At != nil {
 			p.At = int64(*x.At)
 		}
@@ -380,7 +380,7 @@
 }
 
 // ParseLoad reads a load's curve alone, in the words that follow "load".
-func ParseLoad(text string) ([]world.Point, error) {
+func ParseLoad(text string) ([]world.RatePoint, error) {
 	f, err := grammar.ParseString("load", "load "+text)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
@@ -396,13 +396,13 @@
 }
 
 // make turns what was read into a trouble.
-func (t *trouble) make() (world.Trouble, error) {
-	out := world.Trouble{At: int64(t.At), Silent: t.Silent}
+func (t *trouble) make() (world.Fault, error) {
+	out := world.Fault{At: int64(t.At), Silent: t.Silent}
 	if t.For != nil {
-		out.For = int64(*t.For)
+		out.Duration = int64(*t.For)
 	}
-	named := func(kind world.Kind, target *string) { out.Kind, out.Target = kind, *target }
-	by := func(kind world.Kind, x float64) { out.Kind, out.X = kind, x }
+	named := func(kind world.FaultKind, target *string) { out.Kind, out.Target = kind, *target }
+	by := func(kind world.FaultKind, x float64) { out.Kind, out.Amount = kind, x }
 	momentary := false
 	switch {
 	case t.LoseB != nil:
@@ -412,7 +412,7 @@
 	case t.LoseS != nil:
 		named(world.LoseServer, t.LoseS)
 	case t.LoseA != nil:
-		by(world.LostAnswers, float64(*t.LoseA))
+		by(world.LoseAnswers, float64(*t.LoseA))
 	case t.Slower != nil:
 		by(world.OriginSlow, float64(*t.Slower))
 	case t.Stops:
@@ -428,7 +428,7 @@
 	case t.Surge != nil:
 		by(world.Surge, float64(*t.Surge))
 	case t.Storm:
-		out.Kind = world.Storm
+		out.Kind = world.RetryStorm
 	case t.Cut != nil:
 		named(world.CutBranch, t.Cut)
 	case t.FreezeA != nil:
@@ -441,21 +441,21 @@
 		named(world.ReloadFront, t.Reload)
 		momentary = true
 	case t.Reset:
-		out.Kind = world.Resets
+		out.Kind = world.ResetConnections
 		momentary = true
 	case t.Spoil != nil:
-		by(world.SpoiltAnswers, float64(*t.Spoil))
+		by(world.CorruptAnswers, float64(*t.Spoil))
 	case t.Deaf:
-		out.Kind = world.Deaf
+		out.Kind = world.RegisterUnreachable
 	case t.Late != nil:
-		by(world.TellsLate, float64(*t.Late)/1e6)
+		by(world.RegisterLate, float64(*t.Late)/1e6)
 	case t.Kill != nil:
 		named(world.KillFront, t.Kill)
 	case t.Drain != nil:
 		named(world.DrainServer, t.Drain)
 	case t.Flap != nil:
-		named(world.Flap, t.Flap)
-		out.X = float64(*t.FlapTimes)
+		named(world.FlapServer, t.Flap)
+		out.Amount = float64(*t.FlapTimes)
 	}
 	switch {
 	case momentary && t.For != nil:
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -86,7 +86,7 @@
 
 func chaosDay(t *testing.T, seed uint64, reread bool) {
 	s := Random(seed)
-	r, err := s.Play(world.None)
+	r, err := s.Play(world.NoMutation)
 	if err != nil {
 		t.Fatal(seed, err)
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, s)
 	}
-	if r2, err := again.Play(world.None); err != nil || len(again.Plan.Troubles) != len(s.Plan.Troubles) || r2.Requests() == 0 {
+	if r2, err := again.Play(world.NoMutation); err != nil || len(again.Plan.Faults) != len(s.Plan.Faults) || r2.Requests() == 0 {
 		t.Fatalf("seed %d reads otherwise: %v\n%s", seed, err, s)
 	}
 }
@@ -109,21 +109,21 @@
 func TestShrink(t *testing.T) {
 	for seed := uint64(1); ; seed++ {
 		s := Random(seed)
-		r, err := s.Play(world.DeafToDrains)
+		r, err := s.Play(world.IgnoreDrains)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Broken[world.Drain] == 0 || len(s.Plan.Troubles) < 4 {
+		if r.Broken[world.NoSendToDraining] == 0 || len(s.Plan.Faults) < 4 {
 			continue
 		}
-		small := s.Shrink(world.Drain, world.DeafToDrains, 80)
-		r, err = small.Play(world.DeafToDrains)
-		if err != nil || r.Broken[world.Drain] == 0 {
+		small := s.Shrink(world.NoSendToDraining, world.IgnoreDrains, 80)
+		r, err = small.Play(world.IgnoreDrains)
+		if err != nil || r.Broken[world.NoSendToDraining] == 0 {
 			t.Fatal("it is no longer broken", err)
 		}
-		t.Logf("from %d troubles to %d:\n%s", len(s.Plan.Troubles), len(small.Plan.Troubles), small)
-		if len(small.Plan.Troubles) > 2 || small.Plan.For > s.Plan.For {
-			t.Errorf("still %d troubles:\n%s", len(small.Plan.Troubles), small)
+		t.Logf("from %d troubles to %d:\n%s", len(s.Plan.Faults), len(small.Plan.Faults), small)
+		if len(small.Plan.Faults) > 2 || small.Plan.Duration > s.Plan.Duration {
+			t.Errorf("still %d troubles:\n%s", len(small.Plan.Faults), small)
 		}
 		return
 	}
--- a/lab/world/catalog.go
+++ b/lab/world/catalog.go
@@ -77,23 +77,23 @@
 // draw gives an object that a branch's client wants now.
 func (c *catalog) draw(class, branch int, now Micros, r *rand.Rand) uint32 {
 	spec := &c.w.spec.Classes[class]
-	if spec.Write || r.Float64() < max(spec.Once, c.w.scan) {
+	if spec.Write || r.Float64() < max(spec.OneTimeShare, c.w.scan) {
 		return c.add(class, r)
 	}
 	x := &c.classes[class].all
-	if r.Float64() < spec.Local {
+	if r.Float64() < spec.LocalShare {
 		x = &c.classes[class].local[branch]
 	}
 	at := sort.SearchFloat64s(x.sums, r.Float64()*x.sums[len(x.sums)-1])
-	if spec.Drift > 0 {
-		at = (at + int(now/spec.Drift)) % len(x.order)
+	if spec.DriftPeriod > 0 {
+		at = (at + int(now/spec.DriftPeriod)) % len(x.order)
 	}
 	return x.first + uint32(x.order[min(at, len(x.order)-1)])
 }
 
 // bytes is the size of an object's parts.
 func (c *catalog) bytes(o *object) float64 {
-	return float64(c.w.spec.Classes[o.class].Send) / 1e6 * c.w.spec.Flow * o.scale
+	return float64(c.w.spec.Classes[o.class].SendTime) / 1e6 * c.w.spec.Flow * o.scale
 }
 
 // adopt gives the object of a name that somebody outside the world asks for. It is
--- a/lab/world/check.go
+++ b/lab/world/check.go
@@ -3,24 +3,24 @@
 import "fmt"
 
 // Promise is what a front must keep, whatever happens.
-type Promise string
+type Property string
 
 // The promises. Their checkers know what happened in the world and what each front
 // was told and when, and nothing of how fronts decide.
 const (
-	Answer  Promise = "one whole final answer in time"
-	Once    Promise = "what must not run twice runs once"
-	Refusal Promise = "what is refused has surely not run"
-	Drain   Promise = "nothing new to a server told of as draining or gone"
-	Cold    Promise = "no cold server is pushed over"
-	Purge   Promise = "no copy from before a purge"
-	Content Promise = "what is answered is what was asked for, and not too old"
-	Form    Promise = "commands that servers can take"
-	Bounded Promise = "what a front holds is bounded"
+	AnswerInTime     Property = "one whole final answer in time"
+	RunsOnce         Property = "what must not run twice runs once"
+	RefusedNotRun    Property = "what is refused has surely not run"
+	NoSendToDraining Property = "nothing new to a server told of as draining or gone"
+	NoColdOverload   Property = "no cold server is pushed over"
+	NoPurgedCopy     Property = "no copy from before a purge"
+	CorrectContent   Property = "what is answered is what was asked for, and not too old"
+	ValidCommands    Property = "commands that servers can take"
+	BoundedResources Property = "what a front holds is bounded"
 )
 
 // Promises are all of them.
-var Promises = []Promise{Answer, Once, Refusal, Drain, Cold, Purge, Content, Form, Bounded}
+var Properties = []Property{AnswerInTime, RunsOnce, RefusedNotRun, NoSendToDraining, NoColdOverload, NoPurgedCopy, CorrectContent, ValidCommands, BoundedResources}
 
 // Mutation is a front, or what stands round it, broken on purpose: each shows that
 // a checker sees what it is there for.
@@ -28,27 +28,27 @@
 
 // The mutations, and the promise that each breaks.
 const (
-	None         Mutation = ""
-	NoAnswer     Mutation = "no answer to what is refused"
-	LateAnswer   Mutation = "no answer to what failed"
-	TwoAnswers   Mutation = "two answers"
-	TwiceWritten Mutation = "payouts are sent twice"
-	RefusesAll   Mutation = "what failed is called refused"
-	DeafToDrains Mutation = "drains and departures are not heard"
-	DeafToPurges Mutation = "purges are not heard"
-	WarmStart    Mutation = "cold servers are taken for warm"
-	WrongBody    Mutation = "bodies are mixed up"
-	Hoards       Mutation = "calls are held without a bound"
-	OtherKeys    Mutation = "repeats go under another key" // seen on a site with keyed classes alone
+	NoMutation            Mutation = ""
+	DropRefusals          Mutation = "no answer to what is refused"
+	DropFailures          Mutation = "no answer to what failed"
+	DuplicateAnswers      Mutation = "two answers"
+	DuplicateWrites       Mutation = "payouts are sent twice"
+	ReportFailedAsRefused Mutation = "what failed is called refused"
+	IgnoreDrains          Mutation = "drains and departures are not heard"
+	IgnorePurges          Mutation = "purges are not heard"
+	TreatColdAsWarm       Mutation = "cold servers are taken for warm"
+	WrongBody             Mutation = "bodies are mixed up"
+	UnboundedCalls        Mutation = "calls are held without a bound"
+	ChangeKeys            Mutation = "repeats go under another key" // seen on a site with keyed classes alone
 )
 
 // Mutations tells which promise each mutation breaks.
-var Mutations = map[Mutation]Promise{NoAnswer: Answer, LateAnswer: Answer, TwoAnswers: Answer, TwiceWritten: Once, RefusesAll: Refusal,
-	DeafToDrains: Drain, DeafToPurges: Purge, WarmStart: Cold, WrongBody: Content, Hoards: Bounded}
+var Mutations = map[Mutation]Property{DropRefusals: AnswerInTime, DropFailures: AnswerInTime, DuplicateAnswers: AnswerInTime, DuplicateWrites: RunsOnce, ReportFailedAsRefused: RefusedNotRun,
+	IgnoreDrains: NoSendToDraining, IgnorePurges: NoPurgedCopy, TreatColdAsWarm: NoColdOverload, WrongBody: CorrectContent, UnboundedCalls: BoundedResources}
 
 // Violation is a promise that was not kept.
 type Violation struct {
-	Promise Promise
+	Promise Property
 	At      Micros // of the day
 	Front   string
 	Text    string
@@ -61,7 +61,7 @@
 // mostViolations is what is kept of them; the rest is counted.
 const mostViolations = 100
 
-func (w *World) broken(p Promise, f *Front, text string) {
+func (w *World) broken(p Property, f *Front, text string) {
 	w.stats.Broken[p]++
 	if len(w.violations) < mostViolations {
 		w.violations = append(w.violations, Violation{p, w.loop.Now() - w.began, f.name, text})
@@ -75,18 +75,18 @@
 			continue
 		}
 		held, kb, open := f.prog.held()
-		if w.Mutation == Hoards {
-			held += 10 * w.spec.Held
+		if w.Mutation == UnboundedCalls {
+			held += 10 * w.spec.MaxHeld
 		}
 		if w.sockets != nil && kb > w.sockets.MemoryMB<<10 {
-			w.broken(Bounded, f, fmt.Sprintf("%d KB resident, of %d MB that it has", kb, w.sockets.MemoryMB))
+			w.broken(BoundedResources, f, fmt.Sprintf("%d KB resident, of %d MB that it has", kb, w.sockets.MemoryMB))
 		}
 		if w.sockets != nil && open > descriptors {
-			w.broken(Bounded, f, fmt.Sprintf("%d descriptors, of %d that it has", open, descriptors))
+			w.broken(BoundedResources, f, fmt.Sprintf("%d descriptors, of %d that it has", open, descriptors))
 		}
 		// Calls that came and are to be refused in the same moment count as held.
-		if held > w.spec.Held+64 {
-			w.broken(Bounded, f, fmt.Sprintf("%d calls, of %d that it may hold", held, w.spec.Held))
+		if held > w.spec.MaxHeld+64 {
+			w.broken(BoundedResources, f, fmt.Sprintf("%d calls, of %d that it may hold", held, w.spec.MaxHeld))
 		}
 		w.stats.MostHeld = max(w.stats.MostHeld, held)
 		if now := w.loop.Now(); now < w.ends {
--- a/lab/world/clients.go
+++ b/lab/world/clients.go
@@ -98,7 +98,7 @@
 			if r.Float64() >= stay {
 				return
 			}
-			at += between(r, w.spec.Classes[class].Gap)
+			at += between(r, w.spec.Classes[class].PartGap)
 		}
 		w.loop.At(at, func() {
 			if at < w.ends {
@@ -132,12 +132,12 @@
 	patience := Micros(float64(spec.GiveUp) * (0.5 + 0.5*w.rand.Float64()))
 	w.lastID++
 	a := &ask{w: w, op: o, front: f, id: id(w.lastID), until: w.loop.Now() + patience}
-	if spec.Window > 0 && o.key == "" {
+	if spec.KeyWindow > 0 && o.key == "" {
 		o.key = "k" + a.id
 	}
 	w.asks[a.id] = a
 	f.open[a] = true
-	w.loop.At(a.until+w.spec.Grace+w.spec.Slack, a.expire)
+	w.loop.At(a.until+w.spec.AnswerGrace+w.spec.Slack, a.expire)
 	f.prog.submit(a)
 }
 
@@ -146,7 +146,7 @@
 	if a.over {
 		return
 	}
-	a.w.broken(Answer, a.front, fmt.Sprintf("%s of %s has no answer %d ms after its client gave up", a.id, a.w.spec.Classes[a.op.class].Name,
+	a.w.broken(AnswerInTime, a.front, fmt.Sprintf("%s of %s has no answer %d ms after its client gave up", a.id, a.w.spec.Classes[a.op.class].Name,
 		(a.w.loop.Now()-a.until)/milli))
 	a.front.prog.leave(a)
 	a.end()
@@ -175,14 +175,14 @@
 // Answer is part of gateway.Caller.
 func (a *ask) Answer(x gateway.Answer) {
 	w := a.w
-	if w.Mutation == LateAnswer && x.Kind == gateway.Failed || w.Mutation == NoAnswer && x.Kind == gateway.Refused {
+	if w.Mutation == DropFailures && x.Kind == gateway.Failed || w.Mutation == DropRefusals && x.Kind == gateway.Refused {
 		return // a broken front
 	}
-	if w.Mutation == RefusesAll && x.Kind == gateway.Failed {
+	if w.Mutation == ReportFailedAsRefused && x.Kind == gateway.Failed {
 		x.Kind = gateway.Refused
 	}
 	a.answer(x)
-	if w.Mutation == TwoAnswers && x.Kind == gateway.Served && w.faults.IntN(100) == 0 {
+	if w.Mutation == DuplicateAnswers && x.Kind == gateway.Served && w.faults.IntN(100) == 0 {
 		a.answer(x)
 	}
 }
@@ -191,15 +191,15 @@
 	w, o, now := a.w, a.op, a.w.loop.Now()
 	spec := &w.spec.Classes[o.class]
 	if a.answers++; a.answers > 1 {
-		w.broken(Answer, a.front, fmt.Sprintf("%s has %d answers", a.id, a.answers))
+		w.broken(AnswerInTime, a.front, fmt.Sprintf("%s has %d answers", a.id, a.answers))
 		return
 	}
 	if a.over {
 		return
 	}
 	a.end()
-	if now > a.until+w.spec.Grace+w.spec.Slack {
-		w.broken(Answer, a.front, fmt.Sprintf("%s was answered %d ms after its client gave up", a.id, (now-a.until)/milli))
+	if now > a.until+w.spec.AnswerGrace+w.spec.Slack {
+		w.broken(AnswerInTime, a.front, fmt.Sprintf("%s was answered %d ms after its client gave up", a.id, (now-a.until)/milli))
 	}
 	w.note(a, x)
 	switch x.Kind {
@@ -207,18 +207,18 @@
 		o.over = true
 		w.of(o).Served[o.class]++
 		if want := content(item{o.object, uint16(o.part)}, x.CreatedAt); !spec.Write && string(x.Body) != want {
-			w.broken(Content, a.front, fmt.Sprintf("%s: got %q, want %q", a.id, x.Body, want))
+			w.broken(CorrectContent, a.front, fmt.Sprintf("%s: got %q, want %q", a.id, x.Body, want))
 		}
 		if spec.Fresh > 0 && now-x.CreatedAt > spec.Fresh+spec.Grace+a.until-o.began {
-			w.broken(Content, a.front, fmt.Sprintf("%s: a copy of %d ms", a.id, (now-x.CreatedAt)/milli))
+			w.broken(CorrectContent, a.front, fmt.Sprintf("%s: a copy of %d ms", a.id, (now-x.CreatedAt)/milli))
 		}
 		w.earn(o, now, x.CreatedAt)
 	case gateway.Refused:
 		w.of(o).Refused[o.class]++
 		w.of(o).Reasons["refused: "+a.reason()]++
 		w.second(now).Refused++
-		if spec.Write && spec.Window == 0 && a.left > a.proven { // a keyed one may come again: Once tells whether too late
-			w.broken(Refusal, a.front, fmt.Sprintf("%s was refused, and may have run", a.id))
+		if spec.Write && spec.KeyWindow == 0 && a.left > a.proven { // a keyed one may come again: Once tells whether too late
+			w.broken(RefusedNotRun, a.front, fmt.Sprintf("%s was refused, and may have run", a.id))
 		}
 		w.again(o, x.RetryAfter)
 	default:
@@ -236,9 +236,9 @@
 func (w *World) earn(o *op, now, born Micros) {
 	spec := &w.spec.Classes[o.class]
 	worth := spec.Worth
-	send := Micros(float64(spec.Send) * w.catalog.objects[o.object].scale)
+	send := Micros(float64(spec.SendTime) * w.catalog.objects[o.object].scale)
 	took := now - o.began
-	if took > spec.Aim+Micros(spec.Stretch*float64(send)) {
+	if took > spec.Aim+Micros(spec.AimStretch*float64(send)) {
 		worth *= spec.LateWorth
 		w.of(o).Late++
 	} else {
@@ -261,19 +261,19 @@
 	if a.over {
 		return
 	}
-	a.w.broken(Answer, a.front, fmt.Sprintf("%s has no whole answer: %v", a.id, err))
+	a.w.broken(AnswerInTime, a.front, fmt.Sprintf("%s has no whole answer: %v", a.id, err))
 	a.end()
 	a.w.of(a.op).Lost[a.op.class]++
 }
 
 // again has a client come back, if it does.
 func (w *World) again(o *op, away Micros) {
-	if o.over || o.tries > w.spec.Repeats.Most {
+	if o.over || o.tries > w.spec.Retries.MaxRetries {
 		w.of(o).GaveUp[o.class]++
 		return
 	}
-	wait := between(w.rand, w.spec.Repeats.Wait)
-	if w.spec.Repeats.Obey {
+	wait := between(w.rand, w.spec.Retries.Wait)
+	if w.spec.Retries.HonorRetryAfter {
 		wait = max(wait, away)
 	}
 	w.returning++
@@ -285,7 +285,7 @@
 
 // told is how large a part is, in KB, where clients tell that.
 func (w *World) told(o *object) float64 {
-	if !w.spec.Sized {
+	if !w.spec.SendSizes {
 		return 0
 	}
 	return w.catalog.bytes(o) / 1000
@@ -295,21 +295,21 @@
 func (w *World) ran(j *job) {
 	id := j.id
 	if a := w.asks[id]; a != nil {
-		now, window := w.loop.Now(), w.spec.Classes[a.op.class].Window
+		now, window := w.loop.Now(), w.spec.Classes[a.op.class].KeyWindow
 		if a.op.ran > 0 && now-a.op.ranAt < window {
 			return // the store knows the key, and drops the repeat
 		}
 		a.op.ranAt = now
 		a.op.ran++
 		if a.op.ran > 1 {
-			w.broken(Once, a.front, fmt.Sprintf("%s ran %d times", id, a.op.ran))
+			w.broken(RunsOnce, a.front, fmt.Sprintf("%s ran %d times", id, a.op.ran))
 		}
 		return
 	}
-	if w.Mutation == TwiceWritten { // the copy's id differs in its first digit
+	if w.Mutation == DuplicateWrites { // the copy's id differs in its first digit
 		if a := w.asks["0"+id[1:]]; a != nil {
 			a.op.ran++
-			w.broken(Once, a.front, fmt.Sprintf("%s ran %d times", id, a.op.ran))
+			w.broken(RunsOnce, a.front, fmt.Sprintf("%s ran %d times", id, a.op.ran))
 		}
 	}
 }
@@ -319,11 +319,11 @@
 	if len(w.curve) == 0 || at < w.curve[0].At {
 		return w.spec.Rate * w.surge
 	}
-	return Rate(w.curve, at) * w.surge
+	return RateAt(w.curve, at) * w.surge
 }
 
 // Rate is what a curve has at a moment; before its first point, nothing.
-func Rate(curve []Point, at Micros) (rate float64) {
+func RateAt(curve []RatePoint, at Micros) (rate float64) {
 	for i, p := range curve {
 		if at < p.At {
 			break
--- a/lab/world/door.go
+++ b/lab/world/door.go
@@ -46,7 +46,7 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if err := d.change(); err != nil {
-			d.front.w.loop.Post(func() { d.front.w.broken(Form, d.front, "the laboratory: "+err.Error()) })
+			d.front.w.loop.Post(func() { d.front.w.broken(ValidCommands, d.front, "the laboratory: "+err.Error()) })
 		}
 	}()
 }
--- a/lab/world/front.go
+++ b/lab/world/front.go
@@ -75,7 +75,7 @@
 	}
 	var purges []gateway.Purge
 	for _, p := range w.purges { // those that caches may not have heard of
-		if w.loop.Now()-p.at <= w.spec.PurgeDone {
+		if w.loop.Now()-p.at <= w.spec.PurgeSettle {
 			purges = append(purges, f.learn(p)...)
 		}
 	}
@@ -106,7 +106,7 @@
 // member is a server as the register has it.
 func (f *Front) member(s *server) gateway.Member {
 	born := s.born
-	if f.w.Mutation == WarmStart {
+	if f.w.Mutation == TreatColdAsWarm {
 		born = 0
 	}
 	return gateway.Member{Name: s.name, Addr: s.addr, Zone: f.w.spec.zones()[s.zone], Kind: kinds[s.kind], State: s.state, Weight: s.size, StartedAt: born}
@@ -139,7 +139,7 @@
 
 func (f *Front) hearMember(s *server, state State, born Micros) {
 	f.told[s] = belief{state, born, f.w.loop.Now()}
-	if f.w.Mutation == DeafToDrains && state != rules.Ready {
+	if f.w.Mutation == IgnoreDrains && state != rules.Ready {
 		return
 	}
 	m := f.member(s)
@@ -159,7 +159,7 @@
 // learn notes that the front is told of a purge, and gives what it is told.
 func (f *Front) learn(p purge) []gateway.Purge {
 	f.purges[p.key()] = append(f.purges[p.key()], toldPurge{p.at, f.w.loop.Now()})
-	if f.w.Mutation == DeafToPurges {
+	if f.w.Mutation == IgnorePurges {
 		return nil
 	}
 	return []gateway.Purge{purgeOf(p)}
@@ -179,7 +179,7 @@
 	if a := w.asks[id]; a != nil {
 		a.left++
 	}
-	if w.Mutation == TwiceWritten && strings.Contains(fields, "lane="+w.write) { // a broken front
+	if w.Mutation == DuplicateWrites && strings.Contains(fields, "lane="+w.write) { // a broken front
 		again := command{words: []string{x.words[0], "f" + id[1:], fields, x.words[3]}}
 		w.after(1, func() {
 			if !c.closed && !c.dead() {
@@ -200,7 +200,7 @@
 func (f *Front) away(s *server, what string) {
 	b, ok := f.told[s]
 	if ok && b.state != rules.Ready && f.w.loop.Now()-b.since > f.w.spec.DrainGrace+f.w.spec.Slack {
-		f.w.broken(Drain, f, fmt.Sprintf("%s was %s %d ms after the front was told that it is %s", s.name, what,
+		f.w.broken(NoSendToDraining, f, fmt.Sprintf("%s was %s %d ms after the front was told that it is %s", s.name, what,
 			(f.w.loop.Now()-b.since)/milli, [...]string{"gone", "ready", "draining"}[b.state]))
 	}
 }
@@ -217,7 +217,7 @@
 	for _, k := range []purgeKey{{int64(j.item.object), 0}, {-1, j.object.group}} {
 		for _, p := range f.purges[k] {
 			if born <= p.at && sent-p.told > j.w.spec.PurgeGrace+j.w.spec.Slack {
-				j.w.broken(Purge, f, fmt.Sprintf("%s answered %s with a copy from %d ms before a purge that the front was told of %d ms before it sent",
+				j.w.broken(NoPurgedCopy, f, fmt.Sprintf("%s answered %s with a copy from %d ms before a purge that the front was told of %d ms before it sent",
 					j.server.name, name(j.item.object), (p.at-born)/milli, (sent-p.told)/milli))
 			}
 		}
--- a/lab/world/inside.go
+++ b/lab/world/inside.go
@@ -69,7 +69,7 @@
 	if a.w.spec.Classes[o.class].Write {
 		a.call.Body = []byte(payment)
 		a.call.Token = o.key
-		if a.w.Mutation == OtherKeys && o.key != "" {
+		if a.w.Mutation == ChangeKeys && o.key != "" {
 			a.call.Token += "x"
 		}
 	}
--- a/lab/world/result.go
+++ b/lab/world/result.go
@@ -16,7 +16,7 @@
 	Worth, Earned                                float64
 	FillBytes, OriginBytes, SentBytes            float64
 	Words, Notes                                 map[string]int
-	Broken                                       map[Promise]int
+	Broken                                       map[Property]int
 	Reasons                                      map[string]int // of tries refused and failed
 	Seconds                                      []Second
 	Nodes                                        []Node // none in large worlds
@@ -43,7 +43,7 @@
 	for _, x := range []*[]int{&s.Asked, &s.Served, &s.Refused, &s.Failed, &s.GaveUp, &s.Lost} {
 		*x = make([]int, classes)
 	}
-	s.Words, s.Notes, s.Reasons, s.Broken = map[string]int{}, map[string]int{}, map[string]int{}, map[Promise]int{}
+	s.Words, s.Notes, s.Reasons, s.Broken = map[string]int{}, map[string]int{}, map[string]int{}, map[Property]int{}
 }
 
 // second gives the second of the day that a moment lies in; what lies before the
--- a/lab/world/server.go
+++ b/lab/world/server.go
@@ -82,9 +82,9 @@
 
 // share is the part of its capacity that a server has by now.
 func (s *server) share() float64 {
-	from, span := s.w.spec.BoxCold, s.w.spec.BoxWarm
+	from, span := s.w.spec.BoxColdFrom, s.w.spec.BoxWarmUp
 	if s.kind == parentKind {
-		from, span = s.w.spec.ParentCold, s.w.spec.ParentWarm
+		from, span = s.w.spec.ParentColdFrom, s.w.spec.ParentWarmUp
 	}
 	age := s.w.loop.Now() - s.born
 	if s.born == 0 || s.kind == originKind || age >= span {
@@ -97,7 +97,7 @@
 func (s *server) take(j *job) {
 	w, now := s.w, s.w.loop.Now()
 	s.work++
-	if s.press(j.wire.front, w.spec.Classes[j.class].Send) {
+	if s.press(j.wire.front, w.spec.Classes[j.class].SendTime) {
 		return // it fell over
 	}
 	spec := &w.spec.Classes[j.class]
@@ -246,7 +246,7 @@
 		j.fill, f.waiters = f, append(f.waiters, j)
 		return
 	}
-	if s.kind == boxKind && float64(s.fills) >= float64(s.w.spec.FillsEach)*s.size {
+	if s.kind == boxKind && float64(s.fills) >= float64(s.w.spec.FillsPerTransfer)*s.size {
 		j.say("nothing", noPlace, 0, 0)
 		return
 	}
@@ -257,7 +257,7 @@
 		s.under[j.item] = f
 	}
 	started := s.w.loop.Now()
-	s.w.loop.At(started+s.w.spec.FillTime, func() {
+	s.w.loop.At(started+s.w.spec.FillTimeout, func() {
 		if f.came == 0 {
 			f.fail(broken)
 		}
@@ -284,7 +284,7 @@
 		s.supplyFromOrigin(f, j, filled)
 		return
 	}
-	if s != j.server && s.press(j.wire.front, s.w.spec.Classes[j.class].Send) {
+	if s != j.server && s.press(j.wire.front, s.w.spec.Classes[j.class].SendTime) {
 		f.fail(broken)
 		return
 	}
@@ -454,7 +454,7 @@
 	c.parts = append(c.parts, press{now, work, f.knows(s)})
 	c.sum += work
 	// A little slack for chance, as the rule has it: one request more than fits.
-	if float64(c.sum-work) <= w.spec.FallTimes*share*s.size*float64(w.spec.FallTime) {
+	if float64(c.sum-work) <= w.spec.FallMultiple*share*s.size*float64(w.spec.FallTime) {
 		return false
 	}
 	var told Micros
@@ -465,7 +465,7 @@
 	}
 	w.stats.Falls++
 	if 3*told >= 2*c.sum {
-		w.broken(Cold, f, fmt.Sprintf("%s fell over %d ms after its start, at %.0f%% of its capacity", s.name, (now-s.born)/milli, 100*share))
+		w.broken(NoColdOverload, f, fmt.Sprintf("%s fell over %d ms after its start, at %.0f%% of its capacity", s.name, (now-s.born)/milli, 100*share))
 	}
 	s.die()
 	return true
@@ -488,7 +488,7 @@
 func (s *server) admitAtOrigin() bool {
 	w, load, now := s.w, s.out.load(), s.w.loop.Now()
 	switch {
-	case load < w.spec.OriginFall:
+	case load < w.spec.OriginFallMultiple:
 		s.asked.since = 0
 	case s.asked.since == 0:
 		s.asked.since = now
@@ -498,7 +498,7 @@
 		w.after(stopTime, func() { s.start(0) })
 		return false
 	}
-	if load > w.spec.OriginDeny*w.originSlow {
+	if load > w.spec.OriginDenyLoad*w.originSlow {
 		w.stats.Denied++
 		w.second(now).Denied++
 		return false
@@ -509,7 +509,7 @@
 }
 
 func (s *server) originWait() Micros {
-	return Micros(float64(between(s.w.rand, s.w.spec.OriginWait)) * s.w.originSlow)
+	return Micros(float64(between(s.w.rand, s.w.spec.OriginLatency)) * s.w.originSlow)
 }
 
 // die ends a server's process: its connections are reset, and what it held is gone.
--- a/lab/world/sockets.go
+++ b/lab/world/sockets.go
@@ -30,7 +30,7 @@
 // world's servers then speak their protocol on loopback, to each front at addresses
 // of its own; the register is a notice board a front; clients speak HTTP by the
 // standard library. Time is the system's.
-type Sockets struct {
+type SocketOptions struct {
 	Front    string    // path of the built program
 	Log      io.Writer // of the fronts; nil: nowhere
 	MemoryMB int       // the fronts' limit; 0: 32
@@ -55,7 +55,7 @@
 const ownShare = 4
 
 // NewOnSockets makes a world whose fronts are the built program.
-func NewOnSockets(spec Spec, o Sockets) (*World, error) {
+func NewOnSockets(spec Spec, o SocketOptions) (*World, error) {
 	w, err := New(spec)
 	if err != nil {
 		return nil, err
@@ -63,8 +63,8 @@
 	if o.MemoryMB == 0 {
 		o.MemoryMB = memoryMB
 	}
-	if spec.Held > descriptors/3 {
-		return nil, fmt.Errorf("world: %d calls held, on sockets %d at most", spec.Held, descriptors/3)
+	if spec.MaxHeld > descriptors/3 {
+		return nil, fmt.Errorf("world: %d calls held, on sockets %d at most", spec.MaxHeld, descriptors/3)
 	}
 	if len(w.fronts) > 250 {
 		return nil, fmt.Errorf("world: %d fronts, on sockets 250 at most", len(w.fronts))
@@ -303,7 +303,7 @@
 
 func (x *outside) begin(known []gateway.Member, purges []gateway.Purge, serving func()) {
 	if x.failed = x.launch(known, purges); x.failed != nil {
-		x.f.w.broken(Answer, x.f, fmt.Sprintf("it does not start: %v", x.failed))
+		x.f.w.broken(AnswerInTime, x.f, fmt.Sprintf("it does not start: %v", x.failed))
 		return
 	}
 	go func() {
@@ -312,14 +312,14 @@
 			if err == nil && !x.over {
 				serving()
 			} else if !x.over {
-				x.f.w.broken(Answer, x.f, err.Error())
+				x.f.w.broken(AnswerInTime, x.f, err.Error())
 			}
 		})
 		<-x.process.Ended()
 		x.f.w.loop.Post(func() {
 			err := x.process.Err()
 			if !x.over && (x.retired == nil || err != nil) {
-				x.f.w.broken(Answer, x.f, fmt.Sprintf("the program ended by itself: %v", err))
+				x.f.w.broken(AnswerInTime, x.f, fmt.Sprintf("the program ended by itself: %v", err))
 			}
 			switch {
 			case x.over:
--- a/lab/world/sockets_run_test.go
+++ b/lab/world/sockets_run_test.go
@@ -38,7 +38,7 @@
 func playOnSockets(t *testing.T, spec Spec, m Mutation, p Plan, ephemeral bool) *Result {
 	t.Helper()
 	var log strings.Builder
-	w, err := NewOnSockets(spec, Sockets{Front: built, Log: &log, Ephemeral: ephemeral})
+	w, err := NewOnSockets(spec, SocketOptions{Front: built, Log: &log, Ephemeral: ephemeral})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,22 +55,22 @@
 // have the same clients.
 func TestPromisesHoldOnSockets(t *testing.T) {
 	t.Parallel()
-	plan := Plan{Warm: 2 * second, For: 13 * second, Troubles: []Trouble{
-		{Kind: LoseServer, At: second, For: 3 * second, Target: "edge-1.box-1"},
-		{Kind: LoseServer, At: second, For: 4 * second, Target: "edge-2.box-1", Silent: true},
-		{Kind: PurgeGroups, At: 2 * second, X: 0.5},
-		{Kind: Resets, At: 4 * second},
-		{Kind: KillFront, At: 5 * second, For: second, Target: "edge-2.front-1"},
-		{Kind: CutBranch, At: 6 * second, For: 2 * second, Target: "edge-1"},
-		{Kind: DrainServer, At: 7 * second, For: 2 * second, Target: "edge-1.box-2"},
-		{Kind: Deaf, At: 9 * second, For: second},
-		{Kind: PurgeHot, At: 10 * second, X: 20},
-		{Kind: SpoiltAnswers, At: 11 * second, For: 2 * second, X: 0.05}}}
-	other := play(t, small(), None, plan)
+	plan := Plan{WarmUp: 2 * second, Duration: 13 * second, Faults: []Fault{
+		{Kind: LoseServer, At: second, Duration: 3 * second, Target: "edge-1.box-1"},
+		{Kind: LoseServer, At: second, Duration: 4 * second, Target: "edge-2.box-1", Silent: true},
+		{Kind: PurgeGroups, At: 2 * second, Amount: 0.5},
+		{Kind: ResetConnections, At: 4 * second},
+		{Kind: KillFront, At: 5 * second, Duration: second, Target: "edge-2.front-1"},
+		{Kind: CutBranch, At: 6 * second, Duration: 2 * second, Target: "edge-1"},
+		{Kind: DrainServer, At: 7 * second, Duration: 2 * second, Target: "edge-1.box-2"},
+		{Kind: RegisterUnreachable, At: 9 * second, Duration: second},
+		{Kind: PurgeHot, At: 10 * second, Amount: 20},
+		{Kind: CorruptAnswers, At: 11 * second, Duration: 2 * second, Amount: 0.05}}}
+	other := play(t, small(), NoMutation, plan)
 	for _, ephemeral := range []bool{false, true} {
 		t.Run(fmt.Sprint("ephemeral nodes ", ephemeral), func(t *testing.T) {
 			t.Parallel()
-			r := playOnSockets(t, small(), None, plan, ephemeral)
+			r := playOnSockets(t, small(), NoMutation, plan, ephemeral)
 			for _, v := range r.Violations {
 				t.Error(v)
 			}
@@ -85,20 +85,20 @@
 func TestMutationsAreSeenOnSockets(t *testing.T) {
 	t.Parallel()
 	for m, plan := range map[Mutation]Plan{
-		DeafToDrains: {For: 9 * second, Troubles: []Trouble{{Kind: DrainServer, At: second, For: 5 * second, Target: "edge-1.box-1"},
-			{Kind: DrainServer, At: second, For: 5 * second, Target: "edge-2.box-1"}}},
-		DeafToPurges: {Warm: 3 * second, For: 8 * second, Troubles: []Trouble{{Kind: PurgeGroups, At: second, X: 1}}},
-		WrongBody:    {For: 8 * second},
-		TwiceWritten: {For: 8 * second},
+		IgnoreDrains: {Duration: 9 * second, Faults: []Fault{{Kind: DrainServer, At: second, Duration: 5 * second, Target: "edge-1.box-1"},
+			{Kind: DrainServer, At: second, Duration: 5 * second, Target: "edge-2.box-1"}}},
+		IgnorePurges:    {WarmUp: 3 * second, Duration: 8 * second, Faults: []Fault{{Kind: PurgeGroups, At: second, Amount: 1}}},
+		WrongBody:       {Duration: 8 * second},
+		DuplicateWrites: {Duration: 8 * second},
 	} {
 		t.Run(string(m), func(t *testing.T) {
 			t.Parallel()
 			spec := small()
-			if m == DeafToPurges { // old copies stay for long, and are asked for again at many caches
-				spec.PurgeDone, spec.Slack, spec.Rate, spec.Classes = 20*second, 200*milli, 120, slices.Clone(spec.Classes)
+			if m == IgnorePurges { // old copies stay for long, and are asked for again at many caches
+				spec.PurgeSettle, spec.Slack, spec.Rate, spec.Classes = 20*second, 200*milli, 120, slices.Clone(spec.Classes)
 				spec.Classes[0].Objects = 10
 			}
-			if r := playOnSockets(t, spec, m, plan, m == DeafToDrains); r.Broken[Mutations[m]] == 0 {
+			if r := playOnSockets(t, spec, m, plan, m == IgnoreDrains); r.Broken[Mutations[m]] == 0 {
 				t.Errorf("not seen; broken: %v", r.Broken)
 			}
 		})
@@ -108,7 +108,7 @@
 // An address refuses, answers, or says nothing, as its server is; the same again
 // after each other state.
 func TestDoors(t *testing.T) {
-	w, err := NewOnSockets(small(), Sockets{Front: built})
+	w, err := NewOnSockets(small(), SocketOptions{Front: built})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,19 +137,19 @@
 
 // What can't be on sockets is refused.
 func TestSocketsAreChecked(t *testing.T) {
-	for _, change := range []func(s *Spec){func(s *Spec) { s.Held = 5000 }, func(s *Spec) { s.Branches[0].Fronts = 300 }, func(s *Spec) { s.Flow = 0 }} {
+	for _, change := range []func(s *Spec){func(s *Spec) { s.MaxHeld = 5000 }, func(s *Spec) { s.Branches[0].Fronts = 300 }, func(s *Spec) { s.Flow = 0 }} {
 		s := Default()
 		s.Branches = append([]Branch(nil), s.Branches...)
 		change(&s)
-		if _, err := NewOnSockets(s, Sockets{Front: built}); err == nil {
+		if _, err := NewOnSockets(s, SocketOptions{Front: built}); err == nil {
 			t.Error("it is taken")
 		}
 	}
-	w, err := NewOnSockets(small(), Sockets{Front: filepath.Join(t.TempDir(), "none")})
+	w, err := NewOnSockets(small(), SocketOptions{Front: filepath.Join(t.TempDir(), "none")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Run(Plan{For: second}); err == nil {
+	if _, err := w.Run(Plan{Duration: second}); err == nil {
 		t.Error("there is no such program")
 	}
 }
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -18,27 +18,27 @@
 
 // Class is a class of requests, and how clients ask for it.
 type Class struct {
-	Name      string
-	Share     float64 // of the requests
-	Write     bool    // runs at the origin, must never run twice, is not kept
-	Window    Micros  // of a write: in which the store drops a repeat of the same key; 0: there are no keys
-	Send      Micros  // mean time to send one at a client's pace
-	Sigma     float64 // of the logarithm of sizes
-	Objects   int     // that are asked for again and again
-	Zipf      float64 // exponent of their popularity
-	Once      float64 // share of requests for what is wanted only once
-	Local     float64 // share of the rest for what is wanted at one branch only
-	Drift     Micros  // after which the next object becomes the most popular; 0: never
-	Parts     [2]int  // of an object, least and most
-	Gap       [2]Micros
-	Aim       Micros
-	Stretch   float64 // the aim grows by so many sending times
-	GiveUp    Micros
-	Worth     float64
-	LateWorth float64
-	Fresh     Micros
-	Grace     Micros
-	OldWorth  float64
+	Name         string
+	Share        float64 // of the requests
+	Write        bool    // runs at the origin, must never run twice, is not kept
+	KeyWindow    Micros  // of a write: in which the store drops a repeat of the same key; 0: there are no keys
+	SendTime     Micros  // mean time to send one at a client's pace
+	Sigma        float64 // of the logarithm of sizes
+	Objects      int     // that are asked for again and again
+	Zipf         float64 // exponent of their popularity
+	OneTimeShare float64 // share of requests for what is wanted only once
+	LocalShare   float64 // share of the rest for what is wanted at one branch only
+	DriftPeriod  Micros  // after which the next object becomes the most popular; 0: never
+	Parts        [2]int  // of an object, least and most
+	PartGap      [2]Micros
+	Aim          Micros
+	AimStretch   float64 // the aim grows by so many sending times
+	GiveUp       Micros
+	Worth        float64
+	LateWorth    float64
+	Fresh        Micros
+	Grace        Micros
+	OldWorth     float64
 }
 
 // Branch is a location with cache nodes and fronts.
@@ -50,10 +50,10 @@
 }
 
 // Repeats says how clients come back.
-type Repeats struct {
-	Most int       // times
-	Wait [2]Micros // before they do; 0 and 0: at once
-	Obey bool      // they wait as long as a refusal tells
+type RetryPolicy struct {
+	MaxRetries      int       // times
+	Wait            [2]Micros // before they do; 0 and 0: at once
+	HonorRetryAfter bool      // they wait as long as a refusal tells
 }
 
 // Spec describes a world. Default gives one; what is changed is checked by New.
@@ -63,46 +63,46 @@
 	Branches []Branch
 	Parents  int // spread over the hubs
 	Classes  []Class
-	Repeats  Repeats
+	Retries  RetryPolicy
 	Rate     float64 // requests a second in all, where no curve is given
 
-	Flow      float64    // bytes a second of one transfer to a client
-	FillPace  float64    // times that, at which a fill comes at most
-	BoxLink   [2]float64 // transfers at full pace that a cache's link carries
-	BoxKeep   float64    // seconds of its own sending that a cache keeps
-	FillsEach int        // fills that a cache runs, per unit of its link
-	FillTime  Micros     // after which one is given up if nothing has come
+	Flow             float64    // bytes a second of one transfer to a client
+	MaxFillPace      float64    // times that, at which a fill comes at most
+	BoxLink          [2]float64 // transfers at full pace that a cache's link carries
+	BoxCacheSeconds  float64    // seconds of its own sending that a cache keeps
+	FillsPerTransfer int        // fills that a cache runs, per unit of its link
+	FillTimeout      Micros     // after which one is given up if nothing has come
 
-	InLink     float64 // a branch's link in, over what its caches would draw at full load
-	ParentLink float64 // a district cache's, over the fills of its branches at full load
-	ParentKeep float64 // seconds of its sending that it keeps
-	MissShare  float64 // of requests that count as fills for the sizes of these links
+	BranchLink         float64 // a branch's link in, over what its caches would draw at full load
+	ParentLink         float64 // a district cache's, over the fills of its branches at full load
+	ParentCacheSeconds float64 // seconds of its sending that it keeps
+	MissShare          float64 // of requests that count as fills for the sizes of these links
 
-	OriginWait [2]Micros // until its first byte
-	OriginLink float64   // over what well-used district caches ask
-	OriginDeny float64   // share of its capacity from which it turns calls away
-	OriginFall float64   // times its capacity at which it stops, when that lasts FallTime
+	OriginLatency      [2]Micros // until its first byte
+	OriginLink         float64   // over what well-used district caches ask
+	OriginDenyLoad     float64   // share of its capacity from which it turns calls away
+	OriginFallMultiple float64   // times its capacity at which it stops, when that lasts FallTime
 
-	Near, Far [2]Micros // one way, in a hub's region and for each further hub
+	RegionDelay, HubDelay [2]Micros // one way, in a hub's region and for each further hub
 
-	BoxCold    float64 // share of its capacity that a cache starts with
-	BoxWarm    Micros
-	ParentCold float64
-	ParentWarm Micros
-	FallTimes  float64 // what it can do that pushes a cold one over
-	FallTime   Micros
+	BoxColdFrom    float64 // share of its capacity that a cache starts with
+	BoxWarmUp      Micros
+	ParentColdFrom float64
+	ParentWarmUp   Micros
+	FallMultiple   float64 // what it can do that pushes a cold one over
+	FallTime       Micros
 
-	TellMembers [2]Micros // how late the register tells
-	TellPurges  [2]Micros
-	PurgeDone   Micros // by when caches have dropped old copies by themselves
+	MemberDelay [2]Micros // how late the register tells
+	PurgeDelay  [2]Micros
+	PurgeSettle Micros // by when caches have dropped old copies by themselves
 	PurgeGrace  Micros
 	DrainGrace  Micros
-	Grace       Micros // past a client's deadline in which an answer must have come
+	AnswerGrace Micros // past a client's deadline in which an answer must have come
 	Slack       Micros // by which limits of time grow, as on sockets
 	MaxAway     Micros
-	Held        int // calls that a front may hold
+	MaxHeld     int // calls that a front may hold
 
-	Sized bool // clients tell how large a part is
+	SendSizes bool // clients tell how large a part is
 }
 
 // Default is a site as the operators have it.
@@ -114,24 +114,24 @@
 			{"edge-4", "west-hub", 2, 1}},
 		Parents: 2,
 		Classes: []Class{
-			{Name: "guide-video", Share: 0.54, Send: 390 * milli, Sigma: 0.8, Objects: 80, Zipf: 1.1, Once: 0.02, Local: 0.15,
-				Drift: 20 * second, Parts: [2]int{9, 19}, Gap: [2]Micros{390 * milli, 750 * milli}, Aim: 600 * milli, Stretch: 2,
+			{Name: "guide-video", Share: 0.54, SendTime: 390 * milli, Sigma: 0.8, Objects: 80, Zipf: 1.1, OneTimeShare: 0.02, LocalShare: 0.15,
+				DriftPeriod: 20 * second, Parts: [2]int{9, 19}, PartGap: [2]Micros{390 * milli, 750 * milli}, Aim: 600 * milli, AimStretch: 2,
 				GiveUp: 5 * second, Worth: 2, LateWorth: 0.1},
-			{Name: "page-asset", Share: 0.426, Send: 65 * milli, Sigma: 0.8, Objects: 500, Zipf: 1.1, Once: 0.02, Local: 0.15,
-				Drift: 20 * second, Parts: [2]int{1, 1}, Aim: 250 * milli, Stretch: 2, GiveUp: 3 * second, Worth: 1, LateWorth: 0.1,
+			{Name: "page-asset", Share: 0.426, SendTime: 65 * milli, Sigma: 0.8, Objects: 500, Zipf: 1.1, OneTimeShare: 0.02, LocalShare: 0.15,
+				DriftPeriod: 20 * second, Parts: [2]int{1, 1}, Aim: 250 * milli, AimStretch: 2, GiveUp: 3 * second, Worth: 1, LateWorth: 0.1,
 				Fresh: 8 * second, Grace: 10 * second, OldWorth: 0.7},
-			{Name: "payout-confirm", Share: 0.034, Write: true, Send: 20 * milli, Sigma: 0.2, Aim: 600 * milli, GiveUp: 3 * second, Worth: 3,
+			{Name: "payout-confirm", Share: 0.034, Write: true, SendTime: 20 * milli, Sigma: 0.2, Aim: 600 * milli, GiveUp: 3 * second, Worth: 3,
 				LateWorth: 0.1},
 		},
-		Repeats: Repeats{Most: 3, Wait: [2]Micros{100 * milli, 400 * milli}, Obey: true},
+		Retries: RetryPolicy{MaxRetries: 3, Wait: [2]Micros{100 * milli, 400 * milli}, HonorRetryAfter: true},
 		Rate:    200,
-		Flow:    5e6, FillPace: 3, BoxLink: [2]float64{6, 10}, BoxKeep: 11, FillsEach: 5, FillTime: 2500 * milli,
-		InLink: 1.3, ParentLink: 1.35, ParentKeep: 27, MissShare: 0.4,
-		OriginWait: [2]Micros{32 * milli, 70 * milli}, OriginLink: 2, OriginDeny: 0.8, OriginFall: 2.5,
-		Near: [2]Micros{4 * milli, 11 * milli}, Far: [2]Micros{18 * milli, 44 * milli},
-		BoxCold: 0.28, BoxWarm: 15 * second, ParentCold: 0.067, ParentWarm: 20 * second, FallTimes: 2, FallTime: second,
-		TellMembers: [2]Micros{500 * milli, 3 * second}, TellPurges: [2]Micros{30 * milli, 400 * milli}, PurgeDone: 6 * second,
-		PurgeGrace: 300 * milli, DrainGrace: 500 * milli, Grace: 5 * milli, Slack: 50 * milli, MaxAway: 500 * milli, Held: 350,
+		Flow:    5e6, MaxFillPace: 3, BoxLink: [2]float64{6, 10}, BoxCacheSeconds: 11, FillsPerTransfer: 5, FillTimeout: 2500 * milli,
+		BranchLink: 1.3, ParentLink: 1.35, ParentCacheSeconds: 27, MissShare: 0.4,
+		OriginLatency: [2]Micros{32 * milli, 70 * milli}, OriginLink: 2, OriginDenyLoad: 0.8, OriginFallMultiple: 2.5,
+		RegionDelay: [2]Micros{4 * milli, 11 * milli}, HubDelay: [2]Micros{18 * milli, 44 * milli},
+		BoxColdFrom: 0.28, BoxWarmUp: 15 * second, ParentColdFrom: 0.067, ParentWarmUp: 20 * second, FallMultiple: 2, FallTime: second,
+		MemberDelay: [2]Micros{500 * milli, 3 * second}, PurgeDelay: [2]Micros{30 * milli, 400 * milli}, PurgeSettle: 6 * second,
+		PurgeGrace: 300 * milli, DrainGrace: 500 * milli, AnswerGrace: 5 * milli, Slack: 50 * milli, MaxAway: 500 * milli, MaxHeld: 350,
 	}
 }
 
@@ -142,17 +142,17 @@
 	s.Hubs = []string{"central"}
 	s.Branches = []Branch{{"north-campus", "central", 4, 2}, {"south-campus", "central", 3, 1}, {"city-campus", "central", 2, 1}}
 	s.Classes = []Class{
-		{Name: "video-part", Share: 0.52, Send: 360 * milli, Sigma: 0.8, Objects: 80, Zipf: 1.1, Once: 0.02, Local: 0.14, Drift: 20 * second,
-			Parts: [2]int{9, 19}, Gap: [2]Micros{300 * milli, 860 * milli}, Aim: 500 * milli, Stretch: 2, GiveUp: 6 * second, Worth: 2, LateWorth: 0.1},
-		{Name: "small-file", Share: 0.44, Send: 60 * milli, Sigma: 0.8, Objects: 500, Zipf: 1.1, Once: 0.02, Local: 0.18, Drift: 20 * second,
-			Parts: [2]int{1, 1}, Aim: 250 * milli, Stretch: 2, GiveUp: 2500 * milli, Worth: 1, LateWorth: 0.1},
-		{Name: "progress-save", Share: 0.032, Write: true, Window: 2 * second, Send: 20 * milli, Sigma: 0.2, Aim: 600 * milli, GiveUp: 3 * second,
+		{Name: "video-part", Share: 0.52, SendTime: 360 * milli, Sigma: 0.8, Objects: 80, Zipf: 1.1, OneTimeShare: 0.02, LocalShare: 0.14, DriftPeriod: 20 * second,
+			Parts: [2]int{9, 19}, PartGap: [2]Micros{300 * milli, 860 * milli}, Aim: 500 * milli, AimStretch: 2, GiveUp: 6 * second, Worth: 2, LateWorth: 0.1},
+		{Name: "small-file", Share: 0.44, SendTime: 60 * milli, Sigma: 0.8, Objects: 500, Zipf: 1.1, OneTimeShare: 0.02, LocalShare: 0.18, DriftPeriod: 20 * second,
+			Parts: [2]int{1, 1}, Aim: 250 * milli, AimStretch: 2, GiveUp: 2500 * milli, Worth: 1, LateWorth: 0.1},
+		{Name: "progress-save", Share: 0.032, Write: true, KeyWindow: 2 * second, SendTime: 20 * milli, Sigma: 0.2, Aim: 600 * milli, GiveUp: 3 * second,
 			Worth: 3, LateWorth: 0.1},
 	}
-	s.Rate, s.Sized = 130, true
-	s.Near, s.Far = [2]Micros{2 * milli, 4 * milli}, [2]Micros{2 * milli, 4 * milli}
-	s.BoxCold, s.BoxWarm, s.ParentCold, s.FallTime = 0.22, 17*second, 0.083, 1500*milli
-	s.TellMembers, s.TellPurges, s.PurgeGrace, s.DrainGrace = [2]Micros{1500 * milli, 4800 * milli}, [2]Micros{30 * milli, 800 * milli}, second, 2*second
+	s.Rate, s.SendSizes = 130, true
+	s.RegionDelay, s.HubDelay = [2]Micros{2 * milli, 4 * milli}, [2]Micros{2 * milli, 4 * milli}
+	s.BoxColdFrom, s.BoxWarmUp, s.ParentColdFrom, s.FallTime = 0.22, 17*second, 0.083, 1500*milli
+	s.MemberDelay, s.PurgeDelay, s.PurgeGrace, s.DrainGrace = [2]Micros{1500 * milli, 4800 * milli}, [2]Micros{30 * milli, 800 * milli}, second, 2*second
 	return s
 }
 
@@ -161,7 +161,7 @@
 
 // Fleet gives a spec so many cache nodes and fronts in branches of four, with
 // district caches and a rate in proportion; for measurements of scale.
-func (s *Spec) Fleet(nodes, fronts int) {
+func (s *Spec) Resize(nodes, fronts int) {
 	count := max(1, nodes/4)
 	s.Rate *= float64(nodes) / 12
 	s.Parents = max(2, count*10/34)
@@ -207,17 +207,17 @@
 	sum := 0.0
 	for _, c := range s.Classes {
 		switch {
-		case c.Share < 0 || c.Send <= 0 || c.GiveUp <= 0 || c.Worth < 0:
+		case c.Share < 0 || c.SendTime <= 0 || c.GiveUp <= 0 || c.Worth < 0:
 			return fmt.Errorf("class %q: share, send, give up and worth must not be negative", c.Name)
-		case !c.Write && c.Window > 0:
+		case !c.Write && c.KeyWindow > 0:
 			return fmt.Errorf("class %q: a window, and it writes nothing", c.Name)
 		case !c.Write && (c.Objects < 1 || c.Parts[0] < 1 || c.Parts[1] < c.Parts[0]):
 			return fmt.Errorf("class %q: %d objects of %v parts", c.Name, c.Objects, c.Parts)
 		}
 		sum += c.Share
 	}
-	for name, x := range map[string]float64{"flow": s.Flow, "rate": s.Rate + 1, "sum of the classes' shares": sum, "fall times": s.FallTimes,
-		"parents": float64(s.Parents), "held": float64(s.Held), "fill pace": s.FillPace} {
+	for name, x := range map[string]float64{"flow": s.Flow, "rate": s.Rate + 1, "sum of the classes' shares": sum, "fall times": s.FallMultiple,
+		"parents": float64(s.Parents), "held": float64(s.MaxHeld), "fill pace": s.MaxFillPace} {
 		if !(x > 0 && x < 1e12) {
 			return fmt.Errorf("%s: %v is not above 0", name, x)
 		}
@@ -254,10 +254,10 @@
 func (s *Spec) settings(zone int) rules.Settings {
 	out := rules.Settings{Zone: zone, ParentKind: parentKind, OriginKind: originKind, Flow: s.Flow / 1000, Weights: rules.WeightsNominal,
 		Direct: true, Joins: true, Siblings: rules.SiblingsAny, Notes: rules.NotesAll, Cancel: true, Hedges: true, RetryAfter: true,
-		MaxAttempts: 6, MaxHeld: s.Held, MaxAway: s.MaxAway, ConnectTime: connectTime, ReportFields: map[string]int{}, Tick: milli,
-		DrainGrace: s.DrainGrace, FallMultiple: s.FallTimes, FallTime: s.FallTime, ColdFrom: s.BoxCold, WarmUp: s.BoxWarm,
-		AnswerGrace: s.Grace, PurgeGrace: s.PurgeGrace, PurgeSettle: s.PurgeDone, ParentColdFrom: s.ParentCold,
-		ParentWarmUp: s.ParentWarm, ParentFallMultiple: s.FallTimes, OriginFallMultiple: s.OriginFall, OriginFallTime: 3 * second,
+		MaxAttempts: 6, MaxHeld: s.MaxHeld, MaxAway: s.MaxAway, ConnectTime: connectTime, ReportFields: map[string]int{}, Tick: milli,
+		DrainGrace: s.DrainGrace, FallMultiple: s.FallMultiple, FallTime: s.FallTime, ColdFrom: s.BoxColdFrom, WarmUp: s.BoxWarmUp,
+		AnswerGrace: s.AnswerGrace, PurgeGrace: s.PurgeGrace, PurgeSettle: s.PurgeSettle, ParentColdFrom: s.ParentColdFrom,
+		ParentWarmUp: s.ParentWarmUp, ParentFallMultiple: s.FallMultiple, OriginFallMultiple: s.OriginFallMultiple, OriginFallTime: 3 * second,
 		Prices: rules.Prices{LateFail: 0.03, Link: 0.02, Origin: 0.25, Waste: 0.22, CrossZone: 0.01}}
 	for i := range s.Hubs {
 		out.ZoneHub, out.ZoneGates = append(out.ZoneHub, i), append(out.ZoneGates, 0)
@@ -271,10 +271,10 @@
 		if c.Write {
 			effect = rules.Unsafe
 		}
-		if c.Window > 0 {
+		if c.KeyWindow > 0 {
 			effect = rules.Keyed
 		}
-		out.Classes = append(out.Classes, rules.Class{Name: c.Name, Effect: effect, MemorySpan: c.Window, Aim: c.Aim, AimStretch: c.Stretch, GiveUp: c.GiveUp,
+		out.Classes = append(out.Classes, rules.Class{Name: c.Name, Effect: effect, MemorySpan: c.KeyWindow, Aim: c.Aim, AimStretch: c.AimStretch, GiveUp: c.GiveUp,
 			Worth: c.Worth, LateWorth: c.LateWorth, Write: c.Write, Parts: c.Parts[1] > 1, Fresh: c.Fresh, Grace: c.Grace, OldWorth: c.OldWorth})
 	}
 	return out
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -10,57 +10,57 @@
 )
 
 // Kind says what goes wrong.
-type Kind string
+type FaultKind string
 
 // The troubles. Those with a length end after it.
 const (
-	LoseBranch    Kind = "lose branch"  // its cache nodes, which come back cold and empty; Silent: nobody hears of it at once
-	LoseParents   Kind = "lose parents" // a hub's district caches, as above
-	LoseServer    Kind = "lose server"
-	DrainServer   Kind = "drain"         // it finishes what it has, is gone after the length, and comes back cold after as long again
-	OriginSlow    Kind = "origin slower" // X times
-	OriginStops   Kind = "origin stops"
-	PurgeGroups   Kind = "purge groups" // a share X of them at once
-	PurgeHot      Kind = "purge hot"    // so many (X) of the most popular objects, one a tenth of a second
-	Scan          Kind = "scan"         // a share X of the requests is for what is wanted once
-	Surge         Kind = "surge"        // X times the rate
-	Storm         Kind = "storm"        // clients come back at once, whatever they are told
-	CutBranch     Kind = "cut branch"   // nothing crosses between fronts and the cache nodes there, unheard
-	Resets        Kind = "reset"        // every connection between fronts and servers, once
-	SpoiltAnswers Kind = "spoil"        // a share X of the answers
-	LostAnswers   Kind = "lose answers" // a share X never comes
-	Deaf          Kind = "register unreachable"
-	TellsLate     Kind = "register late"     // by X seconds
-	KillFront     Kind = "kill"              // a front, which starts again after the length
-	FreezeBranch  Kind = "freeze branch"     // as above, but what is sent meanwhile comes when it ends, as on a link that stood still
-	FreezeAnswers Kind = "freeze answers of" // the same, and only on the way back
-	RestartFront  Kind = "restart"           // a front, told to end as an operator does; it starts again the length after it has ended
-	ReloadFront   Kind = "reload"            // a front reads its files anew
-	Flap          Kind = "flap"              // a server is told as gone and back, X times, while it runs
+	LoseBranch          FaultKind = "lose branch"  // its cache nodes, which come back cold and empty; Silent: nobody hears of it at once
+	LoseParents         FaultKind = "lose parents" // a hub's district caches, as above
+	LoseServer          FaultKind = "lose server"
+	DrainServer         FaultKind = "drain"         // it finishes what it has, is gone after the length, and comes back cold after as long again
+	OriginSlow          FaultKind = "origin slower" // X times
+	OriginStops         FaultKind = "origin stops"
+	PurgeGroups         FaultKind = "purge groups" // a share X of them at once
+	PurgeHot            FaultKind = "purge hot"    // so many (X) of the most popular objects, one a tenth of a second
+	Scan                FaultKind = "scan"         // a share X of the requests is for what is wanted once
+	Surge               FaultKind = "surge"        // X times the rate
+	RetryStorm          FaultKind = "storm"        // clients come back at once, whatever they are told
+	CutBranch           FaultKind = "cut branch"   // nothing crosses between fronts and the cache nodes there, unheard
+	ResetConnections    FaultKind = "reset"        // every connection between fronts and servers, once
+	CorruptAnswers      FaultKind = "spoil"        // a share X of the answers
+	LoseAnswers         FaultKind = "lose answers" // a share X never comes
+	RegisterUnreachable FaultKind = "register unreachable"
+	RegisterLate        FaultKind = "register late"     // by X seconds
+	KillFront           FaultKind = "kill"              // a front, which starts again after the length
+	FreezeBranch        FaultKind = "freeze branch"     // as above, but what is sent meanwhile comes when it ends, as on a link that stood still
+	FreezeAnswers       FaultKind = "freeze answers of" // the same, and only on the way back
+	RestartFront        FaultKind = "restart"           // a front, told to end as an operator does; it starts again the length after it has ended
+	ReloadFront         FaultKind = "reload"            // a front reads its files anew
+	FlapServer          FaultKind = "flap"              // a server is told as gone and back, X times, while it runs
 )
 
 // Trouble is something that goes wrong.
-type Trouble struct {
-	Kind   Kind
-	At     Micros // of the day
-	For    Micros
-	Target string // a branch, a hub, a server or a front
-	X      float64
-	Silent bool
+type Fault struct {
+	Kind     FaultKind
+	At       Micros // of the day
+	Duration Micros
+	Target   string // a branch, a hub, a server or a front
+	Amount   float64
+	Silent   bool
 }
 
-func (t Trouble) String() string {
-	return fmt.Sprintf("at %gs %s for %gs", float64(t.At)/1e6, t.Label(), float64(t.For)/1e6)
+func (t Fault) String() string {
+	return fmt.Sprintf("at %gs %s for %gs", float64(t.At)/1e6, t.Label(), float64(t.Duration)/1e6)
 }
 
 // Label is what a trouble does, without when.
-func (t Trouble) Label() string {
+func (t Fault) Label() string {
 	text := string(t.Kind)
 	if t.Target != "" {
 		text += fmt.Sprintf(" %q", t.Target)
 	}
-	if t.X != 0 {
-		text += fmt.Sprintf(" %g", t.X)
+	if t.Amount != 0 {
+		text += fmt.Sprintf(" %g", t.Amount)
 	}
 	if t.Silent {
 		text += " silently"
@@ -69,13 +69,13 @@
 }
 
 // plan has a trouble happen.
-func (w *World) plan(t *Trouble) error {
-	at, end := w.began+t.At, w.began+t.At+t.For
+func (w *World) plan(t *Fault) error {
+	at, end := w.began+t.At, w.began+t.At+t.Duration
 	during := func(begin, over func()) {
 		w.loop.At(at, begin)
 		w.loop.At(end, over)
 	}
-	if t.At < 0 || t.For < 0 {
+	if t.At < 0 || t.Duration < 0 {
 		return errors.New("it begins or lasts less than nothing")
 	}
 	switch t.Kind {
@@ -92,21 +92,21 @@
 		}
 		w.loop.At(at, func() { w.tell(s, rules.Draining) })
 		w.loop.At(end, func() { w.lose([]*server{s}, false) })
-		w.loop.At(end+t.For, func() { w.restore([]*server{s}) })
+		w.loop.At(end+t.Duration, func() { w.restore([]*server{s}) })
 	case OriginSlow:
-		during(func() { w.originSlow *= t.X }, func() { w.originSlow /= t.X })
+		during(func() { w.originSlow *= t.Amount }, func() { w.originSlow /= t.Amount })
 	case OriginStops:
 		during(func() { w.origin.die() }, func() { w.origin.start(0) })
 	case PurgeGroups:
 		w.loop.At(at, func() {
 			for g := range groups {
-				if w.faults.Float64() < t.X {
+				if w.faults.Float64() < t.Amount {
 					w.purge(purge{object: -1, group: uint8(g)})
 				}
 			}
 		})
 	case PurgeHot:
-		for i := range int(t.X) {
+		for i := range int(t.Amount) {
 			w.loop.At(at+Micros(i)*100*milli, func() {
 				class := 0
 				for w.spec.Classes[class].Write {
@@ -118,12 +118,12 @@
 			})
 		}
 	case Scan:
-		during(func() { w.scan += t.X }, func() { w.scan -= t.X })
+		during(func() { w.scan += t.Amount }, func() { w.scan -= t.Amount })
 	case Surge:
-		during(func() { w.surge *= t.X }, func() { w.surge /= t.X })
-	case Storm:
-		before := w.spec.Repeats
-		during(func() { w.spec.Repeats = Repeats{Most: before.Most} }, func() { w.spec.Repeats = before })
+		during(func() { w.surge *= t.Amount }, func() { w.surge /= t.Amount })
+	case RetryStorm:
+		before := w.spec.Retries
+		during(func() { w.spec.Retries = RetryPolicy{MaxRetries: before.MaxRetries} }, func() { w.spec.Retries = before })
 	case CutBranch:
 		zone, err := w.branch(t.Target)
 		if err != nil {
@@ -141,7 +141,7 @@
 				w.thaws[0][zone] = max(w.thaws[0][zone], end)
 			}
 		})
-	case Resets:
+	case ResetConnections:
 		w.loop.At(at, func() {
 			for _, s := range w.servers {
 				for _, c := range w.wiresOf(s) {
@@ -149,11 +149,11 @@
 				}
 			}
 		})
-	case SpoiltAnswers:
-		during(func() { w.spoilt += t.X }, func() { w.spoilt -= t.X })
-	case LostAnswers:
-		during(func() { w.lost += t.X }, func() { w.lost -= t.X })
-	case Deaf:
+	case CorruptAnswers:
+		during(func() { w.spoilt += t.Amount }, func() { w.spoilt -= t.Amount })
+	case LoseAnswers:
+		during(func() { w.lost += t.Amount }, func() { w.lost -= t.Amount })
+	case RegisterUnreachable:
 		mute := func(mute bool) func() {
 			return func() {
 				w.eachFront(func(f *Front) {
@@ -163,11 +163,11 @@
 			}
 		}
 		during(mute(true), mute(false))
-	case TellsLate:
-		late := Micros(t.X * float64(second))
+	case RegisterLate:
+		late := Micros(t.Amount * float64(second))
 		shift := func(by Micros) func() {
 			return func() {
-				for _, x := range []*[2]Micros{&w.spec.TellMembers, &w.spec.TellPurges} {
+				for _, x := range []*[2]Micros{&w.spec.MemberDelay, &w.spec.PurgeDelay} {
 					x[0], x[1] = x[0]+by, x[1]+by
 				}
 			}
@@ -182,7 +182,7 @@
 		case KillFront:
 			during(f.kill, f.revive)
 		case RestartFront:
-			w.loop.At(at, func() { f.restart(t.For) })
+			w.loop.At(at, func() { f.restart(t.Duration) })
 		default:
 			w.loop.At(at, func() {
 				if f.serves {
@@ -190,13 +190,13 @@
 				}
 			})
 		}
-	case Flap:
+	case FlapServer:
 		s := w.by[t.Target]
 		if s == nil {
 			return fmt.Errorf("no server is called %q", t.Target)
 		}
-		for i := range int(t.X) {
-			step := t.For / Micros(2*max(1, int(t.X)))
+		for i := range int(t.Amount) {
+			step := t.Duration / Micros(2*max(1, int(t.Amount)))
 			w.loop.At(at+Micros(2*i)*step, func() { w.tell(s, rules.Gone) })
 			w.loop.At(at+Micros(2*i+1)*step, func() {
 				if s.up {
@@ -211,7 +211,7 @@
 }
 
 // Check tells what is wrong with a trouble, in a world that is not to be run.
-func (w *World) Check(t *Trouble) error { return w.plan(t) }
+func (w *World) CheckFault(t *Fault) error { return w.plan(t) }
 
 func (w *World) branch(name string) (zone int, err error) {
 	i := slices.IndexFunc(w.spec.Branches, func(b Branch) bool { return b.Name == name })
@@ -222,7 +222,7 @@
 }
 
 // targets are the servers that a loss takes.
-func (w *World) targets(t *Trouble) (list []*server, err error) {
+func (w *World) targets(t *Fault) (list []*server, err error) {
 	zone, kind := 0, boxKind
 	switch t.Kind {
 	case LoseServer:
@@ -280,7 +280,7 @@
 	born := s.born
 	for _, f := range w.fronts {
 		if !f.dead {
-			f.later(between(w.faults, w.spec.TellMembers), func() { f.hearMember(s, state, born) })
+			f.later(between(w.faults, w.spec.MemberDelay), func() { f.hearMember(s, state, born) })
 		}
 	}
 }
@@ -291,12 +291,12 @@
 	w.purges = append(w.purges, p)
 	for _, s := range w.servers {
 		if s.kind != originKind {
-			w.after(w.faults.Int64N(w.spec.PurgeDone), func() { s.keep.purge(p) })
+			w.after(w.faults.Int64N(w.spec.PurgeSettle), func() { s.keep.purge(p) })
 		}
 	}
 	for _, f := range w.fronts {
 		if !f.dead {
-			f.later(between(w.faults, w.spec.TellPurges), func() { f.hearPurge(p) })
+			f.later(between(w.faults, w.spec.PurgeDelay), func() { f.hearPurge(p) })
 		}
 	}
 }
@@ -334,7 +334,7 @@
 }
 
 // Names are what troubles may name in a world: branches, hubs, caches and fronts.
-func (w *World) Names() (branches, hubs, caches, fronts []string) {
+func (w *World) FaultTargets() (branches, hubs, caches, fronts []string) {
 	for _, b := range w.spec.Branches {
 		branches = append(branches, b.Name)
 	}
--- a/lab/world/watch.go
+++ b/lab/world/watch.go
@@ -18,7 +18,7 @@
 	Earned     float64
 	Servers    []ServerView
 	Fronts     []FrontView
-	Troubles   []Trouble // that go on
+	Troubles   []Fault // that go on
 	Broken     int
 	Violations []Violation // the last few
 }
@@ -59,11 +59,11 @@
 
 // Inject has a trouble begin now, and tells what is wrong with it. It may be called
 // from anywhere while the day runs.
-func (w *World) Inject(t Trouble, told func(error)) {
+func (w *World) Inject(t Fault, told func(error)) {
 	w.loop.Post(func() {
 		t.At = w.loop.Now() - w.began
 		err := w.plan(&t)
-		if err == nil && t.For > 0 {
+		if err == nil && t.Duration > 0 {
 			w.injected = append(w.injected, t)
 		}
 		told(err)
@@ -105,10 +105,10 @@
 		v.Broken += n
 	}
 	v.Violations = slices.Clone(w.violations[max(0, len(w.violations)-shownViolations):])
-	w.injected = slices.DeleteFunc(w.injected, func(t Trouble) bool { return t.At+t.For <= v.At })
+	w.injected = slices.DeleteFunc(w.injected, func(t Fault) bool { return t.At+t.Duration <= v.At })
 	v.Troubles = slices.Clone(w.injected)
 	for _, t := range w.planned {
-		if t.At <= v.At && v.At < t.At+t.For {
+		if t.At <= v.At && v.At < t.At+t.Duration {
 			v.Troubles = append(v.Troubles, t)
 		}
 	}
--- a/lab/world/wire.go
+++ b/lab/world/wire.go
@@ -140,7 +140,7 @@
 
 // void tells of a command that no server would take.
 func (c *wire) void(format string, args ...any) {
-	c.front.w.broken(Form, c.front, fmt.Sprintf(format, args...))
+	c.front.w.broken(ValidCommands, c.front, fmt.Sprintf(format, args...))
 	c.reset()
 }
 
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -20,7 +20,7 @@
 
 // Point is a moment of the day from which clients ask at a rate; with Ramp it moves
 // evenly to that of the next point.
-type Point struct {
+type RatePoint struct {
 	At   Micros
 	Rate float64 // requests a second
 	Ramp bool
@@ -47,7 +47,7 @@
 	ways    [][]Micros
 	write   string // name of the class that writes
 
-	curve      []Point
+	curve      []RatePoint
 	weight     []float64 // of the branches, of all requests
 	shares     []float64 // of the classes, of all visits, summed up
 	perVisit   float64   // requests
@@ -62,10 +62,10 @@
 
 	returning int // clients that wait to come back
 
-	planned  []Trouble
-	injected []Trouble // while they go on
+	planned  []Fault
+	injected []Fault // while they go on
 
-	sockets  *Sockets // nil: all in virtual time
+	sockets  *SocketOptions // nil: all in virtual time
 	quitting bool
 	ended    error // of the fronts that were told to end
 	stretch  int   // times that a body is repeated, on sockets
@@ -152,24 +152,24 @@
 	for i, b := range s.Branches {
 		zone, size := hubs+i, 0.0
 		for n := range b.Boxes {
-			x := w.server(fmt.Sprintf("%s.box-%d", b.Name, n+1), boxKind, zone, s.BoxLink[0]+w.rand.Float64()*(s.BoxLink[1]-s.BoxLink[0]), flow, s.BoxKeep)
+			x := w.server(fmt.Sprintf("%s.box-%d", b.Name, n+1), boxKind, zone, s.BoxLink[0]+w.rand.Float64()*(s.BoxLink[1]-s.BoxLink[0]), flow, s.BoxCacheSeconds)
 			size += x.size
 			boxes++
 		}
 		total += size
 		w.weight = append(w.weight, size)
 		// Somewhat wider where few caches share it.
-		width := s.InLink * s.MissShare * size * max(1, 6/float64(max(1, b.Boxes))/1.5)
-		w.inlets[zone] = newLink(w, flow*s.FillPace, func() float64 { return width * flow })
+		width := s.BranchLink * s.MissShare * size * max(1, 6/float64(max(1, b.Boxes))/1.5)
+		w.inlets[zone] = newLink(w, flow*s.MaxFillPace, func() float64 { return width * flow })
 	}
 	for i := range w.weight {
 		w.weight[i] /= total
 	}
 	for i := range s.Parents {
 		w.server(fmt.Sprintf("%s.parent-%d", s.Hubs[i%hubs], i/hubs+1), parentKind, i%hubs, s.ParentLink*s.MissShare*total/float64(s.Parents),
-			flow*s.FillPace, s.ParentKeep)
+			flow*s.MaxFillPace, s.ParentCacheSeconds)
 	}
-	w.origin = w.server("head-office", originKind, 0, s.OriginLink*s.MissShare*0.5*total, flow*s.FillPace, 0)
+	w.origin = w.server("head-office", originKind, 0, s.OriginLink*s.MissShare*0.5*total, flow*s.MaxFillPace, 0)
 	w.ways = make([][]Micros, len(w.inlets))
 	hub := func(zone int) int {
 		if zone < hubs {
@@ -189,9 +189,9 @@
 				steps = -steps
 			}
 			steps = min(steps, hubs-steps) // they stand in a ring
-			w.ways[a][b] = between(w.rand, s.Near)
+			w.ways[a][b] = between(w.rand, s.RegionDelay)
 			for range steps {
-				w.ways[a][b] += between(w.rand, s.Far)
+				w.ways[a][b] += between(w.rand, s.HubDelay)
 			}
 		}
 	}
@@ -282,10 +282,10 @@
 
 // Plan is what a day brings.
 type Plan struct {
-	Warm     Micros // before the day, in which caches and beliefs fill and nothing goes wrong or counts
-	For      Micros
-	Curve    []Point // none: the spec's rate all day
-	Troubles []Trouble
+	WarmUp   Micros // before the day, in which caches and beliefs fill and nothing goes wrong or counts
+	Duration Micros
+	Curve    []RatePoint // none: the spec's rate all day
+	Faults   []Fault
 }
 
 // forever is a moment that no day has.
@@ -306,17 +306,17 @@
 	if w.sockets != nil {
 		w.first = w.loop.Now()
 	}
-	w.began = w.first + p.Warm
-	w.ends = w.began + p.For
-	w.planned = p.Troubles
+	w.began = w.first + p.WarmUp
+	w.ends = w.began + p.Duration
+	w.planned = p.Faults
 	w.loop.At(w.began, func() { // what servers did in the warm-up does not count
 		w.stats = Stats{}
 		w.stats.init(len(w.spec.Classes))
 		w.sample()
 	})
-	for i := range p.Troubles {
-		if err := w.plan(&p.Troubles[i]); err != nil {
-			return nil, errors.Join(fmt.Errorf("world: %s: %w", p.Troubles[i], err), w.release())
+	for i := range p.Faults {
+		if err := w.plan(&p.Faults[i]); err != nil {
+			return nil, errors.Join(fmt.Errorf("world: %s: %w", p.Faults[i], err), w.release())
 		}
 	}
 	for i := range w.spec.Branches {
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -39,19 +39,19 @@
 
 // troubled is a day of several troubles that overlap, two of which end in the same
 // microsecond.
-var troubled = Plan{Warm: 20 * second, For: 40 * second, Troubles: []Trouble{
-	{Kind: LoseBranch, At: 3 * second, For: 12 * second, Target: "edge-1"},
-	{Kind: LoseParents, At: 5 * second, For: 10 * second, Target: "north-hub"},
-	{Kind: OriginSlow, At: 8 * second, For: 8 * second, X: 3},
-	{Kind: PurgeGroups, At: 10 * second, X: 0.4},
-	{Kind: PurgeHot, At: 20 * second, X: 40},
-	{Kind: DrainServer, At: 22 * second, For: 5 * second, Target: "edge-2.box-1"},
-	{Kind: Storm, At: 12 * second, For: 10 * second},
-	{Kind: SpoiltAnswers, At: 24 * second, For: 6 * second, X: 0.02},
-	{Kind: LostAnswers, At: 26 * second, For: 6 * second, X: 0.02},
-	{Kind: KillFront, At: 30 * second, For: 2 * second, Target: "edge-3.front-1"},
-	{Kind: Resets, At: 33 * second},
-	{Kind: Flap, At: 34 * second, For: 4 * second, X: 4, Target: "edge-4.box-1"}}}
+var troubled = Plan{WarmUp: 20 * second, Duration: 40 * second, Faults: []Fault{
+	{Kind: LoseBranch, At: 3 * second, Duration: 12 * second, Target: "edge-1"},
+	{Kind: LoseParents, At: 5 * second, Duration: 10 * second, Target: "north-hub"},
+	{Kind: OriginSlow, At: 8 * second, Duration: 8 * second, Amount: 3},
+	{Kind: PurgeGroups, At: 10 * second, Amount: 0.4},
+	{Kind: PurgeHot, At: 20 * second, Amount: 40},
+	{Kind: DrainServer, At: 22 * second, Duration: 5 * second, Target: "edge-2.box-1"},
+	{Kind: RetryStorm, At: 12 * second, Duration: 10 * second},
+	{Kind: CorruptAnswers, At: 24 * second, Duration: 6 * second, Amount: 0.02},
+	{Kind: LoseAnswers, At: 26 * second, Duration: 6 * second, Amount: 0.02},
+	{Kind: KillFront, At: 30 * second, Duration: 2 * second, Target: "edge-3.front-1"},
+	{Kind: ResetConnections, At: 33 * second},
+	{Kind: FlapServer, At: 34 * second, Duration: 4 * second, Amount: 4, Target: "edge-4.box-1"}}}
 
 // No promise is broken, calm or troubled, and service is what a site like the
 // operators' gives.
@@ -59,9 +59,9 @@
 	for name, x := range map[string]struct {
 		plan  Plan
 		least float64
-	}{"calm": {Plan{Warm: 30 * second, For: 30 * second}, 0.8}, "troubled": {troubled, 0.4}} {
+	}{"calm": {Plan{WarmUp: 30 * second, Duration: 30 * second}, 0.8}, "troubled": {troubled, 0.4}} {
 		t.Run(name, func(t *testing.T) {
-			r := play(t, Default(), None, x.plan)
+			r := play(t, Default(), NoMutation, x.plan)
 			t.Logf("%s", r)
 			for _, v := range r.Violations {
 				t.Error(v)
@@ -75,10 +75,10 @@
 
 // The same world has the same day, and another seed another one.
 func TestSameSeedSameDay(t *testing.T) {
-	first, again := play(t, Default(), None, troubled), play(t, Default(), None, troubled)
+	first, again := play(t, Default(), NoMutation, troubled), play(t, Default(), NoMutation, troubled)
 	spec := Default()
 	spec.Seed++
-	other := play(t, spec, None, troubled)
+	other := play(t, spec, NoMutation, troubled)
 	if first.String() != again.String() || first.Digest == other.Digest {
 		t.Errorf("first:\n%sagain:\n%sother:\n%s", first, again, other)
 	}
@@ -86,21 +86,21 @@
 
 // The campuses' days keep every promise, and their saves go under one key with all repeats.
 func TestCampusKeepsItsPromises(t *testing.T) {
-	plan := Plan{Warm: 20 * second, For: 40 * second, Troubles: []Trouble{
-		{Kind: LoseBranch, At: 3 * second, For: 8 * second, Target: "city-campus"},
-		{Kind: OriginSlow, At: 8 * second, For: 8 * second, X: 3},
-		{Kind: PurgeGroups, At: 10 * second, X: 0.4},
-		{Kind: Storm, At: 12 * second, For: 10 * second},
-		{Kind: LostAnswers, At: 14 * second, For: 10 * second, X: 0.05},
-		{Kind: KillFront, At: 30 * second, For: 2 * second, Target: "north-campus.front-1"}}}
-	r := play(t, Campus(), None, plan)
+	plan := Plan{WarmUp: 20 * second, Duration: 40 * second, Faults: []Fault{
+		{Kind: LoseBranch, At: 3 * second, Duration: 8 * second, Target: "city-campus"},
+		{Kind: OriginSlow, At: 8 * second, Duration: 8 * second, Amount: 3},
+		{Kind: PurgeGroups, At: 10 * second, Amount: 0.4},
+		{Kind: RetryStorm, At: 12 * second, Duration: 10 * second},
+		{Kind: LoseAnswers, At: 14 * second, Duration: 10 * second, Amount: 0.05},
+		{Kind: KillFront, At: 30 * second, Duration: 2 * second, Target: "north-campus.front-1"}}}
+	r := play(t, Campus(), NoMutation, plan)
 	for _, v := range r.Violations {
 		t.Error(v)
 	}
 	if r.Service < 0.8 {
 		t.Errorf("service %.3f\n%s", r.Service, r)
 	}
-	if r := play(t, Campus(), OtherKeys, plan); r.Broken[Form] == 0 {
+	if r := play(t, Campus(), ChangeKeys, plan); r.Broken[ValidCommands] == 0 {
 		t.Errorf("another key is not seen; broken: %v", r.Broken)
 	}
 }
@@ -112,18 +112,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.stats.Broken = map[Promise]int{}
+	w.stats.Broken = map[Property]int{}
 	o := &op{class: 2}
 	w.asks["x"] = &ask{w: w, op: o, front: w.fronts[0], id: "x"}
 	j := &job{id: "x"}
 	w.ran(j)
 	w.ran(j)
-	if o.ran != 1 || w.stats.Broken[Once] > 0 {
+	if o.ran != 1 || w.stats.Broken[RunsOnce] > 0 {
 		t.Errorf("within the window: ran %d times, broken %v", o.ran, w.stats.Broken)
 	}
-	o.ranAt -= w.spec.Classes[2].Window
+	o.ranAt -= w.spec.Classes[2].KeyWindow
 	w.ran(j)
-	if o.ran != 2 || w.stats.Broken[Once] != 1 {
+	if o.ran != 2 || w.stats.Broken[RunsOnce] != 1 {
 		t.Errorf("past it: ran %d times, broken %v", o.ran, w.stats.Broken)
 	}
 }
@@ -134,12 +134,12 @@
 	for m, promise := range Mutations {
 		t.Run(string(m), func(t *testing.T) {
 			spec := Default()
-			if m == WarmStart { // cold servers must be worth pushing
-				spec.BoxCold, spec.Rate = 0.02, 400
+			if m == TreatColdAsWarm { // cold servers must be worth pushing
+				spec.BoxColdFrom, spec.Rate = 0.02, 400
 			}
 			plan := troubled
-			if m == RefusesAll || m == LateAnswer { // writes must fail
-				plan.Troubles = []Trouble{{Kind: LostAnswers, At: second, For: 30 * second, X: 0.3}}
+			if m == ReportFailedAsRefused || m == DropFailures { // writes must fail
+				plan.Faults = []Fault{{Kind: LoseAnswers, At: second, Duration: 30 * second, Amount: 0.3}}
 			}
 			r := play(t, spec, m, plan)
 			if r.Broken[promise] == 0 {
@@ -152,13 +152,13 @@
 // A trouble that names what is not there, or makes no sense, is refused with what
 // is wrong with it.
 func TestTroublesAreChecked(t *testing.T) {
-	for _, x := range []Trouble{{Kind: LoseBranch, Target: "north-hub"}, {Kind: LoseParents, Target: "edge-1"}, {Kind: DrainServer, Target: "head-office"},
-		{Kind: KillFront, Target: "front"}, {Kind: "rain"}, {Kind: Scan, At: -1}, {Kind: CutBranch}, {Kind: Flap}, {Kind: LoseServer, Target: "x"}} {
+	for _, x := range []Fault{{Kind: LoseBranch, Target: "north-hub"}, {Kind: LoseParents, Target: "edge-1"}, {Kind: DrainServer, Target: "head-office"},
+		{Kind: KillFront, Target: "front"}, {Kind: "rain"}, {Kind: Scan, At: -1}, {Kind: CutBranch}, {Kind: FlapServer}, {Kind: LoseServer, Target: "x"}} {
 		w, err := New(Default())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.Run(Plan{For: second, Troubles: []Trouble{x}}); err == nil {
+		if _, err := w.Run(Plan{Duration: second, Faults: []Fault{x}}); err == nil {
 			t.Errorf("%v is taken", x)
 		}
 	}
@@ -296,8 +296,8 @@
 		for ; s.up && n < 1000; n++ {
 			s.press(f, 390*milli)
 		}
-		want := w.spec.FallTimes * w.spec.BoxCold * s.size * float64(second) / float64(390*milli)
-		if s.up || float64(n) < want+1 || float64(n) > want+3 || (w.stats.Broken[Cold] > 0) != told {
+		want := w.spec.FallMultiple * w.spec.BoxColdFrom * s.size * float64(second) / float64(390*milli)
+		if s.up || float64(n) < want+1 || float64(n) > want+3 || (w.stats.Broken[NoColdOverload] > 0) != told {
 			t.Errorf("told %v: fell over after %d, %.1f wanted; broken: %v", told, n, want, w.stats.Broken)
 		}
 	}
@@ -313,8 +313,8 @@
 			requests := 0
 			for range b.N {
 				spec := Default()
-				spec.Fleet(x.nodes, x.fronts)
-				requests += play(b, spec, None, Plan{For: 20 * second}).Tries
+				spec.Resize(x.nodes, x.fronts)
+				requests += play(b, spec, NoMutation, Plan{Duration: 20 * second}).Tries
 			}
 			b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "requests/s")
 		})
