--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the built front for the laboratory: started with a
-// configuration of its own, waited for until it serves, ended or killed.
+// Package process runs a built front for the laboratory: it starts the front with its
+// own environment, waits until it serves, and stops or kills it.
 package process
 
 import (
@@ -19,111 +19,111 @@
 	"golang.org/x/sys/unix"
 )
 
-// Timeout is how long a front may take to start and to end.
+// Timeout is how long a front may take to start, and to end after SIGTERM.
 const Timeout = 10 * time.Second
 
-// ServingMessage is what a front's log says once it serves.
+// ServingMessage appears in a front's log once it serves.
 const ServingMessage = "msg=serving"
 
-// Options say how a front is started.
+// Options configures how a front is started.
 type Options struct {
-	Path string    // of the built program
-	Env  []string  // all of its environment, but for PATH
-	Log  io.Writer // nil: nowhere
-	Core *int      // the one that it runs on; nil: any
-	// Launch starts the command; nil: as it is. It is for faults in its system calls.
+	Path string    // of the built binary
+	Env  []string  // the whole environment, except PATH
+	Log  io.Writer // receives standard error; nil: discarded
+	Core *int      // CPU that the front is pinned to; nil: none
+	// Launch starts the command; nil: (*exec.Cmd).Start. Used to inject faults into system calls.
 	Launch func(*exec.Cmd) error
 }
 
-// Process is a front that was started.
+// Process is a started front.
 type Process struct {
 	cmd   *exec.Cmd
-	log   *awaited
+	log   *logWatcher
 	ended chan struct{}
-	err   error // once it has ended
+	err   error // valid once ended is closed
 }
 
-// Start starts a front. It must be stopped or killed.
-func Start(o Options) (*Process, error) {
-	p := &Process{log: &awaited{text: ServingMessage, seen: make(chan struct{}), to: o.Log}, ended: make(chan struct{})}
-	p.cmd = exec.Command(o.Path)
-	p.cmd.Env, p.cmd.Stderr = append([]string{"PATH=" + os.Getenv("PATH")}, o.Env...), p.log
-	launch := o.Launch
+// Start starts a front. The caller must call Stop or Kill.
+func Start(options Options) (*Process, error) {
+	process := &Process{log: &logWatcher{text: ServingMessage, matched: make(chan struct{}), dest: options.Log}, ended: make(chan struct{})}
+	process.cmd = exec.Command(options.Path)
+	process.cmd.Env, process.cmd.Stderr = append([]string{"PATH=" + os.Getenv("PATH")}, options.Env...), process.log
+	launch := options.Launch
 	if launch == nil {
 		launch = (*exec.Cmd).Start
 	}
-	if err := p.start(launch, o.Core); err != nil {
+	if err := process.start(launch, options.Core); err != nil {
 		return nil, fmt.Errorf("process: %w", err)
 	}
 	go func() {
-		p.err = p.cmd.Wait()
-		close(p.ended)
+		process.err = process.cmd.Wait()
+		close(process.ended)
 	}()
-	return p, nil
+	return process, nil
 }
 
-// start starts the front, pinned to a core if there is one.
-func (p *Process) start(launch func(*exec.Cmd) error, core *int) error {
+// start starts the front, pinned to core unless that is nil.
+func (process *Process) start(launch func(*exec.Cmd) error, core *int) error {
 	if core == nil {
-		return launch(p.cmd)
+		return launch(process.cmd)
 	}
-	// A process inherits the cores of the thread that starts it.
+	// A process inherits the CPU affinity of the thread that starts it.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var before, only unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &before); err != nil {
+	var previous, pinned unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &previous); err != nil {
 		return err
 	}
-	only.Set(*core)
-	if err := unix.SchedSetaffinity(0, &only); err != nil {
+	pinned.Set(*core)
+	if err := unix.SchedSetaffinity(0, &pinned); err != nil {
 		return fmt.Errorf("core %d: %w", *core, err)
 	}
-	return errors.Join(launch(p.cmd), unix.SchedSetaffinity(0, &before))
+	return errors.Join(launch(process.cmd), unix.SchedSetaffinity(0, &previous))
 }
 
-// AwaitServing waits until the front serves.
-func (p *Process) AwaitServing() error {
+// AwaitServing waits until the front serves. It fails if the front ends first or Timeout passes.
+func (process *Process) AwaitServing() error {
 	select {
-	case <-p.log.seen:
+	case <-process.log.matched:
 		return nil
-	case <-p.ended:
-		return fmt.Errorf("process: the front ended at its start: %w: %s", p.err, p.log.head())
+	case <-process.ended:
+		return fmt.Errorf("process: the front exited before it served: %w: %s", process.err, process.log.prefixText())
 	case <-time.After(Timeout):
-		return errors.New("process: the front does not start")
+		return errors.New("process: the front did not serve in time")
 	}
 }
 
-// Pid is the front's process.
-func (p *Process) Pid() int { return p.cmd.Process.Pid }
+// Pid returns the front's process id.
+func (process *Process) Pid() int { return process.cmd.Process.Pid }
 
-// Ended is closed once the front has ended; Err then tells how.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+// Ended returns a channel that is closed once the front has ended; Err is valid from then on.
+func (process *Process) Ended() <-chan struct{} { return process.ended }
 
-// Err tells how a front ended that has.
-func (p *Process) Err() error { return p.err }
+// Err returns the result of waiting for the process; call it only after Ended is closed.
+func (process *Process) Err() error { return process.err }
 
-// Signal sends a front a signal; one that has ended does not get it.
-func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
+// Signal sends the front a signal; it does nothing if the front has ended.
+func (process *Process) Signal(s syscall.Signal) { _ = process.cmd.Process.Signal(s) }
 
-// Stop ends the front as an operator does.
-func (p *Process) Stop() error {
-	p.Signal(syscall.SIGTERM)
+// Stop sends SIGTERM and waits for the end; after Timeout it kills the front and returns an error.
+func (process *Process) Stop() error {
+	process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
-		return p.err
+	case <-process.ended:
+		return process.err
 	case <-time.After(Timeout):
-		p.Kill()
-		return errors.New("process: the front did not end by itself")
+		process.Kill()
+		return errors.New("process: the front did not exit after SIGTERM")
 	}
 }
 
-// Kill ends the front at once.
-func (p *Process) Kill() {
-	_ = p.cmd.Process.Kill()
-	<-p.ended
+// Kill sends SIGKILL and waits for the end.
+func (process *Process) Kill() {
+	_ = process.cmd.Process.Kill()
+	<-process.ended
 }
 
-// ResidentKB is a process's resident size in KB; 0: not known.
+// ResidentKB returns a process's resident set size in KB, 0 if unknown.
 func ResidentKB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -138,7 +138,7 @@
 	return 0
 }
 
-// OpenDescriptors counts a process's open descriptors; 0: not known.
+// OpenDescriptors returns the number of a process's open descriptors, 0 if unknown.
 func OpenDescriptors(pid int) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -147,37 +147,37 @@
 	return len(list)
 }
 
-// awaited passes a log on and tells when a text has come.
-type awaited struct {
-	mu    sync.Mutex
-	text  string
-	start []byte
-	done  bool
-	seen  chan struct{}
-	to    io.Writer
+// logWatcher forwards a log to dest and closes matched once text has appeared in it.
+type logWatcher struct {
+	mu      sync.Mutex
+	text    string
+	prefix  []byte
+	found   bool
+	matched chan struct{}
+	dest    io.Writer
 }
 
-// mostHead is what is kept of a log while its text has not come, in bytes.
-const mostHead = 64 << 10
-
-// Write is part of io.Writer.
-func (a *awaited) Write(p []byte) (int, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.done && len(a.start) < mostHead {
-		a.start = append(a.start, p...)
-		if a.done = bytes.Contains(a.start, []byte(a.text)); a.done {
-			close(a.seen)
+// maxPrefix bounds how much of a log is kept and searched for the text, in bytes.
+const maxPrefix = 64 << 10
+
+// Write implements io.Writer.
+func (watcher *logWatcher) Write(p []byte) (int, error) {
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	if !watcher.found && len(watcher.prefix) < maxPrefix {
+		watcher.prefix = append(watcher.prefix, p...)
+		if watcher.found = bytes.Contains(watcher.prefix, []byte(watcher.text)); watcher.found {
+			close(watcher.matched)
 		}
 	}
-	if a.to != nil {
-		return a.to.Write(p)
+	if watcher.dest != nil {
+		return watcher.dest.Write(p)
 	}
 	return len(p), nil
 }
 
-func (a *awaited) head() string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return string(a.start)
+func (watcher *logWatcher) prefixText() string {
+	watcher.mu.Lock()
+	defer watcher.mu.Unlock()
+	return string(watcher.prefix)
 }
