--- a/lab/syscallfault/launcher.go
+++ b/lab/syscallfault/launcher.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// launchVariable holds a launch order as JSON in the environment of a launcher.
+// launchVariable is the environment variable that passes a launchOrder to a launcher as JSON.
 const launchVariable = "CHERRYRAMP_SYSCALLFAULT"
 
-// controlDescriptor is where a launcher finds the socket to the injector.
+// controlDescriptor is the launcher's file descriptor of the socket to the injector.
 const controlDescriptor = 3
 
 // Offsets of the fields of struct seccomp_data.
@@ -24,15 +24,15 @@
 	argSize      = 8
 )
 
-// launchOrder is what an injector asks of a launcher.
+// launchOrder tells a launcher which program to execute and which calls to filter.
 type launchOrder struct {
-	Path      string // of the program
+	Path      string // of the program under test
 	Matches   []Match
-	WithoutVD bool // have the injector remove the vDSO
+	WithoutVD bool // stop for the injector, which removes the vDSO
 }
 
-// RunLauncher turns this process into the program under test if it was started as a
-// launcher; otherwise it returns at once. A test's TestMain calls it first.
+// RunLauncher replaces this process by the program under test if it was started as a
+// launcher; otherwise it returns at once. TestMain must call it first.
 func RunLauncher() {
 	text, ok := os.LookupEnv(launchVariable)
 	if !ok {
@@ -44,8 +44,8 @@
 	}
 }
 
-// launch installs the filter on this thread, hands its listener over, and executes the
-// program in this process's place. It returns only on failure.
+// launch installs the filter on this thread, sends its listener to the injector, and
+// executes the program in place of this process. It returns only on failure.
 func launch(text string) error {
 	runtime.LockOSThread()
 	var order launchOrder
@@ -72,7 +72,7 @@
 		return fmt.Errorf("filter: %w", err)
 	}
 	if err := unix.Sendmsg(controlDescriptor, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("hand over the listener: %w", err)
+		return fmt.Errorf("send the listener: %w", err)
 	}
 	unix.CloseOnExec(controlDescriptor)
 	if order.WithoutVD {
@@ -85,8 +85,9 @@
 	return fmt.Errorf("execute %s: %w", order.Path, errno)
 }
 
-// installFilter has the kernel ask the injector about each matching call of this thread,
-// and of all that it becomes. It gives the descriptor on which the kernel asks.
+// installFilter installs a seccomp filter on this thread that notifies the injector of each
+// matching call. The filter survives execve and is inherited by child threads and processes.
+// It returns the listener descriptor, on which the notifications arrive.
 func installFilter(matches []Match) (int, error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return 0, err
@@ -102,7 +103,7 @@
 	return int(descriptor), nil
 }
 
-// filterProgram is the BPF program that picks out the matches and allows all else.
+// filterProgram returns the BPF program that notifies on the matches and allows all other calls.
 func filterProgram(matches []Match) []unix.SockFilter {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
@@ -110,18 +111,18 @@
 	skipUnless := func(value uint32, skip uint8) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jf: skip, K: value}
 	}
-	answer := func(action uint32) unix.SockFilter {
+	result := func(action uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 	}
 	var program []unix.SockFilter
 	for _, m := range matches {
 		program = append(program, load(offsetNumber))
 		if m.Arg == AnyArg {
-			program = append(program, skipUnless(uint32(m.Number), 1), answer(unix.SECCOMP_RET_USER_NOTIF))
+			program = append(program, skipUnless(uint32(m.Number), 1), result(unix.SECCOMP_RET_USER_NOTIF))
 			continue
 		}
 		program = append(program, skipUnless(uint32(m.Number), 3), load(offsetArgs+argSize*uint32(m.Arg)),
-			skipUnless(m.Value, 1), answer(unix.SECCOMP_RET_USER_NOTIF))
+			skipUnless(m.Value, 1), result(unix.SECCOMP_RET_USER_NOTIF))
 	}
-	return append(program, answer(unix.SECCOMP_RET_ALLOW))
+	return append(program, result(unix.SECCOMP_RET_ALLOW))
 }
--- a/lab/syscallfault/syscallfault.go
+++ b/lab/syscallfault/syscallfault.go
@@ -1,15 +1,15 @@
 // Package syscallfault starts a program whose system calls can be made to fail, and
-// whose wall clock can be made to step. It is for tests of the built program: the
-// program itself is not changed and needs no hook.
+// whose wall clock can be stepped. It tests the built program as it is: the program is
+// not changed and needs no hook.
 //
-// The kernel asks the injector about each system call that a Match picks out (seccomp
-// user notification), without special rights: the filter holds for the started process
-// alone. For the clock, the process is started without its vDSO, so that the time is
-// asked of the kernel and the call can be answered.
+// The kernel notifies the injector of each system call that a Match selects (seccomp
+// user notification). This needs no privileges: the filter applies to the started process
+// and its children only. To control the clock, the process is started without its vDSO,
+// so that it reads the time by a system call, which the injector answers.
 //
-// Inputs: the command, the matches, and a function that decides about each call. The
-// function runs on one goroutine; while it runs the caller waits. It works on Linux on
-// amd64 alone.
+// Inputs are the command, the matches, and a function that decides about each call. The
+// function runs on one goroutine, and the calling thread is blocked while it runs. The
+// package supports Linux on amd64 only.
 package syscallfault
 
 import (
@@ -30,25 +30,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// AnyArg in a Match picks a call out whatever its arguments are.
+// AnyArg as Match.Arg selects a call regardless of its arguments.
 const AnyArg = -1
 
-// Match picks system calls out, by number and by the low 32 bits of one argument.
+// Match selects system calls by number and by the low 32 bits of one argument.
 type Match struct {
 	Number int
 	Arg    int // 0 to 5, or AnyArg
 	Value  uint32
 }
 
-// Call is a system call that the process is about to make.
+// Call is a system call that a thread of the process is about to make.
 type Call struct {
 	Process int
 	Number  int
 	Args    [6]uint64
 }
 
-// Descriptor is what the call's first argument is as a descriptor, such as
-// "socket:[4711]"; empty if it is none.
+// Descriptor returns what the call's first argument refers to as a file descriptor, such
+// as "socket:[4711]", or "" if it is not an open descriptor.
 func (c Call) Descriptor() string {
 	target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", c.Process, int32(c.Args[0])))
 	if err != nil {
@@ -57,10 +57,10 @@
 	return target
 }
 
-// IsSocket tells whether the call's first argument is a socket.
+// IsSocket reports whether the call's first argument is a socket.
 func (c Call) IsSocket() bool { return strings.HasPrefix(c.Descriptor(), "socket:") }
 
-// ReadUint32 reads the 32 bits that an argument points to; false: it can't be read.
+// ReadUint32 reads the 32-bit value that an argument points to; false if it can't be read.
 func (c Call) ReadUint32(arg int) (uint32, bool) {
 	var b [4]byte
 	local := []unix.Iovec{{Base: &b[0], Len: uint64(len(b))}}
@@ -69,26 +69,26 @@
 	return binary.NativeEndian.Uint32(b[:]), err == nil
 }
 
-// Decide gives the error that a call fails with; 0: the call is made as usual. ShortWrite is no
-// error: it has a write(2) or pwrite(2) take half of its bytes.
+// Decide returns the error that a call fails with; 0 lets the call proceed. ShortWrite is not
+// an error: it makes a write(2) or pwrite(2) write half of its bytes.
 type Decide func(Call) syscall.Errno
 
-// ShortWrite has a write take half of its bytes, as a full socket or a full disk does. It is a number that
-// no error of the system has.
+// ShortWrite makes a write write half of its bytes, as a full socket or a full disk does. Its
+// value is not used by any system error.
 const ShortWrite syscall.Errno = 1 << 12
 
-// Injector answers for the system calls of one started process.
+// Injector answers the notified system calls of one started process.
 type Injector struct {
-	process  int
-	listener int
-	decide   Decide
-	step     atomic.Int64 // of the wall clock, in ns
-	made     sync.Map     // errno -> *atomic.Int64
-	done     chan struct{}
+	process   int
+	listener  int
+	decide    Decide
+	clockStep atomic.Int64 // offset of the wall clock, in ns
+	failures  sync.Map     // errno -> *atomic.Int64
+	done      chan struct{}
 }
 
-// Start starts a command under an injector. The test's TestMain must call RunLauncher.
-// With clock set, StepClock works. The injector ends with the process.
+// Start starts a command under an injector. TestMain must call RunLauncher. StepClock
+// works only if clock is set. The injector ends with the process.
 func Start(cmd *exec.Cmd, matches []Match, clock bool, decide Decide) (*Injector, error) {
 	if clock {
 		matches = append(matches, Match{Number: unix.SYS_CLOCK_GETTIME, Arg: 0, Value: unix.CLOCK_REALTIME})
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("syscallfault: %w", err)
 	}
 	defer unix.Close(control)
-	runtime.LockOSThread() // the thread that starts a traced process is its tracer
+	runtime.LockOSThread() // ptrace requests must come from the thread that started the process
 	defer runtime.UnlockOSThread()
 	err = cmd.Start()
 	for _, f := range cmd.ExtraFiles {
@@ -107,8 +107,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("syscallfault: %w", err)
 	}
-	x := &Injector{process: cmd.Process.Pid, decide: decide, done: make(chan struct{})}
-	if x.listener, err = receiveDescriptor(control); err != nil {
+	injector := &Injector{process: cmd.Process.Pid, decide: decide, done: make(chan struct{})}
+	if injector.listener, err = receiveDescriptor(control); err != nil {
 		return nil, fmt.Errorf("syscallfault: launcher: %w", err)
 	}
 	if clock {
@@ -116,11 +116,12 @@
 			return nil, fmt.Errorf("syscallfault: vDSO: %w", err)
 		}
 	}
-	go x.serve()
-	return x, nil
+	go injector.serve()
+	return injector, nil
 }
 
-// prepare turns a command into its launcher and gives our end of the control socket.
+// prepare changes a command to start the launcher and returns the injector's end of the control
+// socket.
 func prepare(cmd *exec.Cmd, order launchOrder) (control int, err error) {
 	text, err := json.Marshal(order)
 	if err != nil {
@@ -149,7 +150,7 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(rights[:n])
 	if err != nil || len(messages) != 1 {
-		return 0, errors.Join(errors.New("it ended before it handed a listener over"), err)
+		return 0, errors.Join(errors.New("it ended before it sent a listener"), err)
 	}
 	descriptors, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -158,22 +159,22 @@
 	return descriptors[0], nil
 }
 
-// StepClock moves the process's wall clock by a span, from what it shows now. Its
-// monotonic clock goes on as before.
-func (x *Injector) StepClock(by time.Duration) { x.step.Add(int64(by)) }
+// StepClock steps the process's wall clock by a duration, relative to its current value.
+// The monotonic clock is not affected.
+func (injector *Injector) StepClock(by time.Duration) { injector.clockStep.Add(int64(by)) }
 
-// FailureCount counts the calls that were made to fail with an error.
-func (x *Injector) FailureCount(errno syscall.Errno) int64 {
-	if n, ok := x.made.Load(errno); ok {
+// FailureCount returns the number of calls that the injector made fail with errno.
+func (injector *Injector) FailureCount(errno syscall.Errno) int64 {
+	if n, ok := injector.failures.Load(errno); ok {
 		return n.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
-// Done is closed once the process has ended.
-func (x *Injector) Done() <-chan struct{} { return x.done }
+// Done returns a channel that is closed once the process has ended.
+func (injector *Injector) Done() <-chan struct{} { return injector.done }
 
-// notification is struct seccomp_notif, response is struct seccomp_notif_resp.
+// notification mirrors struct seccomp_notif, response struct seccomp_notif_resp.
 type (
 	notification struct {
 		ID     uint64
@@ -192,47 +193,47 @@
 	}
 )
 
-// serve answers the kernel until the process has ended.
-func (x *Injector) serve() {
-	defer close(x.done)
-	defer unix.Close(x.listener)
+// serve answers notifications until the process has ended.
+func (injector *Injector) serve() {
+	defer close(injector.done)
+	defer unix.Close(injector.listener)
 	for {
-		poll := []unix.PollFd{{Fd: int32(x.listener), Events: unix.POLLIN}}
+		poll := []unix.PollFd{{Fd: int32(injector.listener), Events: unix.POLLIN}}
 		if _, err := unix.Poll(poll, -1); err != nil {
-			continue // a signal
+			continue // interrupted by a signal
 		}
 		if poll[0].Revents&unix.POLLIN == 0 {
-			return // nobody is left under the filter
+			return // no process is left under the filter
 		}
 		var n notification
-		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(x.listener), unix.SECCOMP_IOCTL_NOTIF_RECV,
+		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(injector.listener), unix.SECCOMP_IOCTL_NOTIF_RECV,
 			uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // the caller has ended meanwhile
+			continue // the calling thread has ended meanwhile
 		}
-		r := x.answer(n)
-		_, _, _ = syscall.Syscall(syscall.SYS_IOCTL, uintptr(x.listener), unix.SECCOMP_IOCTL_NOTIF_SEND,
+		r := injector.respond(n)
+		_, _, _ = syscall.Syscall(syscall.SYS_IOCTL, uintptr(injector.listener), unix.SECCOMP_IOCTL_NOTIF_SEND,
 			uintptr(unsafe.Pointer(&r)))
 	}
 }
 
-func (x *Injector) answer(n notification) response {
+func (injector *Injector) respond(n notification) response {
 	r := response{ID: n.ID, Flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 	if n.Number == unix.SYS_CLOCK_GETTIME {
-		if x.tell(int(n.PID), uintptr(n.Args[1])) == nil {
+		if injector.writeClock(int(n.PID), uintptr(n.Args[1])) == nil {
 			r.Flags = 0
 		}
 		return r
 	}
-	errno := x.decide(Call{Process: int(n.PID), Number: int(n.Number), Args: n.Args})
+	errno := injector.decide(Call{Process: int(n.PID), Number: int(n.Number), Args: n.Args})
 	if errno == ShortWrite {
-		short, err := x.writeHalf(n)
+		short, err := injector.writeHalf(n)
 		if err != nil {
-			return r // as usual
+			return r // let the call proceed
 		}
 		r.Value, r.Error, r.Flags = short.Value, short.Error, 0
 	}
 	if errno != 0 {
-		count, _ := x.made.LoadOrStore(errno, new(atomic.Int64))
+		count, _ := injector.failures.LoadOrStore(errno, new(atomic.Int64))
 		count.(*atomic.Int64).Add(1)
 		if errno != ShortWrite {
 			r.Error, r.Flags = -int32(errno), 0
@@ -241,13 +242,14 @@
 	return r
 }
 
-// writeHalf makes a write in the process's place, of half its bytes, and gives what came of it.
-func (x *Injector) writeHalf(n notification) (r response, err error) {
+// writeHalf writes the first half of the bytes on behalf of the process and returns the result as
+// the response to its call.
+func (injector *Injector) writeHalf(n notification) (r response, err error) {
 	size := int(n.Args[2]) / 2
 	if size == 0 {
-		return r, errors.New("nothing to halve")
+		return r, errors.New("less than two bytes to write")
 	}
-	process, err := unix.PidfdOpen(x.process, 0)
+	process, err := unix.PidfdOpen(injector.process, 0)
 	if err != nil {
 		return r, err
 	}
@@ -278,9 +280,9 @@
 	return r, nil
 }
 
-// tell writes the stepped time to where the process wants it.
-func (x *Injector) tell(process int, address uintptr) error {
-	now := unix.NsecToTimespec(time.Now().UnixNano() + x.step.Load())
+// writeClock writes the stepped time to an address in the process's memory.
+func (injector *Injector) writeClock(process int, address uintptr) error {
+	now := unix.NsecToTimespec(time.Now().UnixNano() + injector.clockStep.Load())
 	var b [16]byte
 	binary.NativeEndian.PutUint64(b[:], uint64(now.Sec))
 	binary.NativeEndian.PutUint64(b[8:], uint64(now.Nsec))
@@ -293,11 +295,11 @@
 const (
 	auxIgnore = 1  // AT_IGNORE
 	auxVDSO   = 33 // AT_SYSINFO_EHDR
-	word      = 8
+	wordSize  = 8
 )
 
-// removeVDSO waits for a traced process to execute its program, takes the vDSO out of
-// the auxiliary vector on its stack, and lets it go.
+// removeVDSO waits for a traced process to execute its program, removes the vDSO from the
+// auxiliary vector on its stack, and detaches from it.
 func removeVDSO(process int) error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(process, &status, syscall.WALL, nil); err != nil {
@@ -310,17 +312,17 @@
 	if err := syscall.PtraceGetRegs(process, &registers); err != nil {
 		return err
 	}
-	at := uintptr(registers.Rsp)
-	peek := func() (uint64, error) {
-		var b [word]byte
-		_, err := syscall.PtracePeekData(process, at, b[:])
-		at += word
+	address := uintptr(registers.Rsp)
+	readWord := func() (uint64, error) {
+		var b [wordSize]byte
+		_, err := syscall.PtracePeekData(process, address, b[:])
+		address += wordSize
 		return binary.NativeEndian.Uint64(b[:]), err
 	}
-	at += word // the count of arguments
+	address += wordSize // skip argc
 	for range 2 {
-		for { // arguments, then the environment; a null ends each
-			if v, err := peek(); err != nil {
+		for { // argv, then envp; each ends with a null pointer
+			if v, err := readWord(); err != nil {
 				return err
 			} else if v == 0 {
 				break
@@ -328,21 +330,21 @@
 		}
 	}
 	for {
-		key, err := peek()
+		key, err := readWord()
 		if err != nil {
 			return err
 		}
 		if key == 0 {
-			return errors.New("there is none")
+			return errors.New("no entry in the auxiliary vector")
 		}
 		if key == auxVDSO {
-			var b [word]byte
+			var b [wordSize]byte
 			binary.NativeEndian.PutUint64(b[:], auxIgnore)
-			if _, err := syscall.PtracePokeData(process, at-word, b[:]); err != nil {
+			if _, err := syscall.PtracePokeData(process, address-wordSize, b[:]); err != nil {
 				return err
 			}
 			return syscall.PtraceDetach(process)
 		}
-		at += word
+		address += wordSize
 	}
 }
