--- a/cmd/cherryramp-fleet/main.go
+++ b/cmd/cherryramp-fleet/main.go
@@ -1,10 +1,10 @@
-// Command cherryramp-fleet is the front with its part in a fleet linked in, and the
-// commands to ask a fleet. cherryramp runs it in its own place where the operator's
-// file has a section fleet, and for `cherryramp fleet`; nobody need call it by name.
+// Command cherryramp-fleet is the front built with fleet membership, and the commands
+// that query a fleet. cherryramp executes it in place of itself if the operator's file
+// has a section fleet, and for `cherryramp fleet`; it need not be called directly.
 //
-// It exits with 0 where all is well, 1 where something failed, 2 where it was called
-// in a way that it does not know, and 4 where a work that was waited for ended
-// before its machine was out.
+// Exit codes: 0 success, 1 failure, 2 wrong usage, 4 if a maintenance operation that
+// was waited for ended before its machine was out, a purge was not complete in time, a
+// version was turned down or rolled back, or an audit has missing or broken records.
 package main
 
 import (
@@ -25,15 +25,15 @@
 	"cherryramp/internal/program"
 )
 
-// failed is an exit code whose cause has been told.
-type failed int
+// exitCode is an error that sets the exit code; its cause has been printed already.
+type exitCode int
 
-func (f failed) Error() string { return fmt.Sprintf("exit code %d", int(f)) }
+func (code exitCode) Error() string { return fmt.Sprintf("exit code %d", int(code)) }
 
 const exitUsage = 2
 
 func main() {
-	program.JoinFleet = part
+	program.JoinFleet = joinFleet
 	if len(os.Args) == 1 || os.Args[1] == "serve" {
 		if program.Serve() != nil {
 			os.Exit(1)
@@ -46,12 +46,12 @@
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(fleetCommand())
 	cmd, err := root.ExecuteC()
-	var code failed
-	var wrong badCall
+	var code exitCode
+	var usage usageError
 	switch {
 	case errors.As(err, &code):
 		os.Exit(int(code))
-	case errors.As(err, &wrong):
+	case errors.As(err, &usage):
 		fmt.Fprintln(os.Stderr, "cherryramp:", err)
 		os.Exit(exitUsage)
 	case err != nil && !running:
@@ -63,24 +63,25 @@
 	}
 }
 
-// part begins a front's part in the fleet of the operator's file.
-func part(c *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetParticipant, error) {
-	var first []consensus.Address
-	for _, m := range c.InitialMembers {
-		first = append(first, consensus.Address{Name: m.Name, Address: m.Address})
+// joinFleet starts a front's membership in the fleet that the operator's file describes.
+func joinFleet(section *config.Fleet, shared *config.Exchange, front string, l *loop.Loop, host program.FleetHost, log *slog.Logger) (program.FleetParticipant, error) {
+	var initialMembers []consensus.Address
+	for _, m := range section.InitialMembers {
+		initialMembers = append(initialMembers, consensus.Address{Name: m.Name, Address: m.Address})
 	}
-	k := c.Keys
-	keep := int64(0)
+	keys := section.Keys
+	ownerLease := int64(0)
 	if shared != nil {
-		keep = int64(shared.OwnerLeaseS * 1e6)
+		ownerLease = int64(shared.OwnerLeaseS * 1e6)
 	}
-	return fleet.Start(fleet.Config{Config: consensus.Config{Fleet: c.Name, Name: front, Zone: c.Zone, Machine: cmp.Or(c.Machine, front),
-		Address: c.Address, Build: revision(), FirstMembers: first, Rules: c.Rules.Maintenance(), Tick: int64(c.TickMS) * 1000, LostAfter: int64(c.LostMS) * 1000,
-		SeatGrace: int64(c.GraceS) * 1_000_000, FanOut: c.FanOut, SnapshotEntries: uint64(c.MaxLogEntries), OwnerLease: keep}, Exchange: shared, Listen: c.Listen, Folder: c.DataDir, Reach: c.AddressOverrides,
-		Keys: peers.Files{Certificate: k.Certificate, Key: k.Key, Authorities: k.Authorities, Names: k.PeerNames, Revoked: k.Revoked}}, l, host, log)
+	return fleet.Start(fleet.Config{Config: consensus.Config{Fleet: section.Name, Name: front, Zone: section.Zone, Machine: cmp.Or(section.Machine, front),
+		Address: section.Address, Build: revision(), FirstMembers: initialMembers, Rules: section.Rules.Maintenance(), Tick: int64(section.TickMS) * 1000, LostAfter: int64(section.LostMS) * 1000,
+		SeatGrace: int64(section.GraceS) * 1_000_000, FanOut: section.FanOut, SnapshotEntries: uint64(section.MaxLogEntries), OwnerLease: ownerLease}, Exchange: shared, Listen: section.Listen, Folder: section.DataDir, Reach: section.AddressOverrides,
+		Keys: peers.Files{Certificate: keys.Certificate, Key: keys.Key, Authorities: keys.Authorities, Names: keys.PeerNames, Revoked: keys.Revoked}}, l, host, log)
 }
 
-// revision names the build: its version-control revision, where the tool chain noted one.
+// revision returns the version-control revision of the build if the toolchain recorded one,
+// else the module version or "unknown".
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
