--- a/cmd/cherryramp/clients_test.go
+++ b/cmd/cherryramp/clients_test.go
@@ -7,74 +7,74 @@
 	"time"
 )
 
-// One prefix gets its share of places and no more; who is turned away gets a
-// clean end, and a place that is given back can be taken again.
-func TestPrefixHoldsItsShare(t *testing.T) {
+// Guards against one address prefix taking more than its share of connections: an excess
+// connection is closed cleanly, and a place that becomes free can be taken again.
+func TestPrefixConnectionLimit(t *testing.T) {
 	s := newSite(t, 1, `{"clients":{"each_prefix":3,"idle_ms":60000}}`)
 	s.boxes[0].serveAll()
 	served := func(c *client) bool {
-		c.send(get("page-asset", "9f3a", 2000))
-		r, _ := c.answer("GET")
+		c.send(getRequest("page-asset", "9f3a", 2000))
+		r, _ := c.readResponse("GET")
 		return r.StatusCode == 200 && r.Header.Get("Keep-Alive") == "timeout=60"
 	}
-	var in []*client
+	var conns []*client
 	for range 3 {
 		c := dial(t, s.addr)
 		if !served(c) {
-			t.Fatal("within the share and not served")
+			t.Fatal("not served though within the share")
 		}
-		in = append(in, c)
+		conns = append(conns, c)
 	}
-	if c := dial(t, s.addr); !c.closed() {
-		t.Error("a fourth was let in")
+	if c := dial(t, s.addr); !c.waitClosed() {
+		t.Error("a fourth connection was accepted")
 	}
 	s.log.await(t, "too many connections of its prefix")
-	_ = in[0].c.Close()
-	// The front hears of the end when it does: ask until then.
-	for end := time.Now().Add(patience); ; {
+	_ = conns[0].conn.Close()
+	// The front notices the close with some delay: retry until then.
+	for end := time.Now().Add(waitTimeout); ; {
 		c := dial(t, s.addr)
-		c.send(get("page-asset", "9f3a", 2000))
-		if _, err := c.r.Peek(1); err == nil {
+		c.send(getRequest("page-asset", "9f3a", 2000))
+		if _, err := c.reader.Peek(1); err == nil {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the place is not given back")
+			t.Fatal("the place does not become free")
 		}
 	}
-	for _, c := range in[1:] {
+	for _, c := range conns[1:] {
 		if !served(c) {
-			t.Error("one that was there has suffered")
+			t.Error("an existing connection was affected")
 		}
 	}
 }
 
-// A request that does not come whole in its time is told so, an idle connection
-// ends in its own, and neither troubles the others.
-func TestClientsTimes(t *testing.T) {
+// Guards the timeouts of clients: a request that is not complete in time gets 408, and an idle
+// connection is closed after the idle timeout.
+func TestClientTimeouts(t *testing.T) {
 	s := newSite(t, 1, `{"clients":{"idle_ms":300,"request_ms":200}}`)
 	s.boxes[0].serveAll()
 	half := dial(t, s.addr)
 	half.send("GET /call/page-asset/9f3a")
-	if r, _ := half.answer("GET"); r.StatusCode != 408 {
-		t.Errorf("half a request: %d", r.StatusCode)
+	if r, _ := half.readResponse("GET"); r.StatusCode != 408 {
+		t.Errorf("incomplete request: %d", r.StatusCode)
 	}
 	quiet := dial(t, s.addr)
-	if !quiet.closed() {
-		t.Error("one that said nothing stayed")
+	if !quiet.waitClosed() {
+		t.Error("a silent connection stays open")
 	}
 	used := dial(t, s.addr)
-	used.send(get("page-asset", "9f3a", 2000))
-	if r, _ := used.answer("GET"); r.StatusCode != 200 {
+	used.send(getRequest("page-asset", "9f3a", 2000))
+	if r, _ := used.readResponse("GET"); r.StatusCode != 200 {
 		t.Errorf("got %d", r.StatusCode)
 	}
-	if !used.closed() {
-		t.Error("an idle one stayed")
+	if !used.waitClosed() {
+		t.Error("an idle connection stays open")
 	}
 }
 
-// SIGTERM with many idle connections and one request open: the open one is
-// answered, all idle ones end, and the front ends by itself.
-func TestEndWithManyIdle(t *testing.T) {
+// Guards SIGTERM with many idle connections and one open request: the request is answered, all
+// idle connections are closed, and the front exits by itself.
+func TestSIGTERMWithManyIdleConnections(t *testing.T) {
 	s := newSite(t, 1, `{"clients":{"idle_ms":600000}}`)
 	var idle []*client
 	for range 400 {
@@ -83,66 +83,66 @@
 		idle = append(idle, c)
 	}
 	for _, c := range idle {
-		if r, _ := c.answer("GET"); r.StatusCode != 200 {
+		if r, _ := c.readResponse("GET"); r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
 	}
 	open := dial(t, s.addr)
-	open.send(get("guide-video", "9f3a", 4000))
-	x := s.boxes[0].next(t)
+	open.send(getRequest("guide-video", "9f3a", 4000))
+	cmd := s.boxes[0].nextCommand(t)
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range idle {
-		if !c.closed() {
-			t.Fatalf("idle connection %d stayed", i)
+		if !c.waitClosed() {
+			t.Fatalf("idle connection %d stays open", i)
 		}
 	}
-	x.reply("ok", "sum=t1,t0=1,why=warm", object(x))
-	if r, body := open.answer("GET"); r.StatusCode != 200 || body != object(x) {
-		t.Errorf("the open one: %d", r.StatusCode)
+	cmd.reply("ok", "sum=t1,t0=1,why=warm", objectBody(cmd))
+	if r, body := open.readResponse("GET"); r.StatusCode != 200 || body != objectBody(cmd) {
+		t.Errorf("the open request got %d", r.StatusCode)
 	}
 	select {
-	case err := <-s.ended:
+	case err := <-s.exited:
 		if err != nil || !strings.Contains(s.log.String(), "msg=ended open=0") {
 			t.Errorf("ended with %v: %s", err, s.log)
 		}
-	case <-time.After(patience):
-		t.Fatal("the front goes on")
+	case <-time.After(waitTimeout):
+		t.Fatal("the front does not exit")
 	}
 }
 
-// All idle connections ask at once: each gets one whole answer, served or
-// refused with a time to come back, and the front is calm afterwards.
-func TestAllWakeAtOnce(t *testing.T) {
-	for _, law := range []string{"aimd", "gradient"} {
-		t.Run(law, func(t *testing.T) {
-			s := newSite(t, 1, `{"clients":{"idle_ms":600000,"admission":"`+law+`"}}`)
+// Guards against all idle connections sending at once: each gets one whole response, served or
+// refused with a time to retry, and the front serves normally afterwards.
+func TestAllIdleConnectionsSendAtOnce(t *testing.T) {
+	for _, algorithm := range []string{"aimd", "gradient"} {
+		t.Run(algorithm, func(t *testing.T) {
+			s := newSite(t, 1, `{"clients":{"idle_ms":600000,"admission":"`+algorithm+`"}}`)
 			s.boxes[0].serveAll()
-			var herd []*client
+			var conns []*client
 			for range 400 {
-				herd = append(herd, dial(t, s.addr))
+				conns = append(conns, dial(t, s.addr))
 			}
 			for range 2 {
-				for _, c := range herd {
-					c.send(get("page-asset", "9f3a", 2000))
+				for _, c := range conns {
+					c.send(getRequest("page-asset", "9f3a", 2000))
 				}
 				served := 0
-				for _, c := range herd {
-					switch r, body := c.answer("GET"); {
+				for _, c := range conns {
+					switch r, body := c.readResponse("GET"); {
 					case r.StatusCode == 200 && len(body) > 1000:
 						served++
 					case r.StatusCode != 503 || r.Header.Get("Srv-Wait-Ms") == "":
 						t.Fatalf("got %d, %v", r.StatusCode, r.Header)
 					}
 				}
-				if served < 8 { // what the limiter always lets be open
-					t.Errorf("%d of %d were served", served, len(herd))
+				if served < 8 { // the limiter's minimum of open requests
+					t.Errorf("%d of %d were served", served, len(conns))
 				}
 			}
 			c := dial(t, s.addr)
-			c.send(get("page-asset", "9f3a", 2000))
-			if r, _ := c.answer("GET"); r.StatusCode != 200 {
+			c.send(getRequest("page-asset", "9f3a", 2000))
+			if r, _ := c.readResponse("GET"); r.StatusCode != 200 {
 				t.Errorf("afterwards: %d", r.StatusCode)
 			}
 		})
--- a/cmd/cherryramp/conformance_test.go
+++ b/cmd/cherryramp/conformance_test.go
@@ -7,8 +7,8 @@
 	"cherryramp/lab/conformance"
 )
 
-// The whole suite against the started program. What reaches the nodes is
-// counted: nothing that was to be refused.
+// Runs the whole conformance suite against the started front. Guards against a request that
+// should be refused reaching a node: the requests that reach nodes are counted.
 func TestConformance(t *testing.T) {
 	w, err := conformance.New(time.Now())
 	if err != nil {
@@ -16,26 +16,26 @@
 	}
 	s := newSite(t, 1, string(w.Operator("LISTEN")))
 	s.boxes[0].serveAll()
-	cases, may := w.Cases(), 0
+	cases, accepted := w.Cases(), 0
 	for _, c := range cases {
 		if c.Status < 400 || c.Status == 416 {
-			may++
+			accepted++
 		}
 	}
-	failed, err := conformance.Run(s.signed, cases, patience)
+	failed, err := conformance.Run(s.signedAddr, cases, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range failed {
 		t.Error(f)
 	}
-	if came := s.boxes[0].taken.Load(); came > int64(may) || came == 0 {
-		t.Errorf("%d requests came to the node, %d may", came, may)
+	if reached := s.boxes[0].served.Load(); reached > int64(accepted) || reached == 0 {
+		t.Errorf("%d requests reached the node, at most %d should", reached, accepted)
 	}
 	for _, n := range []*node{s.parent, s.origin} {
-		if len(n.came) > 0 {
-			t.Error("a request came to a parent or the origin")
+		if len(n.commands) > 0 {
+			t.Error("a request reached the parent or the origin")
 		}
 	}
-	t.Logf("%d cases, %d of them let in", len(cases), may)
+	t.Logf("%d cases, %d of them accepted", len(cases), accepted)
 }
--- a/cmd/cherryramp/drain_test.go
+++ b/cmd/cherryramp/drain_test.go
@@ -14,24 +14,24 @@
 	"cherryramp/lab/syscallfault"
 )
 
-// Drains and ends of a started front whose system calls fail, or whose clock steps.
+// Tests of draining and shutting down a started front whose system calls fail.
 
-// drainedBy is when a front that was told to drain must take nothing any more: 4 s after it
-// was told, less the 2 s for which requests may be open.
-const drainedBy = 2 * time.Second
+// drainTimeout is when a front must have stopped accepting after LAMEDUCK: 4 s, less the 2 s for
+// which requests may be open.
+const drainTimeout = 2 * time.Second
 
-// listenerShutdown picks out shutdown(2) for reading, which nothing but a listener needs.
+// listenerShutdown selects shutdown(2) for reading, which is only used on listeners.
 var listenerShutdown = syscallfault.Match{Number: unix.SYS_SHUTDOWN, Arg: 1, Value: unix.SHUT_RD}
 
-// newSiteUnderFaults is newSiteEnv with the front under an injector.
-func newSiteUnderFaults(t *testing.T, boxes int, f faults, more ...string) *site {
+// newFaultySite is newSiteWithEnv with faults in the front's system calls.
+func newFaultySite(t *testing.T, boxes int, f faultOptions, env ...string) *site {
 	t.Helper()
-	return newSiteUnder(t, boxes, "", func(config string) string { return config }, &f, more...)
+	return newSiteWithFaults(t, boxes, "", func(config string) string { return config }, &f, env...)
 }
 
-// takesWork tells whether a front says at the clients' address that it takes work: a new
-// connection is accepted, and the health check on it is answered with 200.
-func takesWork(addr string) bool {
+// reportsReady reports whether a front accepts a new connection at the clients' address and
+// answers the health check on it with 200.
+func reportsReady(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
@@ -45,7 +45,7 @@
 	return err == nil && r.StatusCode == http.StatusOK
 }
 
-// accepts tells whether a new client is accepted at an address.
+// accepts reports whether a new connection is accepted at an address.
 func accepts(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return true
 }
 
-// eventually waits for a condition within a span.
+// eventually polls a condition until it holds, and reports whether it did within a duration.
 func eventually(within time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if condition() {
@@ -65,58 +65,59 @@
 	return condition()
 }
 
-// The incident: the kernel refuses to shut a listening socket down (ENOTCONN, as its page
-// and POSIX allow), and a front that was told to drain goes on taking new clients.
-func TestDrainWhereAListenerCannotBeShutDown(t *testing.T) {
-	door := freeAddress(t)
-	s := newSiteUnderFaults(t, 1, faults{
+// Guards against a front that keeps accepting new clients after LAMEDUCK because the kernel
+// refuses to shut down a listening socket (ENOTCONN, which the man page and POSIX allow).
+func TestDrainWhenListenerShutdownFails(t *testing.T) {
+	adminAddr := freeAddress(t)
+	s := newFaultySite(t, 1, faultOptions{
 		matches: []syscallfault.Match{listenerShutdown},
 		decide:  func(syscallfault.Call) syscall.Errno { return unix.ENOTCONN },
-	}, "ROUTER_OPS="+door)
-	if !eventually(patience, func() bool { return call(t, door, "PING")[0] == "ok ready" }) || !takesWork(s.addr) {
-		t.Fatal("it was never ready")
+	}, "ROUTER_OPS="+adminAddr)
+	if !eventually(waitTimeout, func() bool { return adminCall(t, adminAddr, "PING")[0] == "ok ready" }) || !reportsReady(s.addr) {
+		t.Fatal("it did not become ready")
 	}
-	if got := call(t, door, "LAMEDUCK")[0]; got != "ok lame duck" {
+	if got := adminCall(t, adminAddr, "LAMEDUCK")[0]; got != "ok lame duck" {
 		t.Fatalf("LAMEDUCK: %q", got)
 	}
-	if !eventually(drainedBy, func() bool { return !takesWork(s.addr) }) {
-		t.Error("told to drain, it still says that it takes work")
+	if !eventually(drainTimeout, func() bool { return !reportsReady(s.addr) }) {
+		t.Error("after LAMEDUCK it still reports ready")
 	}
-	if !eventually(drainedBy, func() bool { return !accepts(s.addr) }) {
-		t.Error("told to drain, it still accepts new clients")
+	if !eventually(drainTimeout, func() bool { return !accepts(s.addr) }) {
+		t.Error("after LAMEDUCK it still accepts new clients")
 	}
-	if got := call(t, door, "REJOIN")[0]; got != "ok rejoined" || !eventually(patience, func() bool { return takesWork(s.addr) }) {
-		t.Errorf("REJOIN: %q, and it does not take work", got)
+	if got := adminCall(t, adminAddr, "REJOIN")[0]; got != "ok rejoined" || !eventually(waitTimeout, func() bool { return reportsReady(s.addr) }) {
+		t.Errorf("REJOIN: %q, or it does not report ready", got)
 	}
 }
 
-// Guards against a request that is lost because its client could not know of the connection's
-// end: where our side can't be shut for writing, the client hears of it as soon as all is taken.
-func TestDrainTellsIdleClientsWhereTheirSideCannotBeShut(t *testing.T) {
-	const told = 40 * time.Millisecond // of the 50 in which a request may cross its connection's end
-	door := freeAddress(t)
-	s := newSiteUnderFaults(t, 1, faults{
+// Guards against a request that is lost because its client does not learn that the connection is
+// closed: if shutdown(2) for writing fails, the front closes the connection as soon as everything
+// has been read.
+func TestDrainClosesIdleClientsWhenWriteShutdownFails(t *testing.T) {
+	const maxDelay = 40 * time.Millisecond // of the 50 ms in which a request may cross the close of its connection
+	adminAddr := freeAddress(t)
+	s := newFaultySite(t, 1, faultOptions{
 		matches: []syscallfault.Match{{Number: unix.SYS_SHUTDOWN, Arg: 1, Value: unix.SHUT_WR}},
 		decide:  func(syscallfault.Call) syscall.Errno { return unix.ENOTCONN },
-	}, "ROUTER_OPS="+door)
-	c := s.served(t, "9f3a")
-	call(t, door, "LAMEDUCK")
+	}, "ROUTER_OPS="+adminAddr)
+	c := s.fetchFromBox(t, "9f3a")
+	adminCall(t, adminAddr, "LAMEDUCK")
 	began := time.Now()
-	if !c.closed() || time.Since(began) > told {
-		t.Errorf("it is told of the end after %v", time.Since(began))
+	if !c.waitClosed() || time.Since(began) > maxDelay {
+		t.Errorf("the connection closed after %v", time.Since(began))
 	}
 }
 
-// A client whose connection is kept asks on it whether the front takes work: a front that
-// drains, or is told to end, says no there as well, not at the operators' door alone.
+// Guards against a front that drains, or has got SIGTERM, and still reports ready to health checks
+// on kept connections; it must report not ready there as well, not only at the admin endpoint.
 func TestHealthCheckOnAKeptConnectionFollowsTheDrain(t *testing.T) {
 	for _, end := range []string{"LAMEDUCK", "SIGTERM"} {
 		t.Run(end, func(t *testing.T) {
-			door := freeAddress(t)
-			s := newSiteEnv(t, 1, "", "ROUTER_OPS="+door)
+			adminAddr := freeAddress(t)
+			s := newSiteWithEnv(t, 1, "", "ROUTER_OPS="+adminAddr)
 			c := dial(t, s.addr)
-			c.send(get("guide-video", "9f3a", 4000)) // keeps the connection in use through the drain's begin
-			x := s.boxes[0].next(t)
+			c.send(getRequest("guide-video", "9f3a", 4000)) // keeps the connection in use while the drain starts
+			cmd := s.boxes[0].nextCommand(t)
 			c.send("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n")
 			other := dial(t, s.addr)
 			other.send("GET /ping HTTP/1.1\r\n")
@@ -124,18 +125,18 @@
 				s.signal(syscall.SIGTERM)
 				s.log.await(t, "told to end")
 			} else {
-				call(t, door, "LAMEDUCK")
+				adminCall(t, adminAddr, "LAMEDUCK")
 			}
 			other.send("Host: x\r\n\r\n")
-			if r, _ := other.answer("GET"); r.StatusCode == http.StatusOK {
+			if r, _ := other.readResponse("GET"); r.StatusCode == http.StatusOK {
 				t.Errorf("a half-read health check is answered with %d", r.StatusCode)
 			}
-			x.reply("ok", "sum=t1,t0=1,why=warm", object(x))
-			if r, _ := c.answer("GET"); r.StatusCode != http.StatusOK {
+			cmd.reply("ok", "sum=t1,t0=1,why=warm", objectBody(cmd))
+			if r, _ := c.readResponse("GET"); r.StatusCode != http.StatusOK {
 				t.Errorf("the open request got %d", r.StatusCode)
 			}
-			if call(t, door, "PING")[0] == "ok ready" {
-				t.Error("the door says ready")
+			if adminCall(t, adminAddr, "PING")[0] == "ok ready" {
+				t.Error("the admin endpoint reports ready")
 			}
 		})
 	}
--- a/cmd/cherryramp/main.go
+++ b/cmd/cherryramp/main.go
@@ -1,15 +1,14 @@
-// Command cherryramp is the front and what an operator needs beside it:
+// Command cherryramp is the front, with the operator's commands around it:
 //
-//	cherryramp [serve]   one real front, until SIGTERM
-//	cherryramp check     all faults of configuration files
-//	cherryramp sign      a link of any format, by a key of the operator's file
-//	cherryramp verify    whether a link is let in, and why not
-//	cherryramp keys      the states of the keys
-//	cherryramp fleet     what the fronts of one installation agree on
+//	cherryramp [serve]   serves as one front until SIGTERM
+//	cherryramp check     reports all errors of configuration files
+//	cherryramp sign      signs a link of any format with a key of the operator's file
+//	cherryramp verify    reports whether a link is accepted, and why not
+//	cherryramp keys      lists the keys and their states
+//	cherryramp fleet     queries and controls the fleet of fronts of one installation
 //
-// It exits with 0 where all is well, 1 where something failed or is at fault, 2
-// where it was called in a way that it does not know, and 3 where a link is not
-// let in.
+// Exit codes: 0 success, 1 failure or faulty configuration, 2 wrong usage, 3 if a link
+// is refused.
 package main
 
 import (
@@ -22,45 +21,45 @@
 	"cherryramp/internal/program"
 )
 
-// failed is an exit code whose cause has been told.
-type failed int
+// exitCode is an error that sets the exit code; its cause has been printed already.
+type exitCode int
 
-func (f failed) Error() string { return fmt.Sprintf("exit code %d", int(f)) }
+func (code exitCode) Error() string { return fmt.Sprintf("exit code %d", int(code)) }
 
 const (
-	atFault  failed = 1
-	notLetIn failed = 3
+	exitFailed  exitCode = 1
+	exitRefused exitCode = 3
 )
 
-// exitUsage is the exit code of a call that is not known.
+// exitUsage is the exit code for wrong usage.
 const exitUsage = 2
 
 func main() {
-	if len(os.Args) == 1 { // as the platform starts it: nothing is made for a command line
+	if len(os.Args) == 1 { // the platform starts it this way; skips building the command line
 		if program.Serve() != nil {
-			os.Exit(int(atFault))
+			os.Exit(int(exitFailed))
 		}
 		return
 	}
 	running := false
 	root := &cobra.Command{Use: "cherryramp", Short: "A gateway in front of caches of large objects",
-		Long: "A gateway in front of caches of large objects. Without a command it serves.\n\nThe environment gives ROUTER_CONFIG, " +
-			"ROUTER_NAME, ROUTER_LISTEN, ROUTER_OPS (the operators' door), CHERRYRAMP_OPERATOR and CHERRYRAMP_LOG.\n\nExit codes: 0 well, 1 failed or at fault, " +
-			"2 called in a way that is not known, 3 a link is not let in.",
+		Long: "A gateway in front of caches of large objects. Without a command it serves.\n\nEnvironment variables: ROUTER_CONFIG, " +
+			"ROUTER_NAME, ROUTER_LISTEN, ROUTER_OPS (the admin endpoint), CHERRYRAMP_OPERATOR and CHERRYRAMP_LOG.\n\nExit codes: 0 success, 1 failure or faulty configuration, " +
+			"2 wrong usage, 3 a link is refused.",
 		SilenceErrors: true, SilenceUsage: true,
 		PersistentPreRun: func(*cobra.Command, []string) { running = true }}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(&cobra.Command{Use: "serve", Short: "Serve as one front, until SIGTERM", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if program.Serve() != nil {
-				return atFault
+				return exitFailed
 			}
 			return nil
 		}}, checkCommand(), signCommand(), verifyCommand(), keysCommand(),
-		&cobra.Command{Use: "fleet", Short: "What the fronts of one installation agree on", DisableFlagParsing: true,
+		&cobra.Command{Use: "fleet", Short: "Query and control the fleet of fronts of one installation", DisableFlagParsing: true,
 			RunE: func(*cobra.Command, []string) error { return program.ExecFleetCommand() }})
 	cmd, err := root.ExecuteC()
-	var code failed
+	var code exitCode
 	switch {
 	case errors.As(err, &code):
 		os.Exit(int(code))
@@ -69,6 +68,6 @@
 		os.Exit(exitUsage)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "cherryramp:", err)
-		os.Exit(int(atFault))
+		os.Exit(int(exitFailed))
 	}
 }
--- a/cmd/cherryramp/syscalls_test.go
+++ b/cmd/cherryramp/syscalls_test.go
@@ -16,67 +16,68 @@
 	"cherryramp/lab/syscallfault"
 )
 
-// A started front whose system calls fail, now and then, in the ways that their pages
-// document. Nothing of what was taken may be lost by it.
-
-// failing is a way in which system calls fail.
-type failing struct {
-	name    string
-	matches []syscallfault.Match
-	errno   syscall.Errno
-	rate    float64 // of the calls
-	inRow   int     // at most, so that trying again helps
+// Tests of a started front whose system calls fail at a rate, with errors that their man pages
+// document. No accepted request may be lost.
+
+// faultMode is a way in which system calls fail.
+type faultMode struct {
+	name     string
+	matches  []syscallfault.Match
+	errno    syscall.Errno
+	rate     float64 // fraction of the calls that fail
+	maxInRow int     // maximum of successive failures, so that retrying helps
 }
 
-func anyOf(numbers ...int) (matches []syscallfault.Match) {
+func matchCalls(numbers ...int) (matches []syscallfault.Match) {
 	for _, n := range numbers {
 		matches = append(matches, syscallfault.Match{Number: n, Arg: syscallfault.AnyArg})
 	}
 	return matches
 }
 
-var failings = []failing{
-	{"accept ECONNABORTED", anyOf(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ECONNABORTED, 0.4, 3},
-	{"accept EINTR", anyOf(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.EINTR, 0.4, 3},
-	{"accept ENFILE", anyOf(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ENFILE, 0.3, 3},
-	{"accept ENOBUFS", anyOf(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ENOBUFS, 0.3, 3},
-	{"accept ETIMEDOUT", anyOf(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ETIMEDOUT, 0.3, 3},
-	{"write ENOBUFS", anyOf(unix.SYS_WRITE), unix.ENOBUFS, 0.3, 3},
-	{"write EINTR", anyOf(unix.SYS_WRITE), unix.EINTR, 0.3, 3},
-	{"write EAGAIN", anyOf(unix.SYS_WRITE), unix.EAGAIN, 0.3, 3},
-	{"read EINTR", anyOf(unix.SYS_READV), unix.EINTR, 0.3, 3},
-	{"connect EADDRNOTAVAIL", anyOf(unix.SYS_CONNECT), unix.EADDRNOTAVAIL, 0.5, 2},
-	{"connect ENOBUFS", anyOf(unix.SYS_CONNECT), unix.ENOBUFS, 0.5, 2},
-	{"connect EINTR", anyOf(unix.SYS_CONNECT), unix.EINTR, 0.5, 2},
-	{"connect ENETUNREACH", anyOf(unix.SYS_CONNECT), unix.ENETUNREACH, 0.3, 1},
-	{"connect EHOSTUNREACH", anyOf(unix.SYS_CONNECT), unix.EHOSTUNREACH, 0.3, 1},
-	{"socket ENFILE", anyOf(unix.SYS_SOCKET), unix.ENFILE, 0.5, 2},
-	{"socket ENOBUFS", anyOf(unix.SYS_SOCKET), unix.ENOBUFS, 0.5, 2},
-	{"shutdown ENOTCONN", anyOf(unix.SYS_SHUTDOWN), unix.ENOTCONN, 1, 1 << 30},
-	{"shutdown ENOBUFS", anyOf(unix.SYS_SHUTDOWN), unix.ENOBUFS, 0.5, 3},
+var faultModes = []faultMode{
+	{"accept ECONNABORTED", matchCalls(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ECONNABORTED, 0.4, 3},
+	{"accept EINTR", matchCalls(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.EINTR, 0.4, 3},
+	{"accept ENFILE", matchCalls(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ENFILE, 0.3, 3},
+	{"accept ENOBUFS", matchCalls(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ENOBUFS, 0.3, 3},
+	{"accept ETIMEDOUT", matchCalls(unix.SYS_ACCEPT, unix.SYS_ACCEPT4), unix.ETIMEDOUT, 0.3, 3},
+	{"write ENOBUFS", matchCalls(unix.SYS_WRITE), unix.ENOBUFS, 0.3, 3},
+	{"write EINTR", matchCalls(unix.SYS_WRITE), unix.EINTR, 0.3, 3},
+	{"write EAGAIN", matchCalls(unix.SYS_WRITE), unix.EAGAIN, 0.3, 3},
+	{"read EINTR", matchCalls(unix.SYS_READV), unix.EINTR, 0.3, 3},
+	{"connect EADDRNOTAVAIL", matchCalls(unix.SYS_CONNECT), unix.EADDRNOTAVAIL, 0.5, 2},
+	{"connect ENOBUFS", matchCalls(unix.SYS_CONNECT), unix.ENOBUFS, 0.5, 2},
+	{"connect EINTR", matchCalls(unix.SYS_CONNECT), unix.EINTR, 0.5, 2},
+	{"connect ENETUNREACH", matchCalls(unix.SYS_CONNECT), unix.ENETUNREACH, 0.3, 1},
+	{"connect EHOSTUNREACH", matchCalls(unix.SYS_CONNECT), unix.EHOSTUNREACH, 0.3, 1},
+	{"socket ENFILE", matchCalls(unix.SYS_SOCKET), unix.ENFILE, 0.5, 2},
+	{"socket ENOBUFS", matchCalls(unix.SYS_SOCKET), unix.ENOBUFS, 0.5, 2},
+	{"shutdown ENOTCONN", matchCalls(unix.SYS_SHUTDOWN), unix.ENOTCONN, 1, 1 << 30},
+	{"shutdown ENOBUFS", matchCalls(unix.SYS_SHUTDOWN), unix.ENOBUFS, 0.5, 3},
 	{"epoll_ctl ENOMEM", []syscallfault.Match{{Number: unix.SYS_EPOLL_CTL, Arg: 1, Value: unix.EPOLL_CTL_ADD}}, unix.ENOMEM, 1, 2},
-	{"poll EINTR", anyOf(unix.SYS_POLL, unix.SYS_PPOLL), unix.EINTR, 0.5, 3},
+	{"poll EINTR", matchCalls(unix.SYS_POLL, unix.SYS_PPOLL), unix.EINTR, 0.5, 3},
 }
 
-// shortWrites take half of their bytes.
-var shortWrites = failing{"write short", anyOf(unix.SYS_WRITE), syscallfault.ShortWrite, 0.5, 5}
+// shortWrites makes writes write half of their bytes.
+var shortWrites = faultMode{"write short", matchCalls(unix.SYS_WRITE), syscallfault.ShortWrite, 0.5, 5}
 
-// decider fails calls on sockets at a rate, from a seed.
-func (f *failing) decider(seed uint64, armed func() bool) syscallfault.Decide {
+// newDecide returns a function that makes calls on sockets fail at the mode's rate while armed,
+// drawn from a seeded random source.
+func (mode *faultMode) newDecide(seed uint64, armed func() bool) syscallfault.Decide {
 	r := rand.New(rand.NewPCG(seed, 33))
-	row := 0
+	inRow := 0
 	return func(c syscallfault.Call) syscall.Errno {
-		if !armed() || !concernsSocket(c) || row >= f.inRow || r.Float64() >= f.rate {
-			row = 0
+		if !armed() || !concernsSocket(c) || inRow >= mode.maxInRow || r.Float64() >= mode.rate {
+			inRow = 0
 			return 0
 		}
-		row++
-		return f.errno
+		inRow++
+		return mode.errno
 	}
 }
 
-// concernsSocket tells whether a call is about a socket; of epoll's, whether it begins to wait
-// for room in a full one.
+// concernsSocket reports whether a call is about a socket. Of epoll_ctl calls these are the ones that
+// start to wait until a full socket is writable.
 func concernsSocket(c syscallfault.Call) bool {
 	switch c.Number {
 	case unix.SYS_SOCKET, unix.SYS_POLL, unix.SYS_PPOLL:
@@ -88,59 +89,56 @@
 	return c.IsSocket()
 }
 
-// Guards what was taken against system calls that fail: each request is served whole, an answer
-// that is taken slowly too; a drain empties the front, a rejoin takes it back; and the end is clean.
+// Guards accepted requests against failing system calls: each is served whole, also to a client that
+// reads slowly; LAMEDUCK drains the front, REJOIN reverts it, and the front exits cleanly.
 func TestSystemCallsThatFail(t *testing.T) {
-	// An aim of seconds, which no answer misses: nothing is refused for its sake.
-	playSystemCallsThatFail(t, func(config string) string {
+	// A goal time of seconds, which no answer exceeds, so that nothing is refused because of it.
+	runWithFailingSystemCalls(t, func(config string) string {
 		return strings.Replace(config, `"goal-time-us":200000`, `"goal-time-us":4000000`, 1)
 	})
 }
 
-// What happens: on a busy machine nearly every request of a play is refused with 503, each of them
-// alone on the front, while its client waits 5 s and all servers answer in milliseconds.
-//
-// Why: one answer that a busy machine held up was taken as proof of how slow all servers of its kind
-// are. With an aim of 200 ms every later request was expected to miss it and was refused, so
-// nothing was sent that could have corrected the belief.
-//
-// What showed it: the same play with an aim of 4 s passes. The log line "request refused" names the
-// server, the time expected of it and the time left, with nothing in flight there.
+// Guards against a front that refuses nearly every request with 503 on a busy machine, although each is
+// the only one on the front, its client waits 5 s and all servers answer in milliseconds. One answer
+// that the busy machine delayed was taken as the response time of all servers of its kind. With a goal
+// time of 200 ms every later request was expected to exceed it and was refused, so no request was sent
+// that could have corrected the estimate. With a goal time of 4 s the same run passes. The log line
+// "request refused" names the server, its expected time and the time left, with nothing in flight there.
 func TestSystemCallsThatFailWithAShortAim(t *testing.T) {
-	playSystemCallsThatFail(t, func(config string) string { return config })
+	runWithFailingSystemCalls(t, func(config string) string { return config })
 }
 
-func playSystemCallsThatFail(t *testing.T, change func(config string) string) {
-	for i, f := range append(slices.Clone(failings), shortWrites) {
+func runWithFailingSystemCalls(t *testing.T, change func(config string) string) {
+	for i, f := range append(slices.Clone(faultModes), shortWrites) {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			door := freeAddress(t)
-			s := newSiteUnder(t, 2, "", change, &faults{matches: f.matches, decide: f.decider(uint64(i), func() bool { return true })}, "ROUTER_OPS="+door)
+			adminAddr := freeAddress(t)
+			s := newSiteWithFaults(t, 2, "", change, &faultOptions{matches: f.matches, decide: f.newDecide(uint64(i), func() bool { return true })}, "ROUTER_OPS="+adminAddr)
 			for _, b := range s.boxes {
 				b.serveLarge()
 			}
 			s.parent.serveLarge()
 			s.origin.serveLarge()
-			serveAndDrain(t, s, door)
-			if s.faults.FailureCount(f.errno) == 0 {
+			serveAndDrain(t, s, adminAddr)
+			if s.injector.FailureCount(f.errno) == 0 {
 				t.Error("no call failed")
 			}
 		})
 	}
 }
 
-func serveAndDrain(t *testing.T, s *site, door string) {
-	slow := narrow(t, s.addr, "127.0.1.1")
-	_ = slow.c.SetDeadline(time.Now().Add(patience))
-	slow.r = bufio.NewReaderSize(slow.c, 16)
-	const behind = 3 // requests behind each other: more than its socket takes
+func serveAndDrain(t *testing.T, s *site, adminAddr string) {
+	slow := dialNarrow(t, s.addr, "127.0.1.1")
+	_ = slow.conn.SetDeadline(time.Now().Add(waitTimeout))
+	slow.reader = bufio.NewReaderSize(slow.conn, 16)
+	const behind = 3 // pipelined requests: their responses exceed the socket's buffers
 	for range behind {
-		slow.send(get("guide-video", "9f00", 5000))
+		slow.send(getRequest("guide-video", "9f00", 5000))
 	}
 	serve := func(c *client) {
 		t.Helper()
-		c.send(get("guide-video", "9f3a", 5000))
-		if r, body := c.answer("GET"); r.StatusCode != http.StatusOK || len(body) != 240_000 {
+		c.send(getRequest("guide-video", "9f3a", 5000))
+		if r, body := c.readResponse("GET"); r.StatusCode != http.StatusOK || len(body) != 240_000 {
 			t.Errorf("got %d, %d bytes", r.StatusCode, len(body))
 		}
 	}
@@ -150,82 +148,80 @@
 		serve(dial(t, s.addr))
 	}
 	for range behind {
-		if r, body := slow.answer("GET"); r.StatusCode != http.StatusOK || len(body) != 240_000 {
-			t.Errorf("taken slowly: %d, %d bytes", r.StatusCode, len(body))
+		if r, body := slow.readResponse("GET"); r.StatusCode != http.StatusOK || len(body) != 240_000 {
+			t.Errorf("slow reader: %d, %d bytes", r.StatusCode, len(body))
 		}
 	}
-	if got := call(t, door, "LAMEDUCK"); len(got) == 0 || got[0] != "ok lame duck" {
+	if got := adminCall(t, adminAddr, "LAMEDUCK"); len(got) == 0 || got[0] != "ok lame duck" {
 		t.Errorf("LAMEDUCK: %q", got)
 	}
-	if !kept.closed() {
-		t.Error("an idle connection stays open in a drain")
+	if !kept.waitClosed() {
+		t.Error("an idle connection stays open while draining")
 	}
-	if !eventually(drainedBy, func() bool { return !accepts(s.addr) }) {
-		t.Error("told to drain, it still accepts new clients")
+	if !eventually(drainTimeout, func() bool { return !accepts(s.addr) }) {
+		t.Error("after LAMEDUCK it still accepts new clients")
 	}
 	s.log.await(t, "drain: over")
-	if got := call(t, door, "REJOIN"); len(got) == 0 || got[0] != "ok rejoined" {
+	if got := adminCall(t, adminAddr, "REJOIN"); len(got) == 0 || got[0] != "ok rejoined" {
 		t.Errorf("REJOIN: %q", got)
 	}
-	if !eventually(drainedBy, func() bool { return call(t, door, "PING")[0] == "ok ready" }) {
-		t.Error("it is not ready again")
+	if !eventually(drainTimeout, func() bool { return adminCall(t, adminAddr, "PING")[0] == "ok ready" }) {
+		t.Error("it is not ready after REJOIN")
 	}
 	serve(dial(t, s.addr))
 	s.signal(syscall.SIGTERM)
 	began := time.Now()
-	s.ends()
-	if spent := time.Since(began); spent > killedAfter {
-		t.Errorf("it ended %v after SIGTERM", spent)
+	s.awaitCleanExit()
+	if spent := time.Since(began); spent > killDelay {
+		t.Errorf("it exited %v after SIGTERM", spent)
 	}
 }
 
-// What happens: a client's connection is reset, its request read by nobody or read and not answered.
-//
-// Why: the poller's library closes a connection outright where epoll_ctl fails as it takes the connection
-// in, and where readv fails with anything but EINTR and EAGAIN. Both fail with ENOMEM while the kernel
-// lacks memory (epoll_ctl(2), recv(2)), which says nothing of the connection.
-//
-// What showed it: the poller's lines at level DEBUG, "connection register failed: cannot allocate
-// memory", one for each client that was reset; of readv it says nothing, and the clients are reset as well.
+// Guards against a client's connection being reset with its request unread, or read but not answered. The
+// poller's library closes a connection if epoll_ctl fails when it registers the connection, and if readv
+// fails with an error other than EINTR and EAGAIN. Both fail with ENOMEM while the kernel lacks memory
+// (epoll_ctl(2), recv(2)), which is unrelated to the connection. The poller logs "connection register
+// failed: cannot allocate memory" at level DEBUG for each client that is reset by the first, and nothing
+// for the second.
 func TestConnectionsSurviveAPollerWithoutMemory(t *testing.T) {
-	for name, f := range map[string]failing{
-		"taken in": {"epoll_ctl ENOMEM", []syscallfault.Match{{Number: unix.SYS_EPOLL_CTL, Arg: 1, Value: unix.EPOLL_CTL_ADD}}, unix.ENOMEM, 0.4, 2},
-		"read":     {"readv ENOMEM", anyOf(unix.SYS_READV), unix.ENOMEM, 0.3, 3},
+	for name, f := range map[string]faultMode{
+		"register": {"epoll_ctl ENOMEM", []syscallfault.Match{{Number: unix.SYS_EPOLL_CTL, Arg: 1, Value: unix.EPOLL_CTL_ADD}}, unix.ENOMEM, 0.4, 2},
+		"read":     {"readv ENOMEM", matchCalls(unix.SYS_READV), unix.ENOMEM, 0.3, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			door := freeAddress(t)
+			adminAddr := freeAddress(t)
 			var serving atomic.Bool
 			random, row := rand.New(rand.NewPCG(36, 1)), 0
 			decide := func(c syscallfault.Call) syscall.Errno {
-				if !serving.Load() || !byLibrary(c) || row >= f.inRow || random.Float64() >= f.rate {
+				if !serving.Load() || !fromPollerLibrary(c) || row >= f.maxInRow || random.Float64() >= f.rate {
 					row = 0
 					return 0
 				}
 				row++
 				return f.errno
 			}
-			patient := func(config string) string {
+			relaxedGoal := func(config string) string {
 				return strings.Replace(config, `"goal-time-us":200000`, `"goal-time-us":4000000`, 1)
 			}
-			s := newSiteUnder(t, 2, "", patient, &faults{matches: f.matches, decide: decide}, "ROUTER_OPS="+door)
+			s := newSiteWithFaults(t, 2, "", relaxedGoal, &faultOptions{matches: f.matches, decide: decide}, "ROUTER_OPS="+adminAddr)
 			serving.Store(true)
 			for _, b := range s.boxes {
 				b.serveLarge()
 			}
 			s.parent.serveLarge()
 			s.origin.serveLarge()
-			serveAndDrain(t, s, door)
-			if s.faults.FailureCount(f.errno) == 0 {
+			serveAndDrain(t, s, adminAddr)
+			if s.injector.FailureCount(f.errno) == 0 {
 				t.Error("no call failed")
 			}
 		})
 	}
 }
 
-// byLibrary tells whether a call is the poller's library's. Go's own poller, which the operators' door
-// and the dialler's part of the library stand on, watches by edge.
-func byLibrary(c syscallfault.Call) bool {
+// fromPollerLibrary reports whether a call is made by the poller's library. Go's own poller, which the
+// admin endpoint and the dialing part of the library use, registers edge-triggered.
+func fromPollerLibrary(c syscallfault.Call) bool {
 	if c.Number != unix.SYS_EPOLL_CTL {
 		return true
 	}
