--- a/cmd/cherryramp/conformance_test.go
+++ b/cmd/cherryramp/conformance_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSite(t, 1, string(w.Operator("LISTEN")))
+	s := newSite(t, 1, string(w.OperatorFile("LISTEN")))
 	s.boxes[0].serveAll()
 	cases, accepted := w.Cases(), 0
 	for _, c := range cases {
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		if err := w.Load(keys); err != nil {
+		if err := w.LoadKeys(keys); err != nil {
 			return err
 		}
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			return err
 		}
-		if s, err = site.Start(site.Options{Front: front, Operator: w.Operator}); err != nil {
+		if s, err = site.Start(site.Options{Front: front, Operator: w.OperatorFile}); err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, s.Stop()) }()
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(os.WriteFile(filepath.Join(c.Dir, "operator.json"), w.Operator(c.Listen), 0o600),
+	return errors.Join(os.WriteFile(filepath.Join(c.Dir, "operator.json"), w.OperatorFile(c.Listen), 0o600),
 		os.WriteFile(filepath.Join(c.Dir, "keys.pem"), keys, 0o600))
 }
 
@@ -196,16 +196,16 @@
 	if err != nil {
 		return err
 	}
-	s, err := site.Start(site.Options{Front: front, Operator: w.Operator, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
+	s, err := site.Start(site.Options{Front: front, Operator: w.OperatorFile, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Stop()) }()
-	forged, err := w.Links(c.Format, c.Carrier, c.Distinct, true)
+	forged, err := w.SignedRequests(c.Format, c.Carrier, c.Distinct, true)
 	if err != nil {
 		return err
 	}
-	good, err := w.Links(c.GoodFormat, "query", max(1, c.Good*int(c.For/time.Second)/5), false)
+	good, err := w.SignedRequests(c.GoodFormat, "query", max(1, c.Good*int(c.For/time.Second)/5), false)
 	if err != nil {
 		return err
 	}
--- a/cmd/ramplab/sim.go
+++ b/cmd/ramplab/sim.go
@@ -101,8 +101,8 @@
 			fmt.Printf("  %s\n", v)
 			bad = true
 		}
-		for _, e := range s.Expects {
-			if is, ok := e.Met(r); !ok {
+		for _, e := range s.Expectations {
+			if is, ok := e.Check(r); !ok {
 				fmt.Printf("  EXPECTED %s, it is %.3f\n", e, is)
 				bad = true
 			}
--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -56,7 +56,7 @@
 		return fmt.Errorf("--rate: %v: 0 to 10000 are possible", c.Rate)
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd())) && term.IsTerminal(int(os.Stdin.Fd()))
-	o := world.SocketOptions{Front: front, Operator: keys.Operator}
+	o := world.SocketOptions{Front: front, Operator: keys.OperatorFile}
 	if !live {
 		o.Log = os.Stderr
 	}
@@ -123,14 +123,14 @@
 }
 
 // links are requests to try out; nil while no front serves.
-func links(v world.View, keys *conformance.World) []string {
+func links(v world.View, keys *conformance.Fixture) []string {
 	f := v.Fronts[0]
 	if !f.Serves {
 		return nil
 	}
 	return []string{
 		fmt.Sprintf("platform  curl -i -H 'Req-Id: 9b1f03aa5c7e2d41' -H 'Req-Wait-Ms: 1500' -H 'X-Bucket: 17' 'http://%s/call/guide-video/9f3a?seg=3'", f.Address),
-		fmt.Sprintf("signed    curl -i 'http://%s%s'", f.Signed, keys.Good("edgeauth", "query", time.Hour)),
+		fmt.Sprintf("signed    curl -i 'http://%s%s'", f.Signed, keys.ValidLink("edgeauth", "query", time.Hour)),
 		fmt.Sprintf("refused   curl -i 'http://%s%s'", f.Signed, conformance.Target),
 	}
 }
--- a/lab/conformance/cases.go
+++ b/lab/conformance/cases.go
@@ -30,12 +30,12 @@
 
 // suite collects cases.
 type suite struct {
-	w    *World
+	w    *Fixture
 	list []Case
 }
 
 // Cases makes all cases of a world.
-func (w *World) Cases() []Case {
+func (w *Fixture) Cases() []Case {
 	s := &suite{w: w}
 	for _, f := range w.forms() {
 		s.good(f)
@@ -66,7 +66,7 @@
 // grant adds a case that the grant alone decides; reason empty: it is let in.
 func (s *suite) grant(f *form, what string, target string, fields []field, reason string) {
 	target, header := f.carry(target, fields)
-	s.add(Case{Name: f.name + "/" + f.carrier + "/" + what, Target: target, Header: header, Reason: reason, Pure: true})
+	s.add(Case{Name: f.name + "/" + f.carrier + "/" + what, Target: target, Header: header, Reason: reason, GrantOnly: true})
 }
 
 func (s *suite) add(c Case) {
@@ -111,11 +111,11 @@
 		s.signed(f, "other branch", wish{data: "edge-2"}, branch)
 	}
 	target, header := f.carry(Target, f.sign(wish{}.fill(f)))
-	s.add(Case{Name: f.name + "/" + f.carrier + "/HEAD", Method: "HEAD", Target: target, Header: header, Size: Size})
+	s.add(Case{Name: f.name + "/" + f.carrier + "/HEAD", Method: "HEAD", Target: target, Header: header, Size: ObjectSize})
 	if f.carrier == "query" && !strings.HasSuffix(f.name, "-url") {
 		own := f.sign(wish{}.fill(f))
 		text, _ := f.carry("", own)
-		s.add(Case{Name: f.name + "/query/before the part", Target: Path + "?" + text[1:] + "&seg=3", Pure: true})
+		s.add(Case{Name: f.name + "/query/before the part", Target: Path + "?" + text[1:] + "&seg=3", GrantOnly: true})
 	}
 }
 
@@ -194,16 +194,16 @@
 	switch f.carrier {
 	case "query":
 		_, text, _ := strings.Cut(target, "&")
-		s.add(Case{Name: f.name + "/query/twice", Target: target + "&" + text, Reason: twice, Pure: true})
-		s.add(Case{Name: f.name + "/query/name in capitals", Target: strings.Replace(target, f.field, strings.ToUpper(f.field), 1), Reason: missing, Pure: true})
-		s.add(Case{Name: f.name + "/query/name encoded", Target: strings.Replace(target, f.field, fmt.Sprintf("%%%02x", f.field[0])+f.field[1:], 1), Reason: malformed, Pure: true})
+		s.add(Case{Name: f.name + "/query/twice", Target: target + "&" + text, Reason: twice, GrantOnly: true})
+		s.add(Case{Name: f.name + "/query/name in capitals", Target: strings.Replace(target, f.field, strings.ToUpper(f.field), 1), Reason: missing, GrantOnly: true})
+		s.add(Case{Name: f.name + "/query/name encoded", Target: strings.Replace(target, f.field, fmt.Sprintf("%%%02x", f.field[0])+f.field[1:], 1), Reason: malformed, GrantOnly: true})
 	case "cookie":
-		s.add(Case{Name: f.name + "/cookie/twice", Target: target, Header: append(header, header...), Reason: twice, Pure: true})
-		s.add(Case{Name: f.name + "/cookie/name in capitals", Target: target, Header: []string{strings.Replace(header[0], f.field, strings.ToUpper(f.field), 1)}, Reason: missing, Pure: true})
-		s.add(Case{Name: f.name + "/cookie/of fifty", Target: target, Header: []string{header[0] + strings.Repeat("; x=y", 48)}, Pure: true})
+		s.add(Case{Name: f.name + "/cookie/twice", Target: target, Header: append(header, header...), Reason: twice, GrantOnly: true})
+		s.add(Case{Name: f.name + "/cookie/name in capitals", Target: target, Header: []string{strings.Replace(header[0], f.field, strings.ToUpper(f.field), 1)}, Reason: missing, GrantOnly: true})
+		s.add(Case{Name: f.name + "/cookie/of fifty", Target: target, Header: []string{header[0] + strings.Repeat("; x=y", 48)}, GrantOnly: true})
 	case "header":
-		s.add(Case{Name: f.name + "/header/twice", Target: target, Header: append(header, header...), Reason: twice, Pure: true})
-		s.add(Case{Name: f.name + "/header/name in capitals", Target: target, Header: []string{strings.ToUpper(f.field) + header[0][len(f.field):]}, Pure: true})
+		s.add(Case{Name: f.name + "/header/twice", Target: target, Header: append(header, header...), Reason: twice, GrantOnly: true})
+		s.add(Case{Name: f.name + "/header/name in capitals", Target: target, Header: []string{strings.ToUpper(f.field) + header[0][len(f.field):]}, GrantOnly: true})
 	}
 }
 
@@ -332,14 +332,14 @@
 			"/FILES/*": uncovered, "/files/guide-video/17/9f3a?": uncovered, "/files/guide-video/1?/9f3": uncovered,
 			strings.Repeat("*a", 200): uncovered, "%zz": malformed}
 	case strings.HasSuffix(f.name, "prefix"):
-		scopes = map[string]string{Base: "", Base + "/": "", Base + "/files/g": "", Base + Path: "", Base + Path + "/": uncovered,
-			"http://files.example/": uncovered, "https://files.exampl": "", Base + "/files/page-asset/": uncovered,
-			Base + "/?a": malformed, Base + "/#": malformed}
+		scopes = map[string]string{BaseURL: "", BaseURL + "/": "", BaseURL + "/files/g": "", BaseURL + Path: "", BaseURL + Path + "/": uncovered,
+			"http://files.example/": uncovered, "https://files.exampl": "", BaseURL + "/files/page-asset/": uncovered,
+			BaseURL + "/?a": malformed, BaseURL + "/#": malformed}
 	case strings.HasPrefix(f.name, "cloudfront"):
-		scopes = map[string]string{Base + "/files/*": "", "http*://files.example/*": "", "*": "", Base + Target: "", Base + Path + "?seg=?": "",
-			Base + "/files/*/9f3a?*": "", Base + Path: "", Base + "/files/page-asset/*": uncovered, "http://files.example/*": uncovered,
-			Base + "/files": uncovered, Base + "/FILES/*": uncovered}
-		scopes[Base+Path] = uncovered // the part is in the query, which belongs to the URL
+		scopes = map[string]string{BaseURL + "/files/*": "", "http*://files.example/*": "", "*": "", BaseURL + Target: "", BaseURL + Path + "?seg=?": "",
+			BaseURL + "/files/*/9f3a?*": "", BaseURL + Path: "", BaseURL + "/files/page-asset/*": uncovered, "http://files.example/*": uncovered,
+			BaseURL + "/files": uncovered, BaseURL + "/FILES/*": uncovered}
+		scopes[BaseURL+Path] = uncovered // the part is in the query, which belongs to the URL
 	case strings.HasPrefix(f.name, "cdni"):
 		scopes = map[string]string{`https://files\.example/files/.*`: "", `https://files\.example/files/guide-video/[0-9]+/9f3a\?seg=[0-9]`: "",
 			`.*`: "", `https://files\.example/files/(page-asset|guide-video)/17/9f3a.*`: "", `/files/.*`: uncovered,
@@ -366,12 +366,12 @@
 			var more []string
 			target, more = g.carry(target, g.sign(wish{}.fill(g)))
 			s.add(Case{Name: fmt.Sprintf("together/%s in %s with %s in %s", f.name, f.carrier, g.name, g.carrier), Target: target,
-				Header: append(append([]string(nil), header...), more...), Reason: twice, Pure: true})
+				Header: append(append([]string(nil), header...), more...), Reason: twice, GrantOnly: true})
 		}
 	}
-	s.add(Case{Name: "together/nothing", Target: Target, Reason: missing, Pure: true})
-	s.add(Case{Name: "together/a bare Expires", Target: Target + "&Expires=" + s.w.unix(time.Minute), Reason: malformed, Pure: true})
-	s.add(Case{Name: "together/a bare Signature", Target: Target + "&Signature=AAAA", Reason: malformed, Pure: true})
+	s.add(Case{Name: "together/nothing", Target: Target, Reason: missing, GrantOnly: true})
+	s.add(Case{Name: "together/a bare Expires", Target: Target + "&Expires=" + s.w.unix(time.Minute), Reason: malformed, GrantOnly: true})
+	s.add(Case{Name: "together/a bare Signature", Target: Target + "&Signature=AAAA", Reason: malformed, GrantOnly: true})
 }
 
 func (s *suite) find(name, carrier string) *form {
@@ -386,14 +386,14 @@
 // cloudFront is policies that are signed and odd.
 func (s *suite) cloudFront() {
 	later := s.w.unix(time.Minute)
-	good := `"Resource":"` + Base + `/*","Condition":{"DateLessThan":{"AWS:EpochTime":` + later + `}}`
+	good := `"Resource":"` + BaseURL + `/*","Condition":{"DateLessThan":{"AWS:EpochTime":` + later + `}}`
 	for _, kind := range []string{"rs", "es"} {
 		f := s.find("cloudfront-custom-"+kind, "query")
 		for what, x := range map[string]struct{ policy, want string }{
 			"plain policy":        {`{"Statement":[{` + good + `}]}`, ""},
 			"two statements":      {`{"Statement":[{` + good + `},{` + good + `}]}`, malformed},
 			"no statement":        {`{"Statement":[]}`, malformed},
-			"no expiry":           {`{"Statement":[{"Resource":"` + Base + `/*","Condition":{}}]}`, malformed},
+			"no expiry":           {`{"Statement":[{"Resource":"` + BaseURL + `/*","Condition":{}}]}`, malformed},
 			"no resource":         {`{"Statement":[{"Condition":{"DateLessThan":{"AWS:EpochTime":` + later + `}}}]}`, malformed},
 			"unknown condition":   {strings.Replace(`{"Statement":[{`+good+`}]}`, `"DateLessThan"`, `"Weekday":{"x":1},"DateLessThan"`, 1), malformed},
 			"expiry as text":      {strings.Replace(`{"Statement":[{`+good+`}]}`, later, `"`+later+`"`, 1), malformed},
@@ -462,7 +462,7 @@
 	c("token not taken back", wish{id: "another"}, "")
 	x := wish{claims: map[string]any{"cdnistt": 1, "cdniets": 30, "cdnistd": 2}}.fill(hs)
 	target, header := hs.carry(x.target, hs.sign(x))
-	s.add(Case{Name: "cdni-hs/query/renewed", Target: target, Header: header, Fields: map[string]string{
+	s.add(Case{Name: "cdni-hs/query/renewed", Target: target, Header: header, WantHeader: map[string]string{
 		"Set-Cookie": "URISigningPackage=*; Path=/files/guide-video/; Expires=*; Secure; HttpOnly"}})
 }
 
@@ -527,12 +527,12 @@
 		"edge token that is a JWT":  {Target: Target + "&hdnts=" + join(s.w.token(wish{}.fill(s.find("cdni-hs", "query"))), "."), Reason: malformed},
 		"JWT that is an edge token": {Target: Target + "&URISigningPackage=exp=1~hmac=00", Reason: malformed},
 	} {
-		c.Name, c.Pure = "sizes/"+name, true
+		c.Name, c.GrantOnly = "sizes/"+name, true
 		s.add(c)
 	}
 }
 
-func edgeLong(w *World) string {
+func edgeLong(w *Fixture) string {
 	return join(w.edge(wish{target: Target, key: "a", until: time.Minute, data: Branch, covers: "/files/*!" + strings.Repeat("/x", 1000)}, "", shaNew), "~")
 }
 
@@ -542,22 +542,22 @@
 	link, _ := f.carry(Target, f.sign(wish{}.fill(f)))
 	style, _ := f.carry("/files/page-asset/17/9f3a?seg=3", f.sign(wish{covers: "/files/*"}.fill(f)))
 	add := func(name string, status, size int, fields map[string]string, header ...string) {
-		s.add(Case{Name: "http/" + name, Target: link, Header: header, Status: status, Size: size, Fields: fields})
+		s.add(Case{Name: "http/" + name, Target: link, Header: header, Status: status, Size: size, WantHeader: fields})
 	}
 	whole := map[string]string{"ETag": `"t1"`, "Accept-Ranges": "bytes", "Content-Type": "video/mp4", "Content-Range": "",
 		"Content-Encoding": "", "Cache-Control": "private, no-cache", "Age": "*"}
-	add("whole", 200, Size, whole)
+	add("whole", 200, ObjectSize, whole)
 	for r, want := range map[string]struct {
 		status, size int
 		text         string
 	}{
 		"bytes=0-0": {206, 1, "bytes 0-0/14000"}, "bytes=0-99": {206, 100, "bytes 0-99/14000"}, "bytes=13999-": {206, 1, "bytes 13999-13999/14000"},
-		"bytes=-1": {206, 1, "bytes 13999-13999/14000"}, "bytes=-20000": {206, Size, "bytes 0-13999/14000"}, "bytes=100-20000": {206, 13900, "bytes 100-13999/14000"},
-		"bytes=0-": {206, Size, "bytes 0-13999/14000"}, "bytes=5-5,99999-": {206, 1, "bytes 5-5/14000"}, "bytes=14000-": {416, 0, "bytes */14000"},
+		"bytes=-1": {206, 1, "bytes 13999-13999/14000"}, "bytes=-20000": {206, ObjectSize, "bytes 0-13999/14000"}, "bytes=100-20000": {206, 13900, "bytes 100-13999/14000"},
+		"bytes=0-": {206, ObjectSize, "bytes 0-13999/14000"}, "bytes=5-5,99999-": {206, 1, "bytes 5-5/14000"}, "bytes=14000-": {416, 0, "bytes */14000"},
 		"bytes=-0": {416, 0, "bytes */14000"}, "bytes=99999999999999999999-": {416, 0, "bytes */14000"}, "bytes=0-99,50-149,75-99": {416, 0, "bytes */14000"},
 		"bytes=0-,0-": {416, 0, "bytes */14000"}, "bytes=0-0,1-1,2-2,3-3,4-4,5-5,6-6,7-7,8-8": {416, 0, "bytes */14000"},
-		"bytes=2-1": {200, Size, ""}, "bytes=x-y": {200, Size, ""}, "bytes": {200, Size, ""}, "bytes=": {200, Size, ""}, "pages=1-2": {200, Size, ""},
-		"bytes=1-2;3-4": {200, Size, ""}, "bytes=-": {200, Size, ""},
+		"bytes=2-1": {200, ObjectSize, ""}, "bytes=x-y": {200, ObjectSize, ""}, "bytes": {200, ObjectSize, ""}, "bytes=": {200, ObjectSize, ""}, "pages=1-2": {200, ObjectSize, ""},
+		"bytes=1-2;3-4": {200, ObjectSize, ""}, "bytes=-": {200, ObjectSize, ""},
 	} {
 		if want.status == 416 {
 			want.size = -1
@@ -565,42 +565,42 @@
 		add("range "+r, want.status, want.size, map[string]string{"Content-Range": want.text}, "Range: "+r)
 	}
 	add("two ranges", 206, -1, map[string]string{"Content-Type": "multipart/byteranges; boundary=*", "Content-Range": ""}, "Range: bytes=0-9,100-109")
-	add("two Range fields", 200, Size, nil, "Range: bytes=0-9", "Range: bytes=0-9")
+	add("two Range fields", 200, ObjectSize, nil, "Range: bytes=0-9", "Range: bytes=0-9")
 	add("range if the tag holds", 206, 10, nil, "Range: bytes=0-9", `If-Range: "t1"`)
-	add("range if another tag held", 200, Size, nil, "Range: bytes=0-9", `If-Range: "t0"`)
-	add("range if a weak tag held", 200, Size, nil, "Range: bytes=0-9", `If-Range: W/"t1"`)
-	add("range if unchanged since", 200, Size, nil, "Range: bytes=0-9", "If-Range: Tue, 01 Dec 2026 00:00:00 GMT")
+	add("range if another tag held", 200, ObjectSize, nil, "Range: bytes=0-9", `If-Range: "t0"`)
+	add("range if a weak tag held", 200, ObjectSize, nil, "Range: bytes=0-9", `If-Range: W/"t1"`)
+	add("range if unchanged since", 200, ObjectSize, nil, "Range: bytes=0-9", "If-Range: Tue, 01 Dec 2026 00:00:00 GMT")
 	for tags, status := range map[string]int{`"t1"`: 304, `W/"t1"`: 304, `"t0", "t1"`: 304, `"t0",W/"t1" , "t2"`: 304, `*`: 304, `"t0"`: 200, `t1`: 200, `"t1`: 200,
 		`"t0,t1"`: 200, `""`: 200, `"t1-br"`: 200} {
 		size := -1
 		if status == 200 {
-			size = Size
+			size = ObjectSize
 		}
 		add("if none matches "+tags, status, size, map[string]string{"ETag": `"t1"`}, "If-None-Match: "+tags)
 	}
 	add("condition before range", 304, -1, nil, `If-None-Match: "t1"`, "Range: bytes=0-9")
-	s.add(Case{Name: "http/HEAD with a range", Method: "HEAD", Target: link, Header: []string{"Range: bytes=0-9"}, Size: Size})
+	s.add(Case{Name: "http/HEAD with a range", Method: "HEAD", Target: link, Header: []string{"Range: bytes=0-9"}, Size: ObjectSize})
 	s.add(Case{Name: "http/HEAD with a condition", Method: "HEAD", Target: link, Header: []string{`If-None-Match: "t1"`}, Status: 304})
 	for _, m := range []string{"PUT", "POST", "DELETE", "PATCH", "TRACE", "get"} {
-		s.add(Case{Name: "http/" + m, Method: m, Target: link, Status: 405, Fields: map[string]string{"Allow": "GET, HEAD"}})
+		s.add(Case{Name: "http/" + m, Method: m, Target: link, Status: 405, WantHeader: map[string]string{"Allow": "GET, HEAD"}})
 	}
-	add("encodings of what is not compressible", 200, Size, map[string]string{"Content-Encoding": "", "Vary": "Origin"}, "Accept-Encoding: gzip, br")
+	add("encodings of what is not compressible", 200, ObjectSize, map[string]string{"Content-Encoding": "", "Vary": "Origin"}, "Accept-Encoding: gzip, br")
 	for accept, encoding := range map[string]string{"gzip": "gzip", "br": "br", "zstd": "zstd", "gzip, zstd, br": "br", "br;q=0.1, gzip": "gzip",
 		"identity": "", "*;q=0": "", "gzip;q=0": "", "deflate": "", "gzip;q=5": ""} {
 		tag := map[string]string{"gzip": `"t1-gz"`, "br": `"t1-br"`, "zstd": `"t1-zs"`, "": `"t1"`}[encoding]
 		s.add(Case{Name: "http/accepts " + accept, Target: style, Header: []string{"Accept-Encoding: " + accept},
-			Fields: map[string]string{"Content-Encoding": encoding, "ETag": tag, "Vary": "Accept-Encoding, Origin", "Content-Type": "text/css"}})
+			WantHeader: map[string]string{"Content-Encoding": encoding, "ETag": tag, "Vary": "Accept-Encoding, Origin", "Content-Type": "text/css"}})
 	}
 	s.add(Case{Name: "http/range of what is compressible", Target: style, Header: []string{"Accept-Encoding: gzip", "Range: bytes=0-9"},
-		Status: 206, Size: 10, Fields: map[string]string{"Content-Encoding": "", "ETag": `"t1"`}})
+		Status: 206, Size: 10, WantHeader: map[string]string{"Content-Encoding": "", "ETag": `"t1"`}})
 	s.add(Case{Name: "http/own encoded copy holds", Target: style, Header: []string{"Accept-Encoding: gzip", `If-None-Match: "t1-gz"`}, Status: 304})
 	s.add(Case{Name: "http/copy in an encoding not asked for", Target: style, Header: []string{"Accept-Encoding: br", `If-None-Match: "t1-gz"`}})
 	app := "Origin: https://app.example"
-	add("allowed origin", 200, Size, map[string]string{"Access-Control-Allow-Origin": "https://app.example", "Vary": "Origin"}, app)
-	add("other origin", 200, Size, map[string]string{"Access-Control-Allow-Origin": "", "Vary": "Origin"}, "Origin: https://evil.example")
-	add("origin null", 200, Size, map[string]string{"Access-Control-Allow-Origin": ""}, "Origin: null")
+	add("allowed origin", 200, ObjectSize, map[string]string{"Access-Control-Allow-Origin": "https://app.example", "Vary": "Origin"}, app)
+	add("other origin", 200, ObjectSize, map[string]string{"Access-Control-Allow-Origin": "", "Vary": "Origin"}, "Origin: https://evil.example")
+	add("origin null", 200, ObjectSize, map[string]string{"Access-Control-Allow-Origin": ""}, "Origin: null")
 	s.add(Case{Name: "http/refusal is readable to the page", Target: Target, Header: []string{app}, Reason: missing,
-		Fields: map[string]string{"Access-Control-Allow-Origin": "https://app.example", "Cache-Control": "no-store"}})
+		WantHeader: map[string]string{"Access-Control-Allow-Origin": "https://app.example", "Cache-Control": "no-store"}})
 	for name, x := range map[string]struct {
 		status int
 		header []string
--- a/lab/conformance/conformance_test.go
+++ b/lab/conformance/conformance_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-func verdicts(t *testing.T, w *World) {
-	o, err := config.ParseOperator(w.Operator("127.0.0.1:1"), ".")
+func verdicts(t *testing.T, w *Fixture) {
+	o, err := config.ParseOperator(w.OperatorFile("127.0.0.1:1"), ".")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 			t.Errorf("two cases are named %s", c.Name)
 		}
 		names[c.Name] = true
-		if !c.Pure {
+		if !c.GrantOnly {
 			continue
 		}
 		pure++
@@ -51,7 +51,7 @@
 				set.Resolve(v.Pending, v.Pending.Verify(), r.ReceivedAt)
 				v = set.Authorize(&r)
 			}
-			if !c.Gives(string(v.Refusal)) {
+			if !c.AcceptsReason(string(v.Refusal)) {
 				t.Errorf("%s: %q, want %q\n%s", c.Name, v.Refusal, c.Reason, c.Bytes())
 			}
 		}
--- a/lab/conformance/forms.go
+++ b/lab/conformance/forms.go
@@ -120,9 +120,9 @@
 	return path, nil
 }
 
-func (w *World) unix(d time.Duration) string { return fmt.Sprint(w.Now.Add(d).Unix()) }
+func (w *Fixture) unix(d time.Duration) string { return fmt.Sprint(w.Now.Add(d).Unix()) }
 
-func (w *World) edge(x wish, salt string, h func() hash.Hash) []field {
+func (w *Fixture) edge(x wish, salt string, h func() hash.Hash) []field {
 	keys := map[string]string{"a": secret, "b": otherOne, "retired": "retired" + secret, "revoked": "revoked" + secret}
 	key := keys[x.key]
 	if x.forge {
@@ -168,7 +168,7 @@
 }
 
 // cloud is Google's signed requests; ed with Ed25519 keys.
-func (w *World) cloud(x wish, sep string, ed, inPath bool) []field {
+func (w *Fixture) cloud(x wish, sep string, ed, inPath bool) []field {
 	sign := func(text string) string {
 		switch {
 		case ed && x.forge:
@@ -185,24 +185,24 @@
 	switch {
 	case inPath:
 		path, _, _ := strings.Cut(x.target, "?")
-		text = Base + path[:strings.LastIndexByte(path, '/')+1] + "edge-cache-token=" + join(out, "&")
+		text = BaseURL + path[:strings.LastIndexByte(path, '/')+1] + "edge-cache-token=" + join(out, "&")
 	case x.covers != "":
 		out = append([]field{{"URLPrefix", base64.URLEncoding.EncodeToString([]byte(x.covers))}}, out...)
 		text = join(out, sep)
 	case strings.Contains(x.target, "?"):
-		text = Base + x.target + "&" + join(out, "&")
+		text = BaseURL + x.target + "&" + join(out, "&")
 	default:
-		text = Base + x.target + "?" + join(out, "&")
+		text = BaseURL + x.target + "?" + join(out, "&")
 	}
 	return append(out, field{"Signature", sign(text)})
 }
 
 // amazon is CloudFront's canned and custom policies.
-func (w *World) amazon(x wish, custom, cookie bool) []field {
+func (w *Fixture) amazon(x wish, custom, cookie bool) []field {
 	enc := func(b []byte) string {
 		return strings.NewReplacer("+", "-", "=", "_", "/", "~").Replace(base64.StdEncoding.EncodeToString(b))
 	}
-	resource := Base + x.target
+	resource := BaseURL + x.target
 	if x.covers != "" {
 		resource = x.covers
 	}
@@ -257,8 +257,8 @@
 }
 
 // token is a JWT of RFC 9246 in its three parts.
-func (w *World) token(x wish) []field {
-	sum := sha256.Sum256([]byte(Base + x.target))
+func (w *Fixture) token(x wish) []field {
+	sum := sha256.Sum256([]byte(BaseURL + x.target))
 	m := jwt.MapClaims{"iss": "uCDN", "aud": "dCDN", "exp": w.Now.Add(x.until).Unix(),
 		"cdniuc": "hash:sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:])}
 	if x.covers != "" {
@@ -330,7 +330,7 @@
 }
 
 // timed is the digests that the world's file describes.
-func (w *World) timed(x wish, kind string) []field {
+func (w *Fixture) timed(x wish, kind string) []field {
 	path, _, _ := strings.Cut(x.target, "?")
 	key := map[string]string{"a": secret, "b": otherOne, "retired": "retired" + secret, "revoked": "revoked" + secret}[x.key]
 	if x.forge {
@@ -353,7 +353,7 @@
 }
 
 // forms lists every format in every carrier.
-func (w *World) forms() []*form {
+func (w *Fixture) forms() []*form {
 	var out []*form
 	for _, c := range []struct{ carrier, field string }{{"query", "hdnts"}, {"cookie", "hdnts"}, {"header", "X-Edge-Token"}} {
 		out = append(out, &form{name: "edgeauth", carrier: c.carrier, field: c.field, sep: "~", key: "a", address: true,
@@ -369,7 +369,7 @@
 		}
 		prefix := func(x wish) wish {
 			if x.covers == "" {
-				x.covers = Base + "/files/guide-video/"
+				x.covers = BaseURL + "/files/guide-video/"
 			}
 			return x
 		}
--- a/lab/conformance/run.go
+++ b/lab/conformance/run.go
@@ -31,13 +31,13 @@
 	if status != c.Status {
 		wrong = append(wrong, fmt.Sprintf("status %d, want %d", status, c.Status))
 	}
-	if c.Reason != "" && !c.Gives(strings.TrimSuffix(body, "\n")) {
+	if c.Reason != "" && !c.AcceptsReason(strings.TrimSuffix(body, "\n")) {
 		wrong = append(wrong, fmt.Sprintf("reason %q, want %q", strings.TrimSpace(body), c.Reason))
 	}
 	if c.Size >= 0 && length != int64(c.Size) {
 		wrong = append(wrong, fmt.Sprintf("%d bytes, want %d", length, c.Size))
 	}
-	for name, want := range c.Fields {
+	for name, want := range c.WantHeader {
 		if got := strings.Join(header.Values(name), ", "); !fits(want, got) {
 			wrong = append(wrong, fmt.Sprintf("%s %q, want %q", name, got, want))
 		}
@@ -46,7 +46,7 @@
 }
 
 // Gives tells whether a reason is one that the case must give.
-func (c *Case) Gives(reason string) bool {
+func (c *Case) AcceptsReason(reason string) bool {
 	return slices.Contains(strings.Split(c.Reason, "|"), reason)
 }
 
@@ -118,7 +118,7 @@
 }
 
 // Good is a good link of a form that lasts so long.
-func (w *World) Good(name, carrier string, last time.Duration) string {
+func (w *Fixture) ValidLink(name, carrier string, last time.Duration) string {
 	s := suite{w: w}
 	f := s.find(name, carrier)
 	target, _ := f.carry(Target, f.sign(wish{until: last}.fill(f)))
@@ -141,7 +141,7 @@
 	case strings.HasPrefix(f.name, "edgeauth"):
 		return "/*"
 	case strings.HasSuffix(f.name, "prefix"):
-		return Base
+		return BaseURL
 	case strings.HasPrefix(f.name, "cdni"):
 		return ".*"
 	}
@@ -150,7 +150,7 @@
 
 // Links makes the bytes of so many requests, each with a signature of its own:
 // of links that last an hour, by the form's key or by one that nobody knows.
-func (w *World) Links(name, carrier string, n int, forged bool) ([]string, error) {
+func (w *Fixture) SignedRequests(name, carrier string, n int, forged bool) ([]string, error) {
 	for _, f := range w.forms() {
 		if f.name != name || f.carrier != carrier {
 			continue
--- a/lab/conformance/world.go
+++ b/lab/conformance/world.go
@@ -26,21 +26,21 @@
 
 // The world's own facts.
 const (
-	Base   = "https://files.example"
-	Branch = "edge-1"
-	Path   = "/files/guide-video/17/9f3a"
-	Target = Path + "?seg=3"
+	BaseURL = "https://files.example"
+	Branch  = "edge-1"
+	Path    = "/files/guide-video/17/9f3a"
+	Target  = Path + "?seg=3"
 	// Tag and Size are of the object that Target names, which the stand-ins
 	// behind the front must hold.
-	Tag  = "t1"
-	Size = 14_000
+	ObjectTag  = "t1"
+	ObjectSize = 14_000
 
 	secret   = "0123456789abcdef0123456789abcdef"
 	otherOne = "fedcba9876543210fedcba9876543210"
 )
 
 // World is the keys and the moment that cases are made for.
-type World struct {
+type Fixture struct {
 	Now time.Time
 	rsa *rsa.PrivateKey
 	ec  *ecdsa.PrivateKey
@@ -53,8 +53,8 @@
 }
 
 // New makes a world with keys of its own, whose links begin and end round a moment.
-func New(now time.Time) (*World, error) {
-	w := &World{Now: now}
+func New(now time.Time) (*Fixture, error) {
+	w := &Fixture{Now: now}
 	var err error
 	for _, x := range []struct {
 		rsa **rsa.PrivateKey
@@ -75,7 +75,7 @@
 }
 
 // Keys is the world's private keys, for Load.
-func (w *World) Keys() ([]byte, error) {
+func (w *Fixture) Keys() ([]byte, error) {
 	var out []byte
 	for _, k := range []any{w.rsa, w.ec, w.ed} {
 		der, err := x509.MarshalPKCS8PrivateKey(k)
@@ -88,7 +88,7 @@
 }
 
 // Load takes the keys of another world, whose operator's file a server was given.
-func (w *World) Load(keys []byte) error {
+func (w *Fixture) LoadKeys(keys []byte) error {
 	n := 0
 	for block, rest := pem.Decode(keys); block != nil; block, rest = pem.Decode(rest) {
 		key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
@@ -122,7 +122,7 @@
 type object = map[string]any
 
 // Operator is the operator's file of the world, for a front at an address.
-func (w *World) Operator(listen string) []byte {
+func (w *Fixture) OperatorFile(listen string) []byte {
 	at := func(d time.Duration) string { return w.Now.Add(d).UTC().Format(time.RFC3339) }
 	// Each ring has a key in every state, named after it.
 	states := func(prefix string, key object) []object {
@@ -165,10 +165,10 @@
 			{"name": "edge", "tenant": "padma", "format": "edgeauth", "ring": "edge", "query": "hdnts", "cookie": "hdnts",
 				"header": "X-Edge-Token", "bound": true},
 			{"name": "salted", "tenant": "padma", "format": "edgeauth", "ring": "edge", "query": "salted", "salt": "pinch", "digest": "sha1"},
-			{"name": "cloud", "tenant": "padma", "format": "cloudcdn", "ring": "macs", "base": Base},
-			{"name": "media", "tenant": "padma", "format": "mediacdn", "ring": "ed", "base": Base},
-			{"name": "front", "tenant": "padma", "format": "cloudfront", "ring": "rs", "base": Base},
-			{"name": "cdni", "tenant": "padma", "format": "cdni", "ring": "jwt", "base": Base, "issuers": []string{"uCDN"}, "audience": "dCDN"},
+			{"name": "cloud", "tenant": "padma", "format": "cloudcdn", "ring": "macs", "base": BaseURL},
+			{"name": "media", "tenant": "padma", "format": "mediacdn", "ring": "ed", "base": BaseURL},
+			{"name": "front", "tenant": "padma", "format": "cloudfront", "ring": "rs", "base": BaseURL},
+			{"name": "cdni", "tenant": "padma", "format": "cdni", "ring": "jwt", "base": BaseURL, "issuers": []string{"uCDN"}, "audience": "dCDN"},
 			{"name": "verify", "tenant": "guest", "format": "timed", "ring": "edge", "query": "verify", "describe": object{
 				"message": "{path}{expires}", "token": "{expires}-{mac}", "digest": "hmac-sha256", "encoding": "base64"}},
 			{"name": "secure", "tenant": "padma", "format": "timed", "ring": "edge", "query": "md5", "describe": object{
@@ -190,15 +190,15 @@
 
 // Case is one request and what must come of it.
 type Case struct {
-	Name   string
-	Method string
-	Target string
-	Header []string // fields, as "Name: value"
-	Status int
-	Reason string            // of a refusal: its body's line; where more than one will do, parted by |
-	Size   int               // of the body; -1: any
-	Fields map[string]string // that the answer must have; an empty value: that it must not
-	Pure   bool              // the verdict on the grant alone decides it
+	Name       string
+	Method     string
+	Target     string
+	Header     []string // fields, as "Name: value"
+	Status     int
+	Reason     string            // of a refusal: its body's line; where more than one will do, parted by |
+	Size       int               // of the body; -1: any
+	WantHeader map[string]string // that the answer must have; an empty value: that it must not
+	GrantOnly  bool              // the verdict on the grant alone decides it
 }
 
 // Bytes is the request as it is sent.
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -28,22 +28,22 @@
 
 // Scenario is a day that is ready to be played.
 type Scenario struct {
-	Name    string
-	Spec    world.Spec
-	Plan    world.Plan
-	Expects []Expect
+	Name         string
+	Spec         world.Spec
+	Plan         world.Plan
+	Expectations []Expectation
 }
 
 // Expect is a bound on what comes of a day.
-type Expect struct {
-	What  string // G, service, hits, falls, origin
-	Above bool   // or below
-	Bound float64
+type Expectation struct {
+	Metric string // G, service, hits, falls, origin
+	Above  bool   // or below
+	Bound  float64
 }
 
 // Met tells whether a day keeps to it, and what it was.
-func (e Expect) Met(r *world.Result) (is float64, ok bool) {
-	switch e.What {
+func (e Expectation) Check(r *world.Result) (is float64, ok bool) {
+	switch e.Metric {
 	case "G":
 		is = r.G
 	case "service":
@@ -58,12 +58,12 @@
 	return is, is > e.Bound == e.Above
 }
 
-func (e Expect) String() string {
+func (e Expectation) String() string {
 	way := "below"
 	if e.Above {
 		way = "above"
 	}
-	return fmt.Sprintf("%s %s %g", e.What, way, e.Bound)
+	return fmt.Sprintf("%s %s %g", e.Metric, way, e.Bound)
 }
 
 // The grammar.
@@ -291,7 +291,7 @@
 	case x.Load != nil:
 		return s.load(x.Load)
 	case x.Expect != nil:
-		s.Expects = append(s.Expects, Expect{What: x.Expect.What, Above: x.Expect.Above, Bound: float64(x.Expect.Bound)})
+		s.Expectations = append(s.Expectations, Expectation{Metric: x.Expect.What, Above: x.Expect.Above, Bound: float64(x.Expect.Bound)})
 	case x.Trouble != nil:
 		t, err := x.Trouble.make()
 		if err != nil {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -54,8 +54,8 @@
 			for _, v := range r.Violations {
 				t.Error(v)
 			}
-			for _, e := range s.Expects {
-				if is, ok := e.Met(r); !ok {
+			for _, e := range s.Expectations {
+				if is, ok := e.Check(r); !ok {
 					t.Errorf("%s expected, it is %.3f", e, is)
 				}
 			}
