--- a/cmd/cherryramp/members_test.go
+++ b/cmd/cherryramp/members_test.go
@@ -10,10 +10,10 @@
 // Members come from ephemeral nodes instead of the notice board: a box gets requests once its node
 // exists, and none once the node is gone.
 func TestMembersFromEphemeralNodes(t *testing.T) {
-	keeper := zookeepertest.New(t)
-	s := newSite(t, 2, fmt.Sprintf(`{"ephemeral":{"servers":["%s"],"path":"%s"}}`, keeper.Addr(), zookeepertest.Root))
+	zookeeper := zookeepertest.New(t)
+	s := newSite(t, 2, fmt.Sprintf(`{"ephemeral":{"servers":["%s"],"path":"%s"}}`, zookeeper.Addr(), zookeepertest.Root))
 	add := func(name, place, kind string, n *node) {
-		keeper.Set(name, fmt.Sprintf(`{"host_port":"%s","locality":"%s","flavor":"%s","phase":"SERVING","size":100}`,
+		zookeeper.Set(name, fmt.Sprintf(`{"host_port":"%s","locality":"%s","flavor":"%s","phase":"SERVING","size":100}`,
 			n.ln.Addr(), place, kind))
 	}
 	add("s-parent", "hub", "parent", s.parent)
@@ -28,7 +28,7 @@
 	}
 	add("s-1", "edge-1", "box", s.boxes[1])
 	s.log.await(t, "members=3")
-	keeper.Set("s-0", "")
+	zookeeper.Set("s-0", "")
 	s.log.await(t, "state=gone")
 	s.boxes[1].serveAll()
 	for i := range 10 {
