--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,7 +1,6 @@
-// Package faultproxy is a stand-in for the way between two sites: it passes TCP
-// connections on, late, no faster than a bandwidth, and with the faults that ways
-// have. Bytes keep their order, as TCP has it: what is lost on a real way shows as a
-// stall, and so it does here.
+// Package faultproxy is a TCP proxy that simulates the network between two sites, with
+// a delay, a limited bandwidth and network faults. Bytes keep their order, as in TCP:
+// packet loss on a real network shows as a stall, and so it does here.
 package faultproxy
 
 import (
@@ -16,249 +15,249 @@
 	"cherryramp/internal/loopbacktest"
 )
 
-// Direction is a way, as those who connect see it.
+// Direction is a direction of traffic, as seen by the connecting client.
 type Direction int
 
-// The directions.
+// Directions of traffic: Forward is from client to server, Backward from server to client.
 const (
 	Forward Direction = iota
 	Backward
 )
 
-// Settings are those of one direction. They may be changed at any time, and hold for
-// what comes from then on.
+// Settings configure one direction. They may be changed at any time and apply to the
+// bytes that arrive from then on.
 type Settings struct {
 	Delay   time.Duration
-	Jitter  time.Duration // added, up to that
-	Rate    float64       // bytes a second; 0: any
-	ResetAt int64         // byte of a connection's direction at which it is reset, counted from 1; 0: none
+	Jitter  time.Duration // upper bound of a random additional delay
+	Rate    float64       // bytes per second; 0: unlimited
+	ResetAt int64         // byte of the direction, counted from 1, at which a connection is reset; 0: none
 }
 
-// Line is a stand-in that listens.
+// Proxy forwards connections to one target.
 type Proxy struct {
-	ln net.Listener
-	to string
+	listener net.Listener
+	target   string
 
-	mu       sync.Mutex
-	changed  *sync.Cond
-	r        *rand.Rand
-	settings [2]Settings
-	frozen   [2]bool
-	closed   bool
-	pairs    map[*pair]bool
-	passed   [2]int64
-	wg       sync.WaitGroup
+	mu          sync.Mutex
+	changed     *sync.Cond
+	rng         *rand.Rand
+	settings    [2]Settings
+	frozen      [2]bool
+	closed      bool
+	connections map[*connection]bool
+	forwarded   [2]int64
+	wg          sync.WaitGroup
 }
 
-// pair is a connection with both of its ends.
-type pair struct {
-	l    *Proxy
-	ends [2]net.Conn // of who connected, of whom it is for
-	mute [2]bool     // nothing of that direction is passed on any more, unheard
+// connection is a proxied connection with both of its sockets.
+type connection struct {
+	proxy      *Proxy
+	ends       [2]net.Conn // the client's and the server's
+	blackholed [2]bool     // the direction's bytes are dropped silently
 }
 
-// Open listens at an address, or at one of this process's own if it is empty, and passes
-// connections on to another.
-func Open(listen, to string, seed uint64) (*Proxy, error) {
+// Open listens at an address, or at one of this process's own if it is empty, and forwards
+// connections to target. The seed determines the jitter.
+func Open(listen, target string, seed uint64) (*Proxy, error) {
 	ln, err := loopbacktest.ListenAt(listen)
 	if err != nil {
-		return nil, fmt.Errorf("line: %w", err)
+		return nil, fmt.Errorf("faultproxy: %w", err)
 	}
-	l := &Proxy{ln: ln, to: to, r: rand.New(rand.NewPCG(seed, 5)), pairs: map[*pair]bool{}}
-	l.changed = sync.NewCond(&l.mu)
-	l.wg.Add(1)
-	go l.accept()
-	return l, nil
+	proxy := &Proxy{listener: ln, target: target, rng: rand.New(rand.NewPCG(seed, 5)), connections: map[*connection]bool{}}
+	proxy.changed = sync.NewCond(&proxy.mu)
+	proxy.wg.Add(1)
+	go proxy.accept()
+	return proxy, nil
 }
 
-// Addr is where it listens.
-func (l *Proxy) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address that the proxy listens on.
+func (proxy *Proxy) Addr() string { return proxy.listener.Addr().String() }
 
-// Set changes a direction.
-func (l *Proxy) Set(d Direction, s Settings) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.settings[d] = s
-	l.changed.Broadcast()
+// Set changes the settings of a direction.
+func (proxy *Proxy) Set(d Direction, s Settings) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.settings[d] = s
+	proxy.changed.Broadcast()
 }
 
-// Freeze has a direction stand still, or move again: nothing of it comes meanwhile,
-// and all of it after.
-func (l *Proxy) Freeze(d Direction, frozen bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.frozen[d] = frozen
-	l.changed.Broadcast()
+// Freeze stalls a direction or resumes it. Bytes that arrive while it is stalled are
+// delivered after it resumes.
+func (proxy *Proxy) Freeze(d Direction, frozen bool) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.frozen[d] = frozen
+	proxy.changed.Broadcast()
 }
 
-// Cut resets all connections.
-func (l *Proxy) ResetAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.reset()
+// ResetAll resets all connections.
+func (proxy *Proxy) ResetAll() {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	for conn := range proxy.connections {
+		conn.reset()
 	}
 }
 
-// Half has one end of each connection be gone without the other hearing of it: a
-// direction's bytes go nowhere from now on, and neither does its end.
-func (l *Proxy) Blackhole(d Direction) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.mute[d] = true
+// Blackhole makes the present connections half-open: from now on the bytes of a
+// direction, and its end of stream, are dropped silently.
+func (proxy *Proxy) Blackhole(d Direction) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	for conn := range proxy.connections {
+		conn.blackholed[d] = true
 	}
 }
 
-// Passed counts the bytes of a direction that came out.
-func (l *Proxy) BytesForwarded(d Direction) int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.passed[d]
+// BytesForwarded returns the number of bytes forwarded in a direction.
+func (proxy *Proxy) BytesForwarded(d Direction) int64 {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	return proxy.forwarded[d]
 }
 
-// Close ends the line and all connections on it.
-func (l *Proxy) Close() error {
-	err := l.ln.Close()
-	l.mu.Lock()
-	l.closed = true
-	l.changed.Broadcast()
-	l.mu.Unlock()
-	l.ResetAll()
-	l.wg.Wait()
+// Close stops the proxy and resets all connections.
+func (proxy *Proxy) Close() error {
+	err := proxy.listener.Close()
+	proxy.mu.Lock()
+	proxy.closed = true
+	proxy.changed.Broadcast()
+	proxy.mu.Unlock()
+	proxy.ResetAll()
+	proxy.wg.Wait()
 	return err
 }
 
-func (l *Proxy) accept() {
-	defer l.wg.Done()
+func (proxy *Proxy) accept() {
+	defer proxy.wg.Done()
 	for {
-		c, err := l.ln.Accept()
+		client, err := proxy.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.DialTimeout("tcp", l.to, 5*time.Second)
-		if err != nil { // whoever connects learns of it as of a reset
-			_ = c.(*net.TCPConn).SetLinger(0)
-			_ = c.Close()
+		server, err := net.DialTimeout("tcp", proxy.target, 5*time.Second)
+		if err != nil { // the client sees the failed dial as a reset
+			_ = client.(*net.TCPConn).SetLinger(0)
+			_ = client.Close()
 			continue
 		}
-		p := &pair{l: l, ends: [2]net.Conn{c, far}}
-		l.mu.Lock()
-		if l.closed {
-			p.reset()
+		conn := &connection{proxy: proxy, ends: [2]net.Conn{client, server}}
+		proxy.mu.Lock()
+		if proxy.closed {
+			conn.reset()
 		}
-		l.pairs[p] = true
-		l.mu.Unlock()
-		var both sync.WaitGroup
+		proxy.connections[conn] = true
+		proxy.mu.Unlock()
+		var copies sync.WaitGroup
 		for d := range Direction(2) {
-			chunks := make(chan chunk, mostChunks)
-			both.Add(2)
-			go func() { defer both.Done(); p.read(d, chunks) }()
-			go func() { defer both.Done(); p.write(d, chunks) }()
+			chunks := make(chan chunk, maxChunks)
+			copies.Add(2)
+			go func() { defer copies.Done(); conn.read(d, chunks) }()
+			go func() { defer copies.Done(); conn.write(d, chunks) }()
 		}
-		l.wg.Add(1)
+		proxy.wg.Add(1)
 		go func() {
-			defer l.wg.Done()
-			both.Wait()
-			l.mu.Lock()
-			delete(l.pairs, p)
-			l.mu.Unlock()
+			defer proxy.wg.Done()
+			copies.Wait()
+			proxy.mu.Lock()
+			delete(proxy.connections, conn)
+			proxy.mu.Unlock()
 		}()
 	}
 }
 
-// What is on its way of a direction is bounded, as by a sender's window.
+// Bounds of the bytes in flight of a direction, like a sender's window.
 const (
-	mostChunks = 256
-	chunkSize  = 4 << 10
+	maxChunks = 256
+	chunkSize = 4 << 10
 )
 
-// chunk is bytes on their way, or the end of a direction.
+// chunk is a block of bytes in flight, or the end of a direction.
 type chunk struct {
-	b   []byte
-	due time.Time
-	end error // io.EOF: an end in order
+	data []byte
+	due  time.Time
+	err  error // io.EOF: orderly end of stream
 }
 
-func (p *pair) reset() {
-	for _, c := range p.ends {
+func (conn *connection) reset() {
+	for _, c := range conn.ends {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	}
 }
 
-// read takes bytes in and gives each the moment at which it comes out.
-func (p *pair) read(d Direction, chunks chan<- chunk) {
+// read receives bytes and assigns the time at which they are forwarded.
+func (conn *connection) read(d Direction, chunks chan<- chunk) {
 	defer close(chunks)
-	l, seen := p.l, int64(0)
-	var last, free time.Time
+	proxy, received := conn.proxy, int64(0)
+	var lastDue, linkFree time.Time
 	for {
 		b := make([]byte, chunkSize)
-		n, err := p.ends[d].Read(b)
-		l.mu.Lock()
-		s := l.settings[d]
-		due := time.Now().Add(s.Delay)
-		if s.Jitter > 0 {
-			due = due.Add(time.Duration(l.r.Int64N(int64(s.Jitter))))
+		n, err := conn.ends[d].Read(b)
+		proxy.mu.Lock()
+		settings := proxy.settings[d]
+		due := time.Now().Add(settings.Delay)
+		if settings.Jitter > 0 {
+			due = due.Add(time.Duration(proxy.rng.Int64N(int64(settings.Jitter))))
 		}
-		l.mu.Unlock()
-		if s.Rate > 0 { // it leaves once all before it has
-			if now := time.Now(); free.Before(now) {
-				free = now
+		proxy.mu.Unlock()
+		if settings.Rate > 0 { // sent once all earlier bytes have been sent
+			if now := time.Now(); linkFree.Before(now) {
+				linkFree = now
 			}
-			free = free.Add(time.Duration(float64(n) / s.Rate * float64(time.Second)))
-			due = due.Add(time.Until(free))
+			linkFree = linkFree.Add(time.Duration(float64(n) / settings.Rate * float64(time.Second)))
+			due = due.Add(time.Until(linkFree))
 		}
-		if due.Before(last) {
-			due = last
+		if due.Before(lastDue) {
+			due = lastDue
 		}
-		last = due
-		cut := s.ResetAt > 0 && seen+int64(n) >= s.ResetAt
-		if cut {
-			n, err = int(max(0, s.ResetAt-1-seen)), errCut
+		lastDue = due
+		reset := settings.ResetAt > 0 && received+int64(n) >= settings.ResetAt
+		if reset {
+			n, err = int(max(0, settings.ResetAt-1-received)), errReset
 		}
-		seen += int64(n)
+		received += int64(n)
 		if n > 0 {
-			chunks <- chunk{b: b[:n], due: due}
+			chunks <- chunk{data: b[:n], due: due}
 		}
 		if err != nil {
-			chunks <- chunk{due: due, end: err}
+			chunks <- chunk{due: due, err: err}
 			return
 		}
 	}
 }
 
-var errCut = errors.New("line: cut")
+var errReset = errors.New("faultproxy: connection reset at the set byte")
 
-// write has bytes come out when they are due and their direction moves.
-func (p *pair) write(d Direction, chunks <-chan chunk) {
-	l, out, dead := p.l, p.ends[1-d], false
-	for x := range chunks {
-		if dead {
+// write forwards bytes when they are due and their direction is not frozen.
+func (conn *connection) write(d Direction, chunks <-chan chunk) {
+	proxy, out, discard := conn.proxy, conn.ends[1-d], false
+	for next := range chunks {
+		if discard {
 			continue
 		}
-		time.Sleep(time.Until(x.due))
-		l.mu.Lock()
-		for l.frozen[d] && !l.closed && !p.mute[d] {
-			l.changed.Wait()
+		time.Sleep(time.Until(next.due))
+		proxy.mu.Lock()
+		for proxy.frozen[d] && !proxy.closed && !conn.blackholed[d] {
+			proxy.changed.Wait()
 		}
-		mute := p.mute[d]
-		if !mute {
-			l.passed[d] += int64(len(x.b))
+		blackholed := conn.blackholed[d]
+		if !blackholed {
+			proxy.forwarded[d] += int64(len(next.data))
 		}
-		l.mu.Unlock()
+		proxy.mu.Unlock()
 		switch {
-		case mute:
-			dead = true
-		case errors.Is(x.end, io.EOF):
+		case blackholed:
+			discard = true
+		case errors.Is(next.err, io.EOF):
 			_ = out.(*net.TCPConn).CloseWrite()
-		case x.end != nil: // a reset, or a cut
-			p.reset()
-			dead = true
+		case next.err != nil: // a reset by the peer or at ResetAt
+			conn.reset()
+			discard = true
 		default:
-			if _, err := out.Write(x.b); err != nil {
-				p.reset()
-				dead = true
+			if _, err := out.Write(next.data); err != nil {
+				conn.reset()
+				discard = true
 			}
 		}
 	}
--- a/lab/load/clock.go
+++ b/lab/load/clock.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// spin is how long before a moment a precise clock stops sleeping: the runtime's
-// timers come up to a millisecond late where the poller waits in whole ones.
-const spin = 1500 // us
+// spinMargin is how long before a deadline spinningClock stops sleeping: the runtime's
+// timers fire up to a millisecond late where the poller waits in whole milliseconds.
+const spinMargin = 1500 // us
 
-// precise is the system's clock with a Wait that looks at it again and again for
-// the last stretch. It costs up to a core.
-type precise struct{ timer *time.Timer }
+// spinningClock is the system's clock with a Wait that busy-waits before the deadline.
+// It uses up to one core.
+type spinningClock struct{ timer *time.Timer }
 
-// Now is part of loop.Clock.
-func (p *precise) Now() Micros { return time.Now().UnixMicro() }
+// Now implements loop.Clock.
+func (p *spinningClock) Now() Micros { return time.Now().UnixMicro() }
 
-// Wait is part of loop.Clock.
-func (p *precise) Wait(until Micros, wake <-chan struct{}) {
-	if far := min(until-p.Now(), int64(time.Hour/time.Microsecond)) - spin; far > 0 {
-		span := time.Duration(far) * time.Microsecond
+// Wait implements loop.Clock.
+func (p *spinningClock) Wait(until Micros, wake <-chan struct{}) {
+	if remaining := min(until-p.Now(), int64(time.Hour/time.Microsecond)) - spinMargin; remaining > 0 {
+		span := time.Duration(remaining) * time.Microsecond
 		if p.timer == nil {
 			p.timer = time.NewTimer(span)
 		} else {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,10 +1,10 @@
-// Package load sends requests to a server by a plan that does not wait for answers
-// (open loop), as clients in the world do: each has the moment at which it is due,
-// and its time counts from then, so that a server which stalls is charged for all
-// who would have come meanwhile ("coordinated omission", Tene, 2013).
+// Package load is an open-loop load generator: requests are sent on a schedule that
+// does not wait for answers. The latency of a request counts from its scheduled time,
+// so that a stalled server is charged for all requests scheduled during the stall
+// ("coordinated omission", Tene, 2013).
 //
-// It runs on the project's own loop and connections, a loop a thread; nothing is
-// started for a request.
+// It uses the project's event loop and connections, with one loop per thread and no
+// goroutine per request.
 package load
 
 import (
@@ -25,43 +25,43 @@
 	"cherryramp/lab/world"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
 const second Micros = 1_000_000
 
-// Maker makes requests. Each thread has one of its own.
+// Generator generates requests. Each thread has its own.
 type Generator interface {
-	// Pick says which of Kinds the next request is that comes due.
+	// Pick returns the index in Options.Kinds of the next request.
 	Pick() int
-	// Append appends the bytes of a request of a kind, sent now by a client that
-	// waits until a moment.
+	// Append appends the bytes of a request of a kind, sent at now by a client that
+	// waits for the answer until the given time.
 	Append(b []byte, kind int, now, until Micros) []byte
 }
 
-// Options say what is sent.
+// Options configure a run.
 type Options struct {
 	Address      string
-	Curve        []world.RatePoint // requests a second by the moment of the run
-	EvenlySpaced bool              // evenly spaced; else as a Poisson process
+	Curve        []world.RatePoint // requests per second over the time of the run
+	EvenlySpaced bool              // constant intervals; otherwise a Poisson process
 	Duration     time.Duration
-	Timeout      time.Duration // that a client has, from when its request is due
-	IdleTimeout  time.Duration // after which a connection that is not used is closed
-	Connections  int           // at most, in all
+	Timeout      time.Duration // of a request, from its scheduled time
+	IdleTimeout  time.Duration // after which an unused connection is closed
+	Connections  int           // maximum over all threads
 	Threads      int
-	Precise      bool // requests leave to some ten microseconds, for a core a thread
+	Precise      bool // send times are accurate to some ten microseconds, at the cost of a core per thread
 	Seed         uint64
 	Kinds        []string
 	NewGenerator func(thread int, r *rand.Rand) Generator
 }
 
-// Check names what can't be run.
+// Check returns an error if the options can't be run.
 func (o *Options) Check() error {
 	switch {
 	case len(o.Curve) == 0 || o.Curve[0].At != 0:
-		return errors.New("load: no rate from the first moment on")
+		return errors.New("load: the rate curve does not begin at 0")
 	case o.Duration <= 0 || o.Timeout <= 0 || o.IdleTimeout <= 0:
-		return errors.New("load: the run, the clients' patience and the connections' idle time must be above 0")
+		return errors.New("load: duration, timeout and idle timeout must be above 0")
 	case o.Threads < 1 || o.Connections < o.Threads:
 		return fmt.Errorf("load: %d connections for %d threads", o.Connections, o.Threads)
 	case len(o.Kinds) == 0:
@@ -70,59 +70,59 @@
 	return nil
 }
 
-// Ends of requests, beside statuses.
+// Outcomes of requests without an HTTP status.
 const (
-	TimedOut       = "late"    // no whole answer while its client waited
-	ConnectFailed  = "connect" // no connection came up
-	ConnectionLost = "broken"  // the connection ended with no whole answer
-	Malformed      = "garbled" // an answer that can't be read
+	TimedOut       = "late"    // no complete answer within the timeout
+	ConnectFailed  = "connect" // no connection could be opened
+	ConnectionLost = "broken"  // the connection ended before the answer was complete
+	Malformed      = "garbled" // the answer can't be parsed
 )
 
-// Kind is what became of one kind of requests.
+// KindResult is the result of one kind of requests.
 type KindResult struct {
 	Name     string
-	Outcomes map[string]int // by status, or one of the ends above
+	Outcomes map[string]int // by status or one of the outcomes above
 	Latency  *hdrhistogram.Histogram
 }
 
-// Tick is one second of the run, by when requests were due.
+// SecondResult is the result of the requests scheduled in one second of the run.
 type SecondResult struct {
 	Due      int
 	Outcomes map[string]int `json:"Ends"`
-	P50, P99 Micros         // of those that were answered
-	times    *hdrhistogram.Histogram
+	P50, P99 Micros         // latency of answered requests
+	latency  *hdrhistogram.Histogram
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Kinds       []KindResult
 	Seconds     []SecondResult
 	Due         int
-	Lag         *hdrhistogram.Histogram // from when a request was due to when this tool came to it
-	Queued      *hdrhistogram.Histogram // from then to when a connection was free for it
-	Connections int                     // opened, in all
-	Bytes       int64                   // of answers
+	Lag         *hdrhistogram.Histogram // delay between scheduled time and handling by the generator
+	Queued      *hdrhistogram.Histogram // delay from scheduled time to sending
+	Connections int                     // opened in total
+	Bytes       int64                   // of answer bodies
 	Elapsed     time.Duration
 }
 
-// Times are in microseconds, up to a minute.
-const longest = 60 * second
+// maxLatency is the largest recorded latency; histograms hold microseconds.
+const maxLatency = 60 * second
 
-func newTimes(digits int) *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
+func newHistogram(digits int) *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, digits) }
 
-// Progress counts what has been done so far; it may be read at any time.
+// Progress counts requests during a run. It may be read concurrently.
 type Progress struct{ Due, Answered, Failed atomic.Int64 }
 
-// Run sends a load and gives what came of it.
+// Run sends the load and returns its result.
 func Run(o Options, p *Progress) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
 	threads := make([]*thread, o.Threads)
-	begin := time.Now().UnixMicro() + 10_000
+	start := time.Now().UnixMicro() + 10_000
 	var wg sync.WaitGroup
 	for i := range threads {
-		threads[i] = newThread(&o, i, begin, p)
+		threads[i] = newThread(&o, i, start, p)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -130,360 +130,360 @@
 		}()
 	}
 	wg.Wait()
-	return merge(threads, begin), nil
+	return merge(threads, start), nil
 }
 
-func merge(threads []*thread, begin Micros) *Result {
+func merge(threads []*thread, start Micros) *Result {
 	first := threads[0]
-	r := &first.result
+	total := &first.result
 	for _, t := range threads[1:] {
-		x := &t.result
-		for i := range x.Kinds {
-			r.Kinds[i].Latency.Merge(x.Kinds[i].Latency)
-			add(r.Kinds[i].Outcomes, x.Kinds[i].Outcomes)
+		other := &t.result
+		for i := range other.Kinds {
+			total.Kinds[i].Latency.Merge(other.Kinds[i].Latency)
+			addCounts(total.Kinds[i].Outcomes, other.Kinds[i].Outcomes)
 		}
-		for i := range x.Seconds {
-			y := r.tick(i)
-			y.Due += x.Seconds[i].Due
-			add(y.Outcomes, x.Seconds[i].Outcomes)
-			y.times.Merge(x.Seconds[i].times)
+		for i := range other.Seconds {
+			second := total.second(i)
+			second.Due += other.Seconds[i].Due
+			addCounts(second.Outcomes, other.Seconds[i].Outcomes)
+			second.latency.Merge(other.Seconds[i].latency)
 		}
-		r.Lag.Merge(x.Lag)
-		r.Queued.Merge(x.Queued)
-		r.Due, r.Connections, r.Bytes = r.Due+x.Due, r.Connections+x.Connections, r.Bytes+x.Bytes
+		total.Lag.Merge(other.Lag)
+		total.Queued.Merge(other.Queued)
+		total.Due, total.Connections, total.Bytes = total.Due+other.Due, total.Connections+other.Connections, total.Bytes+other.Bytes
 	}
-	for i := range r.Seconds {
-		r.Seconds[i].P50, r.Seconds[i].P99 = r.Seconds[i].times.ValueAtQuantile(50), r.Seconds[i].times.ValueAtQuantile(99)
+	for i := range total.Seconds {
+		total.Seconds[i].P50, total.Seconds[i].P99 = total.Seconds[i].latency.ValueAtQuantile(50), total.Seconds[i].latency.ValueAtQuantile(99)
 	}
-	r.Elapsed = time.Duration(time.Now().UnixMicro()-begin) * time.Microsecond
-	return r
+	total.Elapsed = time.Duration(time.Now().UnixMicro()-start) * time.Microsecond
+	return total
 }
 
-func add(to, from map[string]int) {
+func addCounts(to, from map[string]int) {
 	for k, n := range from {
 		to[k] += n
 	}
 }
 
-func (r *Result) tick(i int) *SecondResult {
+func (r *Result) second(i int) *SecondResult {
 	for len(r.Seconds) <= i {
-		r.Seconds = append(r.Seconds, SecondResult{Outcomes: map[string]int{}, times: newTimes(2)})
+		r.Seconds = append(r.Seconds, SecondResult{Outcomes: map[string]int{}, latency: newHistogram(2)})
 	}
 	return &r.Seconds[i]
 }
 
-// request is one that is due or out.
+// request is a scheduled or sent request.
 type request struct {
 	due  Micros
 	kind int
 }
 
-// thread is a loop with its part of the load and of the connections.
+// thread is an event loop with its share of the load and of the connections.
 type thread struct {
-	o        *Options
-	l        *loop.Loop
-	r        *rand.Rand
-	maker    Generator
-	begin    Micros
-	end      Micros // of what is due
-	next     Micros
-	timer    loop.Deadline
-	most     int // connections
-	count    int
-	idle     []*client // the last used last
-	waiting  queue
-	open     int // requests out or waiting
-	held     transport.Gauge
-	buf      []byte
-	result   Result
-	progress *Progress
+	options        *Options
+	loop           *loop.Loop
+	rng            *rand.Rand
+	generator      Generator
+	start          Micros
+	end            Micros // of the schedule
+	nextDue        Micros
+	timer          loop.Deadline
+	maxConnections int
+	connections    int           // open or being opened
+	idle           []*connection // most recently used last
+	queued         queue
+	pending        int // requests sent or queued
+	memory         transport.Gauge
+	buf            []byte
+	result         Result
+	progress       *Progress
 }
 
-func newThread(o *Options, i int, begin Micros, p *Progress) *thread {
-	t := &thread{o: o, r: rand.New(rand.NewPCG(o.Seed, uint64(i))), begin: begin, end: begin + o.Duration.Microseconds(), next: begin, progress: p}
-	if t.l = loop.New(func() {}); o.Precise {
-		t.l = loop.NewOn(&precise{}, func() {})
+func newThread(o *Options, i int, start Micros, p *Progress) *thread {
+	t := &thread{options: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(i))), start: start, end: start + o.Duration.Microseconds(), nextDue: start, progress: p}
+	if t.loop = loop.New(func() {}); o.Precise {
+		t.loop = loop.NewOn(&spinningClock{}, func() {})
 	}
-	t.maker = o.NewGenerator(i, t.r)
-	t.most = o.Connections / o.Threads
-	t.result = Result{Lag: newTimes(3), Queued: newTimes(3)}
+	t.generator = o.NewGenerator(i, t.rng)
+	t.maxConnections = o.Connections / o.Threads
+	t.result = Result{Lag: newHistogram(3), Queued: newHistogram(3)}
 	for _, name := range o.Kinds {
-		t.result.Kinds = append(t.result.Kinds, KindResult{name, map[string]int{}, newTimes(3)})
+		t.result.Kinds = append(t.result.Kinds, KindResult{name, map[string]int{}, newHistogram(3)})
 	}
-	t.timer.Init(t.arrive)
+	t.timer.Init(t.issueDue)
 	return t
 }
 
 func (t *thread) run() {
-	t.step()
-	t.l.Post(func() { t.l.Set(&t.timer, t.next) })
-	t.l.Run()
+	t.advance()
+	t.loop.Post(func() { t.loop.Set(&t.timer, t.nextDue) })
+	t.loop.Run()
 }
 
-// arrive comes to all requests that are due, and sets the moment of the next.
-func (t *thread) arrive() {
-	now := t.l.Now()
-	for t.next <= now && t.next < t.end {
+// issueDue issues all requests that are due and sets the timer for the next one.
+func (t *thread) issueDue() {
+	now := t.loop.Now()
+	for t.nextDue <= now && t.nextDue < t.end {
 		t.issue(now)
-		t.step()
+		t.advance()
 	}
-	if t.next < t.end {
-		t.l.Set(&t.timer, t.next)
+	if t.nextDue < t.end {
+		t.loop.Set(&t.timer, t.nextDue)
 		return
 	}
-	t.finish()
+	t.stopWhenDone()
 }
 
-// pauseless is how long the next moment is looked for at most where the rate is
-// next to nothing; then the rate is looked at again.
-const pauseless = second / 10
-
-// step moves to the next moment at which a request is due, if there is one. Long
-// gaps are drawn in pieces, each at the rate of its beginning, as a Poisson process
-// has no memory.
-func (t *thread) step() bool {
-	for t.next < t.end {
-		rate := world.RateAt(t.o.Curve, t.next-t.begin) / float64(t.o.Threads)
-		gap := float64(pauseless) * 2
+// maxStep is the longest step of the schedule where the rate is 0 or arrivals are random;
+// the rate is evaluated again after each step.
+const maxStep = second / 10
+
+// advance moves nextDue to the next scheduled request and reports whether there is one.
+// Long gaps are drawn in steps, each at the rate of its beginning, which is valid
+// because a Poisson process is memoryless.
+func (t *thread) advance() bool {
+	for t.nextDue < t.end {
+		rate := world.RateAt(t.options.Curve, t.nextDue-t.start) / float64(t.options.Threads)
+		gap := float64(maxStep) * 2
 		if rate > 0 {
 			gap = 1e6 / rate
-			if !t.o.EvenlySpaced {
-				gap *= t.r.ExpFloat64()
+			if !t.options.EvenlySpaced {
+				gap *= t.rng.ExpFloat64()
 			}
 		}
-		if gap <= float64(pauseless) {
-			t.next += max(1, Micros(gap))
-			return t.next < t.end
+		if gap <= float64(maxStep) {
+			t.nextDue += max(1, Micros(gap))
+			return t.nextDue < t.end
 		}
-		if rate <= 0 || !t.o.EvenlySpaced {
-			t.next += pauseless
+		if rate <= 0 || !t.options.EvenlySpaced {
+			t.nextDue += maxStep
 			continue
 		}
-		t.next += Micros(gap)
-		return t.next < t.end
+		t.nextDue += Micros(gap)
+		return t.nextDue < t.end
 	}
 	return false
 }
 
-// finish ends the run once nothing is open.
-func (t *thread) finish() {
-	if t.open > 0 || t.next < t.end {
+// stopWhenDone stops the loop once the schedule is over and no request is pending.
+func (t *thread) stopWhenDone() {
+	if t.pending > 0 || t.nextDue < t.end {
 		return
 	}
 	for _, c := range t.idle {
-		t.l.Stop(&c.deadline)
-		c.over = true
+		t.loop.Stop(&c.deadline)
+		c.closed = true
 		c.conn.Close()
 	}
-	t.l.Quit()
+	t.loop.Quit()
 }
 
-// issue sends a request that is due, or has it wait for a connection.
+// issue sends the request that is due, or queues it until a connection is free.
 func (t *thread) issue(now Micros) {
-	x := request{due: t.next, kind: t.maker.Pick()}
-	t.open++
+	req := request{due: t.nextDue, kind: t.generator.Pick()}
+	t.pending++
 	t.result.Due++
 	t.progress.Due.Add(1)
-	t.result.tick(int((x.due-t.begin)/second)).Due++
-	_ = t.result.Lag.RecordValue(min(now-x.due, longest))
+	t.result.second(int((req.due-t.start)/second)).Due++
+	_ = t.result.Lag.RecordValue(min(now-req.due, maxLatency))
 	switch n := len(t.idle); {
 	case n > 0:
 		c := t.idle[n-1]
 		t.idle = t.idle[:n-1]
-		c.send(x, now)
-	case t.count < t.most:
-		t.dial(x)
+		c.send(req, now)
+	case t.connections < t.maxConnections:
+		t.dial(req)
 	default:
-		t.waiting.push(x)
+		t.queued.push(req)
 	}
 }
 
-// ended counts a request's end.
-func (t *thread) ended(x request, how string, status bool) {
-	t.open--
-	took := min(max(1, t.l.Now()-x.due), longest)
-	k, tick := &t.result.Kinds[x.kind], t.result.tick(int((x.due-t.begin)/second))
-	k.Outcomes[how]++
-	tick.Outcomes[how]++
-	if status {
-		_ = k.Latency.RecordValue(took)
-		_ = tick.times.RecordValue(took)
+// complete records the outcome of a request. Latency is recorded for answered requests only.
+func (t *thread) complete(req request, outcome string, answered bool) {
+	t.pending--
+	took := min(max(1, t.loop.Now()-req.due), maxLatency)
+	kind, second := &t.result.Kinds[req.kind], t.result.second(int((req.due-t.start)/second))
+	kind.Outcomes[outcome]++
+	second.Outcomes[outcome]++
+	if answered {
+		_ = kind.Latency.RecordValue(took)
+		_ = second.latency.RecordValue(took)
 		t.progress.Answered.Add(1)
 	} else {
 		t.progress.Failed.Add(1)
 	}
-	t.finish()
+	t.stopWhenDone()
 }
 
 // dial opens a connection for a request.
-func (t *thread) dial(x request) {
-	c := &client{t: t, request: x, busy: true}
-	c.deadline.Init(c.due)
-	t.count++
+func (t *thread) dial(req request) {
+	c := &connection{thread: t, request: req, busy: true}
+	c.deadline.Init(c.onDeadline)
+	t.connections++
 	t.result.Connections++
-	t.l.Set(&c.deadline, x.due+t.o.Timeout.Microseconds())
-	transport.Dial(t.l, t.o.Address, mostAnswer, &t.held, c, x.due+t.o.Timeout.Microseconds(), func(conn *transport.Conn, err error) {
+	t.loop.Set(&c.deadline, req.due+t.options.Timeout.Microseconds())
+	transport.Dial(t.loop, t.options.Address, maxAnswer, &t.memory, c, req.due+t.options.Timeout.Microseconds(), func(conn *transport.Conn, err error) {
 		switch {
-		case c.over && err == nil: // its client has gone
+		case c.closed && err == nil: // the request has timed out
 			conn.Close()
-		case c.over:
+		case c.closed:
 		case err != nil:
-			c.over = true
-			t.l.Stop(&c.deadline)
-			t.gone()
-			how := ConnectFailed
-			if t.l.Now() >= x.due+t.o.Timeout.Microseconds() {
-				how = TimedOut
+			c.closed = true
+			t.loop.Stop(&c.deadline)
+			t.releaseConnection()
+			outcome := ConnectFailed
+			if t.loop.Now() >= req.due+t.options.Timeout.Microseconds() {
+				outcome = TimedOut
 			}
-			t.ended(x, how, false)
+			t.complete(req, outcome, false)
 		default:
 			c.conn = conn
-			c.send(c.request, t.l.Now())
+			c.send(c.request, t.loop.Now())
 		}
 	})
 }
 
-// gone gives a connection's place to the next who waits.
-func (t *thread) gone() {
-	t.count--
-	if x, ok := t.nextWaiting(); ok {
-		t.dial(x)
+// releaseConnection gives up a connection and opens a new one for the next queued request.
+func (t *thread) releaseConnection() {
+	t.connections--
+	if req, ok := t.nextQueued(); ok {
+		t.dial(req)
 	}
 }
 
-// nextWaiting gives the next who waits and has not lost patience.
-func (t *thread) nextWaiting() (request, bool) {
+// nextQueued removes and returns the next queued request that has not timed out.
+func (t *thread) nextQueued() (request, bool) {
 	for {
-		x, ok := t.waiting.pop()
+		req, ok := t.queued.pop()
 		if !ok {
-			return x, false
+			return req, false
 		}
-		if x.due+t.o.Timeout.Microseconds() > t.l.Now() {
-			return x, true
+		if req.due+t.options.Timeout.Microseconds() > t.loop.Now() {
+			return req, true
 		}
-		t.ended(x, TimedOut, false)
+		t.complete(req, TimedOut, false)
 	}
 }
 
-// mostAnswer bounds an answer: the platform's objects hold 240,000 bytes at most.
-const mostAnswer = 1 << 20
+// maxAnswer bounds the size of an answer: the platform's objects have at most 240,000 bytes.
+const maxAnswer = 1 << 20
 
-var limits = httpwire.Limits{Head: 16 << 10, Body: mostAnswer - 16<<10}
+var responseLimits = httpwire.Limits{Head: 16 << 10, Body: maxAnswer - 16<<10}
 
-// client is one connection.
-type client struct {
-	t        *thread
+// connection is one connection to the server.
+type connection struct {
+	thread   *thread
 	conn     *transport.Conn
 	request  request
 	busy     bool
-	over     bool
-	deadline loop.Deadline // of the request, or of being idle
+	closed   bool
+	deadline loop.Deadline // of the request or of the idle time
 }
 
-// send sends a request that this connection is free for.
-func (c *client) send(x request, now Micros) {
-	t := c.t
-	until := x.due + t.o.Timeout.Microseconds()
-	t.buf = t.maker.Append(t.buf[:0], x.kind, now, until)
-	_ = t.result.Queued.RecordValue(min(max(0, now-x.due), longest))
-	c.request, c.busy = x, true
-	t.l.Set(&c.deadline, until)
+// send sends a request on this idle connection.
+func (c *connection) send(req request, now Micros) {
+	t := c.thread
+	until := req.due + t.options.Timeout.Microseconds()
+	t.buf = t.generator.Append(t.buf[:0], req.kind, now, until)
+	_ = t.result.Queued.RecordValue(min(max(0, now-req.due), maxLatency))
+	c.request, c.busy = req, true
+	t.loop.Set(&c.deadline, until)
 	if _, err := c.conn.Send(t.buf); err != nil {
-		c.lose(ConnectionLost)
+		c.abandon(ConnectionLost)
 	}
 }
 
-// due is the end of a client's patience, or of a connection's idle time.
-func (c *client) due() {
+// onDeadline handles a request's timeout or the end of the connection's idle time.
+func (c *connection) onDeadline() {
 	if !c.busy {
-		c.t.idle = slices.DeleteFunc(c.t.idle, func(o *client) bool { return o == c })
-		c.over = true
+		c.thread.idle = slices.DeleteFunc(c.thread.idle, func(other *connection) bool { return other == c })
+		c.closed = true
 		c.conn.Close()
-		c.t.gone()
+		c.thread.releaseConnection()
 		return
 	}
-	c.lose(TimedOut)
+	c.abandon(TimedOut)
 }
 
-// lose gives up a connection and what is out on it.
-func (c *client) lose(how string) {
-	if c.over {
+// abandon aborts the connection and completes its request with an outcome.
+func (c *connection) abandon(outcome string) {
+	if c.closed {
 		return
 	}
-	c.over = true
-	c.t.l.Stop(&c.deadline)
+	c.closed = true
+	c.thread.loop.Stop(&c.deadline)
 	if c.conn != nil {
 		c.conn.Abort()
 	}
-	x, busy := c.request, c.busy
-	c.t.gone()
+	req, busy := c.request, c.busy
+	c.thread.releaseConnection()
 	if busy {
-		c.t.ended(x, how, false)
+		c.thread.complete(req, outcome, false)
 	}
 }
 
-// Readable is part of transport.Handler.
-func (c *client) Readable(conn *transport.Conn) {
-	if c.over {
+// Readable implements transport.Handler.
+func (c *connection) Readable(conn *transport.Conn) {
+	if c.closed {
 		return
 	}
-	var r *httpwire.Response
+	var response *httpwire.Response
 	var err error
 	conn.Consume(func(b []byte) (used int) {
-		r, used, err = httpwire.ParseResponse(b, limits)
+		response, used, err = httpwire.ParseResponse(b, responseLimits)
 		return used
 	})
 	switch {
-	case err != nil || r != nil && !c.busy || r == nil && conn.Overflowed():
-		c.lose(Malformed)
+	case err != nil || response != nil && !c.busy || response == nil && conn.Overflowed():
+		c.abandon(Malformed)
 		return
-	case r == nil:
+	case response == nil:
 		return
 	}
-	t, x := c.t, c.request
-	t.result.Bytes += int64(len(r.Body))
+	t, req := c.thread, c.request
+	t.result.Bytes += int64(len(response.Body))
 	c.busy = false
-	t.l.Stop(&c.deadline)
-	if r.Close {
-		c.over = true
+	t.loop.Stop(&c.deadline)
+	if response.Close {
+		c.closed = true
 		conn.Close()
-		t.gone()
-	} else if next, ok := t.nextWaiting(); ok {
-		c.send(next, t.l.Now())
+		t.releaseConnection()
+	} else if next, ok := t.nextQueued(); ok {
+		c.send(next, t.loop.Now())
 	} else {
 		t.idle = append(t.idle, c)
-		t.l.SetCoarse(&c.deadline, t.l.Now()+t.o.IdleTimeout.Microseconds())
+		t.loop.SetCoarse(&c.deadline, t.loop.Now()+t.options.IdleTimeout.Microseconds())
 	}
-	t.ended(x, strconv.Itoa(r.Status), true)
+	t.complete(req, strconv.Itoa(response.Status), true)
 }
 
-// Drained is part of transport.Handler.
-func (c *client) Drained(*transport.Conn) {}
+// Drained implements transport.Handler.
+func (c *connection) Drained(*transport.Conn) {}
 
-// Closed is part of transport.Handler.
-func (c *client) Closed(*transport.Conn) {
-	if !c.over && !c.busy {
-		c.t.idle = slices.DeleteFunc(c.t.idle, func(o *client) bool { return o == c })
+// Closed implements transport.Handler.
+func (c *connection) Closed(*transport.Conn) {
+	if !c.closed && !c.busy {
+		c.thread.idle = slices.DeleteFunc(c.thread.idle, func(other *connection) bool { return other == c })
 	}
-	c.lose(ConnectionLost)
+	c.abandon(ConnectionLost)
 }
 
-// queue is requests that wait for a connection, in order.
+// queue is a FIFO of requests that wait for a connection.
 type queue struct {
-	list []request
-	head int
+	requests []request
+	head     int
 }
 
-func (q *queue) push(x request) { q.list = append(q.list, x) }
+func (q *queue) push(req request) { q.requests = append(q.requests, req) }
 
-func (q *queue) pop() (x request, ok bool) {
-	if q.head == len(q.list) {
-		q.list, q.head = q.list[:0], 0
-		return x, false
+func (q *queue) pop() (req request, ok bool) {
+	if q.head == len(q.requests) {
+		q.requests, q.head = q.requests[:0], 0
+		return req, false
 	}
-	x = q.list[q.head]
-	if q.head++; q.head > 1024 && 2*q.head > len(q.list) {
-		q.list, q.head = q.list[:copy(q.list, q.list[q.head:])], 0
+	req = q.requests[q.head]
+	if q.head++; q.head > 1024 && 2*q.head > len(q.requests) {
+		q.requests, q.head = q.requests[:copy(q.requests, q.requests[q.head:])], 0
 	}
-	return x, true
+	return req, true
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -47,20 +47,20 @@
 		}
 	}
 	if ended != r.Due {
-		t.Fatalf("%d due, %d ended: %+v", r.Due, ended, r.Kinds)
+		t.Fatalf("%d requests due, %d outcomes: %+v", r.Due, ended, r.Kinds)
 	}
 	return r
 }
 
-// Requests are as the standard library reads them, and each has one end by what
-// became of it, whatever a server does.
-func TestEnds(t *testing.T) {
-	var n, odd atomic.Int64
+// The standard library parses the requests, and each request has exactly one outcome
+// that matches what the server did with it.
+func TestOutcomes(t *testing.T) {
+	var n, malformed atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		write := strings.HasPrefix(r.URL.Path, "/call/payout-confirm/")
 		if len(r.Header.Get("Req-Id")) != 16 || r.Header.Get("X-Bucket") == "" || write != (r.Method == "PUT") || write != (len(body) == 10) {
-			odd.Add(1)
+			malformed.Add(1)
 		}
 		switch n.Add(1) % 10 {
 		case 0:
@@ -81,13 +81,13 @@
 	}))
 	defer s.Close()
 	r := run(t, options(s.Listener.Addr().String(), 500))
-	ends := map[string]int{}
+	outcomes := map[string]int{}
 	for _, k := range r.Kinds {
-		add(ends, k.Outcomes)
+		addCounts(outcomes, k.Outcomes)
 	}
-	if odd.Load() > 0 || r.Due < 350 || r.Due > 650 || ends["200"] == 0 || ends["503"] == 0 || ends[ConnectionLost] == 0 || ends[Malformed] == 0 ||
+	if malformed.Load() > 0 || r.Due < 350 || r.Due > 650 || outcomes["200"] == 0 || outcomes["503"] == 0 || outcomes[ConnectionLost] == 0 || outcomes[Malformed] == 0 ||
 		r.Kinds[0].Outcomes["200"] <= r.Kinds[1].Outcomes["200"] {
-		t.Errorf("%d due, %d odd, %v", r.Due, odd.Load(), ends)
+		t.Errorf("%d due, %d malformed, %v", r.Due, malformed.Load(), outcomes)
 	}
 	ln, err := loopbacktest.Listen()
 	if err != nil {
@@ -95,13 +95,13 @@
 	}
 	_ = ln.Close()
 	if r := run(t, options(ln.Addr().String(), 200)); r.Kinds[0].Outcomes[ConnectFailed]+r.Kinds[1].Outcomes[ConnectFailed] != r.Due {
-		t.Errorf("nobody listens: %+v", r.Kinds)
+		t.Errorf("no listener: %+v", r.Kinds)
 	}
 }
 
-// A server that stands still is charged for all who would have come meanwhile, and
-// clients lose patience with one that says nothing.
-func TestStallsAreSeen(t *testing.T) {
+// A stalled server is charged for all requests scheduled during the stall, and requests
+// to a server that never answers time out.
+func TestStallsCountInLatency(t *testing.T) {
 	var stalled atomic.Bool
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if stalled.CompareAndSwap(false, true) {
@@ -120,39 +120,39 @@
 			}
 		}
 	}
-	if slow < 60 { // of 400 a second, for 0.3 s
-		t.Errorf("%.0f were slow", slow)
+	if slow < 60 { // of 400 per second, during 0.3 s
+		t.Errorf("%.0f requests were slow", slow)
 	}
-	ln, err := loopbacktest.Listen() // accepts in its queue, and says nothing
+	ln, err := loopbacktest.Listen() // connections stay in the accept queue, unanswered
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	o.Address, o.Timeout = ln.Addr().String(), 300*time.Millisecond
 	if r := run(t, o); r.Kinds[0].Outcomes[TimedOut]+r.Kinds[1].Outcomes[TimedOut] != r.Due {
-		t.Errorf("nothing is said: %+v", r.Kinds)
+		t.Errorf("server that never answers: %+v", r.Kinds)
 	}
 }
 
-// Arrivals follow the curve, rising or not, and are as irregular as a Poisson
-// process unless they are to be even.
+// Arrivals follow the rate curve with constant and rising sections, with the variation
+// of a Poisson process unless they are evenly spaced.
 func TestArrivals(t *testing.T) {
 	curve := []world.RatePoint{{Rate: 100}, {At: 10 * second, Rate: 0}, {At: 20 * second, Rate: 0, Ramp: true}, {At: 40 * second, Rate: 400}}
 	for _, even := range []bool{false, true} {
 		o := options("", 1)
 		o.Curve, o.EvenlySpaced, o.Duration, o.Threads, o.Connections = curve, even, 60*time.Second, 1, 1
-		x := newThread(&o, 0, 0, &Progress{})
+		thread := newThread(&o, 0, 0, &Progress{})
 		var counts [6]float64
 		var gaps []float64
-		for before := Micros(0); x.step(); before = x.next {
-			counts[x.next/(10*second)]++
-			if x.next < 10*second {
-				gaps = append(gaps, float64(x.next-before))
+		for before := Micros(0); thread.advance(); before = thread.nextDue {
+			counts[thread.nextDue/(10*second)]++
+			if thread.nextDue < 10*second {
+				gaps = append(gaps, float64(thread.nextDue-before))
 			}
 		}
 		for i, want := range []float64{1000, 0, 1000, 3000, 4000, 4000} {
 			if math.Abs(counts[i]-want) > 4*math.Sqrt(want)+40 {
-				t.Errorf("even %v: %v in 10 s from %d s on, want %.0f", even, counts[i], 10*i, want)
+				t.Errorf("even %v: %v requests in the 10 s from %d s on, want %.0f", even, counts[i], 10*i, want)
 			}
 		}
 		mean, square := 0.0, 0.0
@@ -163,32 +163,32 @@
 			square += (g - mean) * (g - mean) / float64(len(gaps))
 		}
 		if spread := math.Sqrt(square) / mean; even && spread > 0.01 || !even && (spread < 0.85 || spread > 1.15) {
-			t.Errorf("even %v: gaps spread by %.2f of their mean", even, spread)
+			t.Errorf("even %v: standard deviation of the gaps is %.2f of their mean", even, spread)
 		}
 	}
 }
 
-// What makes no load is refused by name.
-func TestOptionsAreChecked(t *testing.T) {
+// Invalid options and mixes are rejected.
+func TestInvalidOptions(t *testing.T) {
 	for _, change := range []func(o *Options){func(o *Options) { o.Curve = nil }, func(o *Options) { o.Duration = 0 }, func(o *Options) { o.Connections = 1 },
 		func(o *Options) { o.Kinds = nil }} {
 		o := options("", 1)
 		change(&o)
 		if _, err := Run(o, &Progress{}); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 	for _, m := range []Mix{{}, {Classes: []Class{{Name: "x", Share: 1, Parts: 1}}, Objects: 1, Zipf: 1}, {Classes: []Class{{Name: "x", Share: 1}}}} {
 		if m.Check() == nil {
-			t.Errorf("%+v is taken", m)
+			t.Errorf("%+v is accepted", m)
 		}
 	}
 }
 
-// echo answers every request at once, on a loop of its own.
-type echo struct{}
+// echoHandler answers every request at once.
+type echoHandler struct{}
 
-func (echo) Readable(c *transport.Conn) {
+func (echoHandler) Readable(c *transport.Conn) {
 	n := 0
 	c.Consume(func(b []byte) (used int) {
 		for {
@@ -204,32 +204,32 @@
 		_, _ = c.Send([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	}
 }
-func (echo) Drained(*transport.Conn) {}
-func (echo) Closed(*transport.Conn)  {}
+func (echoHandler) Drained(*transport.Conn) {}
+func (echoHandler) Closed(*transport.Conn)  {}
 
-// BenchmarkCeiling is how many requests a second one thread sends to servers that
-// answer at once, and how late it comes to them.
-func BenchmarkCeiling(b *testing.B) {
+// BenchmarkMaxRate measures how many requests per second one thread sends to a server
+// that answers at once, and the lag behind the schedule.
+func BenchmarkMaxRate(b *testing.B) {
 	l := loop.New(func() {})
-	var held transport.Gauge
+	var memory transport.Gauge
 	ln, err := loopbacktest.Listen()
 	if err != nil {
 		b.Fatal(err)
 	}
 	address := ln.Addr().String()
 	_ = ln.Close()
-	if _, err := transport.Listen(l, address, 64<<10, &held, slog.New(slog.DiscardHandler), func(*transport.Conn) transport.Handler { return echo{} }); err != nil {
+	if _, err := transport.Listen(l, address, 64<<10, &memory, slog.New(slog.DiscardHandler), func(*transport.Conn) transport.Handler { return echoHandler{} }); err != nil {
 		b.Fatal(err)
 	}
 	go l.Run()
-	for _, x := range []struct {
+	for _, bench := range []struct {
 		rate    float64
 		precise bool
 	}{{1000, false}, {10_000, false}, {40_000, false}, {80_000, false}, {120_000, false}, {160_000, false}, {1000, true}, {40_000, true}} {
-		b.Run(fmt.Sprintf("%.0f precise %v", x.rate, x.precise), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%.0f precise %v", bench.rate, bench.precise), func(b *testing.B) {
 			for range b.N {
-				o := options(address, x.rate)
-				o.Threads, o.Duration, o.Precise = 1, 2*time.Second, x.precise
+				o := options(address, bench.rate)
+				o.Threads, o.Duration, o.Precise = 1, 2*time.Second, bench.precise
 				r, err := Run(o, &Progress{})
 				if err != nil {
 					b.Fatal(err)
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -1,7 +1,7 @@
-// Package site is a small site on loopback for the laboratory: stand-ins for a
-// cache node, a parent, the origin and the notice board, and the built front
-// before them, as it is shipped. The stand-ins speak the published protocols and
-// hold every object that is asked for; they break nothing.
+// Package site runs a small site on loopback for lab measurements: simulated cache
+// node, parent, origin and notice board, and the built front in front of them. The
+// simulated servers speak the published protocols, hold every requested object and
+// inject no faults.
 package site
 
 import (
@@ -25,18 +25,18 @@
 	"cherryramp/lab/process"
 )
 
-// settings are those of a site with two classes of reads and one of payouts.
+// settings configure a site with two classes of reads and one of payouts.
 //
 //go:embed settings.json
 var settings string
 
-// Tag names the copy that nodes answer with.
+// CopyTag is the tag of the copy that nodes answer with.
 const CopyTag = "t1"
 
-// Large is the name of an object whose parts are as long as parts can be.
+// LargeObject is the name of an object whose parts have the maximum size.
 const LargeObject = "large"
 
-// Body is what nodes hold under a name and a part.
+// Body returns the content that nodes hold for a part of an object.
 func Body(name, part string) []byte {
 	size := 14_000
 	if name == LargeObject {
@@ -45,28 +45,28 @@
 	return bytes.Repeat([]byte(name+"/"+part+";"), size/(len(name)+len(part)+2))
 }
 
-// Node is a stand-in for a cache node.
+// Node is a simulated cache node.
 type Node struct {
-	ln    net.Listener
-	taken atomic.Int64
-	born  time.Time
+	listener  net.Listener
+	requests  atomic.Int64
+	startedAt time.Time
 }
 
-// Taken counts the requests that came.
-func (n *Node) Requests() int64 { return n.taken.Load() }
+// Requests returns the number of requests received.
+func (n *Node) Requests() int64 { return n.requests.Load() }
 
-// Addr is where it listens.
-func (n *Node) Addr() string { return n.ln.Addr().String() }
+// Addr returns the address that the node listens on.
+func (n *Node) Addr() string { return n.listener.Addr().String() }
 
 func newNode() (*Node, error) {
-	ln, err := loopbacktest.Listen()
+	listener, err := loopbacktest.Listen()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{ln: ln, born: time.Now()}
+	n := &Node{listener: listener, startedAt: time.Now()}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// serve answers a connection's commands, one after the other.
+// serve answers the commands of a connection in order.
 func (n *Node) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
@@ -85,12 +85,12 @@
 		if err != nil {
 			return
 		}
-		words := strings.Fields(line)
+		command := strings.Fields(line)
 		switch {
-		case len(words) == 2 && words[0] == "health":
-			_, _ = fmt.Fprintf(w, "%s yes - 0\r\n\r\n", words[1])
-		case len(words) == 4 && words[0] == "serve":
-			size, err := strconv.Atoi(words[3])
+		case len(command) == 2 && command[0] == "health":
+			_, _ = fmt.Fprintf(w, "%s yes - 0\r\n\r\n", command[1])
+		case len(command) == 4 && command[0] == "serve":
+			size, err := strconv.Atoi(command[3])
 			if err != nil {
 				return
 			}
@@ -98,16 +98,16 @@
 				return
 			}
 			fields := map[string]string{}
-			for f := range strings.SplitSeq(words[2], ",") {
+			for f := range strings.SplitSeq(command[2], ",") {
 				name, value, _ := strings.Cut(f, "=")
 				fields[name] = value
 			}
-			n.taken.Add(1)
-			body, word := Body(fields["name"], fields["piece"]), "ok"
+			n.requests.Add(1)
+			body, status := Body(fields["name"], fields["piece"]), "ok"
 			if fields["cached"] == CopyTag {
-				body, word = nil, "current"
+				body, status = nil, "current"
 			}
-			_, _ = fmt.Fprintf(w, "%s %s sum=%s,t0=%d,why=warm %d\r\n", words[1], word, CopyTag, n.born.UnixMilli(), len(body))
+			_, _ = fmt.Fprintf(w, "%s %s sum=%s,t0=%d,why=warm %d\r\n", command[1], status, CopyTag, n.startedAt.UnixMilli(), len(body))
 			_, _ = w.Write(body)
 			_, _ = w.WriteString("\r\n")
 		}
@@ -119,30 +119,30 @@
 	}
 }
 
-// Site is a front with what it talks to.
+// Site is a front with the servers that it connects to.
 type Site struct {
 	Listen, SignedListen string // the front's addresses
 	Box, Parent, Origin  *Node
-	Operator             string // path of the operator's file
+	Operator             string // path of the operator file
 
-	dir     string
-	board   *http.Server
-	boardAt string
-	front   *process.Process
+	dir         string
+	boardServer *http.Server
+	boardAddr   string
+	front       *process.Process
 }
 
-// Options set a site up.
+// Options configure a site.
 type Options struct {
-	Front    string                     // path of the built program
-	Operator func(listen string) []byte // the operator's file, for the signed front's address; nil: none
-	Log      io.Writer                  // of the front; nil: nowhere
-	MemoryMB int                        // the front's limit; 0: 192
-	Sockets  int                        // the front's limit; 0: 1024
-	Env      []string                   // beside what the site sets
-	Core     *int                       // the one that the front runs on; nil: any
+	Front    string                     // path of the front's binary
+	Operator func(listen string) []byte // returns the operator file, given the address of the signed front; nil: none
+	Log      io.Writer                  // receives the front's log; nil: discarded
+	MemoryMB int                        // the front's memory limit; 0: 192
+	Sockets  int                        // the front's socket limit; 0: 1024
+	Env      []string                   // additional environment of the front
+	Core     *int                       // the core that the front is pinned to; nil: any
 }
 
-// Open starts a site's stand-ins, without a front. It must be stopped.
+// Open starts the simulated servers of a site without a front. The site must be stopped.
 func Open() (s *Site, err error) {
 	s = &Site{}
 	defer func() {
@@ -162,16 +162,17 @@
 	if err != nil {
 		return s, err
 	}
-	s.board = &http.Server{Handler: http.HandlerFunc(poll), ReadHeaderTimeout: process.Timeout}
-	go func() { _ = s.board.Serve(ln) }()
-	s.boardAt = ln.Addr().String()
+	s.boardServer = &http.Server{Handler: http.HandlerFunc(serveBoard), ReadHeaderTimeout: process.Timeout}
+	go func() { _ = s.boardServer.Serve(ln) }()
+	s.boardAddr = ln.Addr().String()
 	return s, nil
 }
 
-// Dir is a folder that goes with the site.
+// Dir returns a temporary folder that is removed when the site stops.
 func (s *Site) Dir() string { return s.dir }
 
-// Config is a front's configuration before the site's stand-ins; 0: the defaults.
+// Config returns a front's configuration for the site's simulated servers. Limits of 0 are
+// replaced with the defaults.
 func (s *Site) Config(name, listen string, memoryMB, sockets int) string {
 	var members []string
 	for _, m := range []struct {
@@ -185,10 +186,10 @@
 	}
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
 		"board":%q,"known":{"rev":1,"notices":[{"rev":1,"pool":{"revision":0,"complete":true,"members":[%s]}}]},"settings":%s}`,
-		name, listen, cmp.Or(memoryMB, 192), cmp.Or(sockets, 1024), s.boardAt, strings.Join(members, ","), settings)
+		name, listen, cmp.Or(memoryMB, 192), cmp.Or(sockets, 1024), s.boardAddr, strings.Join(members, ","), settings)
 }
 
-// Start starts a site with a front. It must be stopped.
+// Start starts a site with a front and waits until it serves. The site must be stopped.
 func Start(o Options) (s *Site, err error) {
 	if s, err = Open(); err != nil {
 		return s, err
@@ -223,21 +224,21 @@
 	return s, s.front.AwaitServing()
 }
 
-// Pid is the front's process.
+// Pid returns the process ID of the front.
 func (s *Site) Pid() int { return s.front.Pid() }
 
-// Stop ends all that the site started.
+// Stop stops everything that the site started.
 func (s *Site) Stop() (err error) {
 	if s.front != nil {
 		err = s.front.Stop()
 	}
 	for _, n := range []*Node{s.Box, s.Parent, s.Origin} {
 		if n != nil {
-			_ = n.ln.Close()
+			_ = n.listener.Close()
 		}
 	}
-	if s.board != nil {
-		_ = s.board.Close()
+	if s.boardServer != nil {
+		_ = s.boardServer.Close()
 	}
 	if s.dir != "" {
 		_ = os.RemoveAll(s.dir)
@@ -245,8 +246,8 @@
 	return err
 }
 
-// poll answers the notice board's long poll: nothing ever changes.
-func poll(w http.ResponseWriter, r *http.Request) {
+// serveBoard answers the notice board's long polls; the board never changes.
+func serveBoard(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-time.After(100 * time.Millisecond):
 	case <-r.Context().Done():
@@ -254,5 +255,5 @@
 	_, _ = io.WriteString(w, `{"rev":1,"notices":[]}`)
 }
 
-// Settings is the settings of the site's fronts, as JSON.
+// Settings returns the settings of the site's fronts as JSON.
 func Settings() string { return settings }
