--- a/lab/experiment/design.go
+++ b/lab/experiment/design.go
@@ -10,70 +10,71 @@
 	"cherryramp/lab/world"
 )
 
-// Design decides which days to play next, and when enough are played to tell which
-// of two arms is better. It looks at what there is between batches of days; as it
-// looks several times, each look asks for more than a single one would.
+// Design is a group-sequential comparison of two arms: it decides which days to play
+// next, and when there are enough to tell which arm is better. The results are tested
+// between batches of days. As there are several looks, each uses a stricter critical
+// value than a single test would.
 type Design struct {
 	Files        []string
 	Measure      func(r *world.Result) float64
-	Looks        int     // at most
-	InitialSeeds int     // seeds of each scenario before the first look, 2 at least
+	Looks        int     // maximum number of tests
+	InitialSeeds int     // seeds of each scenario before the first look, at least 2
 	BatchDays    int     // days between two looks
-	MinEffect    float64 // an effect below this matters to nobody; 0: any does
+	MinEffect    float64 // effects below this are irrelevant; 0: all are relevant
 }
 
-// Want is a day that both arms are to play.
+// PlannedDay is a day that both arms have to play.
 type PlannedDay struct {
 	File string
 	Seed uint64
 }
 
-// Step is what the design says at a look.
+// Step is the result of a look.
 type Step struct {
-	Verdict         string // better, worse, alike, can't tell; empty: play Days
+	Verdict         string // better, worse, alike or can't tell; empty: play Days first
 	Mean, Low, High float64
 	Days            []PlannedDay
 }
 
-// pocock are the critical values of group-sequential tests with equal steps at 5%,
-// two-sided, by the number of looks (Pocock, Biometrika 64, 1977; Jennison and
-// Turnbull, Group Sequential Methods, 2000, table 2.1). They are for normal values;
-// here they are taken to Student's t by their tail.
-var pocock = []float64{1.960, 2.178, 2.289, 2.361, 2.413, 2.453, 2.485, 2.512, 2.535, 2.555}
+// pocockCritical holds the two-sided critical values of group-sequential tests with
+// equal steps at 5%, by the number of looks (Pocock, Biometrika 64, 1977; Jennison and
+// Turnbull, Group Sequential Methods, 2000, table 2.1). They apply to normal values and
+// are converted to Student's t by their tail probability.
+var pocockCritical = []float64{1.960, 2.178, 2.289, 2.361, 2.413, 2.453, 2.485, 2.512, 2.535, 2.555}
 
-// MostLooks is the most that a design may have.
+// MaxLooks is the maximum number of looks of a design.
 const MaxLooks = 10
 
-// Check names what no design can have.
+// Check returns an error if the design is invalid.
 func (d *Design) Check() error {
 	switch {
 	case len(d.Files) == 0:
 		return fmt.Errorf("experiment: no scenarios")
 	case d.Looks < 1 || d.Looks > MaxLooks:
-		return fmt.Errorf("experiment: %d looks, 1 to %d are possible", d.Looks, MaxLooks)
+		return fmt.Errorf("experiment: %d looks, must be 1 to %d", d.Looks, MaxLooks)
 	case d.InitialSeeds < 2 || d.BatchDays < 1:
-		return fmt.Errorf("experiment: %d seeds first and %d days a batch, 2 and 1 are the least", d.InitialSeeds, d.BatchDays)
+		return fmt.Errorf("experiment: %d initial seeds and %d days per batch, at least 2 and 1 are required", d.InitialSeeds, d.BatchDays)
 	case d.MinEffect < 0:
-		return fmt.Errorf("experiment: an effect of %v that matters", d.MinEffect)
+		return fmt.Errorf("experiment: the minimum effect %v is negative", d.MinEffect)
 	}
 	return nil
 }
 
-// stratum is what is known of one scenario.
+// stratum holds the statistics of one scenario.
 type stratum struct {
-	file  string
-	n     int
-	sum   float64
-	sq    float64 // of distances from the mean
-	next  uint64
-	guess float64 // of the variance
+	file       string
+	count      int
+	mean       float64
+	sumSquares float64 // sum of squared deviations from the mean
+	nextSeed   uint64
+	variance   float64 // variance estimate, shrunk towards that of all scenarios
 }
 
-// priorSeeds is what the variance of all scenarios weighs in that of one, in seeds.
+// priorSeeds is the weight, in seeds, of the pooled variance in a scenario's variance estimate.
 const priorSeeds = 2
 
-// Next looks at the pairs that there are, for the look-th time from 1 on. What an
-// earlier look has asked for must be among them.
+// Next evaluates the pairs played so far. Looks are numbered from 1. The pairs must
+// include all days planned by earlier looks.
 func (d *Design) Next(pairs []Pair, look int) Step {
 	strata := make([]stratum, len(d.Files))
 	for i, f := range d.Files {
@@ -84,27 +85,27 @@
 		if i < 0 {
 			continue
 		}
-		s, x := &strata[i], d.Measure(p.B)-d.Measure(p.A)
-		s.n++
-		delta := x - s.sum // Welford: sum holds the mean
-		s.sum += delta / float64(s.n)
-		s.sq += delta * (x - s.sum)
-		s.next = max(s.next, p.Seed+1)
+		s, difference := &strata[i], d.Measure(p.B)-d.Measure(p.A)
+		s.count++
+		delta := difference - s.mean // Welford's update of the mean
+		s.mean += delta / float64(s.count)
+		s.sumSquares += delta * (difference - s.mean)
+		s.nextSeed = max(s.nextSeed, p.Seed+1)
 	}
 	var step Step
 	for i := range strata {
-		for s := &strata[i]; s.n < d.InitialSeeds; s.n++ {
-			step.Days = append(step.Days, PlannedDay{s.file, s.next})
-			s.next++
+		for s := &strata[i]; s.count < d.InitialSeeds; s.count++ {
+			step.Days = append(step.Days, PlannedDay{s.file, s.nextSeed})
+			s.nextSeed++
 		}
 	}
 	if len(step.Days) > 0 {
 		return step
 	}
 	variance, df := d.estimate(strata, &step.Mean)
-	tail := distuv.UnitNormal.Survival(pocock[d.Looks-1])
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}.Quantile(1-tail) * math.Sqrt(variance)
-	step.Low, step.High = step.Mean-half, step.Mean+half
+	tail := distuv.UnitNormal.Survival(pocockCritical[d.Looks-1])
+	margin := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}.Quantile(1-tail) * math.Sqrt(variance)
+	step.Low, step.High = step.Mean-margin, step.Mean+margin
 	switch {
 	case step.Low > 0:
 		step.Verdict = "better"
@@ -120,44 +121,44 @@
 	return step
 }
 
-// estimate gives the mean over the scenarios, each of the same weight, and its
-// variance with the degrees of freedom, which are few where one noisy scenario makes
-// up most of it (Satterthwaite, Biometrics Bulletin 2, 1946).
+// estimate computes the mean over the scenarios with equal weights, its variance, and
+// the degrees of freedom, which are low where one noisy scenario contributes most of
+// the variance (Satterthwaite, Biometrics Bulletin 2, 1946).
 func (d *Design) estimate(strata []stratum, mean *float64) (variance, df float64) {
-	pooled, all, squares := 0.0, 0.0, 0.0
+	pooled, dfSum, squares := 0.0, 0.0, 0.0
 	for _, s := range strata {
-		*mean += s.sum / float64(len(strata))
-		pooled += s.sq
-		all += float64(s.n - 1)
-		v := s.sq / float64(s.n-1) / float64(s.n)
+		*mean += s.mean / float64(len(strata))
+		pooled += s.sumSquares
+		dfSum += float64(s.count - 1)
+		v := s.sumSquares / float64(s.count-1) / float64(s.count)
 		variance += v
-		squares += v * v / float64(s.n-1)
+		squares += v * v / float64(s.count-1)
 	}
 	for i := range strata {
 		s := &strata[i]
-		s.guess = (priorSeeds*pooled/all + s.sq) / (priorSeeds + float64(s.n-1))
+		s.variance = (priorSeeds*pooled/dfSum + s.sumSquares) / (priorSeeds + float64(s.count-1))
 	}
-	df = all
+	df = dfSum
 	if squares > 0 {
 		df = variance * variance / squares
 	}
 	return variance / float64(len(strata)*len(strata)), df
 }
 
-// allocate spreads a batch over the scenarios so that the mean's variance falls most
-// with each day (Neyman's allocation, reached day by day). It looks at variances
-// only, never at which arm is ahead.
+// allocate distributes a batch over the scenarios so that each day reduces the mean's
+// variance the most (Neyman allocation, one day at a time). It uses the variances only
+// and never the direction of the effect.
 func (d *Design) allocate(strata []stratum) (days []PlannedDay) {
 	for range d.BatchDays {
 		best, gain := 0, -1.0
 		for i, s := range strata {
-			if g := s.guess / float64(s.n*(s.n+1)); g > gain {
+			if g := s.variance / float64(s.count*(s.count+1)); g > gain {
 				best, gain = i, g
 			}
 		}
 		s := &strata[best]
-		days = append(days, PlannedDay{s.file, s.next})
-		s.n, s.next = s.n+1, s.next+1
+		days = append(days, PlannedDay{s.file, s.nextSeed})
+		s.count, s.nextSeed = s.count+1, s.nextSeed+1
 	}
 	return days
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment compares what two builds or settings made of the same days: by
-// pairs, a day and a seed each, and with an interval, since single days tell little.
+// Package experiment compares two builds or settings on the same simulated days. Days
+// are paired by scenario and seed, and effects have confidence intervals, since days
+// differ far more than builds.
 package experiment
 
 import (
@@ -13,7 +14,7 @@
 	"cherryramp/lab/world"
 )
 
-// Measures are what days are compared by; more is better in all of them.
+// Measures are the metrics that days are compared by. Higher is better for all of them.
 var Measures = []struct {
 	Name string
 	Of   func(r *world.Result) float64
@@ -34,22 +35,22 @@
 	{"promises broken", func(r *world.Result) float64 { return -float64(len(r.Violations)) }},
 }
 
-// Effect is what the second of two builds makes of a measure, over the first.
+// Effect is the difference that the second of two arms makes in a measure.
 type Effect struct {
 	Measure           string
 	Pairs             int
 	A, B              float64 // means
-	Mean              float64 // of the differences
-	Low, High         float64 // 95% of the means of resampled differences
+	Mean              float64 // mean of the differences
+	Low, High         float64 // 95% interval of the means of resampled differences
 	Better, Differing int     // pairs in which B is better, and in which they differ
 }
 
-// Verdict says what can be said.
+// Verdict returns the conclusion: alike, too few, better, worse or can't tell.
 func (e Effect) Verdict() string {
 	switch {
 	case e.Differing == 0:
 		return "alike"
-	case e.Pairs < fewest:
+	case e.Pairs < minPairs:
 		return "too few"
 	case e.Low > 0:
 		return "better"
@@ -66,74 +67,74 @@
 
 const (
 	resamples = 4000
-	fewest    = 5 // pairs, under which an interval means nothing
+	minPairs  = 5 // below this an interval is meaningless
 )
 
-// Pair is a day that two arms have played.
+// Pair is a day played by both arms.
 type Pair struct {
 	File string
 	Seed uint64
 	A, B *world.Result
 }
 
-// Pairs pairs the days of two arms. Days that only one of them has are counted.
-func Pairs(a, b []Day) (pairs []Pair, alone int, err error) {
+// Pairs pairs the days of two arms by scenario and seed, and counts the days that only one of them has.
+func Pairs(a, b []Day) (pairs []Pair, unpaired int, err error) {
 	type key struct {
 		file string
 		seed uint64
 	}
-	first := map[key]*world.Result{}
+	unmatched := map[key]*world.Result{}
 	for _, d := range a {
 		k := key{d.File, d.Seed}
-		if first[k] != nil {
-			return nil, 0, fmt.Errorf("experiment: %s with seed %d is there twice", d.File, d.Seed)
+		if unmatched[k] != nil {
+			return nil, 0, fmt.Errorf("experiment: duplicate day: %s with seed %d", d.File, d.Seed)
 		}
-		first[k] = d.Result
+		unmatched[k] = d.Result
 	}
 	for _, d := range b {
-		if r := first[key{d.File, d.Seed}]; r != nil {
+		if r := unmatched[key{d.File, d.Seed}]; r != nil {
 			pairs = append(pairs, Pair{d.File, d.Seed, r, d.Result})
-			delete(first, key{d.File, d.Seed})
+			delete(unmatched, key{d.File, d.Seed})
 		} else {
-			alone++
+			unpaired++
 		}
 	}
-	return pairs, alone + len(first), nil
+	return pairs, unpaired + len(unmatched), nil
 }
 
-// Compare gives the effect on each measure, over all pairs.
+// Compare returns the effect on each measure over all pairs.
 func Compare(pairs []Pair) (effects []Effect, err error) {
-	if len(pairs) < fewest {
-		return nil, fmt.Errorf("experiment: %d days are in both, %d are needed", len(pairs), fewest)
+	if len(pairs) < minPairs {
+		return nil, fmt.Errorf("experiment: %d days are in both arms, at least %d are required", len(pairs), minPairs)
 	}
 	for _, m := range Measures {
-		effects = append(effects, effect(m.Name, m.Of, pairs))
+		effects = append(effects, newEffect(m.Name, m.Of, pairs))
 	}
 	return effects, nil
 }
 
-// ByFile gives the effect on one measure for each scenario; where it has few pairs
-// its interval is empty.
+// ByFile returns the effect on one measure for each scenario. With too few pairs the
+// interval is unbounded.
 func ByFile(measure string, pairs []Pair) (files []string, effects []Effect) {
-	by := map[string][]Pair{}
+	byFile := map[string][]Pair{}
 	for _, p := range pairs {
-		if by[p.File] == nil {
+		if byFile[p.File] == nil {
 			files = append(files, p.File)
 		}
-		by[p.File] = append(by[p.File], p)
+		byFile[p.File] = append(byFile[p.File], p)
 	}
 	slices.Sort(files)
 	for _, f := range files {
 		for _, m := range Measures {
 			if m.Name == measure {
-				effects = append(effects, effect(f, m.Of, by[f]))
+				effects = append(effects, newEffect(f, m.Of, byFile[f]))
 			}
 		}
 	}
 	return files, effects
 }
 
-func effect(name string, of func(r *world.Result) float64, pairs []Pair) Effect {
+func newEffect(name string, of func(r *world.Result) float64, pairs []Pair) Effect {
 	e := Effect{Measure: name, Pairs: len(pairs)}
 	strata, n := map[string]int{}, float64(len(pairs))
 	var diffs [][]float64
@@ -158,16 +159,16 @@
 	return e
 }
 
-// bootstrap gives the middle 95% of the means of resampled values (Efron, 1979),
-// the same for the same values. Where each scenario has several seeds, values are
-// drawn anew within each, as the scenarios are chosen and not a sample; else among
-// all, which can only be wider.
+// bootstrap returns the central 95% of the means of resampled values (Efron, 1979). It
+// is deterministic. Where each scenario has several seeds, values are resampled within
+// each scenario, as the scenarios are fixed and not a sample; otherwise among all,
+// which can only widen the interval.
 func bootstrap(strata [][]float64) (low, high float64) {
 	n := 0
 	for _, s := range strata {
 		n += len(s)
 	}
-	if n < fewest {
+	if n < minPairs {
 		return math.Inf(-1), math.Inf(1)
 	}
 	for _, s := range strata {
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -11,19 +11,19 @@
 	"cherryramp/lab/world"
 )
 
-// days are so many pairs, of which the second has its service moved by an effect
-// and both are noisy.
-func days(n int, effect, noise float64, seed uint64) (a, b []Day) {
+// syntheticDays returns n days of two arms with noisy results; the service of b is
+// shifted by effect.
+func syntheticDays(n int, effect, noise float64, seed uint64) (a, b []Day) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	for i := range n {
-		base := 0.7 + 0.2*r.Float64() // days differ far more than builds
+		base := 0.7 + 0.2*r.Float64() // days differ far more than builds do
 		a = append(a, Day{File: "x", Seed: uint64(i), Result: &world.Result{Service: base + noise*r.NormFloat64()}})
 		b = append(b, Day{File: "x", Seed: uint64(i), Result: &world.Result{Service: base + effect + noise*r.NormFloat64()}})
 	}
 	return a, b
 }
 
-func service(t *testing.T, a, b []Day) Effect {
+func serviceEffect(t *testing.T, a, b []Day) Effect {
 	t.Helper()
 	pairs, _, err := Pairs(a, b)
 	if err != nil {
@@ -36,47 +36,47 @@
 	return effects[1]
 }
 
-// An effect that is far smaller than what days differ by is found by pairs; where
-// there is none, it is claimed about as often as the interval says.
+// Pairing detects an effect far smaller than the variation between days; without an
+// effect, false claims are about as frequent as the interval allows.
 func TestVerdicts(t *testing.T) {
 	for _, x := range []struct {
 		effect, noise float64
 		want          string
 	}{{0.01, 0.01, "better"}, {-0.01, 0.01, "worse"}, {0, 0, "alike"}} {
-		a, b := days(40, x.effect, x.noise, 7)
-		if e := service(t, a, b); e.Verdict() != x.want {
+		a, b := syntheticDays(40, x.effect, x.noise, 7)
+		if e := serviceEffect(t, a, b); e.Verdict() != x.want {
 			t.Error(e)
 		}
 	}
-	wrong := 0
+	falseClaims := 0
 	for seed := range uint64(100) {
-		a, b := days(30, 0, 0.01, seed)
-		if service(t, a, b).Verdict() != "can't tell" {
-			wrong++
+		a, b := syntheticDays(30, 0, 0.01, seed)
+		if serviceEffect(t, a, b).Verdict() != "can't tell" {
+			falseClaims++
 		}
 	}
-	if wrong > 15 {
-		t.Errorf("of 100 comparisons of the same, %d claim an effect", wrong)
+	if falseClaims > 15 {
+		t.Errorf("%d of 100 comparisons without an effect claim one", falseClaims)
 	}
 }
 
-// Days that are in one only are told, few days and doubled ones refused.
+// Unpaired days are counted; too few pairs and duplicate days are rejected.
 func TestPairs(t *testing.T) {
-	a, b := days(10, 0, 0, 1)
-	if _, alone, err := Pairs(a[:8], b[2:]); alone != 4 || err != nil {
-		t.Error(alone, err)
+	a, b := syntheticDays(10, 0, 0, 1)
+	if _, unpaired, err := Pairs(a[:8], b[2:]); unpaired != 4 || err != nil {
+		t.Error(unpaired, err)
 	}
 	few, _, _ := Pairs(a[:4], b)
 	if _, err := Compare(few); err == nil {
-		t.Error("four days are enough")
+		t.Error("four days are accepted")
 	}
 	if _, _, err := Pairs(append(a, a[0]), b); err == nil {
-		t.Error("a day is there twice")
+		t.Error("a duplicate day is accepted")
 	}
 }
 
-// duel plays a design to its end on made-up scenarios: effect and noise by file.
-func duel(t *testing.T, d *Design, effect float64, noise map[string]float64, seed uint64) (Step, int, map[string]int) {
+// runDesign runs a design to its verdict on synthetic scenarios, with the given effect and noise by file.
+func runDesign(t *testing.T, d *Design, effect float64, noise map[string]float64, seed uint64) (Step, int, map[string]int) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 2))
 	var pairs []Pair
@@ -97,48 +97,48 @@
 	}
 }
 
-// A design that looks five times claims an effect where there is none no more often
-// than once in twenty; it finds one that is there, plays less where it is plain,
-// and gives noisy scenarios more days.
+// A design with five looks claims a nonexistent effect no more often than once in twenty,
+// detects an existing effect, plays fewer days where it is large, and gives noisy scenarios more
+// days.
 func TestDesign(t *testing.T) {
 	d := &Design{Files: []string{"a", "b", "c", "d"}, Measure: func(r *world.Result) float64 { return r.G }, Looks: 5, InitialSeeds: 4, BatchDays: 12}
 	if err := d.Check(); err != nil {
 		t.Fatal(err)
 	}
 	noise := map[string]float64{"a": 0.01, "b": 0.01, "c": 0.01, "d": 0.06}
-	wrong, found := 0, 0
+	falseClaims, found := 0, 0
 	const plays = 1000
 	for seed := range uint64(plays) {
-		if step, _, _ := duel(t, d, 0, noise, seed); step.Verdict != "can't tell" {
-			wrong++
+		if step, _, _ := runDesign(t, d, 0, noise, seed); step.Verdict != "can't tell" {
+			falseClaims++
 		}
-		if step, _, _ := duel(t, d, 0.02, noise, seed); step.Verdict == "better" {
+		if step, _, _ := runDesign(t, d, 0.02, noise, seed); step.Verdict == "better" {
 			found++
 		}
 	}
-	if wrong > plays/14 || found < plays*8/10 {
-		t.Errorf("of %d: claimed %d times where nothing is, found %d times", plays, wrong, found)
+	if falseClaims > plays/14 || found < plays*8/10 {
+		t.Errorf("of %d: %d false claims, %d effects detected", plays, falseClaims, found)
 	}
-	_, plain, _ := duel(t, d, 0.5, noise, 1)
-	_, hidden, count := duel(t, d, 0, noise, 1)
+	_, plain, _ := runDesign(t, d, 0.5, noise, 1)
+	_, hidden, count := runDesign(t, d, 0, noise, 1)
 	if plain != 16 || hidden <= 2*plain || count["d"] < 2*count["a"] {
-		t.Errorf("%d days for a plain effect, %d for none; by scenario %v", plain, hidden, count)
+		t.Errorf("%d days for a large effect, %d for none; by scenario %v", plain, hidden, count)
 	}
 	d.MinEffect = 0.05
-	if step, n, _ := duel(t, d, 0, noise, 3); step.Verdict != "alike" || n >= hidden {
-		t.Errorf("%q after %d", step.Verdict, n)
+	if step, n, _ := runDesign(t, d, 0, noise, 3); step.Verdict != "alike" || n >= hidden {
+		t.Errorf("verdict %q after %d days", step.Verdict, n)
 	}
 	for _, bad := range []Design{{}, {Files: d.Files, Looks: 11, InitialSeeds: 2, BatchDays: 1}, {Files: d.Files, Looks: 2, InitialSeeds: 1, BatchDays: 1},
 		{Files: d.Files, Looks: 2, InitialSeeds: 2, BatchDays: 1, MinEffect: -1}} {
 		if bad.Check() == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 }
 
-// An experiment that is stopped goes on where it was, plays anew what has changed,
-// keeps builds apart, and names the day that failed.
-func TestStoreGoesOn(t *testing.T) {
+// A stopped experiment resumes where it was, replays days whose scenario changed,
+// rejects another build under the same name, and names the day that failed.
+func TestStoreResume(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "days.db")
 	open := func() *Store {
 		s, err := OpenStore(path)
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	if err := run(context.Background(), s); err != nil || played != 6 {
-		t.Fatalf("%v; %d played, %d of them before the stop", err, played, before)
+		t.Fatalf("%v; %d days played, %d of them before the stop", err, played, before)
 	}
 	days, err := s.Days("today")
 	if err != nil || len(days) != 6 || days[3].Seed != 3 || days[0].Result.Requests() == 0 || len(days[0].Marks) != 1 || days[0].Name != "small" {
--- a/lab/experiment/store.go
+++ b/lab/experiment/store.go
@@ -14,29 +14,29 @@
 	"cherryramp/lab/world"
 )
 
-// Arm is one build or setting, as its days were played.
+// Arm is one build or setting whose days are played.
 type Arm struct {
 	Name    string
-	Build   string // digest of the programs
+	Build   string // digest of the binaries
 	Sockets bool
 	With    string // lines added to every scenario
 	Began   time.Time
 }
 
-// same tells whether days of two arms may stand together.
-func (a Arm) same(b Arm) bool {
+// compatible reports whether days of two arms may be stored under one name.
+func (a Arm) compatible(b Arm) bool {
 	return a.Build == b.Build && a.Sockets == b.Sockets && a.With == b.With
 }
 
-// Mark is a trouble of a day, for pictures of it.
+// Mark is a fault injected during a day, shown in plots.
 type Mark struct {
 	Text    string
 	At, For world.Micros
 }
 
-// Day is one day that was played.
+// Day is a played day.
 type Day struct {
-	File    string // of its scenario, without directories
+	File    string // base name of the scenario file
 	Name    string
 	Seed    uint64
 	Classes []string
@@ -45,26 +45,26 @@
 	Result  *world.Result
 }
 
-// Store keeps days in one file, so that experiments can be stopped and gone on
-// with. One process may have it open.
+// Store keeps days in one file, so that experiments can be stopped and resumed. Only
+// one process may have it open.
 type Store struct {
-	db  *bbolt.DB
-	enc *zstd.Encoder
-	dec *zstd.Decoder
+	db      *bbolt.DB
+	encoder *zstd.Encoder
+	decoder *zstd.Decoder
 }
 
-// The buckets. Days are in one bucket an arm, inside dayBucket.
+// Buckets of the database. Days are in one bucket per arm, inside dayBucket.
 var (
 	armBucket = []byte("arms")
 	dayBucket = []byte("days")
 )
 
-// lockWait is how long another process may still have the store open.
-const lockWait = 2 * time.Second
+// lockTimeout is how long OpenStore waits for another process to close the store.
+const lockTimeout = 2 * time.Second
 
-// OpenStore opens a store, or makes one.
+// OpenStore opens a store and creates it if needed.
 func OpenStore(path string) (*Store, error) {
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockWait})
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bbolt.ErrTimeout) {
 		return nil, fmt.Errorf("experiment: %s is open in another process", path)
 	}
@@ -72,9 +72,9 @@
 		return nil, fmt.Errorf("experiment: %s: %w", path, err)
 	}
 	s := &Store{db: db}
-	s.enc, err = zstd.NewWriter(nil)
+	s.encoder, err = zstd.NewWriter(nil)
 	if err == nil {
-		s.dec, err = zstd.NewReader(nil)
+		s.decoder, err = zstd.NewReader(nil)
 	}
 	if err == nil {
 		err = db.Update(func(tx *bbolt.Tx) error {
@@ -94,11 +94,11 @@
 
 // Close closes the store.
 func (s *Store) Close() error {
-	s.dec.Close()
-	return errors.Join(s.enc.Close(), s.db.Close())
+	s.decoder.Close()
+	return errors.Join(s.encoder.Close(), s.db.Close())
 }
 
-// Begin begins an arm, or goes on with one that is the same but for when it began.
+// BeginArm creates an arm, or resumes an existing one with the same build and settings.
 func (s *Store) BeginArm(a Arm) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(armBucket)
@@ -107,8 +107,8 @@
 			if err := json.Unmarshal(old, &x); err != nil {
 				return fmt.Errorf("experiment: arm %q: %w", a.Name, err)
 			}
-			if !x.same(a) {
-				return fmt.Errorf("experiment: arm %q was played with another build or settings; give this one another name, or drop that", a.Name)
+			if !x.compatible(a) {
+				return fmt.Errorf("experiment: arm %q was played with another build or settings; use another name or drop the stored arm", a.Name)
 			}
 			return nil
 		}
@@ -124,17 +124,17 @@
 	})
 }
 
-// Drop forgets an arm and its days.
+// DeleteArm deletes an arm and its days.
 func (s *Store) DeleteArm(arm string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if tx.Bucket(armBucket).Get([]byte(arm)) == nil {
-			return fmt.Errorf("experiment: there is no arm %q", arm)
+			return fmt.Errorf("experiment: arm %q does not exist", arm)
 		}
 		return errors.Join(tx.Bucket(armBucket).Delete([]byte(arm)), tx.Bucket(dayBucket).DeleteBucket([]byte(arm)))
 	})
 }
 
-// Arms are all, by name.
+// Arms returns all arms, ordered by name.
 func (s *Store) Arms() (list []Arm, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(armBucket).ForEach(func(k, v []byte) error {
@@ -149,33 +149,33 @@
 	return list, err
 }
 
-// record is a day as it is kept.
+// record is a stored day.
 type record struct {
-	Text uint64 // digest of the scenario that was played
+	Text uint64 // digest of the scenario's text
 	Day  Day
 }
 
 func dayKey(file string, seed uint64) []byte { return fmt.Appendf(nil, "%s %020d", file, seed) }
 
-// Has tells whether an arm has a day, played from this very text.
+// Has reports whether an arm has a day that was played from the same text.
 func (s *Store) Has(arm string, j Job) (has bool, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(dayBucket).Bucket([]byte(arm))
 		if b == nil {
-			return fmt.Errorf("experiment: there is no arm %q", arm)
+			return fmt.Errorf("experiment: arm %q does not exist", arm)
 		}
 		v := b.Get(dayKey(j.File, j.Seed))
 		if v == nil {
 			return nil
 		}
-		r, err := s.read(v)
+		r, err := s.decode(v)
 		has = err == nil && r.Text == xxhash.Sum64String(j.Text)
 		return err
 	})
 	return has, err
 }
 
-// Put keeps a day that was played from a text.
+// Put stores a day that was played from a text.
 func (s *Store) Put(arm, text string, d Day) error {
 	v, err := json.Marshal(record{xxhash.Sum64String(text), d})
 	if err != nil {
@@ -184,29 +184,29 @@
 	return s.db.Batch(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(dayBucket).Bucket([]byte(arm))
 		if b == nil {
-			return fmt.Errorf("experiment: there is no arm %q", arm)
+			return fmt.Errorf("experiment: arm %q does not exist", arm)
 		}
-		return b.Put(dayKey(d.File, d.Seed), s.enc.EncodeAll(v, nil))
+		return b.Put(dayKey(d.File, d.Seed), s.encoder.EncodeAll(v, nil))
 	})
 }
 
-func (s *Store) read(v []byte) (r record, err error) {
-	text, err := s.dec.DecodeAll(v, nil)
+func (s *Store) decode(v []byte) (r record, err error) {
+	text, err := s.decoder.DecodeAll(v, nil)
 	if err == nil {
 		err = json.Unmarshal(text, &r)
 	}
 	return r, err
 }
 
-// Days are an arm's, by scenario and seed.
+// Days returns an arm's days, ordered by scenario and seed.
 func (s *Store) Days(arm string) (days []Day, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(dayBucket).Bucket([]byte(arm))
 		if b == nil {
-			return fmt.Errorf("experiment: there is no arm %q", arm)
+			return fmt.Errorf("experiment: arm %q does not exist", arm)
 		}
 		return b.ForEach(func(k, v []byte) error {
-			r, err := s.read(v)
+			r, err := s.decode(v)
 			if err != nil {
 				return fmt.Errorf("experiment: arm %q, day %q: %w", arm, k, err)
 			}
@@ -217,7 +217,7 @@
 	return days, err
 }
 
-// Files are the scenarios of days, in order.
+// Files returns the sorted scenario files of days.
 func Files(days []Day) (files []string) {
 	for _, d := range days {
 		if !slices.Contains(files, d.File) {
