--- a/lab/idle/idle.go
+++ b/lab/idle/idle.go
@@ -1,5 +1,5 @@
-// Package idle holds many connections open to a front, lets them wake at once,
-// and tells what became of their requests.
+// Package idle holds many idle connections open to a front, sends requests on all of
+// them within a short time, and reports the results.
 package idle
 
 import (
@@ -15,37 +15,37 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// dialers is how many connections come up at a time.
-const dialers = 64
+// maxDials is the number of connections opened concurrently.
+const maxDials = 64
 
-// Herd is connections that have each been answered once and are idle.
+// Pool is a set of idle connections, each of which has received one answer.
 type Pool struct {
 	conns    []net.Conn
 	patience time.Duration
 }
 
-// source is the address of the i-th connection of all herds, spread over 127/8.
-func source(i int) *net.TCPAddr {
+// sourceAddr returns the source address of the i-th connection of all pools, spread over 127/8.
+func sourceAddr(i int) *net.TCPAddr {
 	return &net.TCPAddr{IP: net.IPv4(127, byte(1+i>>16), byte(i>>8), byte(i))}
 }
 
-// Open opens so many connections to an address, the first from the source of a
-// number, and has each ask once; text makes the bytes of the i-th request.
+// Open opens n connections to an address and sends one request on each. The source
+// addresses begin with that of number first; text returns the bytes of the i-th request.
 func Open(address string, first, n int, patience time.Duration, text func(i int) string) (*Pool, error) {
-	h := &Pool{conns: make([]net.Conn, n), patience: patience}
+	pool := &Pool{conns: make([]net.Conn, n), patience: patience}
 	var wg sync.WaitGroup
-	errs := make(chan error, dialers)
-	next := make(chan int, dialers)
-	for range dialers {
+	errs := make(chan error, maxDials)
+	next := make(chan int, maxDials)
+	for range maxDials {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := range next {
-				d := net.Dialer{Timeout: patience, LocalAddr: source(first + i)}
+				d := net.Dialer{Timeout: patience, LocalAddr: sourceAddr(first + i)}
 				c, err := d.Dial("tcp", address)
 				if err == nil {
-					h.conns[i] = c
-					_, _, err = h.ask(c, text(i))
+					pool.conns[i] = c
+					_, _, err = pool.roundTrip(c, text(i))
 				}
 				if err != nil {
 					select {
@@ -63,90 +63,90 @@
 	wg.Wait()
 	select {
 	case err := <-errs:
-		h.Close()
+		pool.Close()
 		return nil, err
 	default:
-		return h, nil
+		return pool, nil
 	}
 }
 
-// ask sends a request and gives its answer's status, and the time to stay away
-// that a refusal tells.
-func (h *Pool) ask(c net.Conn, text string) (status int, away time.Duration, err error) {
-	_ = c.SetDeadline(time.Now().Add(h.patience))
+// roundTrip sends a request and returns the status of the answer and the retry delay
+// in it, if any.
+func (pool *Pool) roundTrip(c net.Conn, text string) (status int, retryAfter time.Duration, err error) {
+	_ = c.SetDeadline(time.Now().Add(pool.patience))
 	if _, err := io.WriteString(c, text); err != nil {
 		return 0, 0, err
 	}
-	a, err := http.ReadResponse(bufio.NewReaderSize(c, 4096), nil)
+	response, err := http.ReadResponse(bufio.NewReaderSize(c, 4096), nil)
 	if err != nil {
 		return 0, 0, err
 	}
-	if ms, err := strconv.Atoi(a.Header.Get("Srv-Wait-Ms")); err == nil {
-		away = time.Duration(ms) * time.Millisecond
+	if ms, err := strconv.Atoi(response.Header.Get("Srv-Wait-Ms")); err == nil {
+		retryAfter = time.Duration(ms) * time.Millisecond
 	}
-	_, err = io.Copy(io.Discard, a.Body)
-	return a.StatusCode, away, err
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, retryAfter, err
 }
 
-// mostBack is how often a client that was refused comes back, after the time that
-// it was told.
-const mostBack = 3
+// maxRetries is how often a refused request is sent again, each time after the retry
+// delay of the answer.
+const maxRetries = 3
 
-// Wake has all ask within a span from a moment on, evenly spread over it. Who is
-// refused comes back as told, three times at most.
-func (h *Pool) Wake(start time.Time, span, patience time.Duration, text func(i int) string) *Stats {
-	t := &Stats{Count: map[int]int{}}
+// Wake sends one request on each connection, evenly spread over a span that begins at
+// start. Refused requests are retried after the delay of the answer, at most three times.
+func (pool *Pool) Wake(start time.Time, span, patience time.Duration, text func(i int) string) *Stats {
+	stats := &Stats{Count: map[int]int{}}
 	times := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for i, c := range h.conns {
+	for i, c := range pool.conns {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			due := start.Add(span * time.Duration(i) / time.Duration(len(h.conns)))
+			due := start.Add(span * time.Duration(i) / time.Duration(len(pool.conns)))
 			time.Sleep(time.Until(due))
-			status, away, err := h.ask(c, text(i))
-			asked := 1
-			for ; err == nil && status == http.StatusServiceUnavailable && asked <= mostBack; asked++ {
-				time.Sleep(away)
-				status, away, err = h.ask(c, text(i+asked<<24))
+			status, retryAfter, err := pool.roundTrip(c, text(i))
+			attempts := 1
+			for ; err == nil && status == http.StatusServiceUnavailable && attempts <= maxRetries; attempts++ {
+				time.Sleep(retryAfter)
+				status, retryAfter, err = pool.roundTrip(c, text(i+attempts<<24))
 			}
 			now := time.Now()
 			took := now.Sub(due)
 			mu.Lock()
 			defer mu.Unlock()
-			t.Requests += asked
+			stats.Requests += attempts
 			if err != nil {
-				t.Lost++
-				t.LossReason = err.Error()
+				stats.Lost++
+				stats.LossReason = err.Error()
 				return
 			}
-			t.Count[status]++
+			stats.Count[status]++
 			if status == http.StatusOK && took <= patience {
-				t.InTime++
+				stats.InTime++
 			}
-			t.LastAnswer = now
-			_ = times.RecordValue(max(1, took.Microseconds())) // within the histogram, by the patience
+			stats.LastAnswer = now
+			_ = times.RecordValue(max(1, took.Microseconds())) // the patience keeps it within the histogram's range
 		}()
 	}
 	wg.Wait()
-	t.Times = times.Export()
-	return t
+	stats.Times = times.Export()
+	return stats
 }
 
-// Close ends all connections.
-func (h *Pool) Close() {
-	for _, c := range h.conns {
+// Close closes all connections.
+func (pool *Pool) Close() {
+	for _, c := range pool.conns {
 		if c != nil {
 			_ = c.Close()
 		}
 	}
 }
 
-// Report writes what became of a herd that woke at a moment, in a line.
-func (t *Stats) Summary(start time.Time) string {
-	h := hdrhistogram.Import(t.Times)
+// Summary formats the result of a Wake that began at start in one line.
+func (stats *Stats) Summary(start time.Time) string {
+	h := hdrhistogram.Import(stats.Times)
 	return fmt.Sprintf("%v in %d requests, %d served within the patience of the first, lost %d %s, p50 %.0f ms, p99 %.0f ms, all answered after %.0f ms",
-		t.Count, t.Requests, t.InTime, t.Lost, t.LossReason, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
-		float64(t.LastAnswer.Sub(start).Microseconds())/1000)
+		stats.Count, stats.Requests, stats.InTime, stats.Lost, stats.LossReason, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
+		float64(stats.LastAnswer.Sub(start).Microseconds())/1000)
 }
--- a/lab/idle/slow.go
+++ b/lab/idle/slow.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// smallWindow is what a slow reader's kernel takes without it, in bytes, so that
-// its pace is the front's to see.
-const smallWindow = 4096
+// receiveBuffer is the size in bytes of a slow client's kernel receive buffer, small so
+// that the front notices the client's pace.
+const receiveBuffer = 4096
 
-// drip holds slow clients: readers ask for an object and read so many bytes a
-// second of it, senders send so many bytes a second of a request.
-func (o *Command) drip() (*SlowStats, error) {
-	s := &SlowStats{}
+// runSlowClients runs slow clients: readers request an object and read it at Pace bytes
+// per second, senders send a request at Pace bytes per second.
+func (command *Command) runSlowClients() (*SlowStats, error) {
+	stats := &SlowStats{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	room := make(chan struct{}, dialers)
+	dialSlots := make(chan struct{}, maxDials)
 	errs := make(chan error, 1)
-	end := time.Now().Add(o.For)
-	for i := range o.Count {
+	end := time.Now().Add(command.For)
+	for i := range command.Count {
 		wg.Add(1)
-		room <- struct{}{}
+		dialSlots <- struct{}{}
 		go func() {
 			defer wg.Done()
-			c, err := o.slowConn(i)
-			<-room
+			c, err := command.dialSlow(i)
+			<-dialSlots
 			if err != nil {
 				select {
 				case errs <- fmt.Errorf("idle: slow client %d: %w", i, err):
@@ -39,73 +39,74 @@
 			}
 			defer func() { _ = c.Close() }()
 			start := time.Now()
-			whole, ended := o.crawl(c, i, end)
+			completed, ended := command.runSlowClient(c, i, end)
 			mu.Lock()
 			defer mu.Unlock()
 			switch took := time.Since(start); {
-			case whole:
-				s.Completed++
+			case completed:
+				stats.Completed++
 			case !ended:
-				s.Unfinished++
+				stats.Unfinished++
 			default:
-				if s.Ended == 0 || took < s.Fastest {
-					s.Fastest = took
+				if stats.Ended == 0 || took < stats.Fastest {
+					stats.Fastest = took
 				}
-				s.Ended, s.Slowest = s.Ended+1, max(s.Slowest, took)
+				stats.Ended, stats.Slowest = stats.Ended+1, max(stats.Slowest, took)
 			}
 		}()
 	}
 	wg.Wait()
 	select {
 	case err := <-errs:
-		return s, err
+		return stats, err
 	default:
-		return s, nil
+		return stats, nil
 	}
 }
 
-func (o *Command) slowConn(i int) (net.Conn, error) {
-	d := net.Dialer{Timeout: o.Patience, LocalAddr: source(o.First + i*max(1, o.Stride)), Control: func(_, _ string, c syscall.RawConn) error {
+func (command *Command) dialSlow(i int) (net.Conn, error) {
+	d := net.Dialer{Timeout: command.Patience, LocalAddr: sourceAddr(command.First + i*max(1, command.Stride)), Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallWindow)
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 		}); e != nil {
 			return e
 		}
 		return err
 	}}
-	return d.Dial("tcp", o.Address)
+	return d.Dial("tcp", command.Address)
 }
 
-// crawl tells whether an answer came whole, or else whether the front ended it.
-func (o *Command) crawl(c net.Conn, i int, end time.Time) (whole, ended bool) {
+// runSlowClient runs one client until end. It reports whether the answer was complete,
+// and otherwise whether the front closed the connection.
+func (command *Command) runSlowClient(c net.Conn, i int, end time.Time) (completed, ended bool) {
 	_ = c.SetDeadline(end)
-	text := RequestText(o.Class, o.Object, 2, o.First+i, o.Patience)
-	step := max(1, o.Pace/4)
+	text := RequestText(command.Class, command.Object, 2, command.First+i, command.Patience)
+	step := max(1, command.Pace/4)
 	tick := time.Second / 4
-	if o.Pace < 4 {
-		tick = time.Second / time.Duration(max(1, o.Pace))
+	if command.Pace < 4 {
+		tick = time.Second / time.Duration(max(1, command.Pace))
 	}
-	if o.Read {
+	if command.Read {
 		if _, err := io.WriteString(c, text); err != nil {
 			return false, true
 		}
 	}
 	buf := make([]byte, step)
-	again := 0
+	retries := 0
 	for sent, got := 0, 0; time.Now().Before(end); time.Sleep(tick) {
 		var err error
-		if o.Read {
+		if command.Read {
 			var n int
 			n, err = c.Read(buf)
-			if got == 0 && bytes.Contains(buf[:n], []byte(" 503 ")) { // read what is left of it, and ask again
-				rest := make([]byte, smallWindow)
+			if got == 0 && bytes.Contains(buf[:n], []byte(" 503 ")) { // read the rest of the refusal and send the request again
+				rest := make([]byte, receiveBuffer)
 				_ = c.SetReadDeadline(time.Now().Add(tick))
 				_, _ = c.Read(rest)
 				_ = c.SetDeadline(end)
 				time.Sleep(time.Second / 2)
-				again++
-				_, err = io.WriteString(c, RequestText(o.Class, o.Object, 2+again, o.First+i, o.Patience))
+				retries++
+				_, err = io.WriteString(c, RequestText(command.Class, command.Object, 2+retries, command.First+i, command.Patience))
 				n = 0
 			}
 			if got += n; got >= 240_000 {
@@ -114,7 +115,7 @@
 		} else if sent < len(text) {
 			var n int
 			n, err = io.WriteString(c, text[sent:min(len(text), sent+step)])
-			if sent += n; err == nil { // has it been ended?
+			if sent += n; err == nil { // check whether the front closed the connection
 				_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err = c.Read(buf); err != nil && isTimeout(err) {
 					err = nil
--- a/lab/idle/worker.go
+++ b/lab/idle/worker.go
@@ -13,136 +13,141 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Order is what a worker is told to do, as a line of JSON.
+// Command is a command to a worker, sent as a line of JSON.
 type Command struct {
 	Action   string `json:"Do"` // open, wake, drip, close
 	Address  string
 	Class    string
 	Object   string
-	First    int // number of the first connection, which gives its source address
+	First    int // number of the first connection, which determines its source address
 	Count    int
-	Stride   int // drip: between the numbers of two connections; 256 gives each a /24 of its own
+	Stride   int // drip: difference between the numbers of two connections; 256 gives each its own /24
 	Patience time.Duration
 	Within   time.Duration // wake
 	Start    time.Time     // wake
-	Pace     int           // drip: bytes a second; slow readers read so many, slow senders send them
-	Read     bool          // drip: readers, not senders
+	Pace     int           // drip: bytes per second that a slow reader reads or a slow sender sends
+	Read     bool          // drip: readers instead of senders
 	For      time.Duration // drip
 }
 
-// Outcome is what a worker answers.
+// Reply is a worker's reply to a command.
 type Reply struct {
 	Error string
 	Woken *Stats
 	Slow  *SlowStats
 }
 
-// Tally is what became of requests, in a form that can be added up.
+// Stats holds the results of requests. Stats of several workers can be added.
 type Stats struct {
-	Count      map[int]int // by the last answer's status
-	Requests   int         `json:"Asked"` // requests, with those that came back as told
+	Count      map[int]int // by the status of the last answer
+	Requests   int         `json:"Asked"` // including retries
 	Lost       int
-	LossReason string                 `json:"Why"` // of one that was lost
-	InTime     int                    // served within the patience of the first try
-	LastAnswer time.Time              `json:"Calm"` // of the last answer
-	Times      *hdrhistogram.Snapshot // us, of the whole answers from when they were due
+	LossReason string                 `json:"Why"` // error of one lost request
+	InTime     int                    // served within the patience, counted from the first try
+	LastAnswer time.Time              `json:"Calm"` // time of the last answer
+	Times      *hdrhistogram.Snapshot // us, of complete answers, from their scheduled time
 }
 
-// Add takes over another tally.
-func (t *Stats) Add(o *Stats) {
-	if t.Count == nil {
-		t.Count = map[int]int{}
+// Add adds other to stats.
+func (stats *Stats) Add(other *Stats) {
+	if stats.Count == nil {
+		stats.Count = map[int]int{}
 	}
-	for status, n := range o.Count {
-		t.Count[status] += n
+	for status, n := range other.Count {
+		stats.Count[status] += n
 	}
-	if o.LossReason != "" {
-		t.LossReason = o.LossReason
+	if other.LossReason != "" {
+		stats.LossReason = other.LossReason
 	}
-	t.Requests, t.Lost, t.InTime = t.Requests+o.Requests, t.Lost+o.Lost, t.InTime+o.InTime
-	if o.LastAnswer.After(t.LastAnswer) {
-		t.LastAnswer = o.LastAnswer
+	stats.Requests, stats.Lost, stats.InTime = stats.Requests+other.Requests, stats.Lost+other.Lost, stats.InTime+other.InTime
+	if other.LastAnswer.After(stats.LastAnswer) {
+		stats.LastAnswer = other.LastAnswer
 	}
-	if t.Times == nil {
-		t.Times = o.Times
+	if stats.Times == nil {
+		stats.Times = other.Times
 		return
 	}
-	h := hdrhistogram.Import(t.Times)
-	h.Merge(hdrhistogram.Import(o.Times))
-	t.Times = h.Export()
+	h := hdrhistogram.Import(stats.Times)
+	h.Merge(hdrhistogram.Import(other.Times))
+	stats.Times = h.Export()
 }
 
-// Slow is what became of slow clients.
+// SlowStats holds the results of slow clients.
 type SlowStats struct {
-	Ended      int           // by the front
-	Completed  int           `json:"Whole"` // answered whole
-	Unfinished int           `json:"Left"`  // still open when time ran out
-	Fastest    time.Duration // to the first that was ended
-	Slowest    time.Duration // to the last
+	Ended      int           // closed by the front
+	Completed  int           `json:"Whole"` // answered completely
+	Unfinished int           `json:"Left"`  // still open when the time was up
+	Fastest    time.Duration // until the first was closed
+	Slowest    time.Duration // until the last was closed
 }
 
-// Serve carries out orders from a reader until it ends; it is a worker's process.
+// Serve is the main loop of a worker process: it executes commands from r until its end
+// and writes the replies to w.
 func Serve(r io.Reader, w io.Writer) error {
-	d, e := json.NewDecoder(r), json.NewEncoder(w)
-	var h *Pool
+	decoder, encoder := json.NewDecoder(r), json.NewEncoder(w)
+	var pool *Pool
 	for {
-		var o Command
-		if err := d.Decode(&o); errors.Is(err, io.EOF) {
+		var command Command
+		if err := decoder.Decode(&command); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("idle: order: %w", err)
+			return fmt.Errorf("idle: command: %w", err)
 		}
-		out, err := o.carryOut(&h)
+		reply, err := command.execute(&pool)
 		if err != nil {
-			out.Error = err.Error()
+			reply.Error = err.Error()
 		}
-		if err := e.Encode(out); err != nil {
+		if err := encoder.Encode(reply); err != nil {
 			return err
 		}
 	}
 }
 
-func (o *Command) carryOut(h **Pool) (out Reply, err error) {
-	switch o.Action {
+func (command *Command) execute(pool **Pool) (reply Reply, err error) {
+	switch command.Action {
 	case "open":
-		*h, err = Open(o.Address, o.First, o.Count, o.Patience, o.text(0))
+		*pool, err = Open(command.Address, command.First, command.Count, command.Patience, command.text(0))
 	case "wake":
-		out.Woken = (*h).Wake(o.Start, o.Within, o.Patience, o.text(1))
+		reply.Woken = (*pool).Wake(command.Start, command.Within, command.Patience, command.text(1))
 	case "drip":
-		out.Slow, err = o.drip()
+		reply.Slow, err = command.runSlowClients()
 	case "close":
-		(*h).Close()
+		(*pool).Close()
 	default:
-		err = fmt.Errorf("idle: %q is no order", o.Action)
+		err = fmt.Errorf("idle: unknown command %q", command.Action)
 	}
-	return out, err
+	return reply, err
 }
 
-// text makes the bytes of requests; their ids differ by connection and run.
-func (o *Command) text(run int) func(i int) string {
-	return func(i int) string { return RequestText(o.Class, o.Object, run, o.First+i, o.Patience) }
+// text returns a function that makes the bytes of requests, with IDs that differ by
+// connection and run.
+func (command *Command) text(run int) func(i int) string {
+	return func(i int) string {
+		return RequestText(command.Class, command.Object, run, command.First+i, command.Patience)
+	}
 }
 
-// Text is a request of the platform's protocol, with an id of its own.
+// RequestText returns a request of the platform's protocol with an ID made of run and i.
 func RequestText(class, object string, run, i int, patience time.Duration) string {
 	return fmt.Sprintf("GET /call/%s/%s?seg=%d HTTP/1.1\r\nHost: lab\r\nReq-Id: %04x%012x\r\nReq-Wait-Ms: %d\r\nX-Bucket: 17\r\n\r\n",
 		class, object, i%8, run, i, patience.Milliseconds())
 }
 
-// Worker is a process with connections of its own, since one may hold only so many.
+// Worker is a process that holds connections, since the number of descriptors per process
+// is limited.
 type Worker struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *json.Decoder
 }
 
-// NewWorker starts this program again, as a worker.
-func NewWorker(word string) (*Worker, error) {
-	own, err := os.Executable()
+// NewWorker starts this program as a worker process, with the given argument.
+func NewWorker(argument string) (*Worker, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{cmd: exec.Command(own, word)}
+	w := &Worker{cmd: exec.Command(executable, argument)}
 	w.cmd.Stderr = os.Stderr
 	if w.in, err = w.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -155,18 +160,18 @@
 	return w, w.cmd.Start()
 }
 
-// Do has an order carried out.
-func (w *Worker) Do(o Command) (out Reply, err error) {
-	if err = json.NewEncoder(w.in).Encode(o); err == nil {
-		err = w.out.Decode(&out)
+// Do executes a command in the worker and returns its reply.
+func (w *Worker) Do(command Command) (reply Reply, err error) {
+	if err = json.NewEncoder(w.in).Encode(command); err == nil {
+		err = w.out.Decode(&reply)
 	}
-	if err == nil && out.Error != "" {
-		err = errors.New(out.Error)
+	if err == nil && reply.Error != "" {
+		err = errors.New(reply.Error)
 	}
-	return out, err
+	return reply, err
 }
 
-// Stop ends a worker.
+// Stop stops the worker and waits for its process.
 func (w *Worker) Stop() error {
 	return errors.Join(w.in.Close(), w.cmd.Wait())
 }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -19,27 +19,27 @@
 	"cherryramp/lab/world"
 )
 
-// Size of pictures.
+// Size of plots.
 const (
 	width  = 15 * vg.Centimeter
 	height = 7 * vg.Centimeter
 	dpi    = 110
 )
 
-// The arms' colours, told apart by those who see red and green alike (Okabe and
-// Ito, Color Universal Design, 2008).
+// colours are the arms' colours, which remain distinguishable with red-green colour
+// blindness (Okabe and Ito, Color Universal Design, 2008).
 var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}}
 
 func colour(i int) color.Color { return colours[i%len(colours)] }
 
-// shade is what troubles are marked with.
-var shade = color.NRGBA{120, 120, 120, 50}
+// markColor is the fill of the bands that mark faults.
+var markColor = color.NRGBA{120, 120, 120, 50}
 
-// series is one arm's day of a scenario.
+// series is the days of one arm in a scenario.
 type series struct {
 	arm  string
-	days []experiment.Day // its seeds; all count where sums do
+	days []experiment.Day // one for each seed; sums and means are over all
 }
 
 func (s *series) first() *experiment.Day { return &s.days[0] }
@@ -56,10 +56,10 @@
 	return p
 }
 
-// png draws a picture.
+// png renders a plot.
 func png(p *plot.Plot, w, h vg.Length) ([]byte, error) {
 	c := vgimg.NewWith(vgimg.UseWH(w, h), vgimg.UseDPI(dpi))
-	p.Draw(draw.Crop(draw.New(c), 3*vg.Millimeter, -3*vg.Millimeter, vg.Millimeter, -vg.Millimeter)) // for what labels stick out
+	p.Draw(draw.Crop(draw.New(c), 3*vg.Millimeter, -3*vg.Millimeter, vg.Millimeter, -vg.Millimeter)) // margin for labels that extend beyond the plot
 	var out bytes.Buffer
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(&out); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
@@ -67,8 +67,8 @@
 	return out.Bytes(), nil
 }
 
-// mark shades a day's troubles, and numbers them as the page lists them.
-func mark(p *plot.Plot, marks []experiment.Mark, top float64) error {
+// addMarks shades a day's faults and numbers them like the list on the page.
+func addMarks(p *plot.Plot, marks []experiment.Mark, top float64) error {
 	var labels plotter.XYLabels
 	for i, m := range marks {
 		from := float64(m.At) / 1e6
@@ -77,7 +77,7 @@
 		if err != nil {
 			return err
 		}
-		band.Color, band.LineStyle.Width = shade, 0
+		band.Color, band.LineStyle.Width = markColor, 0
 		p.Add(band)
 		labels.XYs = append(labels.XYs, plotter.XY{X: from, Y: top})
 		labels.Labels = append(labels.Labels, fmt.Sprint(i+1))
@@ -96,9 +96,9 @@
 	return nil
 }
 
-// overTime draws what every second of a day had, for each arm, as the mean of its
-// seeds.
-func overTime(all []series, title, y string, of func(x *world.Second) float64) (*plot.Plot, error) {
+// plotPerSecond plots a per-second value of a day for each arm, as the mean over its
+// seeds. It returns nil if all values are 0.
+func plotPerSecond(all []series, title, y string, of func(x *world.Second) float64) (*plot.Plot, error) {
 	p := newPlot(title, "seconds", y)
 	top := 0.0
 	var lines []*plotter.Line
@@ -111,7 +111,7 @@
 				if n == len(points) {
 					points, counts = append(points, plotter.XY{X: float64(n)}), append(counts, 0)
 				}
-				if x.Asked > 0 { // what is late for its day is not drawn
+				if x.Asked > 0 { // seconds after the end of the load are not drawn
 					points[n].Y += of(x)
 					counts[n]++
 				}
@@ -136,9 +136,9 @@
 		p.Legend.Add(s.arm, l)
 	}
 	if top == 0 {
-		return nil, nil // there is nothing to be seen
+		return nil, nil // nothing to plot
 	}
-	if err := mark(p, all[0].first().Marks, top*1.02); err != nil {
+	if err := addMarks(p, all[0].first().Marks, top*1.02); err != nil {
 		return nil, err
 	}
 	for _, l := range lines {
@@ -148,31 +148,31 @@
 	return p, nil
 }
 
-// worth draws the share of the worth asked for that was earned.
-func worth(all []series) (*plot.Plot, error) {
-	return overTime(all, "worth earned of that asked for", "share", func(x *world.Second) float64 {
+// plotWorth plots the earned share of the requested worth.
+func plotWorth(all []series) (*plot.Plot, error) {
+	return plotPerSecond(all, "earned share of requested worth", "share", func(x *world.Second) float64 {
 		return x.Earned / x.Asked
 	})
 }
 
-// nines is how far a quantile is along an axis on which each further nine takes the
-// same room.
-func nines(percent float64) float64 { return -math.Log10(1 - min(percent, 99.95)/100) }
+// quantilePosition returns the position of a quantile on an axis on which each further
+// nine has the same width.
+func quantilePosition(percent float64) float64 { return -math.Log10(1 - min(percent, 99.95)/100) }
 
-// latency draws the times of one class, by quantile.
-func latency(all []series, class int) (*plot.Plot, error) {
-	p := newPlot("time of "+all[0].first().Result.Classes[class]+", from the first try", "percent of those served", "ms")
+// plotLatency plots the latency of one class by quantile.
+func plotLatency(all []series, class int) (*plot.Plot, error) {
+	p := newPlot("latency of "+all[0].first().Result.Classes[class]+" from the first try", "percent of those served", "ms")
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	var ticks plot.ConstantTicks
 	for _, q := range []float64{0, 50, 75, 90, 97, 99, 99.9} {
-		ticks = append(ticks, plot.Tick{Value: nines(q), Label: fmt.Sprintf("%g", q)})
+		ticks = append(ticks, plot.Tick{Value: quantilePosition(q), Label: fmt.Sprintf("%g", q)})
 	}
 	p.X.Tick.Marker = ticks
 	p.Legend.Left = true
 	for i, s := range all {
 		points := make(plotter.XYs, len(world.Quantiles))
 		for n, q := range world.Quantiles {
-			points[n].X = nines(q)
+			points[n].X = quantilePosition(q)
 			for _, d := range s.days {
 				points[n].Y += max(0.1, float64(d.Result.Times[class][n])/1000) / float64(len(s.days))
 			}
@@ -188,7 +188,7 @@
 	return p, nil
 }
 
-// grid is servers by seconds.
+// grid holds link loads by server and second.
 type grid [][]float64
 
 func (g grid) Dims() (c, r int)   { return len(g[0]), len(g) }
@@ -196,9 +196,9 @@
 func (g grid) X(c int) float64    { return float64(c) }
 func (g grid) Y(r int) float64    { return float64(r) }
 
-// loads draws how much of each server's link was used, second by second, in one
-// arm's first day.
-func loads(s *series) (*plot.Plot, error) {
+// plotLinkLoad plots the load of each server's link per second, for one arm's first
+// day. It returns nil if there are fewer than two servers or seconds.
+func plotLinkLoad(s *series) (*plot.Plot, error) {
 	nodes := slices.Clone(s.first().Result.Nodes)
 	seconds := math.MaxInt
 	for _, n := range nodes {
@@ -207,7 +207,7 @@
 	if len(nodes) < 2 || seconds < 2 {
 		return nil, nil
 	}
-	slices.Reverse(nodes) // the first on top
+	slices.Reverse(nodes) // the first server on top
 	var g grid
 	var ticks plot.ConstantTicks
 	for i, n := range nodes {
@@ -227,11 +227,11 @@
 	return p, nil
 }
 
-// mostReasons is how many reasons are drawn.
-const mostReasons = 10
+// maxReasons is the maximum number of reasons shown.
+const maxReasons = 10
 
-// reasons draws why tries were refused or failed, a day.
-func reasons(all []series) (*plot.Plot, error) {
+// plotReasons plots the number of refused or failed tries per day by reason.
+func plotReasons(all []series) (*plot.Plot, error) {
 	sums := map[string]float64{}
 	for _, s := range all {
 		for _, d := range s.days {
@@ -250,9 +250,9 @@
 	sort.Slice(names, func(i, j int) bool {
 		return sums[names[i]] > sums[names[j]] || sums[names[i]] == sums[names[j]] && names[i] < names[j]
 	})
-	names = names[:min(len(names), mostReasons)]
+	names = names[:min(len(names), maxReasons)]
 	slices.Reverse(names)
-	p := newPlot("tries refused or failed a day, by what led to it", "tries", "")
+	p := newPlot("tries refused or failed per day, by reason", "tries", "")
 	bar := vg.Points(12 / float64(len(all)))
 	for i, s := range all {
 		var values plotter.Values
@@ -278,9 +278,9 @@
 	return p, nil
 }
 
-// effects draws what the second of two arms makes of G, scenario by scenario.
-func effects(a, b string, list []experiment.Effect) (*plot.Plot, error) {
-	p := newPlot(fmt.Sprintf("G of %s less G of %s, with 95%% where there are days enough", b, a), "difference", "")
+// plotEffects plots the difference in G of the second of two arms, by scenario.
+func plotEffects(a, b string, list []experiment.Effect) (*plot.Plot, error) {
+	p := newPlot(fmt.Sprintf("G of %s minus G of %s, with 95%% intervals where there are enough days", b, a), "difference", "")
 	var names []string
 	for i := range list {
 		e := &list[len(list)-1-i]
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report writes what came of an experiment as one page that needs nothing
-// else: which of two arms is better, worse, or that this can't be told, and for each
-// scenario pictures of its days.
+// Package report writes the result of an experiment as a self-contained HTML page: the
+// verdict of the comparison of two arms, and for each scenario tables and plots of its
+// days.
 package report
 
 import (
@@ -32,30 +32,30 @@
 		}
 		return fmt.Sprintf("%+.4f", x)
 	},
-	"span":    func(m world.Micros) string { return (time.Duration(m) * time.Microsecond).String() },
-	"add":     func(a, b int) int { return a + b },
-	"verdict": func(e experiment.Effect) string { return e.Verdict() },
-	"word":    func(e experiment.Effect) string { return strings.ReplaceAll(e.Verdict(), " ", "-") },
+	"span":     func(m world.Micros) string { return (time.Duration(m) * time.Microsecond).String() },
+	"add":      func(a, b int) int { return a + b },
+	"verdict":  func(e experiment.Effect) string { return e.Verdict() },
+	"cssClass": func(e experiment.Effect) string { return strings.ReplaceAll(e.Verdict(), " ", "-") },
 }).Parse(pageText))
 
-// Arm is what a report shows of an arm.
+// Arm is an arm with its days.
 type Arm struct {
 	experiment.Arm
 	Days []experiment.Day
 }
 
-// Picture is one of the page's, and a file of its own where those are wanted.
+// Picture is a plot of the page, which can also be saved as a file.
 type Picture struct {
 	Name string
 	PNG  []byte
 }
 
-// Data is the picture for the page.
-func (p Picture) Data() template.URL {
+// DataURL returns the picture as a data URL.
+func (p Picture) DataURL() template.URL {
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(p.PNG))
 }
 
-// section is one scenario of the page.
+// section is the page's section of one scenario.
 type section struct {
 	File, Name string
 	Marks      []experiment.Mark
@@ -63,35 +63,35 @@
 	Pictures   []Picture
 }
 
-// row is an arm's means over its days of a scenario.
+// row holds an arm's means over its days of a scenario.
 type row struct {
-	Arm                       string
-	Days                      int
-	G, Service, Ten, Class    float64
-	Hits, Origin              float64
-	Refused, Failed, Falls    float64
-	MemoryMB                  float64
-	Violations                []string
-	P50, P99                  []float64 // ms, by class
-	Attempts, Denied, GivenUp float64
+	Arm                              string
+	Days                             int
+	G, Service, WorstTen, WorstClass float64
+	Hits, Origin                     float64
+	Refused, Failed, Falls           float64
+	MemoryMB                         float64
+	Violations                       []string
+	P50, P99                         []float64 // ms, by class
+	Attempts, Denied, GivenUp        float64
 }
 
-// content is the page's.
+// content is the data of the page template.
 type content struct {
-	Title    string
-	Arms     []Arm
-	Pairs    int
-	Alone    int
-	Effects  []experiment.Effect // none with one arm
-	ByFile   []experiment.Effect
-	Overview *Picture
-	Sections []section
-	Classes  []string
-	Broken   int
+	Title          string
+	Arms           []Arm
+	Pairs          int
+	Unpaired       int
+	Effects        []experiment.Effect // empty with a single arm
+	ByFile         []experiment.Effect
+	Overview       *Picture
+	Sections       []section
+	Classes        []string
+	ViolationCount int
 }
 
-// Write writes a report of one arm or several to out, and gives its pictures. The
-// first two are compared.
+// Write writes a report of one or more arms to out and returns its pictures. The first
+// two arms are compared.
 func Write(out io.Writer, title string, arms []Arm) (pictures []Picture, err error) {
 	c := content{Title: title, Arms: arms}
 	var files []string
@@ -101,23 +101,23 @@
 		}
 		files = append(files, experiment.Files(a.Days)...)
 		for _, d := range a.Days {
-			c.Broken += len(d.Result.Violations)
+			c.ViolationCount += len(d.Result.Violations)
 		}
 	}
 	slices.Sort(files)
 	files = slices.Compact(files)
 	c.Classes = arms[0].Days[0].Result.Classes
 	if len(arms) > 1 {
-		pairs, alone, err := experiment.Pairs(arms[0].Days, arms[1].Days)
+		pairs, unpaired, err := experiment.Pairs(arms[0].Days, arms[1].Days)
 		if err != nil {
 			return nil, err
 		}
-		c.Pairs, c.Alone = len(pairs), alone
+		c.Pairs, c.Unpaired = len(pairs), unpaired
 		if c.Effects, err = experiment.Compare(pairs); err != nil {
 			return nil, err
 		}
 		_, c.ByFile = experiment.ByFile("G", pairs)
-		p, err := effects(arms[0].Name, arms[1].Name, c.ByFile)
+		p, err := plotEffects(arms[0].Name, arms[1].Name, c.ByFile)
 		if err != nil {
 			return nil, fmt.Errorf("report: %w", err)
 		}
@@ -129,7 +129,7 @@
 		pictures = append(pictures, *c.Overview)
 	}
 	for _, f := range files {
-		s, err := sectionOf(f, arms)
+		s, err := newSection(f, arms)
 		if err != nil {
 			return nil, fmt.Errorf("report: %s: %w", f, err)
 		}
@@ -142,7 +142,7 @@
 	return pictures, nil
 }
 
-func sectionOf(file string, arms []Arm) (section, error) {
+func newSection(file string, arms []Arm) (section, error) {
 	s := section{File: file}
 	var all []series
 	for _, a := range arms {
@@ -156,7 +156,7 @@
 			continue
 		}
 		all = append(all, x)
-		s.Rows = append(s.Rows, rowOf(&x))
+		s.Rows = append(s.Rows, newRow(&x))
 	}
 	s.Name, s.Marks = all[0].first().Name, all[0].first().Marks
 	drawn := map[string]*plot.Plot{}
@@ -168,33 +168,33 @@
 			err = e
 		}
 	}
-	p, e := worth(all)
+	p, e := plotWorth(all)
 	add("worth", p, e)
 	for _, x := range []struct {
 		name, title, y string
 		of             func(x *world.Second) float64
 	}{
-		{"origin", "calls that the store took", "a second", func(x *world.Second) float64 { return float64(x.Origin) }},
-		{"denied", "calls that the store turned away", "a second", func(x *world.Second) float64 { return float64(x.Denied) }},
-		{"refused", "tries refused", "a second", func(x *world.Second) float64 { return float64(x.Refused) }},
-		{"failed", "tries failed", "a second", func(x *world.Second) float64 { return float64(x.Failed) }},
-		{"attempts", "attempts that left fronts", "a second", func(x *world.Second) float64 { return float64(x.Attempts) }},
-		{"held", "calls held by one front, the most", "calls", func(x *world.Second) float64 { return float64(x.Held) }},
-		{"memory", "resident size of one front, the most", "MB", func(x *world.Second) float64 { return float64(x.MemoryKB) / 1024 }},
+		{"origin", "calls accepted by the store", "per second", func(x *world.Second) float64 { return float64(x.Origin) }},
+		{"denied", "calls rejected by the store", "per second", func(x *world.Second) float64 { return float64(x.Denied) }},
+		{"refused", "tries refused", "per second", func(x *world.Second) float64 { return float64(x.Refused) }},
+		{"failed", "tries failed", "per second", func(x *world.Second) float64 { return float64(x.Failed) }},
+		{"attempts", "attempts sent by fronts", "per second", func(x *world.Second) float64 { return float64(x.Attempts) }},
+		{"held", "calls held by one front, maximum", "calls", func(x *world.Second) float64 { return float64(x.Held) }},
+		{"memory", "resident size of one front, maximum", "MB", func(x *world.Second) float64 { return float64(x.MemoryKB) / 1024 }},
 	} {
-		p, e := overTime(all, x.title, x.y, x.of)
+		p, e := plotPerSecond(all, x.title, x.y, x.of)
 		add(x.name, p, e)
 	}
-	p, e = reasons(all)
+	p, e = plotReasons(all)
 	add("reasons", p, e)
 	for i, class := range all[0].first().Result.Classes {
-		p, e := latency(all, i)
+		p, e := plotLatency(all, i)
 		name := "time-" + class
 		add(name, p, e)
 		order = append(order, name)
 	}
 	for i := range all {
-		p, e := loads(&all[i])
+		p, e := plotLinkLoad(&all[i])
 		name := "load-" + all[i].arm
 		add(name, p, e)
 		order = append(order, name)
@@ -215,13 +215,13 @@
 	return s, nil
 }
 
-func rowOf(s *series) row {
+func newRow(s *series) row {
 	x, n := row{Arm: s.arm, Days: len(s.days)}, float64(len(s.days))
 	classes := len(s.first().Result.Classes)
 	x.P50, x.P99 = make([]float64, classes), make([]float64, classes)
 	for _, d := range s.days {
 		r := d.Result
-		x.G, x.Service, x.Ten, x.Class = x.G+r.G/n, x.Service+r.Service/n, x.Ten+r.WorstTen/n, x.Class+r.WorstClass/n
+		x.G, x.Service, x.WorstTen, x.WorstClass = x.G+r.G/n, x.Service+r.Service/n, x.WorstTen+r.WorstTen/n, x.WorstClass+r.WorstClass/n
 		x.Hits, x.Origin = x.Hits+r.Hits()/n, x.Origin+r.OriginBytes/math.Max(1, r.SentBytes)/n
 		x.Falls, x.Attempts, x.Denied = x.Falls+float64(r.Falls)/n, x.Attempts+float64(r.Attempts)/n, x.Denied+float64(r.Denied)/n
 		for i := range classes {
