--- a/lab/conformance/cases.go
+++ b/lab/conformance/cases.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The reasons that refusals give.
+// The reasons that the front gives for refusals.
 const (
 	noSignature        = "no signature"
 	multipleSignatures = "more than one signature"
@@ -34,7 +34,7 @@
 	cases   []Case
 }
 
-// Cases makes all cases of a world.
+// Cases returns all cases of the fixture.
 func (fixture *Fixture) Cases() []Case {
 	s := &suite{fixture: fixture}
 	for _, f := range fixture.forms() {
@@ -49,7 +49,7 @@
 	s.addPaths()
 	s.addSizes()
 	s.addHTTP()
-	// What is good for seconds only comes first.
+	// Cases that depend on the skew come first: their links are accepted for a few seconds only.
 	slices.SortStableFunc(s.cases, func(a, b Case) int {
 		return strings.Compare(sortKey(a.Name), sortKey(b.Name))
 	})
@@ -63,7 +63,8 @@
 	return "b"
 }
 
-// grant adds a case that the grant alone decides; reason empty: it is let in.
+// addGrant adds a case that is decided by the grant alone. With an empty reason the
+// request has to be accepted.
 func (s *suite) addGrant(f *form, what string, target string, fields []field, reason string) {
 	target, header := f.carry(target, fields)
 	s.add(Case{Name: f.name + "/" + f.carrier + "/" + what, Target: target, Header: header, Reason: reason, GrantOnly: true})
@@ -89,7 +90,8 @@
 	s.addGrant(f, what, spec.target, f.sign(spec), reason)
 }
 
-// good is links that are genuine, and whether they hold now and here.
+// addValid adds correctly signed links within and outside their time, address and branch,
+// and a forged one.
 func (s *suite) addValid(f *form) {
 	s.addSigned(f, "good", linkSpec{}, "")
 	s.addSigned(f, "expired", linkSpec{expiry: -time.Minute}, expired)
@@ -119,7 +121,8 @@
 	}
 }
 
-// changed gives the text with its sign at a place made another of its kind.
+// changeChar returns text with the character at index at replaced by another one of its
+// kind: digit, hex digit or letter.
 func changeChar(text string, at int) string {
 	b := []byte(text)
 	switch c := b[at]; {
@@ -137,8 +140,8 @@
 	return string(b)
 }
 
-// unescaped is the first place of a text that is not part of an escape: what an
-// altered escape stands for may be no sign of a signature at all.
+// firstUnescaped returns the index of the first character that is not part of a percent
+// escape. An altered escape could decode to a character that no signature contains.
 func firstUnescaped(text string) (at int) {
 	for at+3 < len(text) && text[at] == '%' {
 		at += 3
@@ -146,8 +149,8 @@
 	return at
 }
 
-// fields is a good link with each of its fields altered, cut, emptied, left out,
-// doubled and moved.
+// addFieldChanges adds a valid link with each of its fields altered, cut, emptied, left
+// out, doubled and moved.
 func (s *suite) addFieldChanges(f *form) {
 	full := linkSpec{}
 	if f.bindsAddress {
@@ -207,7 +210,8 @@
 	}
 }
 
-// alter gives another value that can still be read, where the field has one.
+// alteredValue returns a different value for the field, one that still parses where the
+// field has such values.
 func alteredValue(f *form, x field, i int) string {
 	last := len(x.value) - 1
 	switch {
@@ -222,7 +226,7 @@
 	case strings.HasSuffix(x.name, "Policy"):
 		plain, err := base64.StdEncoding.DecodeString(strings.NewReplacer("-", "+", "_", "=", "~", "/").Replace(x.value))
 		if err != nil {
-			panic(err) // it was made here
+			panic(err) // the value was encoded by this package
 		}
 		return strings.NewReplacer("+", "-", "=", "_", "/", "~").Replace(base64.StdEncoding.EncodeToString(
 			[]byte(strings.Replace(string(plain), "files/", "file?/", 1))))
@@ -240,12 +244,13 @@
 func encodeJSON(m map[string]any) string {
 	b, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // it came from JSON
+		panic(err) // the map was decoded from JSON
 	}
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// want is what a change of a field gives.
+// wantReason returns the reason that a change of a field has to give, or alternatives
+// separated by |.
 func (s *suite) wantReason(f *form, x field, i int, change string) string {
 	name := strings.TrimPrefix(x.name, "CloudFront-")
 	jwt, edge := strings.HasPrefix(f.name, "cdni"), strings.HasPrefix(f.name, "edgeauth")
@@ -257,7 +262,7 @@
 		case named:
 			return unknownKey
 		case media && name == "URLPrefix":
-			return notCovered // judged before its signature is checked
+			return notCovered // the prefix is checked before the signature
 		}
 		return badSignature
 	case "cut":
@@ -271,11 +276,11 @@
 		case jwt && i < 2:
 			return malformed
 		case jwt:
-			return badSignature + "|" + malformed // as the last bits fall
+			return badSignature + "|" + malformed // depends on the last bits of the encoding
 		case name == "Policy":
 			return malformed
 		case (amazon || media) && name == "Expires":
-			return expired // judged before its signature is checked
+			return expired // the expiry is checked before the signature
 		case f.name == "timed-issued" && i == 1:
 			return badSignature
 		}
@@ -297,7 +302,7 @@
 	return malformed
 }
 
-// keys is links by keys in each state.
+// addKeyStates adds links signed by keys in each state.
 func (s *suite) addKeyStates(f *form) {
 	if f.unnamedKey {
 		s.addSigned(f, "second key", linkSpec{key: "b"}, "")
@@ -314,12 +319,12 @@
 	s.addSigned(f, "good by a key without skew", linkSpec{key: prefix + "strict"}, "")
 }
 
-// scopes is links that let in more than one URL.
+// addScopes adds links that cover more than one URL.
 func (s *suite) addScopes(f *form) {
 	if !f.hasScope {
 		s.addSigned(f, "for another object", linkSpec{target: strings.Replace(Target, "9f3a", "9f3b", 1)}, "")
 		x := linkSpec{target: strings.Replace(Target, "9f3a", "9f3b", 1)}.withDefaults(f)
-		if f.carrier != "path" { // whose grant covers what lies beside it
+		if f.carrier != "path" { // a grant in the path also covers the object's siblings
 			s.addGrant(f, "of another object", Target, f.sign(x), badSignature)
 		}
 		return
@@ -339,7 +344,7 @@
 		scopes = map[string]string{BaseURL + "/files/*": "", "http*://files.example/*": "", "*": "", BaseURL + Target: "", BaseURL + Path + "?seg=?": "",
 			BaseURL + "/files/*/9f3a?*": "", BaseURL + Path: "", BaseURL + "/files/page-asset/*": notCovered, "http://files.example/*": notCovered,
 			BaseURL + "/files": notCovered, BaseURL + "/FILES/*": notCovered}
-		scopes[BaseURL+Path] = notCovered // the part is in the query, which belongs to the URL
+		scopes[BaseURL+Path] = notCovered // the part's number is in the query, which belongs to the URL
 	case strings.HasPrefix(f.name, "cdni"):
 		scopes = map[string]string{`https://files\.example/files/.*`: "", `https://files\.example/files/guide-video/[0-9]+/9f3a\?seg=[0-9]`: "",
 			`.*`: "", `https://files\.example/files/(page-asset|guide-video)/17/9f3a.*`: "", `/files/.*`: notCovered,
@@ -351,7 +356,8 @@
 	}
 }
 
-// together is two good grants in one request, of which neither counts.
+// addCombinations adds requests with two valid grants, which are refused, and requests
+// without a whole grant.
 func (s *suite) addCombinations() {
 	forms := s.fixture.forms()
 	for i, f := range forms {
@@ -380,10 +386,10 @@
 			return f
 		}
 	}
-	panic("no form " + name) // the suite's own fault
+	panic("no form " + name) // the suite names a form that does not exist
 }
 
-// cloudFront is policies that are signed and odd.
+// addCloudFront adds correctly signed policies with unusual content.
 func (s *suite) addCloudFront() {
 	later := s.fixture.unixAfter(time.Minute)
 	good := `"Resource":"` + BaseURL + `/*","Condition":{"DateLessThan":{"AWS:EpochTime":` + later + `}}`
@@ -419,7 +425,8 @@
 	s.addSigned(c, "key of another kind", linkSpec{key: "es-active", forge: true}, badSignature)
 }
 
-// cdni is claims that are signed and odd, and confusions of algorithms.
+// addCDNI adds correctly signed tokens with unusual claims, and tokens whose algorithm
+// does not fit their key.
 func (s *suite) addCDNI() {
 	at := func(d time.Duration) int64 { return s.fixture.Now.Add(d).Unix() }
 	for _, kind := range []string{"hs", "rs", "es", "ed"} {
@@ -466,7 +473,8 @@
 		"Set-Cookie": "URISigningPackage=*; Path=/files/guide-video/; Expires=*; Secure; HttpOnly"}})
 }
 
-// paths is targets that can be read in two ways, or name nothing; all signed.
+// addPaths adds correctly signed targets that are ambiguous or name no object, and
+// targets that a revocation or the tenant's paths exclude.
 func (s *suite) addPaths() {
 	for _, name := range []string{"edgeauth", "cloudcdn-prefix", "cloudfront-custom-es", "cdni-hs", "timed-issued"} {
 		f := s.findForm(name, "query")
@@ -501,7 +509,7 @@
 	}
 }
 
-// sizes is what is too long to be anything.
+// addSizes adds grants and targets that are too long, empty or in the wrong format.
 func (s *suite) addSizes() {
 	long := func(n int) string { return strings.Repeat("A", n) }
 	for name, c := range map[string]Case{
@@ -536,7 +544,8 @@
 	return join(fixture.edgeAuthFields(linkSpec{target: Target, key: "a", expiry: time.Minute, branch: Branch, scope: "/files/*!" + strings.Repeat("/x", 1000)}, "", newSHA256), "~")
 }
 
-// http is what clients use of HTTP beside the grant.
+// addHTTP adds the other HTTP features that clients use: ranges, conditions, methods,
+// content encodings and CORS.
 func (s *suite) addHTTP() {
 	f := s.findForm("edgeauth", "query")
 	link, _ := f.carry(Target, f.sign(linkSpec{}.withDefaults(f)))
--- a/lab/conformance/conformance_test.go
+++ b/lab/conformance/conformance_test.go
@@ -11,9 +11,9 @@
 	"cherryramp/internal/httpwire"
 )
 
-// The pure verdict on every case that the grant decides, asked anew and
-// remembered, at several moments: what the signatures look like differs with the
-// moment, and the verdicts must not.
+// Checks the verdict on every case that the grant alone decides, computed and from the
+// cache. It does so at several times: the bytes of the signatures depend on the time, and
+// the verdicts must not.
 func TestVerdicts(t *testing.T) {
 	fixture, err := New(time.Now())
 	if err != nil {
@@ -33,7 +33,7 @@
 	set, grantOnly, names := o.Signed.ProfileSet, 0, map[string]bool{}
 	for _, c := range fixture.Cases() {
 		if names[c.Name] {
-			t.Errorf("two cases are named %s", c.Name)
+			t.Errorf("two cases have the name %s", c.Name)
 		}
 		names[c.Name] = true
 		if !c.GrantOnly {
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(names) < 400 || grantOnly < 400 {
-		t.Errorf("%d cases, %d of them pure", len(names), grantOnly)
+		t.Errorf("%d cases, %d of them decided by the grant alone", len(names), grantOnly)
 	}
-	t.Logf("%d cases, %d of them pure", len(names), grantOnly)
+	t.Logf("%d cases, %d of them decided by the grant alone", len(names), grantOnly)
 }
--- a/lab/conformance/run.go
+++ b/lab/conformance/run.go
@@ -15,7 +15,7 @@
 
 func newSHA256() hash.Hash { return sha256.New() }
 
-// Failure is a case that went otherwise than it must.
+// Failure is a case whose response differs from the expected one.
 type Failure struct {
 	Case Case
 	Got  string
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("%s: %s\nsent:\n%s", f.Case.Name, f.Got, f.Case.Bytes())
 }
 
-// Check tells what is wrong with an answer; empty: nothing.
+// Check compares a response with the expected one and returns the differences, or an
+// empty string.
 func (c *Case) Check(status int, header http.Header, body string, length int64) string {
 	var problems []string
 	if status != c.Status {
@@ -45,12 +46,13 @@
 	return strings.Join(problems, "; ")
 }
 
-// Gives tells whether a reason is one that the case must give.
+// AcceptsReason reports whether reason is one of those that the case allows.
 func (c *Case) AcceptsReason(reason string) bool {
 	return slices.Contains(strings.Split(c.Reason, "|"), reason)
 }
 
-// fits compares with '*' for any run of signs.
+// matches compares got with a pattern in which '*' stands for any text. A pattern with
+// a '*' does not match the empty string.
 func matches(want, got string) bool {
 	parts := strings.Split(want, "*")
 	if len(parts) == 1 {
@@ -70,8 +72,8 @@
 	return strings.HasSuffix(rest, parts[len(parts)-1])
 }
 
-// Run sends the cases to a server, one behind the other on a connection for as
-// long as it stays open. An answer takes so long at most.
+// Run sends the cases to a server one after the other, on one connection as long as it
+// stays open. Timeout bounds the dial, and each request together with its response.
 func Run(address string, cases []Case, timeout time.Duration) (failed []Failure, err error) {
 	var conn net.Conn
 	var r *bufio.Reader
@@ -97,7 +99,7 @@
 			body, err = io.ReadAll(response.Body)
 		}
 		if err != nil {
-			failed = append(failed, Failure{c, "no whole answer: " + err.Error()})
+			failed = append(failed, Failure{c, "incomplete response: " + err.Error()})
 			_ = conn.Close()
 			conn = nil
 			continue
@@ -117,7 +119,7 @@
 	return failed, nil
 }
 
-// Good is a good link of a form that lasts so long.
+// ValidLink returns a valid link of a form that expires after lifetime.
 func (fixture *Fixture) ValidLink(name, carrier string, lifetime time.Duration) string {
 	s := suite{fixture: fixture}
 	f := s.findForm(name, carrier)
@@ -125,7 +127,7 @@
 	return target
 }
 
-// signature is the field that holds a grant's signature.
+// signatureIndex returns the index of the field that holds the signature.
 func (f *form) signatureIndex(fields []field) int {
 	for i, x := range fields {
 		if strings.HasSuffix(x.name, "Signature") || x.name == "hmac" || x.name == "md5" {
@@ -135,7 +137,7 @@
 	return len(fields) - 1
 }
 
-// everything is what a grant of the form says that lets in everything.
+// unrestrictedScope returns the scope that covers every URL in the form's format.
 func (f *form) unrestrictedScope() string {
 	switch {
 	case strings.HasPrefix(f.name, "edgeauth"):
@@ -148,8 +150,8 @@
 	return "*"
 }
 
-// Links makes the bytes of so many requests, each with a signature of its own:
-// of links that last an hour, by the form's key or by one that nobody knows.
+// SignedRequests returns the bytes of n requests with links that are valid for an hour,
+// each with a signature of its own: the form's key makes them, or they are forged.
 func (fixture *Fixture) SignedRequests(name, carrier string, n int, forged bool) ([]string, error) {
 	for _, f := range fixture.forms() {
 		if f.name != name || f.carrier != carrier {
@@ -159,14 +161,14 @@
 		var fields []field
 		for i := range n {
 			spec := linkSpec{target: fmt.Sprintf("%s?seg=%d", Path, i), expiry: time.Hour}.withDefaults(f)
-			if f.hasScope { // so that nothing but the signature is wrong
+			if f.hasScope { // otherwise the link would be refused for its URL and not for its signature
 				spec.scope = f.unrestrictedScope()
 			}
 			if fields == nil || !forged {
 				fields = f.sign(spec)
 			}
 			c, own := Case{Method: "GET"}, slices.Clone(fields)
-			if forged { // no signature is made for it, and each is another
+			if forged { // reuse one set of fields and give each request another wrong signature
 				j := f.signatureIndex(own)
 				v := own[j].value
 				own[j].value = v[:4] + fmt.Sprintf("%08d", i) + v[12:]
@@ -176,5 +178,5 @@
 		}
 		return out, nil
 	}
-	return nil, fmt.Errorf("conformance: no form %q in %q", name, carrier)
+	return nil, fmt.Errorf("conformance: there is no format %q in carrier %q", name, carrier)
 }
