--- a/lab/scenario/chaos.go
+++ b/lab/scenario/chaos.go
@@ -8,8 +8,8 @@
 	"cherryramp/lab/world"
 )
 
-// Random makes a day from a seed: a small site, a load, and troubles of all kinds
-// that overlap as they fall.
+// Random generates a scenario from a seed: a small site, a load, and faults of all kinds
+// that may overlap.
 func Random(seed uint64) *Scenario {
 	r := rand.New(rand.NewPCG(seed, 3))
 	s := &Scenario{Name: fmt.Sprint("chaos ", seed), Spec: world.Default(), Plan: world.Plan{WarmUp: 10 * 1_000_000, Duration: 30 * 1_000_000}}
@@ -27,7 +27,7 @@
 	}
 	w, err := world.New(s.Spec)
 	if err != nil {
-		panic(err) // it is made from good values only
+		panic(err) // all values drawn above are valid
 	}
 	branches, hubs, caches, fronts := w.FaultTargets()
 	pick := func(list []string) string { return list[r.IntN(len(list))] }
@@ -90,7 +90,8 @@
 	return s
 }
 
-// Play plays a scenario, with something broken on purpose or nothing.
+// Play runs the scenario in virtual time with the given mutation, world.NoMutation for
+// none.
 func (s *Scenario) Play(mutation world.Mutation) (*world.Result, error) {
 	w, err := world.New(s.Spec)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return w.Run(s.Plan)
 }
 
-// PlayOnSockets plays a scenario before built fronts, in the system's time.
+// PlayOnSockets runs the scenario in real time against built fronts on loopback.
 func (s *Scenario) PlayOnSockets(mutation world.Mutation, o world.SocketOptions) (*world.Result, error) {
 	w, err := world.NewOnSockets(s.Spec, o)
 	if err != nil {
@@ -110,9 +111,9 @@
 	return w.Run(s.Plan)
 }
 
-// Shrink finds a shorter day on which a promise is still broken: without troubles
-// that are not needed, with the rest shorter, less load and an earlier end. It
-// plays so many days at most.
+// Shrink searches for a smaller scenario that still violates a property: it removes
+// faults that are not needed, shortens the others, and lowers the load and the run time.
+// It plays at most maxRuns scenarios.
 func (s *Scenario) Shrink(property world.Property, mutation world.Mutation, maxRuns int) *Scenario {
 	best := *s
 	try := func(change func(s *Scenario) bool) bool {
@@ -131,7 +132,8 @@
 	}
 	for improved := true; improved && maxRuns > 0; {
 		improved = false
-		// Halves of the troubles first, then one by one (Zeller and Hildebrandt, 2002).
+		// Remove half of the faults first, then ever smaller groups down to single ones
+		// (delta debugging, Zeller and Hildebrandt, 2002).
 		for size := max(1, len(best.Plan.Faults)/2); size >= 1; size /= 2 {
 			for i := 0; i+size <= len(best.Plan.Faults); {
 				if try(func(s *Scenario) bool { s.Plan.Faults = slices.Delete(s.Plan.Faults, i, i+size); return true }) {
@@ -163,7 +165,8 @@
 	return &best
 }
 
-// String writes a scenario in its language, as far as that goes.
+// String writes the scenario in the scenario language, without what the language cannot
+// express.
 func (s *Scenario) String() string {
 	text := fmt.Sprintf("name %q\nseed %d\nsite {\n", s.Name, s.Spec.Seed)
 	for _, b := range s.Spec.Branches {
@@ -191,10 +194,10 @@
 
 func formatMillis(m world.Micros) string { return formatDecimal(float64(m)/1000) + "ms" }
 
-// number writes a figure without an exponent, which the language does not have.
+// formatDecimal writes a number without an exponent, which the language does not have.
 func formatDecimal(x float64) string { return fmt.Sprintf("%.6f", x) }
 
-// phrase is a trouble in the language's words.
+// faultPhrase writes a fault in the scenario language, without its times.
 func faultPhrase(t world.Fault) string {
 	switch t.Kind {
 	case world.OriginSlow, world.Surge:
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario is the laboratory's language for days that go wrong: the site,
-// its clients' load, and troubles in time that may overlap.
+// Package scenario reads and writes the lab's scenario language. A scenario describes a
+// site, its clients' load, and timed faults that may overlap.
 //
 //	name "a branch comes back cold while the store is slow"
 //	site { branch "edge-1" at "north-hub" 4 boxes 1 fronts  branch "edge-2" at "delta-hub" 3 boxes 1 fronts  parents 2 }
@@ -9,7 +9,7 @@
 //	from 20s origin slower 3x for 10s
 //	expect G above 0.5
 //
-// What a scenario does not say is as world.Default has it. Errors name file, line
+// Settings that a scenario leaves out are those of world.Default. Errors name file, line
 // and column.
 package scenario
 
@@ -26,7 +26,7 @@
 	"cherryramp/lab/world"
 )
 
-// Scenario is a day that is ready to be played.
+// Scenario is a parsed or generated scenario that can be played.
 type Scenario struct {
 	Name         string
 	Spec         world.Spec
@@ -34,14 +34,14 @@
 	Expectations []Expectation
 }
 
-// Expect is a bound on what comes of a day.
+// Expectation is a bound on one metric of a scenario's result.
 type Expectation struct {
 	Metric string // G, service, hits, falls, origin
-	Above  bool   // or below
+	Above  bool   // the metric must be above Bound, otherwise not above it
 	Bound  float64
 }
 
-// Met tells whether a day keeps to it, and what it was.
+// Check returns the metric's value in a result and whether it meets the expectation.
 func (e Expectation) Check(r *world.Result) (value float64, ok bool) {
 	switch e.Metric {
 	case "G":
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("%s %s %g", e.Metric, direction, e.Bound)
 }
 
-// The grammar.
+// The grammar; its leaves are the tokens of the lexer below.
 
 type file struct {
 	Statements []*statement `parser:"@@*"`
@@ -186,30 +186,30 @@
 // Values with a unit.
 
 type (
-	duration int64   // us
-	share    float64 // of 1
+	duration int64   // microseconds
+	share    float64 // 0 to 1, written in percent
 	factor   float64
-	rate     float64 // a second
+	rate     float64 // requests per second
 	decimal  float64
 )
 
-// Capture is part of participle.Capture, as those below.
+// Capture implements participle.Capture.
 func (s *duration) Capture(v []string) error {
 	d, err := time.ParseDuration(v[0])
 	*s = duration(d.Microseconds())
 	return err
 }
 
-// Capture is part of participle.Capture.
+// Capture implements participle.Capture.
 func (s *share) Capture(v []string) error { return parseWithUnit((*float64)(s), v[0], "%", 0.01) }
 
-// Capture is part of participle.Capture.
+// Capture implements participle.Capture.
 func (x *factor) Capture(v []string) error { return parseWithUnit((*float64)(x), v[0], "x", 1) }
 
-// Capture is part of participle.Capture.
+// Capture implements participle.Capture.
 func (r *rate) Capture(v []string) error { return parseWithUnit((*float64)(r), v[0], "/s", 1) }
 
-// Capture is part of participle.Capture.
+// Capture implements participle.Capture.
 func (n *decimal) Capture(v []string) error { return parseWithUnit((*float64)(n), v[0], "", 1) }
 
 func parseWithUnit(out *float64, text, suffix string, scale float64) error {
@@ -233,10 +233,11 @@
 	})),
 	participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(3))
 
-// Parse reads a scenario; file stands in errors.
+// Parse reads a scenario for the deployment of world.Default. Errors name the source as
+// name.
 func Parse(name, text string) (*Scenario, error) { return ParseFor(world.Default(), name, text) }
 
-// ParseFor is Parse for another deployment than the default one.
+// ParseFor is Parse for the deployment that spec describes.
 func ParseFor(spec world.Spec, name, text string) (*Scenario, error) {
 	f, err := grammar.ParseString(name, text)
 	if err != nil {
@@ -372,21 +373,21 @@
 			p.At = int64(*x.At)
 		}
 		if i > 0 && p.At <= points[i-1].At {
-			return nil, fmt.Errorf("%s: the load's moments must follow each other", x.Pos)
+			return nil, fmt.Errorf("%s: the times of the load must increase", x.Pos)
 		}
 		points = append(points, p)
 	}
 	return points, nil
 }
 
-// ParseLoad reads a load's curve alone, in the words that follow "load".
+// ParseLoad reads a load curve alone, in the syntax that follows "load" in a scenario.
 func ParseLoad(text string) ([]world.RatePoint, error) {
 	f, err := grammar.ParseString("load", "load "+text)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	if len(f.Statements) != 1 {
-		return nil, fmt.Errorf("scenario: %s: more than a load", f.Statements[1].Pos)
+		return nil, fmt.Errorf("scenario: %s: only a load is allowed here", f.Statements[1].Pos)
 	}
 	points, err := loadCurve(f.Statements[0].Load)
 	if err != nil {
@@ -395,7 +396,8 @@
 	return points, nil
 }
 
-// make turns what was read into a trouble.
+// fault converts the parsed line. It fails where a duration is missing or not allowed,
+// or where the fault cannot be silent.
 func (t *faultLine) fault() (world.Fault, error) {
 	out := world.Fault{At: int64(t.At), Silent: t.Silent}
 	if t.Duration != nil {
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// Every scenario of the library can be read; all promises hold in it, and what it
-// expects is met.
+// Plays every scenario in lab/scenarios: it must parse, hold every property and meet its
+// own expectations.
 func TestLibrary(t *testing.T) {
 	for folder, x := range map[string]struct {
 		site  string
@@ -56,15 +56,15 @@
 			}
 			for _, e := range s.Expectations {
 				if is, ok := e.Check(r); !ok {
-					t.Errorf("%s expected, it is %.3f", e, is)
+					t.Errorf("want %s, got %.3f", e, is)
 				}
 			}
 		})
 	}
 }
 
-// Random days keep every promise; a day that is written down and read again is the
-// same day.
+// Random scenarios must hold every property. Of each group, one is also written out and
+// parsed again, and must keep its faults and still play.
 func TestRandomDays(t *testing.T) {
 	const each = 15
 	for group := range uint64(8) {
@@ -77,9 +77,9 @@
 	}
 }
 
-// Days on which the product once broke a promise.
+// Replays random scenarios on which the front once violated a property.
 func TestPastViolations(t *testing.T) {
-	for _, seed := range []uint64{2040, 2261} { // cold servers pushed over, as means were learnt from small hits alone
+	for _, seed := range []uint64{2040, 2261} { // overloaded cold servers: the mean costs were learnt from small cache hits only
 		playRandomDay(t, seed, false)
 	}
 }
@@ -101,11 +101,12 @@
 		t.Fatalf("%v\n%s", err, s)
 	}
 	if r2, err := again.Play(world.NoMutation); err != nil || len(again.Plan.Faults) != len(s.Plan.Faults) || r2.Requests() == 0 {
-		t.Fatalf("seed %d reads otherwise: %v\n%s", seed, err, s)
+		t.Fatalf("seed %d differs after parsing its text: %v\n%s", seed, err, s)
 	}
 }
 
-// A broken day shrinks to one that is shorter and still broken in the same way.
+// A scenario that violates a property must shrink to one that is no longer, has at most
+// two faults and violates the same property.
 func TestShrink(t *testing.T) {
 	for seed := uint64(1); ; seed++ {
 		s := Random(seed)
@@ -119,17 +120,17 @@
 		small := s.Shrink(world.NoSendToDraining, world.IgnoreDrains, 80)
 		r, err = small.Play(world.IgnoreDrains)
 		if err != nil || r.Broken[world.NoSendToDraining] == 0 {
-			t.Fatal("it is no longer broken", err)
+			t.Fatal("the shrunk scenario no longer violates the property", err)
 		}
-		t.Logf("from %d troubles to %d:\n%s", len(s.Plan.Faults), len(small.Plan.Faults), small)
+		t.Logf("from %d faults to %d:\n%s", len(s.Plan.Faults), len(small.Plan.Faults), small)
 		if len(small.Plan.Faults) > 2 || small.Plan.Duration > s.Plan.Duration {
-			t.Errorf("still %d troubles:\n%s", len(small.Plan.Faults), small)
+			t.Errorf("still %d faults:\n%s", len(small.Plan.Faults), small)
 		}
 		return
 	}
 }
 
-// Faults are told with line and column, and what is wrong.
+// Parse errors must name line and column, and what is wrong.
 func TestErrorPositions(t *testing.T) {
 	for text, want := range map[string]string{
 		"run 60s\nat 5s lose branch \"edge-9\" for 3s":       `x:2:1: no branch is called "edge-9"`,
@@ -155,7 +156,7 @@
 	}
 }
 
-// Whatever is written, Parse says yes or no.
+// For any sequence of tokens, Parse must return either a scenario or an error.
 func TestArbitraryText(t *testing.T) {
 	words := []string{"at", "from", "for", "3s", "lose", "branch", `"edge-1"`, "{", "}", "site", "5%", "origin", "slower", "2x", "load", "100/s", ",",
 		"purge", "of", "groups", "storm", "class", "#", "\n", "silently", "expect", "G", "above", "0.5", "\x00"}
