--- a/cmd/ramplab/exchange.go
+++ b/cmd/ramplab/exchange.go
@@ -50,7 +50,7 @@
 		fmt.Println(string(text))
 	} else {
 		fmt.Printf("%d served, %d refused, %d failed, %d lost; %d fills\n", r.Served, r.Refused, r.Failed, r.Lost, r.Fills)
-		tellVerdict(r.Verdict)
+		printVerdict(r.Verdict)
 	}
 	if err == nil && len(r.Verdict.Violations) > 0 {
 		err = errNotMet
@@ -77,7 +77,7 @@
 		}
 		fmt.Println(string(text))
 	} else {
-		tellVerdict(v)
+		printVerdict(v)
 	}
 	if len(v.Violations) > 0 {
 		return errNotMet
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func tellVerdict(v *history.Verdict) {
+func printVerdict(v *history.Verdict) {
 	fmt.Printf("events: %v\nhard limits: over by %.1f requests at the most (below 0: never); used at the end: %.0f%%\n", v.Counts, v.MaxExcess, 100*v.Utilization)
 	for _, p := range v.Purges {
 		fmt.Printf("purge %s: obeyed by %d fronts after %.3f s, complete after %.3f s\n", p.ID, p.Fronts, p.Applied, p.Complete)
--- a/cmd/ramplab/experiment.go
+++ b/cmd/ramplab/experiment.go
@@ -24,22 +24,22 @@
 )
 
 // days says which days an experiment has.
-type days struct {
+type experimentInputs struct {
 	Store string   `arg:"" help:"The file that keeps the results; it is made where it is not there."`
 	Files []string `arg:"" type:"existingfile" help:"Scenarios, as those in lab/scenarios."`
 	Jobs  int      `default:"0" help:"Days at a time; 0: one a core in virtual time, one for every two cores on sockets."`
 }
 
 // texts reads the scenarios; each has the lines added that an arm wants.
-func (d *days) texts(with string) (files, texts []string, err error) {
+func (d *experimentInputs) readScenarios(extraLines string) (files, texts []string, err error) {
 	for _, path := range d.Files {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, nil, err
 		}
 		files = append(files, filepath.Base(path))
-		if with != "" {
-			text = fmt.Appendf(text, "\n%s\n", with)
+		if extraLines != "" {
+			text = fmt.Appendf(text, "\n%s\n", extraLines)
 		}
 		texts = append(texts, string(text))
 	}
@@ -55,43 +55,43 @@
 }
 
 // arm gives what the store is to know of an arm, and who plays its days.
-func (a *armFlags) arm(name string) (experiment.Arm, experiment.Player, error) {
-	own, err := os.Executable()
+func (a *armFlags) resolve(name string) (experiment.Arm, experiment.Player, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return experiment.Arm{}, nil, err
 	}
-	lab := own
+	program := executable
 	if a.Lab != "" {
-		lab = a.Lab
+		program = a.Lab
 	}
-	programs := []string{lab}
+	programs := []string{program}
 	if a.Sockets {
 		if a.Front == "" {
-			a.Front = filepath.Join(filepath.Dir(lab), "cherryramp")
+			a.Front = filepath.Join(filepath.Dir(program), "cherryramp")
 		}
 		programs = append(programs, a.Front)
 	}
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, p := range programs {
 		text, err := os.ReadFile(p)
 		if err != nil {
 			return experiment.Arm{}, nil, err
 		}
-		_, _ = sum.Write(text)
+		_, _ = hash.Write(text)
 	}
-	x := experiment.Arm{Name: name, Build: fmt.Sprintf("%x", sum.Sum(nil)[:6]), Sockets: a.Sockets, With: a.With, Began: time.Now()}
+	arm := experiment.Arm{Name: name, Build: fmt.Sprintf("%x", hash.Sum(nil)[:6]), Sockets: a.Sockets, With: a.With, Began: time.Now()}
 	switch {
-	case lab != own:
-		return x, func(ctx context.Context, j experiment.Job) (experiment.Day, error) {
-			return playElsewhere(lab, order{j, a.Sockets, a.Front})
+	case program != executable:
+		return arm, func(ctx context.Context, j experiment.Job) (experiment.Day, error) {
+			return playWithProgram(program, dayRequest{j, a.Sockets, a.Front})
 		}, nil
 	case a.Sockets:
-		return x, experiment.OnSockets(world.SocketOptions{Front: a.Front}), nil
+		return arm, experiment.OnSockets(world.SocketOptions{Front: a.Front}), nil
 	}
-	return x, experiment.InVirtualTime, nil
+	return arm, experiment.InVirtualTime, nil
 }
 
-func (a *armFlags) atATime(jobs int) int {
+func (a *armFlags) parallelism(jobs int) int {
 	switch {
 	case jobs > 0:
 		return jobs
@@ -102,57 +102,57 @@
 }
 
 // order is a day that another ramplab plays.
-type order struct {
+type dayRequest struct {
 	Job     experiment.Job
 	Sockets bool
 	Front   string
 }
 
 // playElsewhere has another ramplab play a day.
-func playElsewhere(lab string, o order) (d experiment.Day, err error) {
-	in, err := json.Marshal(o)
+func playWithProgram(program string, request dayRequest) (day experiment.Day, err error) {
+	in, err := json.Marshal(request)
 	if err != nil {
-		return d, err
+		return day, err
 	}
-	var out, errs bytes.Buffer
-	cmd := exec.Command(lab, "day")
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = bytes.NewReader(in), &out, &errs
+	var out, stderr bytes.Buffer
+	cmd := exec.Command(program, "day")
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = bytes.NewReader(in), &out, &stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt here lets it end its day
 	if err := cmd.Run(); err != nil {
-		return d, fmt.Errorf("%s day: %w: %s", lab, err, strings.TrimSpace(errs.String()))
+		return day, fmt.Errorf("%s day: %w: %s", program, err, strings.TrimSpace(stderr.String()))
 	}
-	if err := json.Unmarshal(out.Bytes(), &d); err != nil {
-		return d, fmt.Errorf("%s day: %w", lab, err)
+	if err := json.Unmarshal(out.Bytes(), &day); err != nil {
+		return day, fmt.Errorf("%s day: %w", program, err)
 	}
-	return d, nil
+	return day, nil
 }
 
 type dayCommand struct{}
 
 // Run plays one day for another ramplab.
 func (dayCommand) Run() error {
-	var o order
-	if err := json.NewDecoder(os.Stdin).Decode(&o); err != nil {
+	var request dayRequest
+	if err := json.NewDecoder(os.Stdin).Decode(&request); err != nil {
 		return err
 	}
 	play := experiment.InVirtualTime
-	if o.Sockets {
-		play = experiment.OnSockets(world.SocketOptions{Front: o.Front})
+	if request.Sockets {
+		play = experiment.OnSockets(world.SocketOptions{Front: request.Front})
 	}
-	d, err := play(context.Background(), o.Job)
+	day, err := play(context.Background(), request.Job)
 	if err != nil {
 		return err
 	}
-	return json.NewEncoder(os.Stdout).Encode(d)
+	return json.NewEncoder(os.Stdout).Encode(day)
 }
 
 // run plays jobs into an arm, with a bar.
-func run(s *experiment.Store, arm string, jobs []experiment.Job, atATime int, play experiment.Player) error {
+func playJobs(store *experiment.Store, arm string, jobs []experiment.Job, parallelism int, play experiment.Player) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	bar := progressbar.NewOptions(len(jobs), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(arm),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
-	err := experiment.Run(ctx, s, arm, jobs, atATime, play, func(done, _ int) { _ = bar.Set(done) })
+	err := experiment.Run(ctx, store, arm, jobs, parallelism, play, func(done, _ int) { _ = bar.Set(done) })
 	if errors.Is(err, context.Canceled) {
 		return errors.New("stopped; what was played is kept, and the same command goes on")
 	}
@@ -160,7 +160,7 @@
 }
 
 type runCommand struct {
-	days
+	experimentInputs
 	Arm   string `required:"" help:"The name of the build or setting."`
 	Seeds int    `default:"1" help:"Days of each scenario, from its own seed on."`
 	Again bool   `help:"Forget what the arm has, and play it anew."`
@@ -169,28 +169,28 @@
 
 // Run plays an arm's days that the store does not have.
 func (c *runCommand) Run() (err error) {
-	if err := positive("seeds", c.Seeds); err != nil {
+	if err := requirePositive("seeds", c.Seeds); err != nil {
 		return err
 	}
-	files, texts, err := c.texts(c.With)
+	files, texts, err := c.readScenarios(c.With)
 	if err != nil {
 		return err
 	}
-	arm, play, err := c.arm(c.Arm)
+	arm, play, err := c.resolve(c.Arm)
 	if err != nil {
 		return err
 	}
-	s, err := experiment.OpenStore(c.Store)
+	store, err := experiment.OpenStore(c.Store)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.Close()) }()
+	defer func() { err = errors.Join(err, store.Close()) }()
 	if c.Again {
-		if err := s.DeleteArm(c.Arm); err != nil {
+		if err := store.DeleteArm(c.Arm); err != nil {
 			return err
 		}
 	}
-	if err := s.BeginArm(arm); err != nil {
+	if err := store.BeginArm(arm); err != nil {
 		return err
 	}
 	var jobs []experiment.Job
@@ -199,10 +199,10 @@
 			jobs = append(jobs, experiment.Job{File: files[i], Text: texts[i], Seed: seed})
 		}
 	}
-	if err := run(s, c.Arm, jobs, c.atATime(c.Jobs), play); err != nil {
+	if err := playJobs(store, c.Arm, jobs, c.parallelism(c.Jobs), play); err != nil {
 		return err
 	}
-	all, err := s.Days(c.Arm)
+	all, err := store.Days(c.Arm)
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 }
 
 type tellCommand struct {
-	days
+	experimentInputs
 	A       string   `required:"" help:"The name of the arm that is compared with."`
 	B       string   `required:"" help:"The name of the other."`
 	Measure string   `default:"G" help:"What is compared, as in a report."`
@@ -235,20 +235,20 @@
 	if c.A == c.B {
 		return fmt.Errorf("--a, --b: %q is one arm", c.A)
 	}
-	d := &experiment.Design{Looks: c.Looks, InitialSeeds: c.First, BatchDays: c.Batch, MinEffect: c.Least}
+	design := &experiment.Design{Looks: c.Looks, InitialSeeds: c.First, BatchDays: c.Batch, MinEffect: c.Least}
 	for _, m := range experiment.Measures {
 		if m.Name == c.Measure {
-			d.Measure = m.Of
+			design.Measure = m.Of
 		}
 	}
-	if d.Measure == nil {
+	if design.Measure == nil {
 		return fmt.Errorf("%q is no measure", c.Measure)
 	}
-	s, err := experiment.OpenStore(c.Store)
+	store, err := experiment.OpenStore(c.Store)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.Close()) }()
+	defer func() { err = errors.Join(err, store.Close()) }()
 	type side struct {
 		name  string
 		flags *armFlags
@@ -257,35 +257,35 @@
 	}
 	sides := []side{{name: c.A, flags: &c.OfA}, {name: c.B, flags: &c.OfB}}
 	for i := range sides {
-		x := &sides[i]
+		current := &sides[i]
 		var arm experiment.Arm
-		if d.Files, x.texts, err = c.texts(x.flags.With); err != nil {
+		if design.Files, current.texts, err = c.readScenarios(current.flags.With); err != nil {
 			return err
 		}
-		if arm, x.play, err = x.flags.arm(x.name); err != nil {
+		if arm, current.play, err = current.flags.resolve(current.name); err != nil {
 			return err
 		}
-		if err := s.BeginArm(arm); err != nil {
+		if err := store.BeginArm(arm); err != nil {
 			return err
 		}
 	}
-	if err := d.Check(); err != nil {
+	if err := design.Check(); err != nil {
 		return err
 	}
-	want := map[string]int{}
-	for i, f := range d.Files {
-		want[f] = i
+	fileIndex := map[string]int{}
+	for i, f := range design.Files {
+		fileIndex[f] = i
 	}
-	asked := map[experiment.PlannedDay]bool{}
+	planned := map[experiment.PlannedDay]bool{}
 	for look := 1; ; {
 		var sets [2][]experiment.Day
-		for i, x := range sides {
-			all, err := s.Days(x.name)
+		for i, current := range sides {
+			all, err := store.Days(current.name)
 			if err != nil {
 				return err
 			}
 			for _, day := range all { // others may have been played into the arm: they were not asked for
-				if asked[experiment.PlannedDay{File: day.File, Seed: day.Seed}] {
+				if planned[experiment.PlannedDay{File: day.File, Seed: day.Seed}] {
 					sets[i] = append(sets[i], day)
 				}
 			}
@@ -294,21 +294,21 @@
 		if err != nil {
 			return err
 		}
-		step := d.Next(pairs, look)
-		if len(pairs) >= c.First*len(d.Files) {
+		step := design.Next(pairs, look)
+		if len(pairs) >= c.First*len(design.Files) {
 			fmt.Printf("look %d: %d pairs, %s %+.4f (%+.4f to %+.4f) %s\n", look, len(pairs), c.Measure, step.Mean, step.Low, step.High, step.Verdict)
 			look++
 		}
 		if step.Verdict != "" {
 			return nil
 		}
-		for _, x := range sides {
+		for _, current := range sides {
 			var jobs []experiment.Job
 			for _, w := range step.Days {
-				asked[w] = true
-				jobs = append(jobs, experiment.Job{File: w.File, Text: x.texts[want[w.File]], Seed: w.Seed})
+				planned[w] = true
+				jobs = append(jobs, experiment.Job{File: w.File, Text: current.texts[fileIndex[w.File]], Seed: w.Seed})
 			}
-			if err := run(s, x.name, jobs, x.flags.atATime(c.Jobs), x.play); err != nil {
+			if err := playJobs(store, current.name, jobs, current.flags.parallelism(c.Jobs), current.play); err != nil {
 				return err
 			}
 		}
@@ -325,12 +325,12 @@
 
 // Run writes a report.
 func (c *reportCommand) Run() (err error) {
-	s, err := experiment.OpenStore(c.Store)
+	store, err := experiment.OpenStore(c.Store)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.Close()) }()
-	known, err := s.Arms()
+	defer func() { err = errors.Join(err, store.Close()) }()
+	known, err := store.Arms()
 	if err != nil {
 		return err
 	}
@@ -347,7 +347,7 @@
 				x.Arm = a
 			}
 		}
-		if x.Days, err = s.Days(name); err != nil {
+		if x.Days, err = store.Days(name); err != nil {
 			return err
 		}
 		arms = append(arms, x)
--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -42,55 +42,55 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.NewProcesses(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, UseProxies: c.Fronts <= 12})
+	processes, err := fleet.NewProcesses(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, UseProxies: c.Fronts <= 12})
 	if err != nil {
 		return err
 	}
 	defer func() {
-		if e := f.Close(); err == nil {
+		if e := processes.Close(); err == nil {
 			err = e
 		}
 	}()
-	if err := f.StartAll(); err != nil {
+	if err := processes.StartAll(); err != nil {
 		return err
 	}
 	fmt.Printf("%d fronts start; their doors:\n\n", c.Fronts)
-	for _, p := range f.List {
+	for _, p := range processes.List {
 		fmt.Printf("  %s  zone %s  clients %s  door %s  log %s\n", p.Name, p.Zone, p.Listen, p.Ops, p.Log)
 	}
-	last := f.List[len(f.List)-1]
+	last := processes.List[len(processes.List)-1]
 	fmt.Printf("\nTo try, in another terminal:\n\n  export ROUTER_OPS=%s\n  bin/cherryramp fleet status\n  bin/cherryramp fleet work ask %s --why \"a look\" --wait\n"+
-		"  bin/cherryramp fleet work plan\n  bin/cherryramp fleet work done 1\n  kill -9 %d     # %s; it is started again after 5 s\n\n", f.List[0].Ops, last.Name,
-		f.List[0].Pid(), f.List[0].Name)
+		"  bin/cherryramp fleet work plan\n  bin/cherryramp fleet work done 1\n  kill -9 %d     # %s; it is started again after 5 s\n\n", processes.List[0].Ops, last.Name,
+		processes.List[0].Pid(), processes.List[0].Name)
 	var clients *fleet.Clients
 	if c.Rate > 0 {
-		clients = fleet.NewClients(f, c.Rate)
+		clients = fleet.NewClients(processes, c.Rate)
 	}
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, syscall.SIGINT, syscall.SIGTERM)
-	var over <-chan time.Time
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+	var deadline <-chan time.Time
 	if c.For > 0 {
-		over = time.After(c.For)
+		deadline = time.After(c.For)
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd()))
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
-	before := ""
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	previous := ""
 	for {
 		select {
-		case <-end:
-		case <-over:
-		case <-look.C:
-			f.RestartEnded(5 * time.Second)
-			view := fleetView(f)
+		case <-signals:
+		case <-deadline:
+		case <-ticker.C:
+			processes.RestartEnded(5 * time.Second)
+			view := fleetTable(processes)
 			if live {
 				fmt.Print("\x1b[H\x1b[2J" + view)
 				if clients != nil {
 					fmt.Printf("\nrequests: %d served, %d refused, %d failed, %d lost\n", clients.Served.Load(), clients.Refused.Load(), clients.Failed.Load(), clients.Lost.Load())
 				}
-				fmt.Printf("\nROUTER_OPS=%s; interrupt to end\n", f.List[0].Ops)
-			} else if view != before {
-				before = view
+				fmt.Printf("\nROUTER_OPS=%s; interrupt to end\n", processes.List[0].Ops)
+			} else if view != previous {
+				previous = view
 				fmt.Println(view)
 			}
 			continue
@@ -105,11 +105,11 @@
 }
 
 // fleetView is the fleet as a table: what each front says of itself.
-func fleetView(f *fleet.Processes) string {
+func fleetTable(processes *fleet.Processes) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "FRONT\tZONE\tSEAT\tLEADER\tTERM\tENTRY\tREADY\tVERSION\tWORK")
-	for _, p := range f.List {
+	for _, p := range processes.List {
 		s, err := p.Status()
 		if err != nil {
 			_, _ = fmt.Fprintf(w, "%s\t%s\tnot reached\t\t\t\t\t\t\n", p.Name, p.Zone)
@@ -149,11 +149,11 @@
 	if err != nil {
 		return err
 	}
-	var say func(string)
+	var logLine func(string)
 	if c.Verbose {
-		say = func(line string) { fmt.Println(line) }
+		logLine = func(line string) { fmt.Println(line) }
 	}
-	r, err := fleet.PlayVersions(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, say)
+	r, err := fleet.PlayVersions(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, logLine)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	r.Happened = nil
-	return c.tell(r, len(r.Broken) > 0)
+	return c.printResult(r, len(r.Broken) > 0)
 }
 
 type fleetWorkCommand struct {
@@ -197,85 +197,85 @@
 		return fmt.Errorf("--fronts 1 to 300, --zones and --days from 1 and --for from 1s on are possible")
 	}
 	if c.Troubles != "" {
-		return c.script()
+		return c.playScript()
 	}
 	if c.Virtual {
-		return c.virtual()
+		return c.playVirtual()
 	}
 	front, err := c.path()
 	if err != nil {
 		return err
 	}
-	var say func(string)
+	var logLine func(string)
 	if c.Verbose {
-		say = func(line string) { fmt.Println(line) }
+		logLine = func(line string) { fmt.Println(line) }
 	}
-	r, err := fleet.Play(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, say)
+	r, err := fleet.Play(fleet.Options{Program: front, Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed, UseProxies: true}, c.For, c.Rate, c.Chaos, logLine)
 	if err != nil {
 		return err
 	}
-	return c.tell(r, len(r.Broken) > 0)
+	return c.printResult(r, len(r.Broken) > 0)
 }
 
 // script plays a day that is written down.
-func (c fleetWorkCommand) script() error {
+func (c fleetWorkCommand) playScript() error {
 	s, err := fleet.ReadScript(c.Troubles)
 	if err != nil {
 		return err
 	}
-	var say func(string)
+	var logLine func(string)
 	if c.Verbose {
-		say = func(line string) { fmt.Println(line) }
+		logLine = func(line string) { fmt.Println(line) }
 	}
 	if !c.Virtual {
 		front, err := c.path()
 		if err != nil {
 			return err
 		}
-		r, err := fleet.PlayScript(s, front, c.Rate, say)
+		r, err := fleet.PlayScript(s, front, c.Rate, logLine)
 		if err != nil {
 			return err
 		}
-		return c.tell(r, len(r.Broken) > 0)
+		return c.printResult(r, len(r.Broken) > 0)
 	}
-	d, _ := s.PlayVirtual(statemachine.Mutation(c.Without), say)
+	d, _ := s.PlayVirtual(statemachine.Mutation(c.Without), logLine)
 	if len(d.Broken) > 0 && !c.JSON {
 		short, _, w := s.Minimize(statemachine.Mutation(c.Without))
 		fmt.Printf("broken, and so is what is left of the day:\n%s\nthe last of what happened in it:\n", short)
 		w.Dump(os.Stdout, 40)
 	}
-	return c.tell(d, len(d.Broken) > 0)
+	return c.printResult(d, len(d.Broken) > 0)
 }
 
-func (c fleetWorkCommand) virtual() error {
-	var say func(string)
+func (c fleetWorkCommand) playVirtual() error {
+	var logLine func(string)
 	if c.Verbose {
-		say = func(line string) { fmt.Println(line) }
+		logLine = func(line string) { fmt.Println(line) }
 	}
-	began := time.Now()
+	started := time.Now()
 	total := fleet.Result{}
 	for i := range c.Days {
 		spec := fleet.Spec{Fronts: c.Fronts, Zones: c.Zones, Seed: c.Seed + uint64(i), Mutation: statemachine.Mutation(c.Without)}
 		if c.Random {
 			spec = fleet.RandomSpec(spec.Seed, spec.Mutation)
 		}
-		d, w := fleet.PlayRandomDay(spec, fleet.Micros(c.For.Microseconds()), say)
+		d, w := fleet.PlayRandomDay(spec, fleet.Micros(c.For.Microseconds()), logLine)
 		total.Add(d)
 		if len(d.Broken) > 0 {
 			if !c.JSON {
-				d, w, span := shortest(spec, d, w, fleet.Micros(c.For.Microseconds()))
+				d, w, span := shortestViolation(spec, d, w, fleet.Micros(c.For.Microseconds()))
 				fmt.Printf("seed %d, %d fronts: broken, also with --for %v; the last of what happened:\n", d.Seed, d.Fronts, time.Duration(span)*time.Microsecond)
 				w.Dump(os.Stdout, 40)
 			}
-			return c.tell(d, true)
+			return c.printResult(d, true)
 		}
 	}
 	if c.Days > 1 {
 		if c.JSON {
-			return c.tell(total, false)
+			return c.printResult(total, false)
 		}
 		fmt.Printf("%d days in %.0f s: %d works asked for, %d states compared, %d entries, at most %d fronts out at once; none broke a promise\n",
-			total.Days, time.Since(began).Seconds(), total.Asked, total.Checked, total.Entries, total.Most)
+			total.Days, time.Since(started).Seconds(), total.Asked, total.Checked, total.Entries, total.Most)
 		return nil
 	}
 	fmt.Printf("no promise broken: %+v\n", total)
@@ -284,7 +284,7 @@
 
 // shortest plays a day that broke a promise again with less and less trouble, as long
 // as it still does.
-func shortest(spec fleet.Spec, d fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
+func shortestViolation(spec fleet.Spec, d fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
 	for step := span / 2; step >= fleet.Second; {
 		if x, world := fleet.PlayRandomDay(spec, span-step, nil); span > step && len(x.Broken) > 0 {
 			d, w, span = x, world, span-step
@@ -295,15 +295,15 @@
 	return d, w, span
 }
 
-func (c fleetWorkCommand) tell(x any, broken bool) error {
+func (c fleetWorkCommand) printResult(result any, broken bool) error {
 	if c.JSON {
-		text, err := json.Marshal(x)
+		text, err := json.Marshal(result)
 		if err != nil {
 			return err
 		}
 		fmt.Println(string(text))
 	} else {
-		fmt.Printf("%+v\n", x)
+		fmt.Printf("%+v\n", result)
 	}
 	if broken {
 		return errNotMet
--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -19,7 +19,7 @@
 
 // eachWorker is the connections that one worker's process holds, within the 20,000
 // descriptors that a process may.
-const eachWorker = 17_500
+const connectionsPerWorker = 17_500
 
 type workerCommand struct{}
 
@@ -27,7 +27,7 @@
 func (workerCommand) Run() error { return idle.Serve(os.Stdin, os.Stdout) }
 
 // fronts are several fronts on one core, each before stand-ins of its own.
-type fronts struct {
+type frontGroup struct {
 	Fronts    int           `default:"1" help:"Fronts, all on one core."`
 	Core      int           `default:"-1" help:"That core; by default any one for each front."`
 	MemoryMB  int           `default:"192" help:"Each front's limit."`
@@ -39,8 +39,8 @@
 }
 
 // start starts the fronts, each with room for so many connections.
-func (f *fronts) start(front string, connections int, clients string) error {
-	if err := errors.Join(positive("memory-mb", f.MemoryMB), positive("rate", f.Rate), positive("for", int(f.For))); err != nil {
+func (f *frontGroup) start(front string, connections int, clients string) error {
+	if err := errors.Join(requirePositive("memory-mb", f.MemoryMB), requirePositive("rate", f.Rate), requirePositive("for", int(f.For))); err != nil {
 		return err
 	}
 	for range f.Fronts {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (f *fronts) stop() (err error) {
+func (f *frontGroup) stop() (err error) {
 	for _, s := range f.sites {
 		err = errors.Join(err, s.Stop())
 	}
@@ -68,16 +68,16 @@
 }
 
 // resident is what all fronts hold, in KB, and spent the time on cores.
-func (f *fronts) resident() (kb int) {
+func (f *frontGroup) residentKB() (kb int) {
 	for _, s := range f.sites {
 		kb += process.ResidentKB(s.Pid())
 	}
 	return kb
 }
 
-func (f *fronts) spent() (sum time.Duration, err error) {
+func (f *frontGroup) cpuTime() (sum time.Duration, err error) {
 	for _, s := range f.sites {
-		t, err := cpu(s.Pid())
+		t, err := processCPUTime(s.Pid())
 		if err != nil {
 			return 0, err
 		}
@@ -87,7 +87,7 @@
 }
 
 // times are quantiles in ms.
-type times struct {
+type latencyFigures struct {
 	P50, P99, P999, Max float64
 	Count               map[int]int
 	Lost                int
@@ -95,10 +95,10 @@
 }
 
 // load sends the rate to all fronts alike.
-func (f *fronts) load(run int) (*times, error) {
+func (f *frontGroup) measure(run int) (*latencyFigures, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	t := &times{Count: map[int]int{}}
-	before, err := f.spent()
+	t := &latencyFigures{Count: map[int]int{}}
+	before, err := f.cpuTime()
 	if err != nil {
 		return nil, err
 	}
@@ -126,21 +126,21 @@
 	if err != nil {
 		return nil, err
 	}
-	after, err := f.spent()
+	after, err := f.cpuTime()
 	ms := func(q float64) float64 { return float64(all.ValueAtQuantile(q)) / 1000 }
 	t.P50, t.P99, t.P999, t.Max, t.CPU = ms(50), ms(99), ms(99.9), ms(100), (after-before).Seconds()/f.For.Seconds()
 	return t, err
 }
 
 // report prints a row, and keeps all rows for the file.
-func (t *times) report(name string) {
+func (t *latencyFigures) print(name string) {
 	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, t.P50, t.P99, t.P999, t.Max,
 		t.Count, t.Lost, 100*t.CPU)
 }
 
 type idleCommand struct {
 	frontPath
-	fronts
+	frontGroup
 	Connections int           `default:"17000" help:"Idle connections in all; one front may hold 17,000."`
 	Within      time.Duration `default:"100ms" help:"The span in which all wake; 0: they don't."`
 	Patience    time.Duration `default:"2s" help:"How long a client waits for one answer."`
@@ -150,7 +150,7 @@
 // idleFigures is what the file gets.
 type idleFigures struct {
 	Connections, Fronts    int
-	None, Beside           *times
+	None, Beside           *latencyFigures
 	EmptyKB, HeldKB        int
 	EachBytes, KernelBytes float64 // a connection; the kernel's for both ends
 	IdleCPU                float64 // of a core
@@ -160,7 +160,7 @@
 
 // Run measures fronts without idle connections, then with them, then wakes them.
 func (c *idleCommand) Run() (err error) {
-	if err := errors.Join(positive("fronts", c.Fronts), positive("connections", c.Connections)); err != nil {
+	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("connections", c.Connections)); err != nil {
 		return err
 	}
 	front, err := c.path()
@@ -172,85 +172,85 @@
 	}
 	defer func() { err = errors.Join(err, c.stop()) }()
 	out := idleFigures{Connections: c.Connections, Fronts: c.Fronts}
-	if out.None, err = c.load(3); err != nil {
+	if out.None, err = c.measure(3); err != nil {
 		return err
 	}
-	out.None.report("requests, none idle")
-	out.EmptyKB = c.resident()
-	kernel := kernelKB()
-	herds, err := c.open()
+	out.None.print("requests, none idle")
+	out.EmptyKB = c.residentKB()
+	kernel := kernelSocketKB()
+	workers, err := c.open()
 	defer func() {
-		for _, h := range herds {
-			err = errors.Join(err, h.Stop())
+		for _, worker := range workers {
+			err = errors.Join(err, worker.Stop())
 		}
 	}()
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.Settle)
-	before, err := c.spent()
+	before, err := c.cpuTime()
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.For)
-	after, err := c.spent()
+	after, err := c.cpuTime()
 	if err != nil {
 		return err
 	}
-	out.HeldKB = c.resident()
-	each := 1024 / float64(c.Connections)
-	out.EachBytes, out.KernelBytes = float64(out.HeldKB-out.EmptyKB)*each, float64(kernelKB()-kernel)*each
+	out.HeldKB = c.residentKB()
+	perConnection := 1024 / float64(c.Connections)
+	out.EachBytes, out.KernelBytes = float64(out.HeldKB-out.EmptyKB)*perConnection, float64(kernelSocketKB()-kernel)*perConnection
 	out.IdleCPU = (after - before).Seconds() / c.For.Seconds()
 	fmt.Printf("%-24s resident %d KB, %d without: %.0f bytes each; the kernel's for both ends %.0f; CPU %.2f%% of a core\n",
 		fmt.Sprintf("%d idle, %d fronts", c.Connections, c.Fronts), out.HeldKB, out.EmptyKB, out.EachBytes, out.KernelBytes, 100*out.IdleCPU)
-	if out.Beside, err = c.load(4); err != nil {
+	if out.Beside, err = c.measure(4); err != nil {
 		return err
 	}
-	out.Beside.report("requests beside them")
+	out.Beside.print("requests beside them")
 	if c.Within > 0 {
-		if out.Woken, err = c.wake(herds); err != nil {
+		if out.Woken, err = c.wake(workers); err != nil {
 			return err
 		}
-		out.WokenKB = c.resident()
+		out.WokenKB = c.residentKB()
 		fmt.Printf("%-24s resident %d KB\n", "", out.WokenKB)
 	}
 	return writeJSON(c.JSON, out)
 }
 
 // open has workers hold the connections, spread over the fronts.
-func (c *idleCommand) open() (herds []*idle.Worker, err error) {
+func (c *idleCommand) open() (workers []*idle.Worker, err error) {
 	for first := 0; first < c.Connections; {
-		s := c.sites[len(herds)%len(c.sites)]
-		n := min(eachWorker, c.Connections-first)
+		target := c.sites[len(workers)%len(c.sites)]
+		n := min(connectionsPerWorker, c.Connections-first)
 		if c.Fronts > 1 {
 			n = min((c.Connections+c.Fronts-1)/c.Fronts, n)
 		}
-		h, err := idle.NewWorker("idle-worker")
+		worker, err := idle.NewWorker("idle-worker")
 		if err != nil {
-			return herds, err
+			return workers, err
 		}
-		herds = append(herds, h)
-		if _, err := h.Do(idle.Command{Action: "open", Address: s.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
+		workers = append(workers, worker)
+		if _, err := worker.Do(idle.Command{Action: "open", Address: target.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
 			Patience: 10 * time.Second}); err != nil {
-			return herds, err
+			return workers, err
 		}
 		first += n
 	}
-	return herds, nil
+	return workers, nil
 }
 
 // wake has all ask within the span.
-func (c *idleCommand) wake(herds []*idle.Worker) (*idle.Stats, error) {
+func (c *idleCommand) wake(workers []*idle.Worker) (*idle.Stats, error) {
 	start := time.Now().Add(2 * time.Second)
 	sum := &idle.Stats{}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var err error
-	for i, h := range herds {
+	for i, worker := range workers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out, e := h.Do(idle.Command{Action: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
+			out, e := worker.Do(idle.Command{Action: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e == nil {
@@ -268,7 +268,7 @@
 
 type slowCommand struct {
 	frontPath
-	fronts
+	frontGroup
 	Clients  int    `default:"5000" help:"Slow clients, all of a few prefixes."`
 	Pace     int    `default:"1000" help:"Bytes a second that each reads or sends."`
 	Senders  bool   `help:"They send requests slowly; by default they read answers slowly."`
@@ -280,14 +280,14 @@
 type slowFigures struct {
 	Clients, Pace   int
 	Senders         bool
-	None, Beside    *times
+	None, Beside    *latencyFigures
 	Slow            *idle.SlowStats
 	EmptyKB, MostKB int
 }
 
 // Run measures requests with and without slow clients beside them.
 func (c *slowCommand) Run() (err error) {
-	if err := errors.Join(positive("fronts", c.Fronts), positive("clients", c.Clients), positive("pace", c.Pace)); err != nil {
+	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("clients", c.Clients), requirePositive("pace", c.Pace)); err != nil {
 		return err
 	}
 	front, err := c.path()
@@ -299,44 +299,44 @@
 	}
 	defer func() { err = errors.Join(err, c.stop()) }()
 	out := slowFigures{Clients: c.Clients, Pace: c.Pace, Senders: c.Senders}
-	if out.None, err = c.load(3); err != nil {
+	if out.None, err = c.measure(3); err != nil {
 		return err
 	}
-	out.None.report("requests alone")
-	out.EmptyKB = c.resident()
-	order := idle.Command{Action: "drip", Class: "guide-video", Object: site.LargeObject, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
+	out.None.print("requests alone")
+	out.EmptyKB = c.residentKB()
+	command := idle.Command{Action: "drip", Class: "guide-video", Object: site.LargeObject, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
 		Pace: c.Pace, Read: !c.Senders, For: c.For}
 	if c.Spread {
-		order.Stride = 256
+		command.Stride = 256
 	}
-	w, err := idle.NewWorker("idle-worker")
+	worker, err := idle.NewWorker("idle-worker")
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, w.Stop()) }()
+	defer func() { err = errors.Join(err, worker.Stop()) }()
 	done := make(chan error, 1)
 	go func() {
-		o, err := w.Do(order)
-		out.Slow = o.Slow
+		reply, err := worker.Do(command)
+		out.Slow = reply.Slow
 		done <- err
 	}()
-	most, over := 0, make(chan struct{})
+	peakKB, sampled := 0, make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(sampled)
 		for range int(c.For / (100 * time.Millisecond)) {
-			most = max(most, c.resident())
+			peakKB = max(peakKB, c.residentKB())
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
-	if out.Beside, err = c.load(4); err != nil {
+	if out.Beside, err = c.measure(4); err != nil {
 		return err
 	}
-	out.Beside.report("requests beside them")
-	<-over
+	out.Beside.print("requests beside them")
+	<-sampled
 	if err := <-done; err != nil {
 		return err
 	}
-	out.MostKB = most
+	out.MostKB = peakKB
 	fmt.Printf("%d slow clients at %d bytes/s: %d whole, %d ended by the front after %v to %v, %d left; resident %d KB at most, %d before\n",
 		c.Clients, c.Pace, out.Slow.Completed, out.Slow.Ended, out.Slow.Fastest.Round(time.Millisecond), out.Slow.Slowest.Round(time.Millisecond),
 		out.Slow.Unfinished, out.MostKB, out.EmptyKB)
@@ -344,7 +344,7 @@
 }
 
 // positive tells of a flag that is not above 0.
-func positive(flag string, n int) error {
+func requirePositive(flag string, n int) error {
 	if n < 1 {
 		return fmt.Errorf("--%s: %d is not above 0", flag, n)
 	}
@@ -364,17 +364,17 @@
 
 // kernelKB is what the kernel holds for TCP's buffers (proc(5), sockstat: pages),
 // and for its sockets, as its slab caches tell where they may be read; 0: not known.
-func kernelKB() (kb int) {
+func kernelSocketKB() (kb int) {
 	text, err := os.ReadFile("/proc/net/sockstat")
 	if err != nil {
 		return 0
 	}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if rest, ok := strings.CutPrefix(line, "TCP:"); ok {
-			words := strings.Fields(rest)
-			for i := 0; i+1 < len(words); i += 2 {
+			fields := strings.Fields(rest)
+			for i := 0; i+1 < len(fields); i += 2 {
 				var n int
-				if _, err := fmt.Sscan(words[i+1], &n); err == nil && words[i] == "mem" {
+				if _, err := fmt.Sscan(fields[i+1], &n); err == nil && fields[i] == "mem" {
 					kb = n * os.Getpagesize() / 1024
 				}
 			}
--- a/cmd/ramplab/load.go
+++ b/cmd/ramplab/load.go
@@ -53,15 +53,15 @@
 	if err != nil {
 		return err
 	}
-	o := load.Options{Address: c.Address, Curve: curve, EvenlySpaced: c.Even, Duration: c.For, Timeout: c.Patience, IdleTimeout: c.Idle, Connections: c.Connections,
+	options := load.Options{Address: c.Address, Curve: curve, EvenlySpaced: c.Even, Duration: c.For, Timeout: c.Patience, IdleTimeout: c.Idle, Connections: c.Connections,
 		Threads: c.Threads, Precise: c.Precise, Seed: c.Seed}
 	if c.Targets != "" {
-		list, err := targets(c.Targets)
+		list, err := readTargets(c.Targets)
 		if err != nil {
 			return err
 		}
 		t := &load.Targets{Host: c.Host, List: list}
-		o.Kinds, o.NewGenerator = t.Kinds(), t.NewGenerator
+		options.Kinds, options.NewGenerator = t.Kinds(), t.NewGenerator
 	} else {
 		mix := &load.Mix{Objects: c.Objects, Zipf: c.Zipf, Body: 200}
 		for _, name := range slices.Sorted(maps.Keys(c.Mix)) {
@@ -70,18 +70,18 @@
 		if err := mix.Check(); err != nil {
 			return err
 		}
-		o.Kinds, o.NewGenerator = mix.Kinds(), mix.NewGenerator
+		options.Kinds, options.NewGenerator = mix.Kinds(), mix.NewGenerator
 	}
 	if err := transport.Setup(slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 		return err
 	}
 	var progress load.Progress
-	over := make(chan struct{})
+	done := make(chan struct{})
 	if !c.Quiet {
-		go show(&progress, c.For, over)
+		go showProgress(&progress, c.For, done)
 	}
-	r, err := load.Run(o, &progress)
-	close(over)
+	r, err := load.Run(options, &progress)
+	close(done)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 }
 
 // targets reads a list of them.
-func targets(path string) (list []string, err error) {
+func readTargets(path string) (list []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -134,18 +134,18 @@
 }
 
 // show draws a bar of the run's time with what has come of it so far.
-func show(p *load.Progress, span time.Duration, over <-chan struct{}) {
+func showProgress(progress *load.Progress, span time.Duration, done <-chan struct{}) {
 	bar := progressbar.NewOptions(int(span.Milliseconds()), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetPredictTime(false),
 		progressbar.OptionClearOnFinish())
 	start, tick := time.Now(), time.NewTicker(250*time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			_ = bar.Finish()
 			return
 		case <-tick.C:
-			bar.Describe(fmt.Sprintf("%d due, %d answered, %d lost", p.Due.Load(), p.Answered.Load(), p.Failed.Load()))
+			bar.Describe(fmt.Sprintf("%d due, %d answered, %d lost", progress.Due.Load(), progress.Answered.Load(), progress.Failed.Load()))
 			_ = bar.Set(int(min(time.Since(start), span).Milliseconds()))
 		}
 	}
@@ -154,21 +154,21 @@
 func printLoad(r *load.Result) {
 	fmt.Printf("%d requests in %.1f s on %d connections, %.1f MB of answers\n", r.Due, r.Elapsed.Seconds(), r.Connections, float64(r.Bytes)/1e6)
 	for _, k := range r.Kinds {
-		fmt.Printf("  %-16s %s", k.Name, quantiles(k.Latency))
+		fmt.Printf("  %-16s %s", k.Name, formatPercentiles(k.Latency))
 		for _, end := range slices.Sorted(maps.Keys(k.Outcomes)) {
 			fmt.Printf("  %s: %d", end, k.Outcomes[end])
 		}
 		fmt.Println()
 	}
-	fmt.Printf("  this tool was late by  %s\n  a connection was free  %s\n", quantiles(r.Lag), quantiles(r.Queued))
+	fmt.Printf("  this tool was late by  %s\n  a connection was free  %s\n", formatPercentiles(r.Lag), formatPercentiles(r.Queued))
 }
 
 // ladder are the percentiles that are told.
-var ladder = []float64{50, 90, 99, 99.9, 100}
+var reportedPercentiles = []float64{50, 90, 99, 99.9, 100}
 
-func quantiles(h *hdrhistogram.Histogram) string {
+func formatPercentiles(h *hdrhistogram.Histogram) string {
 	text := ""
-	for _, q := range ladder {
+	for _, q := range reportedPercentiles {
 		name := fmt.Sprintf("p%g", q)
 		if q == 100 {
 			name = "max"
@@ -182,7 +182,7 @@
 func loadJSON(r *load.Result) any {
 	times := func(h *hdrhistogram.Histogram) map[string]int64 {
 		out := map[string]int64{"count": h.TotalCount()}
-		for _, q := range ladder {
+		for _, q := range reportedPercentiles {
 			out[fmt.Sprintf("p%g", q)] = h.ValueAtQuantile(q)
 		}
 		return out
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -82,11 +82,11 @@
 	if f.Front != "" {
 		return f.Front, nil
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	return filepath.Join(filepath.Dir(own), "cherryramp"), nil
+	return filepath.Join(filepath.Dir(executable), "cherryramp"), nil
 }
 
 type conformanceCommand struct {
@@ -98,7 +98,7 @@
 
 // Run runs the suite.
 func (c conformanceCommand) Run() (err error) {
-	w, err := conformance.New(time.Now())
+	fixture, err := conformance.New(time.Now())
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		if err := w.LoadKeys(keys); err != nil {
+		if err := fixture.LoadKeys(keys); err != nil {
 			return err
 		}
 	}
@@ -118,16 +118,16 @@
 		if err != nil {
 			return err
 		}
-		if s, err = site.Start(site.Options{Front: front, Operator: w.OperatorFile}); err != nil {
+		if s, err = site.Start(site.Options{Front: front, Operator: fixture.OperatorFile}); err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, s.Stop()) }()
 		address = s.SignedListen
 	}
-	cases, may := w.Cases(), int64(0)
+	cases, allowed := fixture.Cases(), int64(0)
 	for _, x := range cases {
 		if x.Status < 400 || x.Status == 416 {
-			may++
+			allowed++
 		}
 	}
 	failed, err := conformance.Run(address, cases, 5*time.Second)
@@ -143,8 +143,8 @@
 	}
 	fmt.Printf("%d cases, %d failed\n", len(cases), len(failed))
 	if s != nil {
-		fmt.Printf("%d requests reached the cache node, %d may\n", s.Box.Requests(), may)
-		if s.Box.Requests() > may {
+		fmt.Printf("%d requests reached the cache node, %d may\n", s.Box.Requests(), allowed)
+		if s.Box.Requests() > allowed {
 			return errNotMet
 		}
 	}
@@ -161,15 +161,15 @@
 
 // Run writes a world.
 func (c worldCommand) Run() error {
-	w, err := conformance.New(time.Now())
+	fixture, err := conformance.New(time.Now())
 	if err != nil {
 		return err
 	}
-	keys, err := w.Keys()
+	keys, err := fixture.Keys()
 	if err != nil {
 		return err
 	}
-	return errors.Join(os.WriteFile(filepath.Join(c.Dir, "operator.json"), w.OperatorFile(c.Listen), 0o600),
+	return errors.Join(os.WriteFile(filepath.Join(c.Dir, "operator.json"), fixture.OperatorFile(c.Listen), 0o600),
 		os.WriteFile(filepath.Join(c.Dir, "keys.pem"), keys, 0o600))
 }
 
@@ -192,24 +192,24 @@
 	if err != nil {
 		return err
 	}
-	w, err := conformance.New(time.Now())
+	fixture, err := conformance.New(time.Now())
 	if err != nil {
 		return err
 	}
-	s, err := site.Start(site.Options{Front: front, Operator: w.OperatorFile, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
+	s, err := site.Start(site.Options{Front: front, Operator: fixture.OperatorFile, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Stop()) }()
-	forged, err := w.SignedRequests(c.Format, c.Carrier, c.Distinct, true)
+	forged, err := fixture.SignedRequests(c.Format, c.Carrier, c.Distinct, true)
 	if err != nil {
 		return err
 	}
-	good, err := w.SignedRequests(c.GoodFormat, "query", max(1, c.Good*int(c.For/time.Second)/5), false)
+	good, err := fixture.SignedRequests(c.GoodFormat, "query", max(1, c.Good*int(c.For/time.Second)/5), false)
 	if err != nil {
 		return err
 	}
-	before, err := cpu(s.Pid())
+	before, err := processCPUTime(s.Pid())
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	after, err := cpu(s.Pid())
+	after, err := processCPUTime(s.Pid())
 	if err != nil {
 		return err
 	}
--- a/cmd/ramplab/proc.go
+++ b/cmd/ramplab/proc.go
@@ -10,10 +10,10 @@
 
 // ticks is how many of the kernel's ticks are a second, for processes' times
 // (proc(5); 100 on every Linux that Go runs on).
-const ticks = 100
+const ticksPerSecond = 100
 
 // cpu is the time that a process has spent on cores.
-func cpu(pid int) (time.Duration, error) {
+func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
@@ -28,5 +28,5 @@
 		}
 		sum += n
 	}
-	return time.Duration(sum) * time.Second / ticks, nil
+	return time.Duration(sum) * time.Second / ticksPerSecond, nil
 }
--- a/cmd/ramplab/sim.go
+++ b/cmd/ramplab/sim.go
@@ -30,7 +30,7 @@
 }
 
 // played is one day.
-type played struct {
+type dayResult struct {
 	File   string
 	Seed   uint64
 	Took   time.Duration
@@ -39,7 +39,7 @@
 
 // Run plays scenarios in virtual time.
 func (c *simCommand) Run() error {
-	if err := positive("seeds", c.Seeds); err != nil {
+	if err := requirePositive("seeds", c.Seeds); err != nil {
 		return err
 	}
 	var days []*scenario.Scenario
@@ -58,7 +58,7 @@
 			days, files = append(days, s), append(files, path)
 		}
 	}
-	out, bad := make([]played, len(days)), false
+	out, failed := make([]dayResult, len(days)), false
 	if !c.Sockets && (c.Ephemeral || c.Log != "") {
 		return fmt.Errorf("--ephemeral, --log: only with --sockets")
 	}
@@ -79,7 +79,7 @@
 		defer func() { _ = f.Close() }()
 		log = f
 	}
-	errs := each(len(days), jobs, nil, func(i int) error {
+	errs := runParallel(len(days), jobs, nil, func(i int) error {
 		start := time.Now()
 		var r *world.Result
 		var err error
@@ -88,7 +88,7 @@
 		} else {
 			r, err = days[i].Play(world.NoMutation)
 		}
-		out[i] = played{files[i], days[i].Spec.Seed, time.Since(start), r}
+		out[i] = dayResult{files[i], days[i].Spec.Seed, time.Since(start), r}
 		return err
 	})
 	for i, s := range days {
@@ -99,12 +99,12 @@
 		fmt.Printf("%s (seed %d, %.2f s)\n%s", s.Name, s.Spec.Seed, out[i].Took.Seconds(), r)
 		for _, v := range r.Violations {
 			fmt.Printf("  %s\n", v)
-			bad = true
+			failed = true
 		}
 		for _, e := range s.Expectations {
 			if is, ok := e.Check(r); !ok {
 				fmt.Printf("  EXPECTED %s, it is %.3f\n", e, is)
-				bad = true
+				failed = true
 			}
 		}
 		if c.Second {
@@ -116,7 +116,7 @@
 	if err := writeJSON(c.JSON, out); err != nil {
 		return err
 	}
-	if bad {
+	if failed {
 		return errNotMet
 	}
 	return nil
@@ -171,24 +171,24 @@
 // Run plays random days and prints the shortest that breaks a promise.
 func (c *chaosCommand) Run() error {
 	if c.List {
-		for _, m := range sortedMutations() {
-			fmt.Printf("%-45s breaks: %s\n", m, world.Mutations[m])
+		for _, mutation := range sortedMutations() {
+			fmt.Printf("%-45s breaks: %s\n", mutation, world.Mutations[mutation])
 		}
 		return nil
 	}
-	if err := positive("days", c.Days); err != nil {
+	if err := requirePositive("days", c.Days); err != nil {
 		return err
 	}
-	m := world.Mutation(c.Mutate)
-	if _, ok := world.Mutations[m]; m != world.NoMutation && !ok {
+	mutation := world.Mutation(c.Mutate)
+	if _, ok := world.Mutations[mutation]; mutation != world.NoMutation && !ok {
 		return fmt.Errorf("%q can't be broken; see --list", c.Mutate)
 	}
 	bar := progressbar.NewOptions(c.Days, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("days"),
 		progressbar.OptionShowIts(), progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
 	results := make([]*world.Result, c.Days)
 	start := time.Now()
-	errs := each(c.Days, 0, bar, func(i int) (err error) {
-		results[i], err = scenario.Random(c.Seed + uint64(i)).Play(m)
+	errs := runParallel(c.Days, 0, bar, func(i int) (err error) {
+		results[i], err = scenario.Random(c.Seed + uint64(i)).Play(mutation)
 		return err
 	})
 	tries, requests, broken, service := 0, 0, 0, 0.0
@@ -205,13 +205,13 @@
 		}
 		v := r.Violations[0]
 		fmt.Printf("seed %d: %s\n", c.Seed+uint64(i), v)
-		small := scenario.Random(c.Seed+uint64(i)).Shrink(v.Promise, m, c.Shrink)
-		again, err := small.Play(m)
+		shrunk := scenario.Random(c.Seed+uint64(i)).Shrink(v.Promise, mutation, c.Shrink)
+		replayed, err := shrunk.Play(mutation)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("shortest found:\n%s\n", small)
-		for n, v := range again.Violations {
+		fmt.Printf("shortest found:\n%s\n", shrunk)
+		for n, v := range replayed.Violations {
 			if n == 5 {
 				break
 			}
@@ -239,18 +239,18 @@
 }
 
 // each does n jobs, so many at a time; 0: as there are cores.
-func each(n, atATime int, bar *progressbar.ProgressBar, do func(i int) error) []error {
+func runParallel(n, parallelism int, bar *progressbar.ProgressBar, job func(i int) error) []error {
 	errs, next := make([]error, n), make(chan int)
 	var wg sync.WaitGroup
-	if atATime <= 0 {
-		atATime = runtime.GOMAXPROCS(0)
+	if parallelism <= 0 {
+		parallelism = runtime.GOMAXPROCS(0)
 	}
-	for range min(n, atATime) {
+	for range min(n, parallelism) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := range next {
-				errs[i] = do(i)
+				errs[i] = job(i)
 				if bar != nil {
 					_ = bar.Add(1)
 				}
--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -27,7 +27,7 @@
 }
 
 // endless is longer than anyone looks.
-const endless = world.Micros(365 * 24 * 3600 * 1_000_000)
+const unlimitedRun = world.Micros(365 * 24 * 3600 * 1_000_000)
 
 // Run holds a site up: the world's servers, clients and notice boards on loopback,
 // and built fronts in their middle.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	spec, plan := world.Default(), world.Plan{Duration: endless}
+	spec, plan := world.Default(), world.Plan{Duration: unlimitedRun}
 	spec.Rate = c.Rate
 	if c.Scenario != "" {
 		text, err := os.ReadFile(c.Scenario)
@@ -56,39 +56,39 @@
 		return fmt.Errorf("--rate: %v: 0 to 10000 are possible", c.Rate)
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd())) && term.IsTerminal(int(os.Stdin.Fd()))
-	o := world.SocketOptions{Front: front, Operator: keys.OperatorFile}
+	options := world.SocketOptions{Front: front, Operator: keys.OperatorFile}
 	if !live {
-		o.Log = os.Stderr
+		options.Log = os.Stderr
 	}
-	w, err := world.NewOnSockets(spec, o)
+	w, err := world.NewOnSockets(spec, options)
 	if err != nil {
 		return err
 	}
 	var ui *tea.Program
 	if live {
 		branches, hubs, _, fronts := w.FaultTargets()
-		m := &viewModel{w: w, links: func(v world.View) []string { return links(v, keys) }, keys: troubleKeys(branches, hubs, fronts)}
-		ui = tea.NewProgram(m)
+		model := &viewModel{world: w, requests: func(v world.View) []string { return exampleRequests(v, keys) }, keys: faultKeys(branches, hubs, fronts)}
+		ui = tea.NewProgram(model)
 		w.Watch(250_000, func(v world.View) { ui.Send(v) })
 	} else {
-		told := false
+		printed := false
 		w.Watch(100_000, func(v world.View) {
-			if lines := links(v, keys); !told && lines != nil {
-				told = true
+			if lines := exampleRequests(v, keys); !printed && lines != nil {
+				printed = true
 				fmt.Println(strings.Join(lines, "\n"))
 			}
 		})
 	}
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, syscall.SIGINT, syscall.SIGTERM)
-	var over <-chan time.Time
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+	var deadline <-chan time.Time
 	if c.For > 0 {
-		over = time.After(c.For)
+		deadline = time.After(c.For)
 	}
 	go func() {
 		select {
-		case <-end:
-		case <-over:
+		case <-signals:
+		case <-deadline:
 		}
 		w.Stop()
 	}()
@@ -123,7 +123,7 @@
 }
 
 // links are requests to try out; nil while no front serves.
-func links(v world.View, keys *conformance.Fixture) []string {
+func exampleRequests(v world.View, keys *conformance.Fixture) []string {
 	f := v.Fronts[0]
 	if !f.Serves {
 		return nil
@@ -136,12 +136,12 @@
 }
 
 // troubleKey is a trouble that a key brings.
-type troubleKey struct {
-	key     string
-	trouble world.Fault
+type faultKey struct {
+	key   string
+	fault world.Fault
 }
 
-func troubleKeys(branches, hubs, fronts []string) []troubleKey {
+func faultKeys(branches, hubs, fronts []string) []faultKey {
 	const second = 1_000_000
 	list := []world.Fault{
 		{Kind: world.LoseBranch, Target: branches[0], Duration: 12 * second},
@@ -155,72 +155,72 @@
 		{Kind: world.ResetConnections},
 		{Kind: world.KillFront, Target: fronts[len(fronts)-1], Duration: 3 * second},
 	}
-	var keys []troubleKey
+	var keys []faultKey
 	for i, t := range list {
-		keys = append(keys, troubleKey{fmt.Sprint((i + 1) % 10), t})
+		keys = append(keys, faultKey{fmt.Sprint((i + 1) % 10), t})
 	}
 	return keys
 }
 
 // viewModel is the live view.
 type viewModel struct {
-	w     *world.World
-	links func(world.View) []string
-	keys  []troubleKey
-	now   world.View
-	last  world.View // about a second before
-	rates [4]float64 // tries, attempts, refused and failed a second
-	worth []float64  // share earned, a reading a second
-	said  string
+	world    *world.World
+	requests func(world.View) []string
+	keys     []faultKey
+	now      world.View
+	last     world.View // about a second before
+	rates    [4]float64 // tries, attempts, refused and failed a second
+	worth    []float64  // share earned, a reading a second
+	status   string
 }
 
 // rejected is a trouble that can't be.
-type rejected struct{ err error }
+type injectFailed struct{ err error }
 
 // Init is part of tea.Model.
-func (m *viewModel) Init() tea.Cmd { return nil }
+func (model *viewModel) Init() tea.Cmd { return nil }
 
 // Update is part of tea.Model.
-func (m *viewModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
+func (model *viewModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case world.View:
-		m.now = msg
-		if span := float64(msg.At-m.last.At) / 1e6; span >= 1 {
-			l := &m.last
-			m.rates = [4]float64{float64(msg.Tries-l.Tries) / span, float64(msg.Attempts-l.Attempts) / span, float64(msg.Refused-l.Refused) / span,
+		model.now = msg
+		if span := float64(msg.At-model.last.At) / 1e6; span >= 1 {
+			l := &model.last
+			model.rates = [4]float64{float64(msg.Tries-l.Tries) / span, float64(msg.Attempts-l.Attempts) / span, float64(msg.Refused-l.Refused) / span,
 				float64(msg.Failed-l.Failed) / span}
 			if msg.Asked > 0 {
-				m.worth = append(m.worth, msg.Earned/msg.Asked)
-				m.worth = m.worth[max(0, len(m.worth)-sparks):]
+				model.worth = append(model.worth, msg.Earned/msg.Asked)
+				model.worth = model.worth[max(0, len(model.worth)-sparklineLength):]
 			}
-			m.last = msg
+			model.last = msg
 		}
-	case rejected:
-		m.said = msg.err.Error()
+	case injectFailed:
+		model.status = msg.err.Error()
 	case tea.KeyPressMsg:
 		switch key := msg.String(); key {
 		case "q", "ctrl+c", "esc":
-			return m, tea.Quit
+			return model, tea.Quit
 		default:
-			for _, k := range m.keys {
+			for _, k := range model.keys {
 				if k.key == key {
-					return m, m.inject(k.trouble)
+					return model, model.inject(k.fault)
 				}
 			}
 		}
 	}
-	return m, nil
+	return model, nil
 }
 
-func (m *viewModel) inject(t world.Fault) tea.Cmd {
-	m.said = t.Label()
+func (model *viewModel) inject(t world.Fault) tea.Cmd {
+	model.status = t.Label()
 	return func() tea.Msg {
-		told := make(chan error, 1)
-		m.w.Inject(t, func(err error) { told <- err })
+		result := make(chan error, 1)
+		model.world.Inject(t, func(err error) { result <- err })
 		select {
-		case err := <-told:
+		case err := <-result:
 			if err != nil {
-				return rejected{err}
+				return injectFailed{err}
 			}
 		case <-time.After(time.Second): // the day is over
 		}
@@ -229,37 +229,37 @@
 }
 
 // sparks is how many readings the line of the worth has.
-const sparks = 60
+const sparklineLength = 60
 
 var (
-	headStyle   = lipgloss.NewStyle().Bold(true)
-	faintStyle  = lipgloss.NewStyle().Faint(true)
-	goodStyle   = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
-	warnStyle   = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
-	brokenStyle = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
+	headStyle      = lipgloss.NewStyle().Bold(true)
+	faintStyle     = lipgloss.NewStyle().Faint(true)
+	goodStyle      = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
+	warnStyle      = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
+	violationStyle = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
 )
 
 // View is part of tea.Model.
-func (m *viewModel) View() tea.View {
-	v := tea.NewView(m.screen())
+func (model *viewModel) View() tea.View {
+	v := tea.NewView(model.render())
 	v.AltScreen = true
 	return v
 }
 
-func (m *viewModel) screen() string {
-	v := &m.now
+func (model *viewModel) render() string {
+	v := &model.now
 	if len(v.Fronts) == 0 {
 		return "the fronts start ..."
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  %5.1f s   %5.0f tries/s  %5.0f attempts/s  %s  %s\n", headStyle.Render("cherryramp"), float64(v.At)/1e6, m.rates[0], m.rates[1],
-		level(m.rates[2], 1, "refused/s"), level(m.rates[3], 1, "failed/s"))
+	fmt.Fprintf(&b, "%s  %5.1f s   %5.0f tries/s  %5.0f attempts/s  %s  %s\n", headStyle.Render("cherryramp"), float64(v.At)/1e6, model.rates[0], model.rates[1],
+		rateText(model.rates[2], 1, "refused/s"), rateText(model.rates[3], 1, "failed/s"))
 	share := 1.0
 	if v.Asked > 0 {
 		share = v.Earned / v.Asked
 	}
-	fmt.Fprintf(&b, "worth of the last 10 s  %s %s\n\n", worthStyle(share).Render(fmt.Sprintf("%5.1f%%", 100*share)), sparkline(m.worth))
-	for _, l := range m.links(*v) {
+	fmt.Fprintf(&b, "worth of the last 10 s  %s %s\n\n", worthStyle(share).Render(fmt.Sprintf("%5.1f%%", 100*share)), sparkline(model.worth))
+	for _, l := range model.requests(*v) {
 		fmt.Fprintln(&b, faintStyle.Render(l))
 	}
 	fmt.Fprintf(&b, "\n%s\n", headStyle.Render(fmt.Sprintf("%-22s %-9s %-9s %6s  %-22s", "server", "state", "capacity", "open", "link")))
@@ -268,7 +268,7 @@
 		if s.State != "serving" {
 			state = warnStyle
 		}
-		fmt.Fprintf(&b, "%-22s %s %8.0f%% %6d  %s\n", s.Name, state.Render(fmt.Sprintf("%-9s", s.State)), 100*s.Share, s.Work, bar(s.Load))
+		fmt.Fprintf(&b, "%-22s %s %8.0f%% %6d  %s\n", s.Name, state.Render(fmt.Sprintf("%-9s", s.State)), 100*s.Share, s.Work, loadBar(s.Load))
 	}
 	fmt.Fprintf(&b, "\n%s\n", headStyle.Render(fmt.Sprintf("%-22s %-24s %6s %8s %6s", "front", "address", "held", "MB", "fds")))
 	for _, f := range v.Fronts {
@@ -283,7 +283,7 @@
 		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", t.Label(), float64(t.At+t.Duration-v.At)/1e6)))
 	}
 	if v.Broken > 0 {
-		fmt.Fprintln(&b, brokenStyle.Render(fmt.Sprintf("promises broken %d times", v.Broken)))
+		fmt.Fprintln(&b, violationStyle.Render(fmt.Sprintf("promises broken %d times", v.Broken)))
 		for _, x := range v.Violations {
 			fmt.Fprintln(&b, x)
 		}
@@ -291,16 +291,16 @@
 		fmt.Fprintln(&b, goodStyle.Render("no promise was broken"))
 	}
 	var help []string
-	for _, k := range m.keys {
-		help = append(help, k.key+" "+k.trouble.Label())
+	for _, k := range model.keys {
+		help = append(help, k.key+" "+k.fault.Label())
 	}
-	fmt.Fprintf(&b, "%s\n%s", m.said, faintStyle.Render("q ends it; troubles: "+strings.Join(help, ", ")))
+	fmt.Fprintf(&b, "%s\n%s", model.status, faintStyle.Render("q ends it; troubles: "+strings.Join(help, ", ")))
 	return b.String()
 }
 
-func level(x, most float64, what string) string {
-	text := fmt.Sprintf("%4.0f %s", x, what)
-	if x > most {
+func rateText(x, threshold float64, unit string) string {
+	text := fmt.Sprintf("%4.0f %s", x, unit)
+	if x > threshold {
 		return warnStyle.Render(text)
 	}
 	return text
@@ -313,14 +313,14 @@
 	case share > 0.8:
 		return warnStyle
 	}
-	return brokenStyle
+	return violationStyle
 }
 
 // bar draws a load; what is above full is marked.
-func bar(load float64) string {
-	const wide = 20
-	n := min(wide, int(load*wide+0.5))
-	text := strings.Repeat("█", n) + strings.Repeat("·", wide-n)
+func loadBar(load float64) string {
+	const width = 20
+	n := min(width, int(load*width+0.5))
+	text := strings.Repeat("█", n) + strings.Repeat("·", width-n)
 	if load > 1 {
 		return warnStyle.Render(text + fmt.Sprintf(" %.1fx", load))
 	}
@@ -329,10 +329,10 @@
 
 // sparkline draws shares from a half to all.
 func sparkline(values []float64) string {
-	marks := []rune("▁▂▃▄▅▆▇█")
+	levels := []rune("▁▂▃▄▅▆▇█")
 	var b strings.Builder
 	for _, x := range values {
-		b.WriteRune(marks[min(len(marks)-1, max(0, int((x-0.5)*2*float64(len(marks)))))])
+		b.WriteRune(levels[min(len(levels)-1, max(0, int((x-0.5)*2*float64(len(levels)))))])
 	}
 	return b.String()
 }
