--- a/cmd/ramplab/exchange.go
+++ b/cmd/ramplab/exchange.go
@@ -11,24 +11,24 @@
 
 type fleetExchangeCommand struct {
 	frontPath
-	Fronts  int           `default:"5" help:"How many."`
-	Zones   int           `default:"3" help:"Sites that they stand in."`
-	Seed    uint64        `default:"1" help:"Of the clients and the troubles."`
-	For     time.Duration `default:"24s" help:"How long the day is, before all is well again."`
-	Chaos   bool          `help:"Random troubles, instead of one site that is cut off in the middle."`
-	Limit   float64       `default:"100" help:"The tenant's hard limit, requests a second."`
-	Burst   float64       `default:"20" help:"And at once."`
-	Rate    float64       `default:"300" help:"Requests a second that clients ask for under the limit."`
-	Reads   float64       `default:"60" help:"Requests a second beside it."`
-	Keep    string        `type:"path" help:"Keep the histories in this folder."`
-	JSON    bool          `help:"The result as JSON."`
-	Verbose bool          `help:"Every line of what happens."`
+	Fronts  int           `default:"5" help:"Number of fronts."`
+	Zones   int           `default:"3" help:"Sites that the fronts are spread over."`
+	Seed    uint64        `default:"1" help:"Seed of the clients and the faults."`
+	For     time.Duration `default:"24s" help:"How long faults may occur, before the fleet settles and is checked."`
+	Chaos   bool          `help:"Random faults, instead of one partition of a site in the middle."`
+	Limit   float64       `default:"100" help:"The tenant's hard limit in requests per second."`
+	Burst   float64       `default:"20" help:"Burst of the hard limit in requests."`
+	Rate    float64       `default:"300" help:"Requests per second that clients send under the limit."`
+	Reads   float64       `default:"60" help:"Requests per second that are not under the limit."`
+	Keep    string        `type:"path" help:"Folder in which the histories are kept."`
+	JSON    bool          `help:"Print the result as JSON."`
+	Verbose bool          `help:"Print every event."`
 }
 
-// Run plays, and judges.
+// Run plays a day and checks its histories.
 func (c fleetExchangeCommand) Run() error {
 	if c.Fronts < 1 || c.Fronts > 40 || c.Zones < 1 || c.For < 4*time.Second || c.Limit <= 0 || c.Burst < 1 || c.Rate <= 0 {
-		return fmt.Errorf("--fronts 1 to 40, --zones from 1, --for from 4s on, --limit and --rate above 0 and --burst from 1 on are possible")
+		return fmt.Errorf("--fronts must be 1 to 40, --zones and --burst at least 1, --for at least 4s, --limit and --rate above 0")
 	}
 	front, err := c.path()
 	if err != nil {
@@ -59,11 +59,11 @@
 }
 
 type fleetJudgeCommand struct {
-	Folder string `arg:"" type:"existingdir" help:"With the histories."`
-	JSON   bool   `help:"The result as JSON."`
+	Folder string `arg:"" type:"existingdir" help:"The folder with the histories."`
+	JSON   bool   `help:"Print the result as JSON."`
 }
 
-// Run judges.
+// Run checks the histories of a folder.
 func (c fleetJudgeCommand) Run() error {
 	h, err := history.Read(c.Folder)
 	if err != nil {
--- a/cmd/ramplab/experiment.go
+++ b/cmd/ramplab/experiment.go
@@ -23,14 +23,15 @@
 	"cherryramp/lab/world"
 )
 
-// days says which days an experiment has.
+// experimentInputs are the store and the scenarios of an experiment. A day is one run of
+// a scenario with one seed.
 type experimentInputs struct {
-	Store string   `arg:"" help:"The file that keeps the results; it is made where it is not there."`
-	Files []string `arg:"" type:"existingfile" help:"Scenarios, as those in lab/scenarios."`
-	Jobs  int      `default:"0" help:"Days at a time; 0: one a core in virtual time, one for every two cores on sockets."`
+	Store string   `arg:"" help:"The file that stores the results; it is created if it does not exist."`
+	Files []string `arg:"" type:"existingfile" help:"Scenario files, such as those in lab/scenarios."`
+	Jobs  int      `default:"0" help:"Days played in parallel; 0: one per core in virtual time, one per two cores on sockets."`
 }
 
-// texts reads the scenarios; each has the lines added that an arm wants.
+// readScenarios reads the scenarios and appends the arm's extra lines to each.
 func (d *experimentInputs) readScenarios(extraLines string) (files, texts []string, err error) {
 	for _, path := range d.Files {
 		text, err := os.ReadFile(path)
@@ -46,15 +47,16 @@
 	return files, texts, nil
 }
 
-// armFlags say how an arm's days are played.
+// armFlags select how an arm's days are played.
 type armFlags struct {
-	Lab     string `help:"Another build's ramplab, in place of this one."`
-	Front   string `help:"The built front, on sockets; by default cherryramp beside the ramplab that plays."`
-	Sockets bool   `help:"Before built fronts on loopback, in the system's time, and not in virtual time."`
-	With    string `help:"Lines added to every scenario, in the scenarios' language."`
+	Lab     string `help:"The ramplab of another build, which plays the days instead of this one."`
+	Front   string `help:"The built front, with sockets; by default cherryramp in the folder of the ramplab that plays."`
+	Sockets bool   `help:"Play against built fronts on loopback in real time, instead of in virtual time."`
+	With    string `help:"Lines that are appended to every scenario, in the scenario language."`
 }
 
-// arm gives what the store is to know of an arm, and who plays its days.
+// resolve returns the description of the arm for the store, with a hash of the programs
+// that play it, and the player of its days.
 func (a *armFlags) resolve(name string) (experiment.Arm, experiment.Player, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -101,14 +103,14 @@
 	return runtime.GOMAXPROCS(0)
 }
 
-// order is a day that another ramplab plays.
+// dayRequest asks another ramplab to play a day; it is sent as JSON.
 type dayRequest struct {
 	Job     experiment.Job
 	Sockets bool
 	Front   string
 }
 
-// playElsewhere has another ramplab play a day.
+// playWithProgram plays a day with another ramplab program.
 func playWithProgram(program string, request dayRequest) (day experiment.Day, err error) {
 	in, err := json.Marshal(request)
 	if err != nil {
@@ -117,7 +119,7 @@
 	var out, stderr bytes.Buffer
 	cmd := exec.Command(program, "day")
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = bytes.NewReader(in), &out, &stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt here lets it end its day
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt of this process does not reach it, so that it finishes its day
 	if err := cmd.Run(); err != nil {
 		return day, fmt.Errorf("%s day: %w: %s", program, err, strings.TrimSpace(stderr.String()))
 	}
@@ -129,7 +131,7 @@
 
 type dayCommand struct{}
 
-// Run plays one day for another ramplab.
+// Run plays the day that standard input requests and writes the result to standard output.
 func (dayCommand) Run() error {
 	var request dayRequest
 	if err := json.NewDecoder(os.Stdin).Decode(&request); err != nil {
@@ -146,7 +148,7 @@
 	return json.NewEncoder(os.Stdout).Encode(day)
 }
 
-// run plays jobs into an arm, with a bar.
+// playJobs plays jobs, stores their results in an arm and shows a progress bar.
 func playJobs(store *experiment.Store, arm string, jobs []experiment.Job, parallelism int, play experiment.Player) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -154,20 +156,20 @@
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
 	err := experiment.Run(ctx, store, arm, jobs, parallelism, play, func(done, _ int) { _ = bar.Set(done) })
 	if errors.Is(err, context.Canceled) {
-		return errors.New("stopped; what was played is kept, and the same command goes on")
+		return errors.New("interrupted; the days played so far are stored, and the same command resumes the run")
 	}
 	return err
 }
 
 type runCommand struct {
 	experimentInputs
-	Arm   string `required:"" help:"The name of the build or setting."`
-	Seeds int    `default:"1" help:"Days of each scenario, from its own seed on."`
-	Again bool   `help:"Forget what the arm has, and play it anew."`
+	Arm   string `required:"" help:"The name of the arm, that is, of a build or setting."`
+	Seeds int    `default:"1" help:"Number of seeds for each scenario, starting with its own."`
+	Again bool   `help:"Delete the stored days of the arm and play them again."`
 	armFlags
 }
 
-// Run plays an arm's days that the store does not have.
+// Run plays the days of an arm that are not in the store.
 func (c *runCommand) Run() (err error) {
 	if err := requirePositive("seeds", c.Seeds); err != nil {
 		return err
@@ -219,21 +221,21 @@
 
 type tellCommand struct {
 	experimentInputs
-	A       string   `required:"" help:"The name of the arm that is compared with."`
-	B       string   `required:"" help:"The name of the other."`
-	Measure string   `default:"G" help:"What is compared, as in a report."`
-	Looks   int      `default:"5" help:"Looks at most; the more there are, the more each asks for."`
-	First   int      `default:"3" help:"Seeds of each scenario before the first look."`
-	Batch   int      `default:"46" help:"Days between two looks, given to the scenarios that tell least."`
-	Least   float64  `default:"0.005" help:"An effect under this matters to nobody."`
+	A       string   `required:"" help:"The name of the baseline arm."`
+	B       string   `required:"" help:"The name of the arm that is compared with it."`
+	Measure string   `default:"G" help:"The measure that is compared, as named in a report."`
+	Looks   int      `default:"5" help:"Maximum number of looks; the more there are, the stricter each test is."`
+	First   int      `default:"3" help:"Number of seeds for each scenario before the first look."`
+	Batch   int      `default:"46" help:"Days between two looks, distributed so that the variance falls most."`
+	Least   float64  `default:"0.005" help:"Effects below this are irrelevant; 0: all are relevant."`
 	OfA     armFlags `embed:"" prefix:"a-"`
 	OfB     armFlags `embed:"" prefix:"b-"`
 }
 
-// Run plays days of two arms until it can tell which is better.
+// Run plays days of two arms until the comparison reaches a verdict.
 func (c *tellCommand) Run() (err error) {
 	if c.A == c.B {
-		return fmt.Errorf("--a, --b: %q is one arm", c.A)
+		return fmt.Errorf("--a and --b both name the arm %q", c.A)
 	}
 	design := &experiment.Design{Looks: c.Looks, InitialSeeds: c.First, BatchDays: c.Batch, MinEffect: c.Least}
 	for _, m := range experiment.Measures {
@@ -242,7 +244,7 @@
 		}
 	}
 	if design.Measure == nil {
-		return fmt.Errorf("%q is no measure", c.Measure)
+		return fmt.Errorf("there is no measure %q", c.Measure)
 	}
 	store, err := experiment.OpenStore(c.Store)
 	if err != nil {
@@ -284,7 +286,7 @@
 			if err != nil {
 				return err
 			}
-			for _, day := range all { // others may have been played into the arm: they were not asked for
+			for _, day := range all { // the arm may hold other days, which the design did not plan
 				if planned[experiment.PlannedDay{File: day.File, Seed: day.Seed}] {
 					sets[i] = append(sets[i], day)
 				}
@@ -316,10 +318,10 @@
 }
 
 type reportCommand struct {
-	Store string   `arg:"" type:"existingfile" help:"What run and tell have written."`
-	Arms  []string `help:"The arms to show; the first two are compared. By default all."`
-	Out   string   `default:"report.html" help:"The page."`
-	PNG   string   `type:"existingdir" help:"A directory for the pictures as files."`
+	Store string   `arg:"" type:"existingfile" help:"The store that run and tell wrote."`
+	Arms  []string `help:"The arms to show, by default all; the first two are compared."`
+	Out   string   `default:"report.html" help:"The HTML file to write."`
+	PNG   string   `type:"existingdir" help:"A directory to which the charts are also written as PNG files."`
 	Title string   `default:"cherryramp: days that go wrong"`
 }
 
@@ -353,7 +355,7 @@
 		arms = append(arms, x)
 	}
 	if len(arms) == 0 {
-		return fmt.Errorf("%s holds no arm yet", c.Store)
+		return fmt.Errorf("%s contains no arms", c.Store)
 	}
 	var page bytes.Buffer
 	pictures, err := report.Write(&page, c.Title, arms)
--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -18,25 +18,25 @@
 )
 
 type fleetCommands struct {
-	Up   fleetUpCommand   `cmd:"" help:"Hold a fleet of started fronts up, to try things out on, until interrupted."`
-	Work fleetWorkCommand `cmd:"" help:"Take machines out for work while things go wrong, and check every promise."`
+	Up   fleetUpCommand   `cmd:"" help:"Run a fleet of fronts for manual testing until interrupted."`
+	Work fleetWorkCommand `cmd:"" help:"Take machines out for maintenance operations while faults occur, and check every property."`
 
-	Exchange fleetExchangeCommand `cmd:"" help:"Limits, purges, verdicts and latencies over started fronts while things go wrong; a judge reads the histories afterwards."`
-	Judge    fleetJudgeCommand    `cmd:"" help:"Judge a folder of histories that a day left."`
+	Exchange fleetExchangeCommand `cmd:"" help:"Exercise shared limits, purges, verdicts and latencies on started fronts while faults occur, and check the histories afterwards."`
+	Judge    fleetJudgeCommand    `cmd:"" help:"Check a folder of histories of a finished day."`
 
-	Versions fleetVersionsCommand `cmd:"" help:"Propose versions while things go wrong, read every front's answers and audits, and check every promise."`
+	Versions fleetVersionsCommand `cmd:"" help:"Propose versions while faults occur, read every front's answers and audits, and check every property."`
 }
 
 type fleetUpCommand struct {
 	frontPath
-	Fronts int           `default:"3" help:"How many."`
-	Zones  int           `default:"3" help:"Zones that they stand in."`
-	Rate   float64       `default:"20" help:"Requests a second of the fleet's clients; 0: none."`
-	For    time.Duration `help:"How long; by default until interrupted."`
-	Plain  bool          `help:"No live view; also where there is no terminal."`
+	Fronts int           `default:"3" help:"Number of fronts."`
+	Zones  int           `default:"3" help:"Zones that the fronts are spread over."`
+	Rate   float64       `default:"20" help:"Requests per second of the fleet's clients; 0: none."`
+	For    time.Duration `help:"How long the fleet runs; by default until interrupted."`
+	Plain  bool          `help:"Show no live view; it is also off without a terminal."`
 }
 
-// Run holds a fleet up.
+// Run starts a fleet and keeps it running; a front that ends is started again after 5 s.
 func (c fleetUpCommand) Run() (err error) {
 	front, err := c.path()
 	if err != nil {
@@ -54,7 +54,7 @@
 	if err := processes.StartAll(); err != nil {
 		return err
 	}
-	fmt.Printf("%d fronts start; their doors:\n\n", c.Fronts)
+	fmt.Printf("%d fronts are starting; their addresses (door: the admin endpoint):\n\n", c.Fronts)
 	for _, p := range processes.List {
 		fmt.Printf("  %s  zone %s  clients %s  door %s  log %s\n", p.Name, p.Zone, p.Listen, p.Ops, p.Log)
 	}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// fleetView is the fleet as a table: what each front says of itself.
+// fleetTable returns the status that each front reports, as a table.
 func fleetTable(processes *fleet.Processes) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
@@ -134,16 +134,17 @@
 
 type fleetVersionsCommand struct {
 	fleetWorkCommand
-	Page string `help:"Write the day as a page with a picture of versions over time, by front, to this file."`
+	Page string `help:"File to which the day is written as an HTML page with a chart of each front's version over time."`
 }
 
-// Run plays; in virtual time days have both works and versions.
+// Run plays a day of version changes. In virtual time, and with --troubles, it plays what
+// fleet work plays, where days have both operations and versions.
 func (c fleetVersionsCommand) Run() error {
 	if c.Virtual || c.Troubles != "" {
 		return c.fleetWorkCommand.Run()
 	}
 	if c.Fronts < 1 || c.Fronts > 40 || c.Zones < 1 || c.For < time.Second {
-		return fmt.Errorf("--fronts 1 to 40, --zones from 1 and --for from 1s on are possible")
+		return fmt.Errorf("--fronts must be 1 to 40, --zones at least 1 and --for at least 1s")
 	}
 	front, err := c.path()
 	if err != nil {
@@ -172,29 +173,29 @@
 
 type fleetWorkCommand struct {
 	frontPath
-	Fronts  int           `default:"5" help:"How many."`
-	Zones   int           `default:"3" help:"Zones that they stand in."`
-	Seed    uint64        `default:"1" help:"Of the troubles and of the works."`
-	For     time.Duration `default:"60s" help:"How long things go wrong."`
-	Virtual bool          `help:"In virtual time, without processes."`
-	Days    int           `default:"1" help:"Random days, one seed after the other, with --virtual."`
-	Random  bool          `help:"With --virtual, each day's fleet is drawn too."`
-	Without string        `help:"A rule to leave out, with --virtual: fence, once, lost-is-out, majority. It must be found."`
-	Rate    float64       `default:"50" help:"Requests a second beside it, with processes."`
-	Chaos   bool          `default:"true" negatable:"" help:"Random troubles."`
+	Fronts  int           `default:"5" help:"Number of fronts."`
+	Zones   int           `default:"3" help:"Zones that the fronts are spread over."`
+	Seed    uint64        `default:"1" help:"Seed of the faults and the operations."`
+	For     time.Duration `default:"60s" help:"How long faults and operations go on."`
+	Virtual bool          `help:"Play in virtual time, without processes."`
+	Days    int           `default:"1" help:"With --virtual, number of random days, with consecutive seeds."`
+	Random  bool          `help:"With --virtual, draw the fleet of each day at random too."`
+	Without string        `help:"With --virtual, a rule to disable: fence, once, lost-is-out or majority. The checks must then find a violation."`
+	Rate    float64       `default:"50" help:"Requests per second of the clients, with processes."`
+	Chaos   bool          `default:"true" negatable:"" help:"Random faults."`
 
-	Troubles string `type:"existingfile" help:"A day in the laboratory's language instead of random works and troubles; it says fronts, zones, seed and span itself."`
-	JSON     bool   `help:"The result as JSON."`
-	Verbose  bool   `help:"Every line of what happens."`
+	Troubles string `type:"existingfile" help:"A day in the scenario language instead of random operations and faults; it defines fronts, zones, seed and duration itself."`
+	JSON     bool   `help:"Print the result as JSON."`
+	Verbose  bool   `help:"Print every event."`
 }
 
-// Run plays.
+// Run plays a day of maintenance operations, or several in virtual time.
 func (c fleetWorkCommand) Run() error {
 	if c.Without != "" && !c.Virtual {
-		return fmt.Errorf("--without: a started front leaves no rule out; add --virtual")
+		return fmt.Errorf("--without needs --virtual: started fronts cannot disable rules")
 	}
 	if c.Fronts < 1 || c.Fronts > 300 || c.Zones < 1 || c.Days < 1 || c.For < time.Second {
-		return fmt.Errorf("--fronts 1 to 300, --zones and --days from 1 and --for from 1s on are possible")
+		return fmt.Errorf("--fronts must be 1 to 300, --zones and --days at least 1 and --for at least 1s")
 	}
 	if c.Troubles != "" {
 		return c.playScript()
@@ -217,7 +218,7 @@
 	return c.printResult(r, len(r.Broken) > 0)
 }
 
-// script plays a day that is written down.
+// playScript plays the day of the file that --troubles names.
 func (c fleetWorkCommand) playScript() error {
 	s, err := fleet.ReadScript(c.Troubles)
 	if err != nil {
@@ -241,7 +242,7 @@
 	d, _ := s.PlayVirtual(statemachine.Mutation(c.Without), logLine)
 	if len(d.Broken) > 0 && !c.JSON {
 		short, _, w := s.Minimize(statemachine.Mutation(c.Without))
-		fmt.Printf("broken, and so is what is left of the day:\n%s\nthe last of what happened in it:\n", short)
+		fmt.Printf("a property was violated; the shortest script found that still violates it:\n%s\nits last events:\n", short)
 		w.Dump(os.Stdout, 40)
 	}
 	return c.printResult(d, len(d.Broken) > 0)
@@ -264,7 +265,7 @@
 		if len(d.Broken) > 0 {
 			if !c.JSON {
 				d, w, span := shortestViolation(spec, d, w, fleet.Micros(c.For.Microseconds()))
-				fmt.Printf("seed %d, %d fronts: broken, also with --for %v; the last of what happened:\n", d.Seed, d.Fronts, time.Duration(span)*time.Microsecond)
+				fmt.Printf("seed %d, %d fronts: a property was violated, also with --for %v; the last events:\n", d.Seed, d.Fronts, time.Duration(span)*time.Microsecond)
 				w.Dump(os.Stdout, 40)
 			}
 			return c.printResult(d, true)
@@ -282,8 +283,7 @@
 	return nil
 }
 
-// shortest plays a day that broke a promise again with less and less trouble, as long
-// as it still does.
+// shortestViolation shortens a day that violated a property as long as it still does.
 func shortestViolation(spec fleet.Spec, d fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
 	for step := span / 2; step >= fleet.Second; {
 		if x, world := fleet.PlayRandomDay(spec, span-step, nil); span > step && len(x.Broken) > 0 {
--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -17,28 +17,29 @@
 	"cherryramp/lab/site"
 )
 
-// eachWorker is the connections that one worker's process holds, within the 20,000
-// descriptors that a process may.
+// connectionsPerWorker is the number of connections that one worker process holds. A
+// process may have 20,000 descriptors.
 const connectionsPerWorker = 17_500
 
 type workerCommand struct{}
 
-// Run carries out another ramplab's orders.
+// Run carries out the commands that another ramplab sends on standard input.
 func (workerCommand) Run() error { return idle.Serve(os.Stdin, os.Stdout) }
 
-// fronts are several fronts on one core, each before stand-ins of its own.
+// frontGroup is a group of fronts, each with simulated servers of its own.
 type frontGroup struct {
-	Fronts    int           `default:"1" help:"Fronts, all on one core."`
-	Core      int           `default:"-1" help:"That core; by default any one for each front."`
-	MemoryMB  int           `default:"192" help:"Each front's limit."`
-	Rate      int           `default:"200" help:"Requests a second in all."`
-	For       time.Duration `default:"10s" help:"How long the fronts are watched idle, and then under requests."`
-	JSON      string        `help:"A file for the figures."`
-	Admission string        `default:"" enum:",aimd,gradient" help:"The fronts' clients.admission: aimd, gradient or nothing."`
+	Fronts    int           `default:"1" help:"Number of fronts."`
+	Core      int           `default:"-1" help:"The core that all fronts share; by default each front uses any one core."`
+	MemoryMB  int           `default:"192" help:"Memory limit of each front in MB."`
+	Rate      int           `default:"200" help:"Requests per second to all fronts together."`
+	For       time.Duration `default:"10s" help:"Length of each measurement."`
+	JSON      string        `help:"File to which the results are written as JSON."`
+	Admission string        `default:"" enum:",aimd,gradient" help:"The fronts' setting clients.admission: aimd, gradient or empty."`
 	sites     []*site.Site
 }
 
-// start starts the fronts, each with room for so many connections.
+// start starts the fronts, each with enough descriptors for the given number of
+// connections.
 func (f *frontGroup) start(front string, connections int, clients string) error {
 	if err := errors.Join(requirePositive("memory-mb", f.MemoryMB), requirePositive("rate", f.Rate), requirePositive("for", int(f.For))); err != nil {
 		return err
@@ -67,7 +68,7 @@
 	return err
 }
 
-// resident is what all fronts hold, in KB, and spent the time on cores.
+// residentKB returns the resident memory of all fronts together.
 func (f *frontGroup) residentKB() (kb int) {
 	for _, s := range f.sites {
 		kb += process.ResidentKB(s.Pid())
@@ -75,6 +76,7 @@
 	return kb
 }
 
+// cpuTime returns the CPU time of all fronts together.
 func (f *frontGroup) cpuTime() (sum time.Duration, err error) {
 	for _, s := range f.sites {
 		t, err := processCPUTime(s.Pid())
@@ -86,15 +88,16 @@
 	return sum, nil
 }
 
-// times are quantiles in ms.
+// latencyFigures are the results of one measurement: percentiles in milliseconds, answers
+// by status, lost requests and CPU use.
 type latencyFigures struct {
 	P50, P99, P999, Max float64
 	Count               map[int]int
 	Lost                int
-	CPU                 float64 // of a core
+	CPU                 float64 // in cores
 }
 
-// load sends the rate to all fronts alike.
+// measure sends requests for the duration For, with the rate split evenly over the fronts.
 func (f *frontGroup) measure(run int) (*latencyFigures, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	t := &latencyFigures{Count: map[int]int{}}
@@ -132,7 +135,7 @@
 	return t, err
 }
 
-// report prints a row, and keeps all rows for the file.
+// print prints the figures as one row.
 func (t *latencyFigures) print(name string) {
 	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, t.P50, t.P99, t.P999, t.Max,
 		t.Count, t.Lost, 100*t.CPU)
@@ -141,24 +144,25 @@
 type idleCommand struct {
 	frontPath
 	frontGroup
-	Connections int           `default:"17000" help:"Idle connections in all; one front may hold 17,000."`
-	Within      time.Duration `default:"100ms" help:"The span in which all wake; 0: they don't."`
-	Patience    time.Duration `default:"2s" help:"How long a client waits for one answer."`
-	Settle      time.Duration `default:"3s" help:"From the last connection until the fronts are watched."`
+	Connections int           `default:"17000" help:"Number of idle connections over all fronts; one front may hold 17,000."`
+	Within      time.Duration `default:"100ms" help:"Time within which all idle connections send a request; 0: they send none."`
+	Patience    time.Duration `default:"2s" help:"How long a client waits for an answer."`
+	Settle      time.Duration `default:"3s" help:"Pause between the last connection and the measurement."`
 }
 
-// idleFigures is what the file gets.
+// idleFigures is written to the file that --json names.
 type idleFigures struct {
 	Connections, Fronts    int
 	None, Beside           *latencyFigures
 	EmptyKB, HeldKB        int
-	EachBytes, KernelBytes float64 // a connection; the kernel's for both ends
-	IdleCPU                float64 // of a core
+	EachBytes, KernelBytes float64 // per connection; KernelBytes covers both ends
+	IdleCPU                float64 // in cores
 	Woken                  *idle.Stats
 	WokenKB                int
 }
 
-// Run measures fronts without idle connections, then with them, then wakes them.
+// Run measures the fronts without idle connections and with them, then sends a request on
+// every idle connection.
 func (c *idleCommand) Run() (err error) {
 	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("connections", c.Connections)); err != nil {
 		return err
@@ -217,7 +221,7 @@
 	return writeJSON(c.JSON, out)
 }
 
-// open has workers hold the connections, spread over the fronts.
+// open starts workers that hold the connections, spread over the fronts.
 func (c *idleCommand) open() (workers []*idle.Worker, err error) {
 	for first := 0; first < c.Connections; {
 		target := c.sites[len(workers)%len(c.sites)]
@@ -239,7 +243,7 @@
 	return workers, nil
 }
 
-// wake has all ask within the span.
+// wake sends a request on every idle connection within the time c.Within.
 func (c *idleCommand) wake(workers []*idle.Worker) (*idle.Stats, error) {
 	start := time.Now().Add(2 * time.Second)
 	sum := &idle.Stats{}
@@ -269,14 +273,14 @@
 type slowCommand struct {
 	frontPath
 	frontGroup
-	Clients  int    `default:"5000" help:"Slow clients, all of a few prefixes."`
-	Pace     int    `default:"1000" help:"Bytes a second that each reads or sends."`
-	Senders  bool   `help:"They send requests slowly; by default they read answers slowly."`
-	Spread   bool   `help:"Every one comes from a prefix of its own."`
-	Settings string `default:"\"idle_ms\":600000,\"least_bytes_s\":4000" help:"The fronts' clients section, without its braces."`
+	Clients  int    `default:"5000" help:"Number of slow clients, all from a few address prefixes."`
+	Pace     int    `default:"1000" help:"Bytes per second that each client reads or sends."`
+	Senders  bool   `help:"The clients send requests slowly; by default they read answers slowly."`
+	Spread   bool   `help:"Each client comes from an address prefix of its own."`
+	Settings string `default:"\"idle_ms\":600000,\"least_bytes_s\":4000" help:"The clients section of the fronts' operator file, without its braces."`
 }
 
-// slowFigures is what the file gets.
+// slowFigures is written to the file that --json names.
 type slowFigures struct {
 	Clients, Pace   int
 	Senders         bool
@@ -285,7 +289,7 @@
 	EmptyKB, MostKB int
 }
 
-// Run measures requests with and without slow clients beside them.
+// Run measures requests without slow clients and with them.
 func (c *slowCommand) Run() (err error) {
 	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("clients", c.Clients), requirePositive("pace", c.Pace)); err != nil {
 		return err
@@ -343,10 +347,10 @@
 	return writeJSON(c.JSON, out)
 }
 
-// positive tells of a flag that is not above 0.
+// requirePositive returns an error if the value of a flag is below 1.
 func requirePositive(flag string, n int) error {
 	if n < 1 {
-		return fmt.Errorf("--%s: %d is not above 0", flag, n)
+		return fmt.Errorf("--%s: %d must be above 0", flag, n)
 	}
 	return nil
 }
@@ -362,8 +366,8 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// kernelKB is what the kernel holds for TCP's buffers (proc(5), sockstat: pages),
-// and for its sockets, as its slab caches tell where they may be read; 0: not known.
+// kernelSocketKB returns the kernel memory of TCP buffers (proc(5), sockstat: in pages) and
+// of sockets, the latter only where the slab caches are readable; 0: unknown.
 func kernelSocketKB() (kb int) {
 	text, err := os.ReadFile("/proc/net/sockstat")
 	if err != nil {
@@ -383,7 +387,7 @@
 	return kb + slabKB()
 }
 
-// slabKB is what the slab caches of TCP sockets hold (slabinfo(5)).
+// slabKB returns the size of the slab caches of TCP sockets (slabinfo(5)); 0: unknown.
 func slabKB() (kb int) {
 	text, err := os.ReadFile("/proc/slabinfo")
 	if err != nil {
--- a/cmd/ramplab/load.go
+++ b/cmd/ramplab/load.go
@@ -22,32 +22,32 @@
 )
 
 type loadCommand struct {
-	Address     string             `arg:"" help:"The server's address, as 127.0.0.1:8080."`
-	Rate        string             `default:"200/s" help:"Requests a second, as a scenario's load: '100/s, from 10s 100/s rising, from 40s 900/s'."`
-	For         time.Duration      `default:"30s" help:"How long."`
-	Even        bool               `help:"Evenly spaced; by default as a Poisson process."`
-	Connections int                `default:"256" help:"Connections at most; what finds none free waits, and its time counts."`
-	Threads     int                `default:"1" help:"Threads that send."`
-	Precise     bool               `help:"Requests leave to some ten microseconds and not to a millisecond, for a core a thread."`
-	Patience    time.Duration      `default:"3s" help:"How long clients wait, from when their request is due."`
-	Idle        time.Duration      `default:"4s" help:"How long connections are kept that are not used."`
+	Address     string             `arg:"" help:"The server's address, such as 127.0.0.1:8080."`
+	Rate        string             `default:"200/s" help:"Requests per second, in the syntax of a scenario's load: '100/s, from 10s 100/s rising, from 40s 900/s'."`
+	For         time.Duration      `default:"30s" help:"Duration of the load."`
+	Even        bool               `help:"Send at constant intervals; by default as a Poisson process."`
+	Connections int                `default:"256" help:"Maximum number of connections; a request that finds none free waits, which counts towards its latency."`
+	Threads     int                `default:"1" help:"Number of sending threads."`
+	Precise     bool               `help:"Send times are accurate to some ten microseconds instead of a millisecond, at the cost of a core per thread."`
+	Patience    time.Duration      `default:"3s" help:"Timeout of a request, from its scheduled time."`
+	Idle        time.Duration      `default:"4s" help:"Time after which an unused connection is closed."`
 	Seed        uint64             `default:"1"`
-	Mix         map[string]float64 `default:"guide-video=54;page-asset=43" help:"Shares of the platform's classes."`
-	Writes      []string           `default:"payout-confirm" help:"Those of the classes that write."`
-	Parts       map[string]int     `default:"guide-video=14" help:"Parts of the objects of a class."`
-	Objects     int                `default:"2000" help:"Objects of each class."`
-	Zipf        float64            `default:"1.1" help:"How their popularity falls."`
-	Targets     string             `type:"existingfile" help:"Targets to GET in place of the platform's requests, one a line: signed links, or any server's."`
-	Host        string             `default:"load" help:"The Host of such requests."`
-	JSON        string             `help:"A file for the results."`
-	Times       string             `help:"A file for the percentiles of the times, as HdrHistogram writes them."`
-	Quiet       bool               `help:"No progress."`
+	Mix         map[string]float64 `default:"guide-video=54;page-asset=43" help:"Shares of the platform's object classes."`
+	Writes      []string           `default:"payout-confirm" help:"The classes whose requests are writes."`
+	Parts       map[string]int     `default:"guide-video=14" help:"Number of parts of the objects, by class."`
+	Objects     int                `default:"2000" help:"Number of objects of each class."`
+	Zipf        float64            `default:"1.1" help:"Exponent of the Zipf distribution of their popularity, above 1."`
+	Targets     string             `type:"existingfile" help:"File of targets to GET instead of the platform's requests, one per line: signed links, or targets of any server."`
+	Host        string             `default:"load" help:"The Host field of requests for --targets."`
+	JSON        string             `help:"File to which the results are written as JSON."`
+	Times       string             `help:"File to which the percentiles of the latencies are written, in the format of HdrHistogram."`
+	Quiet       bool               `help:"Show no progress bar."`
 }
 
-// Run sends a load.
+// Run sends the load and prints its results.
 func (c *loadCommand) Run() error {
 	if host, port, err := net.SplitHostPort(c.Address); err != nil || host == "" || port == "" {
-		return fmt.Errorf("address: %q is not host:port", c.Address)
+		return fmt.Errorf("address: %q is not of the form host:port", c.Address)
 	}
 	curve, err := scenario.ParseLoad(c.Rate)
 	if err != nil {
@@ -104,12 +104,12 @@
 		return err
 	}
 	if r.Due > 0 && progress.Answered.Load() == 0 {
-		return fmt.Errorf("%s: nothing was answered", c.Address)
+		return fmt.Errorf("%s: no request was answered", c.Address)
 	}
 	return nil
 }
 
-// targets reads a list of them.
+// readTargets reads a file with one target per line; empty lines are skipped.
 func readTargets(path string) (list []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -122,7 +122,7 @@
 		switch text := strings.TrimSpace(lines.Text()); {
 		case text == "":
 		case !strings.HasPrefix(text, "/") || strings.ContainsAny(text, " \t"):
-			return nil, fmt.Errorf("%s:%d: %q is no target, as /path?query", path, n, text)
+			return nil, fmt.Errorf("%s:%d: %q is not a target of the form /path?query", path, n, text)
 		default:
 			list = append(list, text)
 		}
@@ -133,7 +133,8 @@
 	return list, lines.Err()
 }
 
-// show draws a bar of the run's time with what has come of it so far.
+// showProgress shows the elapsed share of the run's time and the counts so far, until
+// done is closed.
 func showProgress(progress *load.Progress, span time.Duration, done <-chan struct{}) {
 	bar := progressbar.NewOptions(int(span.Milliseconds()), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetPredictTime(false),
 		progressbar.OptionClearOnFinish())
@@ -163,7 +164,7 @@
 	fmt.Printf("  this tool was late by  %s\n  a connection was free  %s\n", formatPercentiles(r.Lag), formatPercentiles(r.Queued))
 }
 
-// ladder are the percentiles that are told.
+// reportedPercentiles are the percentiles in printed and JSON results.
 var reportedPercentiles = []float64{50, 90, 99, 99.9, 100}
 
 func formatPercentiles(h *hdrhistogram.Histogram) string {
@@ -178,7 +179,7 @@
 	return text + "ms"
 }
 
-// loadJSON is a result for other programs: times in microseconds, by percentile.
+// loadJSON returns a result for JSON output, with times in microseconds by percentile.
 func loadJSON(r *load.Result) any {
 	times := func(h *hdrhistogram.Histogram) map[string]int64 {
 		out := map[string]int64{"count": h.TotalCount()}
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -1,23 +1,23 @@
-// Command ramplab is the project's laboratory. It starts the built front before
-// stand-ins on loopback and measures what it does.
+// Command ramplab tests and measures the built front on loopback, with simulated
+// servers behind it, and plays scenarios in virtual time.
 //
-//	ramplab up            a site to try things out on, until it is interrupted
-//	ramplab conformance   the suite of the signed front, against a front or an address
-//	ramplab world         the suite's operator's file and keys, for another server
-//	ramplab flood         forged links beside good ones
-//	ramplab idle          many idle connections, requests beside them, and all waking
+//	ramplab up            a site for manual testing, until interrupted
+//	ramplab conformance   the test suite of the signed front, against a front or an address
+//	ramplab world         the operator file and keys of that suite, for another server
+//	ramplab flood         forged links beside valid ones
+//	ramplab idle          many idle connections, with requests beside them and on all of them
 //	ramplab sim           scenarios in virtual time
-//	ramplab compare       what two builds made of the same scenarios
-//	ramplab chaos         random days in virtual time
-//	ramplab fleet         fronts that act together: up, work
+//	ramplab compare       the results of two builds on the same scenarios
+//	ramplab chaos         random scenarios in virtual time
+//	ramplab fleet         fleets of fronts that coordinate: up, work, exchange, judge, versions
 //	ramplab load          open-loop load against any address
 //	ramplab run           an experiment: scenarios, seeds and builds, kept in a store
-//	ramplab tell          days of two builds until it can be told which is better
-//	ramplab report        an experiment as one page with pictures
+//	ramplab tell          days of two builds, until the comparison reaches a verdict
+//	ramplab report        an experiment as one HTML page with charts
 //	ramplab slow          slow readers or senders, and requests beside them
 //
-// It exits with 0 where all is well, 1 where something failed, 2 where it was
-// called in a way that it does not know, 3 where a case or a limit was not met.
+// The exit status is 0 on success, 1 on an error, 2 on invalid arguments, and 3 if a
+// case failed, a property was violated or an expectation was not met.
 package main
 
 import (
@@ -36,29 +36,30 @@
 )
 
 type commands struct {
-	Up          upCommand          `cmd:"" help:"Start a site on loopback to try things out on, until interrupted."`
-	Conformance conformanceCommand `cmd:"" help:"Run the suite of the signed front."`
-	World       worldCommand       `cmd:"" help:"Write the suite's operator's file and keys, for a server to be tested by address."`
-	Idle        idleCommand        `cmd:"" help:"Hold idle connections open, measure requests beside them, and wake them."`
-	Sim         simCommand         `cmd:"" help:"Play scenarios in virtual time, and check every promise."`
-	Compare     compareCommand     `cmd:"" help:"Compare the days of two builds or settings, pair by pair."`
-	Chaos       chaosCommand       `cmd:"" help:"Play random days in virtual time, and find the shortest that breaks a promise."`
+	Up          upCommand          `cmd:"" help:"Run a site on loopback for manual testing until interrupted."`
+	Conformance conformanceCommand `cmd:"" help:"Run the test suite of the signed front."`
+	World       worldCommand       `cmd:"" help:"Write the operator file and keys of the suite, for a server that is tested by address."`
+	Idle        idleCommand        `cmd:"" help:"Hold idle connections open, measure requests beside them, and send a request on each."`
+	Sim         simCommand         `cmd:"" help:"Play scenarios in virtual time and check every property."`
+	Compare     compareCommand     `cmd:"" help:"Compare the days of two builds or settings pair by pair."`
+	Chaos       chaosCommand       `cmd:"" help:"Play random scenarios in virtual time and shrink those that violate a property."`
 	Load        loadCommand        `cmd:"" help:"Send an open-loop load to any address."`
-	Run         runCommand         `cmd:"" help:"Play an experiment's days into a store, and go on where it was stopped."`
-	Tell        tellCommand        `cmd:"" help:"Play days of two builds or settings until it can be told which is better."`
-	Report      reportCommand      `cmd:"" help:"Write an experiment as one page with pictures."`
+	Run         runCommand         `cmd:"" help:"Play an experiment's days and store their results; an interrupted run resumes."`
+	Tell        tellCommand        `cmd:"" help:"Play days of two builds or settings until the comparison reaches a verdict."`
+	Report      reportCommand      `cmd:"" help:"Write an experiment as one HTML page with charts."`
 	Day         dayCommand         `cmd:"" hidden:"" help:"Play one day for another ramplab."`
-	Slow        slowCommand        `cmd:"" help:"Let slow readers or senders come, and measure requests beside them."`
+	Slow        slowCommand        `cmd:"" help:"Measure requests beside slow readers or senders."`
 	IdleWorker  workerCommand      `cmd:"" hidden:"" help:"Hold connections for another ramplab."`
-	Fleet       fleetCommands      `cmd:"" help:"Fleets of fronts that act together: held up, or at work while things go wrong."`
-	Flood       floodCommand       `cmd:"" help:"Send forged links beside good ones and measure both."`
+	Fleet       fleetCommands      `cmd:"" help:"Run and test fleets of fronts that coordinate."`
+	Flood       floodCommand       `cmd:"" help:"Send forged links beside valid ones and measure both."`
 }
 
+// errNotMet makes the program exit with status 3; what was not met is printed before.
 var errNotMet = errors.New("not met")
 
 func main() {
 	var c commands
-	parser := kong.Must(&c, kong.Name("ramplab"), kong.Description("The laboratory of cherryramp."), kong.UsageOnError())
+	parser := kong.Must(&c, kong.Name("ramplab"), kong.Description("Tests and measures cherryramp."), kong.UsageOnError())
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		parser.Errorf("%s", err)
@@ -73,9 +74,9 @@
 	}
 }
 
-// frontPath is the program under test.
+// frontPath selects the program under test.
 type frontPath struct {
-	Front string `default:"" help:"The built front; by default cherryramp beside this program."`
+	Front string `default:"" help:"The built front; by default cherryramp in the folder of this program."`
 }
 
 func (f frontPath) path() (string, error) {
@@ -91,12 +92,13 @@
 
 type conformanceCommand struct {
 	frontPath
-	Address string `help:"A running server's address, in place of a front of our own."`
-	Keys    string `type:"existingfile" help:"The keys that world wrote, with --address."`
-	Show    int    `default:"10" help:"Failed cases to print whole."`
+	Address string `help:"Address of a running server to test, instead of starting a front."`
+	Keys    string `type:"existingfile" help:"With --address, the file of keys that world wrote."`
+	Show    int    `default:"10" help:"Maximum number of failed cases to print."`
 }
 
-// Run runs the suite.
+// Run runs the suite. With a front of its own it also checks that no more requests reach
+// the cache node than the cases allow.
 func (c conformanceCommand) Run() (err error) {
 	fixture, err := conformance.New(time.Now())
 	if err != nil {
@@ -155,11 +157,11 @@
 }
 
 type worldCommand struct {
-	Dir    string `arg:"" type:"existingdir" help:"Where operator.json and keys.pem are written."`
-	Listen string `default:"127.0.0.1:8443" help:"The address that the file gives the signed front."`
+	Dir    string `arg:"" type:"existingdir" help:"Directory to which operator.json and keys.pem are written."`
+	Listen string `default:"127.0.0.1:8443" help:"Listen address of the signed front in operator.json."`
 }
 
-// Run writes a world.
+// Run writes the operator file and the keys.
 func (c worldCommand) Run() error {
 	fixture, err := conformance.New(time.Now())
 	if err != nil {
@@ -175,18 +177,19 @@
 
 type floodCommand struct {
 	frontPath
-	Format      string        `default:"cloudfront-canned-rs" help:"The format of the forged links, as conformance names them."`
-	Carrier     string        `default:"query" help:"Where they are carried."`
-	GoodFormat  string        `default:"cloudfront-canned-es" help:"The format of the good links."`
-	Forged      int           `default:"5000" help:"Forged links a second."`
-	Good        int           `default:"200" help:"Good links a second, of which every fifth is a new one."`
+	Format      string        `default:"cloudfront-canned-rs" help:"Format of the forged links, as named in the suite's cases."`
+	Carrier     string        `default:"query" help:"Carrier of the forged links: query, cookie, header or path."`
+	GoodFormat  string        `default:"cloudfront-canned-es" help:"Format of the valid links."`
+	Forged      int           `default:"5000" help:"Forged links per second."`
+	Good        int           `default:"200" help:"Valid links per second, of which every fifth is a new one."`
 	For         time.Duration `default:"10s"`
-	Connections int           `default:"40" help:"Of each kind; a front of 1,024 descriptors takes 92 before it closes idle ones."`
-	Distinct    int           `default:"50000" help:"Different forged links, sent in turn."`
-	Procs       int           `default:"1" help:"Cores that the front uses."`
+	Connections int           `default:"40" help:"Number of connections of each kind; a front with 1,024 descriptors accepts 92 before it closes idle ones."`
+	Distinct    int           `default:"50000" help:"Number of different forged links, sent in turn."`
+	Procs       int           `default:"1" help:"Number of cores that the front uses."`
 }
 
-// Run floods a front.
+// Run sends forged and valid links to a front. It fails if a forged link is accepted or
+// reaches a server.
 func (c floodCommand) Run() (err error) {
 	front, err := c.path()
 	if err != nil {
--- a/cmd/ramplab/proc.go
+++ b/cmd/ramplab/proc.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// ticks is how many of the kernel's ticks are a second, for processes' times
-// (proc(5); 100 on every Linux that Go runs on).
+// ticksPerSecond is the unit of process times in proc(5): 100 on every Linux that Go
+// supports.
 const ticksPerSecond = 100
 
-// cpu is the time that a process has spent on cores.
+// processCPUTime returns the user and system time of a process.
 func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// What stands behind the name, which may hold anything in parentheses.
+	// Skip the command name in parentheses, which may itself contain spaces and parentheses.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	var sum int64
 	for _, f := range fields[11:13] {
--- a/cmd/ramplab/sim.go
+++ b/cmd/ramplab/sim.go
@@ -17,19 +17,19 @@
 )
 
 type simCommand struct {
-	Files  []string `arg:"" type:"existingfile" help:"Scenarios, as those in lab/scenarios."`
-	Site   string   `default:"branches" enum:"branches,campus" help:"The deployment that they are for: ${enum}."`
-	Seeds  int      `default:"1" help:"Seeds to play each with, from the scenario's own on."`
-	JSON   string   `help:"A file for all results."`
-	Second bool     `help:"Print the worth asked for and earned, second by second."`
+	Files  []string `arg:"" type:"existingfile" help:"Scenario files, such as those in lab/scenarios."`
+	Site   string   `default:"branches" enum:"branches,campus" help:"The deployment that the scenarios are for: ${enum}."`
+	Seeds  int      `default:"1" help:"Number of seeds for each scenario, starting with its own."`
+	JSON   string   `help:"File to which all results are written as JSON."`
+	Second bool     `help:"Print the worth requested and earned in each second."`
 	frontPath
-	Sockets   bool   `help:"Play them before built fronts on loopback, in the system's time."`
-	Ephemeral bool   `help:"On sockets, have members told by ephemeral nodes and not by the notice board."`
-	Log       string `help:"A file for what the fronts have to say, on sockets."`
-	Jobs      int    `default:"0" help:"Days at a time; 0: one a core in virtual time, one for every two cores on sockets."`
+	Sockets   bool   `help:"Play against built fronts on loopback in real time."`
+	Ephemeral bool   `help:"With --sockets, list members by ephemeral nodes instead of by the notice board."`
+	Log       string `help:"With --sockets, file to which the log of the fronts is written."`
+	Jobs      int    `default:"0" help:"Days played in parallel; 0: one per core in virtual time, one per two cores on sockets."`
 }
 
-// played is one day.
+// dayResult is the result of one day, as written to the file that --json names.
 type dayResult struct {
 	File   string
 	Seed   uint64
@@ -37,7 +37,7 @@
 	Result *world.Result
 }
 
-// Run plays scenarios in virtual time.
+// Run plays scenarios and checks their properties and expectations.
 func (c *simCommand) Run() error {
 	if err := requirePositive("seeds", c.Seeds); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	}
 	out, failed := make([]dayResult, len(days)), false
 	if !c.Sockets && (c.Ephemeral || c.Log != "") {
-		return fmt.Errorf("--ephemeral, --log: only with --sockets")
+		return fmt.Errorf("--ephemeral and --log need --sockets")
 	}
 	front, err := c.path()
 	if err != nil {
@@ -123,11 +123,11 @@
 }
 
 type compareCommand struct {
-	A string `arg:"" type:"existingfile" help:"What sim --json wrote with one build or setting."`
-	B string `arg:"" type:"existingfile" help:"The same with another."`
+	A string `arg:"" type:"existingfile" help:"The file that sim --json wrote with one build or setting."`
+	B string `arg:"" type:"existingfile" help:"The file that it wrote with another."`
 }
 
-// Run compares two sets of days, pair by pair.
+// Run compares two sets of days pair by pair.
 func (c *compareCommand) Run() error {
 	var sets [2][]experiment.Day
 	for i, path := range []string{c.A, c.B} {
@@ -140,7 +140,7 @@
 		}
 		for _, d := range sets[i] {
 			if d.Result == nil {
-				return fmt.Errorf("%s: a day without a result: sim --json writes them", path)
+				return fmt.Errorf("%s: a day has no result; the file must be written by sim --json", path)
 			}
 		}
 	}
@@ -161,14 +161,14 @@
 
 type chaosCommand struct {
 	Seed   uint64 `arg:"" optional:"" default:"1" help:"The first seed."`
-	Days   int    `default:"1000" help:"Random days to play, one a seed."`
-	Mutate string `help:"Something to break on purpose, as --list names it."`
-	List   bool   `help:"List what can be broken on purpose."`
-	Shrink int    `default:"300" help:"Days to play at most to find a shorter one that still breaks the promise."`
-	Keep   int    `default:"3" help:"Broken days to shrink and print."`
+	Days   int    `default:"1000" help:"Number of random scenarios, with consecutive seeds."`
+	Mutate string `help:"A mutation to apply, which breaks a property on purpose; see --list."`
+	List   bool   `help:"List the mutations."`
+	Shrink int    `default:"300" help:"Maximum number of days played to shrink a scenario that violates a property."`
+	Keep   int    `default:"3" help:"Maximum number of violating scenarios to shrink and print."`
 }
 
-// Run plays random days and prints the shortest that breaks a promise.
+// Run plays random scenarios, and shrinks and prints those that violate a property.
 func (c *chaosCommand) Run() error {
 	if c.List {
 		for _, mutation := range sortedMutations() {
@@ -181,7 +181,7 @@
 	}
 	mutation := world.Mutation(c.Mutate)
 	if _, ok := world.Mutations[mutation]; mutation != world.NoMutation && !ok {
-		return fmt.Errorf("%q can't be broken; see --list", c.Mutate)
+		return fmt.Errorf("there is no mutation %q; see --list", c.Mutate)
 	}
 	bar := progressbar.NewOptions(c.Days, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("days"),
 		progressbar.OptionShowIts(), progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
@@ -238,7 +238,8 @@
 	return out
 }
 
-// each does n jobs, so many at a time; 0: as there are cores.
+// runParallel runs n jobs, at most parallelism at a time (0: the number of cores), and
+// returns their errors by index.
 func runParallel(n, parallelism int, bar *progressbar.ProgressBar, job func(i int) error) []error {
 	errs, next := make([]error, n), make(chan int)
 	var wg sync.WaitGroup
--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -19,18 +19,18 @@
 )
 
 type upCommand struct {
-	Scenario string `arg:"" optional:"" type:"existingfile" help:"A scenario to play; by default a calm site without an end."`
+	Scenario string `arg:"" optional:"" type:"existingfile" help:"A scenario to play; by default a site without faults or end."`
 	frontPath
-	Rate  float64       `default:"60" help:"Requests a second of the site's own clients, where no scenario is played."`
-	For   time.Duration `help:"How long; by default until interrupted."`
-	Plain bool          `help:"No live view; also where there is no terminal."`
+	Rate  float64       `default:"60" help:"Requests per second of the site's own clients, if no scenario is played."`
+	For   time.Duration `help:"How long the site runs; by default until interrupted."`
+	Plain bool          `help:"Show no live view; it is also off without a terminal."`
 }
 
-// endless is longer than anyone looks.
+// unlimitedRun is the duration of a run without an end: a year.
 const unlimitedRun = world.Micros(365 * 24 * 3600 * 1_000_000)
 
-// Run holds a site up: the world's servers, clients and notice boards on loopback,
-// and built fronts in their middle.
+// Run runs a site: simulated servers, clients and notice boards on loopback, and built
+// fronts between them.
 func (c upCommand) Run() error {
 	front, err := c.path()
 	if err != nil {
@@ -53,7 +53,7 @@
 		}
 		spec, plan = s.Spec, s.Plan
 	} else if !(c.Rate >= 0 && c.Rate <= 10_000) {
-		return fmt.Errorf("--rate: %v: 0 to 10000 are possible", c.Rate)
+		return fmt.Errorf("--rate: %v must be 0 to 10000", c.Rate)
 	}
 	live := !c.Plain && term.IsTerminal(int(os.Stdout.Fd())) && term.IsTerminal(int(os.Stdin.Fd()))
 	options := world.SocketOptions{Front: front, Operator: keys.OperatorFile}
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// links are requests to try out; nil while no front serves.
+// exampleRequests returns commands to try out, or nil while the first front does not
+// serve.
 func exampleRequests(v world.View, keys *conformance.Fixture) []string {
 	f := v.Fronts[0]
 	if !f.Serves {
@@ -135,7 +136,7 @@
 	}
 }
 
-// troubleKey is a trouble that a key brings.
+// faultKey binds a key to a fault.
 type faultKey struct {
 	key   string
 	fault world.Fault
@@ -162,25 +163,25 @@
 	return keys
 }
 
-// viewModel is the live view.
+// viewModel is the model of the live view.
 type viewModel struct {
 	world    *world.World
 	requests func(world.View) []string
 	keys     []faultKey
 	now      world.View
-	last     world.View // about a second before
-	rates    [4]float64 // tries, attempts, refused and failed a second
-	worth    []float64  // share earned, a reading a second
+	last     world.View // about a second older than now
+	rates    [4]float64 // tries, attempts, refused and failed per second
+	worth    []float64  // earned share of the worth requested, one value per second
 	status   string
 }
 
-// rejected is a trouble that can't be.
+// injectFailed is the message that a fault could not be injected.
 type injectFailed struct{ err error }
 
-// Init is part of tea.Model.
+// Init implements tea.Model.
 func (model *viewModel) Init() tea.Cmd { return nil }
 
-// Update is part of tea.Model.
+// Update implements tea.Model.
 func (model *viewModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case world.View:
@@ -222,13 +223,13 @@
 			if err != nil {
 				return injectFailed{err}
 			}
-		case <-time.After(time.Second): // the day is over
+		case <-time.After(time.Second): // the run has ended
 		}
 		return nil
 	}
 }
 
-// sparks is how many readings the line of the worth has.
+// sparklineLength is the number of values in the sparkline of the worth.
 const sparklineLength = 60
 
 var (
@@ -239,7 +240,7 @@
 	violationStyle = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
 )
 
-// View is part of tea.Model.
+// View implements tea.Model.
 func (model *viewModel) View() tea.View {
 	v := tea.NewView(model.render())
 	v.AltScreen = true
@@ -249,7 +250,7 @@
 func (model *viewModel) render() string {
 	v := &model.now
 	if len(v.Fronts) == 0 {
-		return "the fronts start ..."
+		return "the fronts are starting ..."
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %5.1f s   %5.0f tries/s  %5.0f attempts/s  %s  %s\n", headStyle.Render("cherryramp"), float64(v.At)/1e6, model.rates[0], model.rates[1],
@@ -273,7 +274,7 @@
 	fmt.Fprintf(&b, "\n%s\n", headStyle.Render(fmt.Sprintf("%-22s %-24s %6s %8s %6s", "front", "address", "held", "MB", "fds")))
 	for _, f := range v.Fronts {
 		if !f.Serves {
-			fmt.Fprintf(&b, "%-22s %s\n", f.Name, warnStyle.Render("does not serve"))
+			fmt.Fprintf(&b, "%-22s %s\n", f.Name, warnStyle.Render("not serving"))
 			continue
 		}
 		fmt.Fprintf(&b, "%-22s %-24s %6d %8.1f %6d\n", f.Name, f.Address, f.Held, float64(f.KB)/1024, f.Descriptors)
@@ -283,18 +284,18 @@
 		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", t.Label(), float64(t.At+t.Duration-v.At)/1e6)))
 	}
 	if v.Broken > 0 {
-		fmt.Fprintln(&b, violationStyle.Render(fmt.Sprintf("promises broken %d times", v.Broken)))
+		fmt.Fprintln(&b, violationStyle.Render(fmt.Sprintf("properties violated %d times", v.Broken)))
 		for _, x := range v.Violations {
 			fmt.Fprintln(&b, x)
 		}
 	} else {
-		fmt.Fprintln(&b, goodStyle.Render("no promise was broken"))
+		fmt.Fprintln(&b, goodStyle.Render("no property was violated"))
 	}
 	var help []string
 	for _, k := range model.keys {
 		help = append(help, k.key+" "+k.fault.Label())
 	}
-	fmt.Fprintf(&b, "%s\n%s", model.status, faintStyle.Render("q ends it; troubles: "+strings.Join(help, ", ")))
+	fmt.Fprintf(&b, "%s\n%s", model.status, faintStyle.Render("q quits; faults: "+strings.Join(help, ", ")))
 	return b.String()
 }
 
@@ -316,7 +317,7 @@
 	return violationStyle
 }
 
-// bar draws a load; what is above full is marked.
+// loadBar draws a load from 0 to 1; a load above 1 is highlighted and printed as a number.
 func loadBar(load float64) string {
 	const width = 20
 	n := min(width, int(load*width+0.5))
@@ -327,7 +328,7 @@
 	return text
 }
 
-// sparkline draws shares from a half to all.
+// sparkline draws shares between 0.5 and 1.
 func sparkline(values []float64) string {
 	levels := []rune("▁▂▃▄▅▆▇█")
 	var b strings.Builder
