--- a/lab/fleet/checker.go
+++ b/lab/fleet/checker.go
@@ -15,17 +15,17 @@
 type Checker struct {
 	world             *World
 	violations        []string
-	digests           map[uint64]uint64 // digest of the replicated state by log index
-	leaders           map[uint64]uint64 // leader by term
-	permits           map[uint64]string // machine by permit number
-	applied           map[string]uint64 // last applied index by front
-	outZones          map[string]string // zones of the fronts that are actually out of service
-	operationByReason map[string]uint64 // operation ID by reason; reasons are unique to a request
-	maxPermit         uint64            // highest permit seen
-	newestTerm        uint64            // newest term with a leader
-	leaderSince       Micros
-	boxesOut          map[string]uint64 // index at which a box was first seen as out
-	enforcedMin       uint64
+	digests           map[uint64]uint64           // digest of the replicated state by log index
+	leaders           map[uint64]uint64           // leader by term
+	permits           map[uint64]string           // machine by permit number
+	applied           map[string]uint64           // last applied index by front
+	outZones          map[string]string           // zones of the fronts that are actually out of service
+	operationByReason map[string]uint64           // operation ID by reason; reasons are unique to a request
+	maxPermit         uint64                      // highest permit seen
+	newestTerm        uint64                      // newest term with a leader
+	leaderSince       Micros                      // since when newestTerm has a leader
+	boxesOut          map[string]uint64           // index at which a box was first seen as out
+	enforcedMin       uint64                      // newest version whose health gate has passed
 	activationLife    map[string]uint64           // process life in which a front activated a version
 	survived          map[string]bool             // whether the front survived the activation
 	GatesPassed       int                         // health gates passed
