--- a/cmd/ramplab/fleet.go
+++ b/cmd/ramplab/fleet.go
@@ -220,7 +220,7 @@
 
 // playScript plays the day of the file that --troubles names.
 func (c fleetWorkCommand) playScript() error {
-	s, err := fleet.ReadScript(c.Troubles)
+	script, err := fleet.ReadScript(c.Troubles)
 	if err != nil {
 		return err
 	}
@@ -233,19 +233,19 @@
 		if err != nil {
 			return err
 		}
-		r, err := fleet.PlayScript(s, front, c.Rate, logLine)
+		r, err := fleet.PlayScript(script, front, c.Rate, logLine)
 		if err != nil {
 			return err
 		}
 		return c.printResult(r, len(r.Broken) > 0)
 	}
-	d, _ := s.PlayVirtual(statemachine.Mutation(c.Without), logLine)
-	if len(d.Broken) > 0 && !c.JSON {
-		short, _, w := s.Minimize(statemachine.Mutation(c.Without))
+	day, _ := script.PlayVirtual(statemachine.Mutation(c.Without), logLine)
+	if len(day.Broken) > 0 && !c.JSON {
+		short, _, w := script.Minimize(statemachine.Mutation(c.Without))
 		fmt.Printf("a property was violated; the shortest script found that still violates it:\n%s\nits last events:\n", short)
 		w.Dump(os.Stdout, 40)
 	}
-	return c.printResult(d, len(d.Broken) > 0)
+	return c.printResult(day, len(day.Broken) > 0)
 }
 
 func (c fleetWorkCommand) playVirtual() error {
@@ -260,15 +260,15 @@
 		if c.Random {
 			spec = fleet.RandomSpec(spec.Seed, spec.Mutation)
 		}
-		d, w := fleet.PlayRandomDay(spec, fleet.Micros(c.For.Microseconds()), logLine)
-		total.Add(d)
-		if len(d.Broken) > 0 {
+		day, w := fleet.PlayRandomDay(spec, fleet.Micros(c.For.Microseconds()), logLine)
+		total.Add(day)
+		if len(day.Broken) > 0 {
 			if !c.JSON {
-				d, w, span := shortestViolation(spec, d, w, fleet.Micros(c.For.Microseconds()))
-				fmt.Printf("seed %d, %d fronts: a property was violated, also with --for %v; the last events:\n", d.Seed, d.Fronts, time.Duration(span)*time.Microsecond)
+				day, w, span := shortestViolation(spec, day, w, fleet.Micros(c.For.Microseconds()))
+				fmt.Printf("seed %d, %d fronts: a property was violated, also with --for %v; the last events:\n", day.Seed, day.Fronts, time.Duration(span)*time.Microsecond)
 				w.Dump(os.Stdout, 40)
 			}
-			return c.printResult(d, true)
+			return c.printResult(day, true)
 		}
 	}
 	if c.Days > 1 {
@@ -284,15 +284,15 @@
 }
 
 // shortestViolation shortens a day that violated a property as long as it still does.
-func shortestViolation(spec fleet.Spec, d fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
+func shortestViolation(spec fleet.Spec, day fleet.Day, w *fleet.World, span fleet.Micros) (fleet.Day, *fleet.World, fleet.Micros) {
 	for step := span / 2; step >= fleet.Second; {
-		if x, world := fleet.PlayRandomDay(spec, span-step, nil); span > step && len(x.Broken) > 0 {
-			d, w, span = x, world, span-step
+		if shorter, world := fleet.PlayRandomDay(spec, span-step, nil); span > step && len(shorter.Broken) > 0 {
+			day, w, span = shorter, world, span-step
 		} else {
 			step /= 2
 		}
 	}
-	return d, w, span
+	return day, w, span
 }
 
 func (c fleetWorkCommand) printResult(result any, broken bool) error {
--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -100,7 +100,7 @@
 // measure sends requests for the duration For, with the rate split evenly over the fronts.
 func (f *frontGroup) measure(run int) (*latencyFigures, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	t := &latencyFigures{Count: map[int]int{}}
+	figures := &latencyFigures{Count: map[int]int{}}
 	before, err := f.cpuTime()
 	if err != nil {
 		return nil, err
@@ -111,17 +111,17 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, e := flood.Run(flood.Options{Address: s.Listen, GoodRate: f.Rate / f.Fronts, Duration: f.For, Connections: 32, Timeout: 5 * time.Second,
+			result, e := flood.Run(flood.Options{Address: s.Listen, GoodRate: f.Rate / f.Fronts, Duration: f.For, Connections: 32, Timeout: 5 * time.Second,
 				Good: func(n int) string { return idle.RequestText("guide-video", "9f3a", run, n*f.Fronts+i, 2*time.Second) }})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e != nil {
 				return
 			}
-			all.Merge(r.Good.Times)
-			t.Lost += r.Good.Failed
-			for status, n := range r.Good.Count {
-				t.Count[status] += n
+			all.Merge(result.Good.Times)
+			figures.Lost += result.Good.Failed
+			for status, n := range result.Good.Count {
+				figures.Count[status] += n
 			}
 		}()
 	}
@@ -131,14 +131,14 @@
 	}
 	after, err := f.cpuTime()
 	ms := func(q float64) float64 { return float64(all.ValueAtQuantile(q)) / 1000 }
-	t.P50, t.P99, t.P999, t.Max, t.CPU = ms(50), ms(99), ms(99.9), ms(100), (after-before).Seconds()/f.For.Seconds()
-	return t, err
+	figures.P50, figures.P99, figures.P999, figures.Max, figures.CPU = ms(50), ms(99), ms(99.9), ms(100), (after-before).Seconds()/f.For.Seconds()
+	return figures, err
 }
 
 // print prints the figures as one row.
-func (t *latencyFigures) print(name string) {
-	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, t.P50, t.P99, t.P999, t.Max,
-		t.Count, t.Lost, 100*t.CPU)
+func (figures *latencyFigures) print(name string) {
+	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, figures.P50, figures.P99, figures.P999, figures.Max,
+		figures.Count, figures.Lost, 100*figures.CPU)
 }
 
 type idleCommand struct {
--- a/cmd/ramplab/load.go
+++ b/cmd/ramplab/load.go
@@ -80,15 +80,15 @@
 	if !c.Quiet {
 		go showProgress(&progress, c.For, done)
 	}
-	r, err := load.Run(options, &progress)
+	result, err := load.Run(options, &progress)
 	close(done)
 	if err != nil {
 		return err
 	}
-	printLoad(r)
+	printLoad(result)
 	if c.Times != "" {
 		all := hdrhistogram.New(1, 60_000_000, 3)
-		for _, k := range r.Kinds {
+		for _, k := range result.Kinds {
 			all.Merge(k.Latency)
 		}
 		f, err := os.Create(c.Times)
@@ -100,10 +100,10 @@
 			return err
 		}
 	}
-	if err := writeJSON(c.JSON, loadJSON(r)); err != nil {
+	if err := writeJSON(c.JSON, loadJSON(result)); err != nil {
 		return err
 	}
-	if r.Due > 0 && progress.Answered.Load() == 0 {
+	if result.Due > 0 && progress.Answered.Load() == 0 {
 		return fmt.Errorf("%s: no request was answered", c.Address)
 	}
 	return nil
@@ -152,16 +152,16 @@
 	}
 }
 
-func printLoad(r *load.Result) {
-	fmt.Printf("%d requests in %.1f s on %d connections, %.1f MB of answers\n", r.Due, r.Elapsed.Seconds(), r.Connections, float64(r.Bytes)/1e6)
-	for _, k := range r.Kinds {
+func printLoad(result *load.Result) {
+	fmt.Printf("%d requests in %.1f s on %d connections, %.1f MB of answers\n", result.Due, result.Elapsed.Seconds(), result.Connections, float64(result.Bytes)/1e6)
+	for _, k := range result.Kinds {
 		fmt.Printf("  %-16s %s", k.Name, formatPercentiles(k.Latency))
 		for _, end := range slices.Sorted(maps.Keys(k.Outcomes)) {
 			fmt.Printf("  %s: %d", end, k.Outcomes[end])
 		}
 		fmt.Println()
 	}
-	fmt.Printf("  this tool was late by  %s\n  a connection was free  %s\n", formatPercentiles(r.Lag), formatPercentiles(r.Queued))
+	fmt.Printf("  this tool was late by  %s\n  a connection was free  %s\n", formatPercentiles(result.Lag), formatPercentiles(result.Queued))
 }
 
 // reportedPercentiles are the percentiles in printed and JSON results.
@@ -180,7 +180,7 @@
 }
 
 // loadJSON returns a result for JSON output, with times in microseconds by percentile.
-func loadJSON(r *load.Result) any {
+func loadJSON(result *load.Result) any {
 	times := func(h *hdrhistogram.Histogram) map[string]int64 {
 		out := map[string]int64{"count": h.TotalCount()}
 		for _, q := range reportedPercentiles {
@@ -194,9 +194,9 @@
 		Times map[string]int64
 	}
 	var kinds []kind
-	for _, k := range r.Kinds {
+	for _, k := range result.Kinds {
 		kinds = append(kinds, kind{k.Name, k.Outcomes, times(k.Latency)})
 	}
-	return map[string]any{"due": r.Due, "took_s": r.Elapsed.Seconds(), "connections": r.Connections, "bytes": r.Bytes, "kinds": kinds,
-		"lag": times(r.Lag), "queued": times(r.Queued), "seconds": r.Seconds}
+	return map[string]any{"due": result.Due, "took_s": result.Elapsed.Seconds(), "connections": result.Connections, "bytes": result.Bytes, "kinds": kinds,
+		"lag": times(result.Lag), "queued": times(result.Queued), "seconds": result.Seconds}
 }
--- a/cmd/ramplab/main.go
+++ b/cmd/ramplab/main.go
@@ -114,17 +114,17 @@
 			return err
 		}
 	}
-	var s *site.Site
+	var started *site.Site
 	if address == "" {
 		front, err := c.path()
 		if err != nil {
 			return err
 		}
-		if s, err = site.Start(site.Options{Front: front, Operator: fixture.OperatorFile}); err != nil {
+		if started, err = site.Start(site.Options{Front: front, Operator: fixture.OperatorFile}); err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, s.Stop()) }()
-		address = s.SignedListen
+		defer func() { err = errors.Join(err, started.Stop()) }()
+		address = started.SignedListen
 	}
 	cases, allowed := fixture.Cases(), int64(0)
 	for _, x := range cases {
@@ -144,9 +144,9 @@
 		fmt.Println(f)
 	}
 	fmt.Printf("%d cases, %d failed\n", len(cases), len(failed))
-	if s != nil {
-		fmt.Printf("%d requests reached the cache node, %d may\n", s.Box.Requests(), allowed)
-		if s.Box.Requests() > allowed {
+	if started != nil {
+		fmt.Printf("%d requests reached the cache node, %d may\n", started.Box.Requests(), allowed)
+		if started.Box.Requests() > allowed {
 			return errNotMet
 		}
 	}
@@ -199,11 +199,11 @@
 	if err != nil {
 		return err
 	}
-	s, err := site.Start(site.Options{Front: front, Operator: fixture.OperatorFile, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
+	site, err := site.Start(site.Options{Front: front, Operator: fixture.OperatorFile, Env: []string{fmt.Sprint("GOMAXPROCS=", c.Procs)}})
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.Stop()) }()
+	defer func() { err = errors.Join(err, site.Stop()) }()
 	forged, err := fixture.SignedRequests(c.Format, c.Carrier, c.Distinct, true)
 	if err != nil {
 		return err
@@ -212,25 +212,25 @@
 	if err != nil {
 		return err
 	}
-	before, err := processCPUTime(s.Pid())
+	before, err := processCPUTime(site.Pid())
 	if err != nil {
 		return err
 	}
-	r, err := flood.Run(flood.Options{Address: s.SignedListen, GoodRate: c.Good, ForgedRate: c.Forged, Duration: c.For, Connections: c.Connections,
+	result, err := flood.Run(flood.Options{Address: site.SignedListen, GoodRate: c.Good, ForgedRate: c.Forged, Duration: c.For, Connections: c.Connections,
 		Timeout: 5 * time.Second, Good: func(i int) string { return good[i%len(good)] }, Forged: func(i int) string { return forged[i%len(forged)] }})
 	if err != nil {
 		return err
 	}
-	after, err := processCPUTime(s.Pid())
+	after, err := processCPUTime(site.Pid())
 	if err != nil {
 		return err
 	}
-	fmt.Printf("good    %s\nforged  %s\n", r.Good.Summary(), r.Forged.Summary())
-	n := r.Forged.Count[403] + r.Forged.Count[503]
-	reached := s.Box.Requests() + s.Parent.Requests() + s.Origin.Requests()
+	fmt.Printf("good    %s\nforged  %s\n", result.Good.Summary(), result.Forged.Summary())
+	refused := result.Forged.Count[403] + result.Forged.Count[503]
+	reached := site.Box.Requests() + site.Parent.Requests() + site.Origin.Requests()
 	fmt.Printf("forged turned away a second: %.0f; front's CPU: %.2f s a second; reached a node: %d, of %d good ones sent; resident %d KB\n",
-		float64(n)/r.Elapsed.Seconds(), (after-before).Seconds()/r.Elapsed.Seconds(), reached, c.Good*int(c.For/time.Second), process.ResidentKB(s.Pid()))
-	if reached > int64(r.Good.Count[200]+r.Good.Failed) || r.Forged.Count[200] > 0 {
+		float64(refused)/result.Elapsed.Seconds(), (after-before).Seconds()/result.Elapsed.Seconds(), reached, c.Good*int(c.For/time.Second), process.ResidentKB(site.Pid()))
+	if reached > int64(result.Good.Count[200]+result.Good.Failed) || result.Forged.Count[200] > 0 {
 		return errNotMet
 	}
 	return nil
--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -108,15 +108,15 @@
 		_, err = ui.Run()
 		w.Stop()
 	}
-	x := <-done
-	if err := errors.Join(err, x.err); err != nil {
+	finished := <-done
+	if err := errors.Join(err, finished.err); err != nil {
 		return err
 	}
-	fmt.Print(x.r)
-	for _, v := range x.r.Violations {
+	fmt.Print(finished.r)
+	for _, v := range finished.r.Violations {
 		fmt.Printf("  %s\n", v)
 	}
-	if len(x.r.Violations) > 0 {
+	if len(finished.r.Violations) > 0 {
 		return errNotMet
 	}
 	return nil
@@ -124,15 +124,15 @@
 
 // exampleRequests returns commands to try out, or nil while the first front does not
 // serve.
-func exampleRequests(v world.View, keys *conformance.Fixture) []string {
-	f := v.Fronts[0]
-	if !f.Serves {
+func exampleRequests(view world.View, keys *conformance.Fixture) []string {
+	front := view.Fronts[0]
+	if !front.Serves {
 		return nil
 	}
 	return []string{
-		fmt.Sprintf("platform  curl -i -H 'Req-Id: 9b1f03aa5c7e2d41' -H 'Req-Wait-Ms: 1500' -H 'X-Bucket: 17' 'http://%s/call/guide-video/9f3a?seg=3'", f.Address),
-		fmt.Sprintf("signed    curl -i 'http://%s%s'", f.Signed, keys.ValidLink("edgeauth", "query", time.Hour)),
-		fmt.Sprintf("refused   curl -i 'http://%s%s'", f.Signed, conformance.Target),
+		fmt.Sprintf("platform  curl -i -H 'Req-Id: 9b1f03aa5c7e2d41' -H 'Req-Wait-Ms: 1500' -H 'X-Bucket: 17' 'http://%s/call/guide-video/9f3a?seg=3'", front.Address),
+		fmt.Sprintf("signed    curl -i 'http://%s%s'", front.Signed, keys.ValidLink("edgeauth", "query", time.Hour)),
+		fmt.Sprintf("refused   curl -i 'http://%s%s'", front.Signed, conformance.Target),
 	}
 }
 
@@ -157,8 +157,8 @@
 		{Kind: world.KillFront, Target: fronts[len(fronts)-1], Duration: 3 * second},
 	}
 	var keys []faultKey
-	for i, t := range list {
-		keys = append(keys, faultKey{fmt.Sprint((i + 1) % 10), t})
+	for i, fault := range list {
+		keys = append(keys, faultKey{fmt.Sprint((i + 1) % 10), fault})
 	}
 	return keys
 }
@@ -213,11 +213,11 @@
 	return model, nil
 }
 
-func (model *viewModel) inject(t world.Fault) tea.Cmd {
-	model.status = t.Label()
+func (model *viewModel) inject(fault world.Fault) tea.Cmd {
+	model.status = fault.Label()
 	return func() tea.Msg {
 		result := make(chan error, 1)
-		model.world.Inject(t, func(err error) { result <- err })
+		model.world.Inject(fault, func(err error) { result <- err })
 		select {
 		case err := <-result:
 			if err != nil {
@@ -248,44 +248,44 @@
 }
 
 func (model *viewModel) render() string {
-	v := &model.now
-	if len(v.Fronts) == 0 {
+	view := &model.now
+	if len(view.Fronts) == 0 {
 		return "the fronts are starting ..."
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  %5.1f s   %5.0f tries/s  %5.0f attempts/s  %s  %s\n", headStyle.Render("cherryramp"), float64(v.At)/1e6, model.rates[0], model.rates[1],
+	fmt.Fprintf(&b, "%s  %5.1f s   %5.0f tries/s  %5.0f attempts/s  %s  %s\n", headStyle.Render("cherryramp"), float64(view.At)/1e6, model.rates[0], model.rates[1],
 		rateText(model.rates[2], 1, "refused/s"), rateText(model.rates[3], 1, "failed/s"))
 	share := 1.0
-	if v.Asked > 0 {
-		share = v.Earned / v.Asked
+	if view.Asked > 0 {
+		share = view.Earned / view.Asked
 	}
 	fmt.Fprintf(&b, "worth of the last 10 s  %s %s\n\n", worthStyle(share).Render(fmt.Sprintf("%5.1f%%", 100*share)), sparkline(model.worth))
-	for _, l := range model.requests(*v) {
+	for _, l := range model.requests(*view) {
 		fmt.Fprintln(&b, faintStyle.Render(l))
 	}
 	fmt.Fprintf(&b, "\n%s\n", headStyle.Render(fmt.Sprintf("%-22s %-9s %-9s %6s  %-22s", "server", "state", "capacity", "open", "link")))
-	for _, s := range v.Servers {
+	for _, server := range view.Servers {
 		state := goodStyle
-		if s.State != "serving" {
+		if server.State != "serving" {
 			state = warnStyle
 		}
-		fmt.Fprintf(&b, "%-22s %s %8.0f%% %6d  %s\n", s.Name, state.Render(fmt.Sprintf("%-9s", s.State)), 100*s.Share, s.Work, loadBar(s.Load))
+		fmt.Fprintf(&b, "%-22s %s %8.0f%% %6d  %s\n", server.Name, state.Render(fmt.Sprintf("%-9s", server.State)), 100*server.Share, server.Work, loadBar(server.Load))
 	}
 	fmt.Fprintf(&b, "\n%s\n", headStyle.Render(fmt.Sprintf("%-22s %-24s %6s %8s %6s", "front", "address", "held", "MB", "fds")))
-	for _, f := range v.Fronts {
-		if !f.Serves {
-			fmt.Fprintf(&b, "%-22s %s\n", f.Name, warnStyle.Render("not serving"))
+	for _, front := range view.Fronts {
+		if !front.Serves {
+			fmt.Fprintf(&b, "%-22s %s\n", front.Name, warnStyle.Render("not serving"))
 			continue
 		}
-		fmt.Fprintf(&b, "%-22s %-24s %6d %8.1f %6d\n", f.Name, f.Address, f.Held, float64(f.KB)/1024, f.Descriptors)
+		fmt.Fprintf(&b, "%-22s %-24s %6d %8.1f %6d\n", front.Name, front.Address, front.Held, float64(front.KB)/1024, front.Descriptors)
 	}
 	fmt.Fprintln(&b)
-	for _, t := range v.Troubles {
-		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", t.Label(), float64(t.At+t.Duration-v.At)/1e6)))
+	for _, fault := range view.Troubles {
+		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", fault.Label(), float64(fault.At+fault.Duration-view.At)/1e6)))
 	}
-	if v.Broken > 0 {
-		fmt.Fprintln(&b, violationStyle.Render(fmt.Sprintf("properties violated %d times", v.Broken)))
-		for _, x := range v.Violations {
+	if view.Broken > 0 {
+		fmt.Fprintln(&b, violationStyle.Render(fmt.Sprintf("properties violated %d times", view.Broken)))
+		for _, x := range view.Violations {
 			fmt.Fprintln(&b, x)
 		}
 	} else {
--- a/lab/scenario/chaos.go
+++ b/lab/scenario/chaos.go
@@ -11,81 +11,81 @@
 // Random generates a scenario from a seed: a small site, a load, and faults of all kinds
 // that may overlap.
 func Random(seed uint64) *Scenario {
-	r := rand.New(rand.NewPCG(seed, 3))
+	random := rand.New(rand.NewPCG(seed, 3))
 	s := &Scenario{Name: fmt.Sprint("chaos ", seed), Spec: world.Default(), Plan: world.Plan{WarmUp: 10 * 1_000_000, Duration: 30 * 1_000_000}}
 	s.Spec.Seed = seed
-	s.Spec.Rate = 60 + 240*r.Float64()
+	s.Spec.Rate = 60 + 240*random.Float64()
 	s.Spec.Branches = nil
-	for i := range 1 + r.IntN(4) {
-		s.Spec.Branches = append(s.Spec.Branches, world.Branch{Name: fmt.Sprint("edge-", i+1), Hub: s.Spec.Hubs[r.IntN(len(s.Spec.Hubs))],
-			Boxes: 1 + r.IntN(5), Fronts: 1 + r.IntN(2)})
+	for i := range 1 + random.IntN(4) {
+		s.Spec.Branches = append(s.Spec.Branches, world.Branch{Name: fmt.Sprint("edge-", i+1), Hub: s.Spec.Hubs[random.IntN(len(s.Spec.Hubs))],
+			Boxes: 1 + random.IntN(5), Fronts: 1 + random.IntN(2)})
 	}
-	s.Spec.Parents = 1 + r.IntN(4)
-	s.Spec.Retries = world.RetryPolicy{MaxRetries: r.IntN(4), HonorRetryAfter: r.IntN(2) == 0}
-	if r.IntN(3) > 0 {
-		s.Spec.Retries.Wait = [2]world.Micros{r.Int64N(300_000), 300_000 + r.Int64N(500_000)}
+	s.Spec.Parents = 1 + random.IntN(4)
+	s.Spec.Retries = world.RetryPolicy{MaxRetries: random.IntN(4), HonorRetryAfter: random.IntN(2) == 0}
+	if random.IntN(3) > 0 {
+		s.Spec.Retries.Wait = [2]world.Micros{random.Int64N(300_000), 300_000 + random.Int64N(500_000)}
 	}
 	w, err := world.New(s.Spec)
 	if err != nil {
 		panic(err) // all values drawn above are valid
 	}
 	branches, hubs, caches, fronts := w.FaultTargets()
-	pick := func(list []string) string { return list[r.IntN(len(list))] }
-	for range r.IntN(9) {
-		t := world.Fault{At: r.Int64N(int64(s.Plan.Duration)), Duration: 500_000 + r.Int64N(12_000_000), Silent: r.IntN(3) == 0}
-		switch r.IntN(18) {
+	pick := func(list []string) string { return list[random.IntN(len(list))] }
+	for range random.IntN(9) {
+		fault := world.Fault{At: random.Int64N(int64(s.Plan.Duration)), Duration: 500_000 + random.Int64N(12_000_000), Silent: random.IntN(3) == 0}
+		switch random.IntN(18) {
 		case 0, 1:
-			t.Kind, t.Target = world.LoseBranch, pick(branches)
+			fault.Kind, fault.Target = world.LoseBranch, pick(branches)
 		case 2, 3:
-			t.Kind, t.Target = world.LoseParents, pick(hubs)
+			fault.Kind, fault.Target = world.LoseParents, pick(hubs)
 		case 4:
-			t.Kind, t.Target = world.LoseServer, pick(caches)
+			fault.Kind, fault.Target = world.LoseServer, pick(caches)
 		case 5:
-			t.Kind, t.Target = world.DrainServer, pick(caches)
+			fault.Kind, fault.Target = world.DrainServer, pick(caches)
 		case 6:
-			t.Kind, t.Amount = world.OriginSlow, 1.5+4*r.Float64()
+			fault.Kind, fault.Amount = world.OriginSlow, 1.5+4*random.Float64()
 		case 7:
-			t.Kind = world.OriginStops
+			fault.Kind = world.OriginStops
 		case 8:
-			t.Kind, t.Amount, t.Duration = world.PurgeGroups, 0.2+0.8*r.Float64(), 0
+			fault.Kind, fault.Amount, fault.Duration = world.PurgeGroups, 0.2+0.8*random.Float64(), 0
 		case 9:
-			t.Kind, t.Amount, t.Duration = world.PurgeHot, float64(1+r.IntN(60)), 0
+			fault.Kind, fault.Amount, fault.Duration = world.PurgeHot, float64(1+random.IntN(60)), 0
 		case 10:
-			t.Kind, t.Amount = world.Scan, 0.3*r.Float64()
+			fault.Kind, fault.Amount = world.Scan, 0.3*random.Float64()
 		case 11:
-			t.Kind, t.Amount = world.Surge, 1+2*r.Float64()
+			fault.Kind, fault.Amount = world.Surge, 1+2*random.Float64()
 		case 12:
-			t.Kind = world.RetryStorm
+			fault.Kind = world.RetryStorm
 		case 13:
-			t.Kind, t.Target = world.CutBranch, pick(branches)
+			fault.Kind, fault.Target = world.CutBranch, pick(branches)
 		case 14:
-			t.Kind, t.Duration = world.ResetConnections, 0
+			fault.Kind, fault.Duration = world.ResetConnections, 0
 		case 15:
-			t.Kind, t.Amount = world.CorruptAnswers, 0.05*r.Float64()
+			fault.Kind, fault.Amount = world.CorruptAnswers, 0.05*random.Float64()
 		case 16:
-			t.Kind, t.Amount = world.LoseAnswers, 0.05*r.Float64()
+			fault.Kind, fault.Amount = world.LoseAnswers, 0.05*random.Float64()
 		default:
-			switch r.IntN(7) {
+			switch random.IntN(7) {
 			case 4:
-				t.Kind, t.Target = world.FreezeBranch, pick(branches)
+				fault.Kind, fault.Target = world.FreezeBranch, pick(branches)
 			case 5:
-				t.Kind, t.Target = world.FreezeAnswers, pick(branches)
+				fault.Kind, fault.Target = world.FreezeAnswers, pick(branches)
 			case 6:
-				t.Kind, t.Target = world.RestartFront, pick(fronts)
+				fault.Kind, fault.Target = world.RestartFront, pick(fronts)
 			case 0:
-				t.Kind = world.RegisterUnreachable
+				fault.Kind = world.RegisterUnreachable
 			case 1:
-				t.Kind, t.Amount = world.RegisterLate, 5*r.Float64()
+				fault.Kind, fault.Amount = world.RegisterLate, 5*random.Float64()
 			case 2:
-				t.Kind, t.Target = world.KillFront, pick(fronts)
+				fault.Kind, fault.Target = world.KillFront, pick(fronts)
 			default:
-				t.Kind, t.Target, t.Amount = world.FlapServer, pick(caches), float64(1+r.IntN(6))
+				fault.Kind, fault.Target, fault.Amount = world.FlapServer, pick(caches), float64(1+random.IntN(6))
 			}
 		}
-		if t.Kind != world.LoseBranch && t.Kind != world.LoseParents && t.Kind != world.LoseServer {
-			t.Silent = false
+		if fault.Kind != world.LoseBranch && fault.Kind != world.LoseParents && fault.Kind != world.LoseServer {
+			fault.Silent = false
 		}
-		s.Plan.Faults = append(s.Plan.Faults, t)
+		s.Plan.Faults = append(s.Plan.Faults, fault)
 	}
 	return s
 }
@@ -145,9 +145,9 @@
 		}
 		for i := range best.Plan.Faults {
 			for try(func(s *Scenario) bool {
-				t := &s.Plan.Faults[i]
-				t.Duration /= 2
-				return t.Duration >= 250_000
+				fault := &s.Plan.Faults[i]
+				fault.Duration /= 2
+				return fault.Duration >= 250_000
 			}) {
 				improved = true
 			}
@@ -179,12 +179,12 @@
 		text += " obeying"
 	}
 	text += fmt.Sprintf("\nload %s/s\nwarm %s\nrun %s\n", formatDecimal(s.Spec.Rate), formatMillis(s.Plan.WarmUp), formatMillis(s.Plan.Duration))
-	for _, t := range s.Plan.Faults {
-		text += "at " + formatMillis(t.At) + " " + faultPhrase(t)
-		if t.Duration > 0 {
-			text += " for " + formatMillis(t.Duration)
+	for _, fault := range s.Plan.Faults {
+		text += "at " + formatMillis(fault.At) + " " + faultPhrase(fault)
+		if fault.Duration > 0 {
+			text += " for " + formatMillis(fault.Duration)
 		}
-		if t.Silent {
+		if fault.Silent {
 			text += " silently"
 		}
 		text += "\n"
@@ -198,29 +198,29 @@
 func formatDecimal(x float64) string { return fmt.Sprintf("%.6f", x) }
 
 // faultPhrase writes a fault in the scenario language, without its times.
-func faultPhrase(t world.Fault) string {
-	switch t.Kind {
+func faultPhrase(fault world.Fault) string {
+	switch fault.Kind {
 	case world.OriginSlow, world.Surge:
-		return fmt.Sprintf("%s %sx", t.Kind, formatDecimal(t.Amount))
+		return fmt.Sprintf("%s %sx", fault.Kind, formatDecimal(fault.Amount))
 	case world.PurgeGroups:
-		return fmt.Sprintf("purge %s%% of groups", formatDecimal(100*t.Amount))
+		return fmt.Sprintf("purge %s%% of groups", formatDecimal(100*fault.Amount))
 	case world.PurgeHot:
-		return fmt.Sprintf("purge %d hot objects", int(t.Amount))
+		return fmt.Sprintf("purge %d hot objects", int(fault.Amount))
 	case world.Scan, world.CorruptAnswers:
-		return fmt.Sprintf("%s %s%%", t.Kind, formatDecimal(100*t.Amount))
+		return fmt.Sprintf("%s %s%%", fault.Kind, formatDecimal(100*fault.Amount))
 	case world.LoseAnswers:
-		return fmt.Sprintf("lose %s%% of answers", formatDecimal(100*t.Amount))
+		return fmt.Sprintf("lose %s%% of answers", formatDecimal(100*fault.Amount))
 	case world.ResetConnections:
 		return "reset connections"
 	case world.RegisterLate:
-		return "register late " + formatMillis(world.Micros(t.Amount*1e6))
+		return "register late " + formatMillis(world.Micros(fault.Amount*1e6))
 	case world.KillFront, world.RestartFront, world.ReloadFront:
-		return fmt.Sprintf("%s front %q", t.Kind, t.Target)
+		return fmt.Sprintf("%s front %q", fault.Kind, fault.Target)
 	case world.FlapServer:
-		return fmt.Sprintf("flap %q %d times", t.Target, int(t.Amount))
+		return fmt.Sprintf("flap %q %d times", fault.Target, int(fault.Amount))
 	}
-	if t.Target != "" {
-		return fmt.Sprintf("%s %q", t.Kind, t.Target)
+	if fault.Target != "" {
+		return fmt.Sprintf("%s %q", fault.Kind, fault.Target)
 	}
-	return string(t.Kind)
+	return string(fault.Kind)
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -42,18 +42,18 @@
 }
 
 // Check returns the metric's value in a result and whether it meets the expectation.
-func (e Expectation) Check(r *world.Result) (value float64, ok bool) {
+func (e Expectation) Check(result *world.Result) (value float64, ok bool) {
 	switch e.Metric {
 	case "G":
-		value = r.G
+		value = result.G
 	case "service":
-		value = r.Service
+		value = result.Service
 	case "hits":
-		value = r.Hits()
+		value = result.Hits()
 	case "falls":
-		value = float64(r.Falls)
+		value = float64(result.Falls)
 	case "origin":
-		value = r.OriginBytes / max(1, r.SentBytes)
+		value = result.OriginBytes / max(1, result.SentBytes)
 	}
 	return value, value > e.Bound == e.Above
 }
@@ -213,8 +213,8 @@
 func (n *decimal) Capture(v []string) error { return parseWithUnit((*float64)(n), v[0], "", 1) }
 
 func parseWithUnit(out *float64, text, suffix string, scale float64) error {
-	x, err := strconv.ParseFloat(strings.TrimSuffix(text, suffix), 64)
-	*out = x * scale
+	value, err := strconv.ParseFloat(strings.TrimSuffix(text, suffix), 64)
+	*out = value * scale
 	return err
 }
 
@@ -266,61 +266,61 @@
 	return s, nil
 }
 
-func (s *Scenario) apply(x *statement, positions *[]lexer.Position) error {
+func (s *Scenario) apply(parsed *statement, positions *[]lexer.Position) error {
 	switch {
-	case x.Name != nil:
-		s.Name = *x.Name
-	case x.Seed != nil:
-		s.Spec.Seed = *x.Seed
-	case x.WarmUp != nil:
-		s.Plan.WarmUp = int64(*x.WarmUp)
-	case x.Run != nil:
-		s.Plan.Duration = int64(*x.Run)
-	case x.Site != nil:
-		return s.applySite(x.Site)
-	case x.Class != nil:
-		return s.applyClass(x.Class)
-	case x.Clients != nil:
-		c := x.Clients
-		s.Spec.Retries = world.RetryPolicy{MaxRetries: c.MaxRetries, HonorRetryAfter: c.HonorRetryAfter}
-		if c.MinWait != nil {
-			s.Spec.Retries.Wait = [2]world.Micros{int64(*c.MinWait), int64(*c.MinWait)}
+	case parsed.Name != nil:
+		s.Name = *parsed.Name
+	case parsed.Seed != nil:
+		s.Spec.Seed = *parsed.Seed
+	case parsed.WarmUp != nil:
+		s.Plan.WarmUp = int64(*parsed.WarmUp)
+	case parsed.Run != nil:
+		s.Plan.Duration = int64(*parsed.Run)
+	case parsed.Site != nil:
+		return s.applySite(parsed.Site)
+	case parsed.Class != nil:
+		return s.applyClass(parsed.Class)
+	case parsed.Clients != nil:
+		clients := parsed.Clients
+		s.Spec.Retries = world.RetryPolicy{MaxRetries: clients.MaxRetries, HonorRetryAfter: clients.HonorRetryAfter}
+		if clients.MinWait != nil {
+			s.Spec.Retries.Wait = [2]world.Micros{int64(*clients.MinWait), int64(*clients.MinWait)}
 		}
-		if c.MaxWait != nil {
-			s.Spec.Retries.Wait[1] = int64(*c.MaxWait)
+		if clients.MaxWait != nil {
+			s.Spec.Retries.Wait[1] = int64(*clients.MaxWait)
 		}
-	case x.Load != nil:
-		return s.applyLoad(x.Load)
-	case x.Expect != nil:
-		s.Expectations = append(s.Expectations, Expectation{Metric: x.Expect.Metric, Above: x.Expect.Above, Bound: float64(x.Expect.Bound)})
-	case x.Fault != nil:
-		t, err := x.Fault.fault()
+	case parsed.Load != nil:
+		return s.applyLoad(parsed.Load)
+	case parsed.Expect != nil:
+		s.Expectations = append(s.Expectations, Expectation{Metric: parsed.Expect.Metric, Above: parsed.Expect.Above, Bound: float64(parsed.Expect.Bound)})
+	case parsed.Fault != nil:
+		fault, err := parsed.Fault.fault()
 		if err != nil {
 			return err
 		}
-		s.Plan.Faults = append(s.Plan.Faults, t)
-		*positions = append(*positions, x.Pos)
+		s.Plan.Faults = append(s.Plan.Faults, fault)
+		*positions = append(*positions, parsed.Pos)
 	}
 	return nil
 }
 
-func (s *Scenario) applySite(b *siteBlock) error {
+func (s *Scenario) applySite(block *siteBlock) error {
 	var branches []world.Branch
-	for _, x := range b.Items {
+	for _, item := range block.Items {
 		switch {
-		case x.Hubs != nil:
-			s.Spec.Hubs = x.Hubs
-		case x.Branch != nil:
-			branches = append(branches, world.Branch{Name: x.Branch.Name, Hub: x.Branch.Hub, Boxes: x.Branch.Boxes, Fronts: x.Branch.Fronts})
-		case x.Parents != nil:
-			s.Spec.Parents = *x.Parents
-		case x.MaxHeld != nil:
-			s.Spec.MaxHeld = *x.MaxHeld
-		case x.Fleet != nil:
-			if x.Fleet.Nodes < 1 || x.Fleet.Fronts < 1 || x.Fleet.Nodes > 100_000 {
-				return fmt.Errorf("a fleet of %d nodes and %d fronts", x.Fleet.Nodes, x.Fleet.Fronts)
+		case item.Hubs != nil:
+			s.Spec.Hubs = item.Hubs
+		case item.Branch != nil:
+			branches = append(branches, world.Branch{Name: item.Branch.Name, Hub: item.Branch.Hub, Boxes: item.Branch.Boxes, Fronts: item.Branch.Fronts})
+		case item.Parents != nil:
+			s.Spec.Parents = *item.Parents
+		case item.MaxHeld != nil:
+			s.Spec.MaxHeld = *item.MaxHeld
+		case item.Fleet != nil:
+			if item.Fleet.Nodes < 1 || item.Fleet.Fronts < 1 || item.Fleet.Nodes > 100_000 {
+				return fmt.Errorf("a fleet of %d nodes and %d fronts", item.Fleet.Nodes, item.Fleet.Fronts)
 			}
-			s.Spec.Resize(x.Fleet.Nodes, x.Fleet.Fronts)
+			s.Spec.Resize(item.Fleet.Nodes, item.Fleet.Fronts)
 		}
 	}
 	if branches != nil {
@@ -329,31 +329,31 @@
 	return nil
 }
 
-func (s *Scenario) applyClass(b *classBlock) error {
-	i := slices.IndexFunc(s.Spec.Classes, func(c world.Class) bool { return c.Name == b.Name })
+func (s *Scenario) applyClass(block *classBlock) error {
+	i := slices.IndexFunc(s.Spec.Classes, func(class world.Class) bool { return class.Name == block.Name })
 	if i < 0 {
-		return fmt.Errorf("no class is called %q", b.Name)
+		return fmt.Errorf("no class is called %q", block.Name)
 	}
-	c := &s.Spec.Classes[i]
-	for _, x := range b.Items {
-		for _, y := range []struct {
+	class := &s.Spec.Classes[i]
+	for _, item := range block.Items {
+		for _, setting := range []struct {
 			from *duration
 			to   *world.Micros
-		}{{x.GiveUp, &c.GiveUp}, {x.Aim, &c.Aim}, {x.SendTime, &c.SendTime}, {x.Fresh, &c.Fresh}, {x.DriftPeriod, &c.DriftPeriod}} {
-			if y.from != nil {
-				*y.to = int64(*y.from)
+		}{{item.GiveUp, &class.GiveUp}, {item.Aim, &class.Aim}, {item.SendTime, &class.SendTime}, {item.Fresh, &class.Fresh}, {item.DriftPeriod, &class.DriftPeriod}} {
+			if setting.from != nil {
+				*setting.to = int64(*setting.from)
 			}
 		}
-		for _, y := range []struct {
+		for _, setting := range []struct {
 			from *share
 			to   *float64
-		}{{x.Share, &c.Share}, {x.OneTimeShare, &c.OneTimeShare}, {x.LocalShare, &c.LocalShare}, {(*share)(x.Worth), &c.Worth}, {(*share)(x.Zipf), &c.Zipf}} {
-			if y.from != nil {
-				*y.to = float64(*y.from)
+		}{{item.Share, &class.Share}, {item.OneTimeShare, &class.OneTimeShare}, {item.LocalShare, &class.LocalShare}, {(*share)(item.Worth), &class.Worth}, {(*share)(item.Zipf), &class.Zipf}} {
+			if setting.from != nil {
+				*setting.to = float64(*setting.from)
 			}
 		}
-		if x.Objects != nil {
-			c.Objects = *x.Objects
+		if item.Objects != nil {
+			class.Objects = *item.Objects
 		}
 	}
 	return nil
@@ -367,15 +367,15 @@
 }
 
 func loadCurve(list []*loadPoint) (points []world.RatePoint, err error) {
-	for i, x := range list {
-		p := world.RatePoint{Rate: float64(x.Rate), Ramp: x.Ramp}
-		if x.At != nil {
-			p.At = int64(*x.At)
+	for i, parsed := range list {
+		point := world.RatePoint{Rate: float64(parsed.Rate), Ramp: parsed.Ramp}
+		if parsed.At != nil {
+			point.At = int64(*parsed.At)
 		}
-		if i > 0 && p.At <= points[i-1].At {
-			return nil, fmt.Errorf("%s: the times of the load must increase", x.Pos)
+		if i > 0 && point.At <= points[i-1].At {
+			return nil, fmt.Errorf("%s: the times of the load must increase", parsed.Pos)
 		}
-		points = append(points, p)
+		points = append(points, point)
 	}
 	return points, nil
 }
@@ -398,74 +398,74 @@
 
 // fault converts the parsed line. It fails where a duration is missing or not allowed,
 // or where the fault cannot be silent.
-func (t *faultLine) fault() (world.Fault, error) {
-	out := world.Fault{At: int64(t.At), Silent: t.Silent}
-	if t.Duration != nil {
-		out.Duration = int64(*t.Duration)
+func (line *faultLine) fault() (world.Fault, error) {
+	fault := world.Fault{At: int64(line.At), Silent: line.Silent}
+	if line.Duration != nil {
+		fault.Duration = int64(*line.Duration)
 	}
-	setTarget := func(kind world.FaultKind, target *string) { out.Kind, out.Target = kind, *target }
-	setAmount := func(kind world.FaultKind, x float64) { out.Kind, out.Amount = kind, x }
+	setTarget := func(kind world.FaultKind, target *string) { fault.Kind, fault.Target = kind, *target }
+	setAmount := func(kind world.FaultKind, amount float64) { fault.Kind, fault.Amount = kind, amount }
 	instant := false
 	switch {
-	case t.LoseBranch != nil:
-		setTarget(world.LoseBranch, t.LoseBranch)
-	case t.LoseParents != nil:
-		setTarget(world.LoseParents, t.LoseParents)
-	case t.LoseServer != nil:
-		setTarget(world.LoseServer, t.LoseServer)
-	case t.LoseAnswers != nil:
-		setAmount(world.LoseAnswers, float64(*t.LoseAnswers))
-	case t.Slower != nil:
-		setAmount(world.OriginSlow, float64(*t.Slower))
-	case t.Stops:
-		out.Kind = world.OriginStops
-	case t.PurgeGroups != nil:
-		setAmount(world.PurgeGroups, float64(*t.PurgeGroups))
+	case line.LoseBranch != nil:
+		setTarget(world.LoseBranch, line.LoseBranch)
+	case line.LoseParents != nil:
+		setTarget(world.LoseParents, line.LoseParents)
+	case line.LoseServer != nil:
+		setTarget(world.LoseServer, line.LoseServer)
+	case line.LoseAnswers != nil:
+		setAmount(world.LoseAnswers, float64(*line.LoseAnswers))
+	case line.Slower != nil:
+		setAmount(world.OriginSlow, float64(*line.Slower))
+	case line.Stops:
+		fault.Kind = world.OriginStops
+	case line.PurgeGroups != nil:
+		setAmount(world.PurgeGroups, float64(*line.PurgeGroups))
 		instant = true
-	case t.PurgeHot != nil:
-		setAmount(world.PurgeHot, float64(*t.PurgeHot))
+	case line.PurgeHot != nil:
+		setAmount(world.PurgeHot, float64(*line.PurgeHot))
 		instant = true
-	case t.Scan != nil:
-		setAmount(world.Scan, float64(*t.Scan))
-	case t.Surge != nil:
-		setAmount(world.Surge, float64(*t.Surge))
-	case t.Storm:
-		out.Kind = world.RetryStorm
-	case t.Cut != nil:
-		setTarget(world.CutBranch, t.Cut)
-	case t.FreezeAnswers != nil:
-		setTarget(world.FreezeAnswers, t.FreezeAnswers)
-	case t.FreezeBranch != nil:
-		setTarget(world.FreezeBranch, t.FreezeBranch)
-	case t.Restart != nil:
-		setTarget(world.RestartFront, t.Restart)
-	case t.Reload != nil:
-		setTarget(world.ReloadFront, t.Reload)
+	case line.Scan != nil:
+		setAmount(world.Scan, float64(*line.Scan))
+	case line.Surge != nil:
+		setAmount(world.Surge, float64(*line.Surge))
+	case line.Storm:
+		fault.Kind = world.RetryStorm
+	case line.Cut != nil:
+		setTarget(world.CutBranch, line.Cut)
+	case line.FreezeAnswers != nil:
+		setTarget(world.FreezeAnswers, line.FreezeAnswers)
+	case line.FreezeBranch != nil:
+		setTarget(world.FreezeBranch, line.FreezeBranch)
+	case line.Restart != nil:
+		setTarget(world.RestartFront, line.Restart)
+	case line.Reload != nil:
+		setTarget(world.ReloadFront, line.Reload)
 		instant = true
-	case t.Reset:
-		out.Kind = world.ResetConnections
+	case line.Reset:
+		fault.Kind = world.ResetConnections
 		instant = true
-	case t.Spoil != nil:
-		setAmount(world.CorruptAnswers, float64(*t.Spoil))
-	case t.RegisterUnreachable:
-		out.Kind = world.RegisterUnreachable
-	case t.RegisterLate != nil:
-		setAmount(world.RegisterLate, float64(*t.RegisterLate)/1e6)
-	case t.Kill != nil:
-		setTarget(world.KillFront, t.Kill)
-	case t.Drain != nil:
-		setTarget(world.DrainServer, t.Drain)
-	case t.Flap != nil:
-		setTarget(world.FlapServer, t.Flap)
-		out.Amount = float64(*t.FlapTimes)
+	case line.Spoil != nil:
+		setAmount(world.CorruptAnswers, float64(*line.Spoil))
+	case line.RegisterUnreachable:
+		fault.Kind = world.RegisterUnreachable
+	case line.RegisterLate != nil:
+		setAmount(world.RegisterLate, float64(*line.RegisterLate)/1e6)
+	case line.Kill != nil:
+		setTarget(world.KillFront, line.Kill)
+	case line.Drain != nil:
+		setTarget(world.DrainServer, line.Drain)
+	case line.Flap != nil:
+		setTarget(world.FlapServer, line.Flap)
+		fault.Amount = float64(*line.FlapTimes)
 	}
 	switch {
-	case instant && t.Duration != nil:
-		return out, fmt.Errorf("%s is over at once, and has no length", out.Kind)
-	case !instant && t.Duration == nil:
-		return out, fmt.Errorf("%s: for how long?", out.Kind)
-	case t.Silent && out.Kind != world.LoseBranch && out.Kind != world.LoseParents && out.Kind != world.LoseServer:
-		return out, fmt.Errorf("%s can't happen silently", out.Kind)
+	case instant && line.Duration != nil:
+		return fault, fmt.Errorf("%s is over at once, and has no length", fault.Kind)
+	case !instant && line.Duration == nil:
+		return fault, fmt.Errorf("%s: for how long?", fault.Kind)
+	case line.Silent && fault.Kind != world.LoseBranch && fault.Kind != world.LoseParents && fault.Kind != world.LoseServer:
+		return fault, fmt.Errorf("%s can't happen silently", fault.Kind)
 	}
-	return out, nil
+	return fault, nil
 }
