--- a/cmd/ramplab/up.go
+++ b/cmd/ramplab/up.go
@@ -280,7 +280,7 @@
 		fmt.Fprintf(&b, "%-22s %-24s %6d %8.1f %6d\n", front.Name, front.Address, front.Held, float64(front.KB)/1024, front.Descriptors)
 	}
 	fmt.Fprintln(&b)
-	for _, fault := range view.Troubles {
+	for _, fault := range view.Faults {
 		fmt.Fprintln(&b, warnStyle.Render(fmt.Sprintf("%s, for %.0f s more", fault.Label(), float64(fault.At+fault.Duration-view.At)/1e6)))
 	}
 	if view.Broken > 0 {
--- a/lab/world/front.go
+++ b/lab/world/front.go
@@ -9,35 +9,35 @@
 	"cherryramp/rules"
 )
 
-// State is what the register says of a server.
+// State is a server's state in the register.
 type State = rules.MemberState
 
-// Front is one gateway with its connections, as the program wires them together.
+// Front is one gateway with its connections, as the program sets them up.
 type Front struct {
-	w      *World
-	name   string
-	zone   int
-	branch int
-	make   func(f *Front) program
-	prog   program
-	wires  map[*wire]bool
-	dead   bool
-	serves bool
-	ip     string // on sockets, as the doors
-	doors  map[*server]*door
-	heard  Micros                   // up to when the register's news comes in order
-	mute   bool                     // the register can't be reached
-	told   map[*server]belief       // what it was told last
-	purges map[purgeKey][]toldPurge // lately
-	sends  map[sendKey]Micros       // when each attempt that is open left
-	starts int
-	open   map[*ask]bool
+	w            *World
+	name         string
+	zone         int
+	branch       int
+	newProgram   func(f *Front) program
+	program      program
+	conns        map[*connection]bool
+	stopped      bool
+	serving      bool
+	ip           string // on sockets, as are the listeners
+	listeners    map[*server]*listener
+	lastNotice   Micros                    // time of the last scheduled notice, so that notices stay in order
+	registerDown bool                      // the register is unreachable
+	known        map[*server]knownState    // the last state that the front was notified of
+	purges       map[purgeKey][]knownPurge // of which the front was notified
+	sentAt       map[sendKey]Micros        // when each open attempt was sent
+	starts       int
+	tries        map[*try]bool
 }
 
-type belief struct {
-	state State
-	born  Micros
-	since Micros
+type knownState struct {
+	state     State
+	startedAt Micros
+	since     Micros
 }
 
 type purgeKey struct {
@@ -45,7 +45,7 @@
 	group  uint8
 }
 
-// key names what a purge is of.
+// key identifies what is purged.
 func (p purge) key() purgeKey {
 	if p.object >= 0 {
 		return purgeKey{p.object, 0}
@@ -53,121 +53,122 @@
 	return purgeKey{-1, p.group}
 }
 
-type toldPurge struct{ at, told Micros }
+type knownPurge struct{ at, notifiedAt Micros }
 
 type sendKey struct {
-	wire *wire
+	conn *connection
 	id   string
 }
 
-// start starts a front's program, with what the register holds at this moment.
+// start starts a front's program with the register's current contents.
 func (f *Front) start() {
 	w := f.w
 	f.starts++
-	f.dead, f.serves, f.wires, f.open = false, false, map[*wire]bool{}, map[*ask]bool{}
-	f.told, f.purges, f.sends = map[*server]belief{}, map[purgeKey][]toldPurge{}, map[sendKey]Micros{}
+	f.stopped, f.serving, f.conns, f.tries = false, false, map[*connection]bool{}, map[*try]bool{}
+	f.known, f.purges, f.sentAt = map[*server]knownState{}, map[purgeKey][]knownPurge{}, map[sendKey]Micros{}
 	var list []gateway.Member
 	for _, s := range w.servers {
 		if s.state != rules.Gone {
 			list = append(list, f.member(s))
-			f.told[s] = belief{s.state, s.born, w.loop.Now()}
+			f.known[s] = knownState{s.state, s.startedAt, w.loop.Now()}
 		}
 	}
 	var purges []gateway.Purge
-	for _, p := range w.purges { // those that caches may not have heard of
+	for _, p := range w.purges { // caches may not have applied these yet
 		if w.loop.Now()-p.at <= w.spec.PurgeSettle {
-			purges = append(purges, f.learn(p)...)
+			purges = append(purges, f.recordPurge(p)...)
 		}
 	}
-	f.prog = f.make(f)
-	f.prog.begin(list, purges, func() { f.serves = true })
-	f.hear()
+	f.program = f.newProgram(f)
+	f.program.start(list, purges, func() { f.serving = true })
+	f.pollRegister()
 }
 
-// seed is what a start of the front's program draws from.
-func (f *Front) seed() uint64 { return f.w.spec.Seed ^ hash(f.name)<<8 ^ uint64(f.starts) }
+// seed is the random seed of the current start of the front's program.
+func (f *Front) seed() uint64 { return f.w.spec.Seed ^ fnvHash(f.name)<<8 ^ uint64(f.starts) }
 
-// hear has the front know that the register answers, as its long poll does.
-func (f *Front) hear() {
-	if f.dead {
+// pollRegister periodically tells the front that the register answers, as its long
+// poll does.
+func (f *Front) pollRegister() {
+	if f.stopped {
 		return
 	}
-	if !f.mute {
-		f.prog.heard()
+	if !f.registerDown {
+		f.program.registerAnswered()
 	}
 	starts := f.starts
 	f.w.after(100*milli, func() {
 		if f.starts == starts {
-			f.hear()
+			f.pollRegister()
 		}
 	})
 }
 
-// member is a server as the register has it.
+// member is a server as the register describes it.
 func (f *Front) member(s *server) gateway.Member {
-	born := s.born
+	startedAt := s.startedAt
 	if f.w.Mutation == TreatColdAsWarm {
-		born = 0
+		startedAt = 0
 	}
-	return gateway.Member{Name: s.name, Addr: s.addr, Zone: f.w.spec.zones()[s.zone], Kind: kinds[s.kind], State: s.state, Weight: s.size, StartedAt: born}
+	return gateway.Member{Name: s.name, Addr: s.addr, Zone: f.w.spec.zones()[s.zone], Kind: serverKinds[s.kind], State: s.state, Weight: s.size, StartedAt: startedAt}
 }
 
-// knows tells whether a front was told of a server's last start.
-func (f *Front) knows(s *server) bool {
-	b, ok := f.told[s]
-	return ok && b.born == s.born
+// knowsStart reports whether a front was notified of a server's last start.
+func (f *Front) knowsStart(s *server) bool {
+	last, ok := f.known[s]
+	return ok && last.startedAt == s.startedAt
 }
 
-// later has the front told of something, late but in order. While the register
-// can't be reached, news wait.
-func (f *Front) later(late Micros, news func()) {
+// notify delivers a notice to the front with a delay and in order. While the register
+// is unreachable, notices wait.
+func (f *Front) notify(delay Micros, apply func()) {
 	w := f.w
-	f.heard = max(f.heard, w.loop.Now()+late)
+	f.lastNotice = max(f.lastNotice, w.loop.Now()+delay)
 	starts := f.starts
-	var tell func()
-	tell = func() {
+	var deliver func()
+	deliver = func() {
 		switch {
-		case f.starts != starts || f.dead: // a new program starts with all that there is
-		case f.mute:
-			w.after(100*milli, tell)
+		case f.starts != starts || f.stopped: // a new program starts with the register's current contents
+		case f.registerDown:
+			w.after(100*milli, deliver)
 		default:
-			news()
+			apply()
 		}
 	}
-	w.loop.At(f.heard, tell)
+	w.loop.At(f.lastNotice, deliver)
 }
 
-func (f *Front) hearMember(s *server, state State, born Micros) {
-	f.told[s] = belief{state, born, f.w.loop.Now()}
+func (f *Front) notifyMember(s *server, state State, startedAt Micros) {
+	f.known[s] = knownState{state, startedAt, f.w.loop.Now()}
 	if f.w.Mutation == IgnoreDrains && state != rules.Ready {
 		return
 	}
 	m := f.member(s)
 	m.State = state
 	if m.StartedAt != 0 {
-		m.StartedAt = born
+		m.StartedAt = startedAt
 	}
-	f.prog.member(m)
+	f.program.updateMember(m)
 }
 
-func (f *Front) hearPurge(p purge) {
-	for _, x := range f.learn(p) {
-		f.prog.purge(x)
+func (f *Front) notifyPurge(p purge) {
+	for _, x := range f.recordPurge(p) {
+		f.program.purge(x)
 	}
 }
 
-// learn notes that the front is told of a purge, and gives what it is told.
-func (f *Front) learn(p purge) []gateway.Purge {
-	f.purges[p.key()] = append(f.purges[p.key()], toldPurge{p.at, f.w.loop.Now()})
+// recordPurge records that the front is notified of a purge, and returns the notice.
+func (f *Front) recordPurge(p purge) []gateway.Purge {
+	f.purges[p.key()] = append(f.purges[p.key()], knownPurge{p.at, f.w.loop.Now()})
 	if f.w.Mutation == IgnorePurges {
 		return nil
 	}
-	return []gateway.Purge{purgeOf(p)}
+	return []gateway.Purge{gatewayPurge(p)}
 }
 
-// left is told of every command that a front sends, when it leaves: what the rules
-// say of sends is judged here.
-func (f *Front) left(c *wire, x command) {
+// commandSent is called for every command when it leaves the front. It checks the
+// properties that concern sends.
+func (f *Front) commandSent(c *connection, x command) {
 	w, now := f.w, f.w.loop.Now()
 	if x.words[0] != "serve" {
 		return
@@ -175,73 +176,73 @@
 	id, fields := x.words[1], x.words[2]
 	w.stats.Attempts++
 	w.second(now).Attempts++
-	f.sends[sendKey{c, id}] = now
-	if a := w.asks[id]; a != nil {
-		a.left++
+	f.sentAt[sendKey{c, id}] = now
+	if t := w.tries[id]; t != nil {
+		t.sent++
 	}
-	if w.Mutation == DuplicateWrites && strings.Contains(fields, "lane="+w.write) { // a broken front
-		again := command{words: []string{x.words[0], "f" + id[1:], fields, x.words[3]}}
+	if w.Mutation == DuplicateWrites && strings.Contains(fields, "lane="+w.writeClass) { // the mutation
+		duplicate := command{words: []string{x.words[0], "f" + id[1:], fields, x.words[3]}}
 		w.after(1, func() {
-			if !c.closed && !c.dead() {
-				c.arrive(again)
+			if !c.closed && !c.isDead() {
+				c.arrive(duplicate)
 			}
 		})
 	}
-	f.away(c.to, "sent to")
+	f.checkSendTarget(c.server, "sent to")
 	for field := range strings.SplitSeq(fields, ",") {
-		if source, ok := strings.CutPrefix(field, "next="); ok && w.by[source] != nil {
-			f.away(w.by[source], "named as source")
+		if source, ok := strings.CutPrefix(field, "next="); ok && w.serverByName[source] != nil {
+			f.checkSendTarget(w.serverByName[source], "named as source")
 		}
 	}
 }
 
-// away checks that a server which something new goes to is not one that the front
-// was told of, long enough ago, as draining or gone.
-func (f *Front) away(s *server, what string) {
-	b, ok := f.told[s]
-	if ok && b.state != rules.Ready && f.w.loop.Now()-b.since > f.w.spec.DrainGrace+f.w.spec.Slack {
-		f.w.broken(NoSendToDraining, f, fmt.Sprintf("%s was %s %d ms after the front was told that it is %s", s.name, what,
-			(f.w.loop.Now()-b.since)/milli, [...]string{"gone", "ready", "draining"}[b.state]))
+// checkSendTarget checks that a server that gets or supplies something new is not one
+// that the front has known for long enough to be draining or gone.
+func (f *Front) checkSendTarget(s *server, role string) {
+	last, ok := f.known[s]
+	if ok && last.state != rules.Ready && f.w.loop.Now()-last.since > f.w.spec.DrainGrace+f.w.spec.Slack {
+		f.w.reportViolation(NoSendToDraining, f, fmt.Sprintf("%s was %s %d ms after the front was told that it is %s", s.name, role,
+			(f.w.loop.Now()-last.since)/milli, [...]string{"gone", "ready", "draining"}[last.state]))
 	}
 }
 
-// gotCopy checks what a server answers with against the purges that the front knew
-// of when it sent.
-func (f *Front) gotCopy(j *job, born Micros) {
-	key := sendKey{j.wire, j.id}
-	sent, ok := f.sends[key]
-	delete(f.sends, key)
+// checkCopyAge checks a server's copy against the purges that the front knew when it
+// sent the attempt.
+func (f *Front) checkCopyAge(j *job, createdAt Micros) {
+	key := sendKey{j.conn, j.id}
+	sent, ok := f.sentAt[key]
+	delete(f.sentAt, key)
 	if !ok || j.w.spec.Classes[j.class].Write {
 		return
 	}
 	for _, k := range []purgeKey{{int64(j.item.object), 0}, {-1, j.object.group}} {
 		for _, p := range f.purges[k] {
-			if born <= p.at && sent-p.told > j.w.spec.PurgeGrace+j.w.spec.Slack {
-				j.w.broken(NoPurgedCopy, f, fmt.Sprintf("%s answered %s with a copy from %d ms before a purge that the front was told of %d ms before it sent",
-					j.server.name, name(j.item.object), (p.at-born)/milli, (sent-p.told)/milli))
+			if createdAt <= p.at && sent-p.notifiedAt > j.w.spec.PurgeGrace+j.w.spec.Slack {
+				j.w.reportViolation(NoPurgedCopy, f, fmt.Sprintf("%s answered %s with a copy from %d ms before a purge that the front was told of %d ms before it sent",
+					j.server.name, objectName(j.item.object), (p.at-createdAt)/milli, (sent-p.notifiedAt)/milli))
 			}
 		}
 	}
 }
 
-// kill ends a front's program: its connections are reset, its clients' too.
+// kill ends a front's program and resets its connections to servers and clients.
 func (f *Front) kill() {
-	if f.dead {
+	if f.stopped {
 		return
 	}
-	f.dead, f.serves = true, false
-	f.prog.end()
-	for _, c := range f.w.wiresBy(f) {
+	f.stopped, f.serving = true, false
+	f.program.kill()
+	for _, c := range f.w.connsOfFront(f) {
 		c.closed = true
-		c.front.w.after(f.w.way(f.zone, c.to), c.drop)
+		c.front.w.after(f.w.delay(f.zone, c.server), c.closeAtServer)
 	}
-	for _, a := range f.w.asksAt(f) {
-		a.reset()
+	for _, t := range f.w.triesAt(f) {
+		t.reset()
 	}
-	f.open = map[*ask]bool{}
+	f.tries = map[*try]bool{}
 }
 
-func hash(text string) (h uint64) {
+func fnvHash(text string) (h uint64) {
 	h = 14695981039346656037
 	for i := range len(text) {
 		h = (h ^ uint64(text[i])) * 1099511628211
@@ -249,8 +250,8 @@
 	return h
 }
 
-// id makes a request's id: 16 hex digits.
-func id(n uint64) string {
+// requestID formats a request's id: 16 hex digits.
+func requestID(n uint64) string {
 	text := strconv.FormatUint(n, 16)
 	return "0000000000000000"[len(text):] + text
 }
--- a/lab/world/check.go
+++ b/lab/world/properties.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Promise is what a front must keep, whatever happens.
+// Property is what a front must guarantee under all faults.
 type Property string
 
-// The promises. Their checkers know what happened in the world and what each front
-// was told and when, and nothing of how fronts decide.
+// The properties. Their checkers know what happened in the world and what each front
+// was told and when, but nothing of how fronts decide.
 const (
 	AnswerInTime     Property = "one whole final answer in time"
 	RunsOnce         Property = "what must not run twice runs once"
@@ -19,14 +19,14 @@
 	BoundedResources Property = "what a front holds is bounded"
 )
 
-// Promises are all of them.
+// Properties lists all properties.
 var Properties = []Property{AnswerInTime, RunsOnce, RefusedNotRun, NoSendToDraining, NoColdOverload, NoPurgedCopy, CorrectContent, ValidCommands, BoundedResources}
 
-// Mutation is a front, or what stands round it, broken on purpose: each shows that
-// a checker sees what it is there for.
+// Mutation is a deliberate fault in a front or its surroundings. Each shows that a
+// checker detects the violation it is meant for.
 type Mutation string
 
-// The mutations, and the promise that each breaks.
+// The mutations; the map Mutations has the property that each violates.
 const (
 	NoMutation            Mutation = ""
 	DropRefusals          Mutation = "no answer to what is refused"
@@ -39,17 +39,17 @@
 	TreatColdAsWarm       Mutation = "cold servers are taken for warm"
 	WrongBody             Mutation = "bodies are mixed up"
 	UnboundedCalls        Mutation = "calls are held without a bound"
-	ChangeKeys            Mutation = "repeats go under another key" // seen on a site with keyed classes alone
+	ChangeKeys            Mutation = "repeats go under another key" // detected only on a site with keyed classes
 )
 
-// Mutations tells which promise each mutation breaks.
+// Mutations has the property that each mutation violates.
 var Mutations = map[Mutation]Property{DropRefusals: AnswerInTime, DropFailures: AnswerInTime, DuplicateAnswers: AnswerInTime, DuplicateWrites: RunsOnce, ReportFailedAsRefused: RefusedNotRun,
 	IgnoreDrains: NoSendToDraining, IgnorePurges: NoPurgedCopy, TreatColdAsWarm: NoColdOverload, WrongBody: CorrectContent, UnboundedCalls: BoundedResources}
 
-// Violation is a promise that was not kept.
+// Violation is a property that was violated.
 type Violation struct {
-	Promise Property
-	At      Micros // of the day
+	Promise Property // stored under this name
+	At      Micros   // of the day
 	Front   string
 	Text    string
 }
@@ -58,43 +58,44 @@
 	return fmt.Sprintf("%8.3f s  %s: %s: %s", float64(v.At)/1e6, v.Front, v.Promise, v.Text)
 }
 
-// mostViolations is what is kept of them; the rest is counted.
-const mostViolations = 100
+// maxViolations is the number of violations that are kept; further ones are only
+// counted.
+const maxViolations = 100
 
-func (w *World) broken(p Property, f *Front, text string) {
+func (w *World) reportViolation(p Property, f *Front, text string) {
 	w.stats.Broken[p]++
-	if len(w.violations) < mostViolations {
-		w.violations = append(w.violations, Violation{p, w.loop.Now() - w.began, f.name, text})
+	if len(w.violations) < maxViolations {
+		w.violations = append(w.violations, Violation{p, w.loop.Now() - w.start, f.name, text})
 	}
 }
 
-// bounds looks now and then at what fronts hold.
-func (w *World) bounds() {
+// checkBounds periodically checks the resources that fronts hold.
+func (w *World) checkBounds() {
 	for _, f := range w.fronts {
-		if !f.serves {
+		if !f.serving {
 			continue
 		}
-		held, kb, open := f.prog.held()
+		held, kb, open := f.program.resources()
 		if w.Mutation == UnboundedCalls {
 			held += 10 * w.spec.MaxHeld
 		}
 		if w.sockets != nil && kb > w.sockets.MemoryMB<<10 {
-			w.broken(BoundedResources, f, fmt.Sprintf("%d KB resident, of %d MB that it has", kb, w.sockets.MemoryMB))
+			w.reportViolation(BoundedResources, f, fmt.Sprintf("%d KB resident, limit %d MB", kb, w.sockets.MemoryMB))
 		}
 		if w.sockets != nil && open > descriptors {
-			w.broken(BoundedResources, f, fmt.Sprintf("%d descriptors, of %d that it has", open, descriptors))
+			w.reportViolation(BoundedResources, f, fmt.Sprintf("%d descriptors, limit %d", open, descriptors))
 		}
-		// Calls that came and are to be refused in the same moment count as held.
+		// Calls that have arrived and are refused in the same moment are counted as held.
 		if held > w.spec.MaxHeld+64 {
-			w.broken(BoundedResources, f, fmt.Sprintf("%d calls, of %d that it may hold", held, w.spec.MaxHeld))
+			w.reportViolation(BoundedResources, f, fmt.Sprintf("%d calls held, limit %d", held, w.spec.MaxHeld))
 		}
 		w.stats.MostHeld = max(w.stats.MostHeld, held)
-		if now := w.loop.Now(); now < w.ends {
+		if now := w.loop.Now(); now < w.end {
 			x := w.second(now)
 			x.Held, x.MemoryKB, x.Descriptors = max(x.Held, held), max(x.MemoryKB, kb), max(x.Descriptors, open)
 		}
 	}
-	if w.loop.Now() < w.ends {
-		w.after(250*milli, w.bounds)
+	if w.loop.Now() < w.end {
+		w.after(250*milli, w.checkBounds)
 	}
 }
--- a/lab/world/result.go
+++ b/lab/world/result.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Stats are a day's counts. Slices go by class.
+// Stats are a day's counts. Slices are indexed by class.
 type Stats struct {
 	Asked, Served, Refused, Failed, GaveUp, Lost []int // Refused and Failed count tries
 	Tries, Attempts, Reset, InTime, Late         int
@@ -17,27 +17,27 @@
 	FillBytes, OriginBytes, SentBytes            float64
 	Words, Notes                                 map[string]int
 	Broken                                       map[Property]int
-	Reasons                                      map[string]int // of tries refused and failed
+	Reasons                                      map[string]int // of tries that were refused or failed
 	Seconds                                      []Second
-	Nodes                                        []Node // none in large worlds
+	Nodes                                        []Node // nil in large worlds
 }
 
-// Second is one second of the day.
+// Second holds the counts of one second of the day.
 type Second struct {
-	Asked, Earned               float64 // worth, by when requests were first asked
-	Refused, Failed, Attempts   int     // tries that ended so, and attempts that left
-	Origin, Denied              int     // calls that the store took and turned away
-	Held, MemoryKB, Descriptors int     // the most of one front
+	Asked, Earned               float64 // worth, by the time of a request's first try
+	Refused, Failed, Attempts   int     // tries with that outcome, and attempts sent by fronts
+	Origin, Denied              int     // calls that the store accepted and turned away
+	Held, MemoryKB, Descriptors int     // maximum over the fronts
 }
 
-// Node is a server over the day.
+// Node is a server's load over the day.
 type Node struct {
 	Name string
-	Load []float64 // second by second, the share of its link that was used
+	Load []float64 // per second, the used fraction of its link
 }
 
-// fewNodes is how many servers a world has at most whose loads are kept.
-const fewNodes = 64
+// maxSampledNodes is the number of servers up to which loads are recorded.
+const maxSampledNodes = 64
 
 func (s *Stats) init(classes int) {
 	for _, x := range []*[]int{&s.Asked, &s.Served, &s.Refused, &s.Failed, &s.GaveUp, &s.Lost} {
@@ -46,70 +46,70 @@
 	s.Words, s.Notes, s.Reasons, s.Broken = map[string]int{}, map[string]int{}, map[string]int{}, map[Property]int{}
 }
 
-// second gives the second of the day that a moment lies in; what lies before the
-// day goes nowhere.
+// second returns the counts of the second of a moment; those of moments before the day
+// are discarded.
 func (w *World) second(at Micros) *Second {
-	if at < w.began {
+	if at < w.start {
 		return &Second{}
 	}
-	n := int((at - w.began) / second)
+	n := int((at - w.start) / second)
 	for len(w.stats.Seconds) <= n {
 		w.stats.Seconds = append(w.stats.Seconds, Second{})
 	}
 	return &w.stats.Seconds[n]
 }
 
-// sample notes how much the servers' links carried in the last second.
-func (w *World) sample() {
-	if len(w.servers) > fewNodes || w.loop.Now() >= w.ends {
+// sampleLoads records how much the servers' links carried in the last second.
+func (w *World) sampleLoads() {
+	if len(w.servers) > maxSampledNodes || w.loop.Now() >= w.end {
 		return
 	}
 	for i, s := range w.servers {
-		s.out.catchUp()
+		s.out.advance()
 		if len(w.stats.Nodes) <= i {
 			w.stats.Nodes = append(w.stats.Nodes, Node{Name: s.name})
-			s.out.carried = 0
+			s.out.totalBytes = 0
 			continue
 		}
-		w.stats.Nodes[i].Load = append(w.stats.Nodes[i].Load, math.Round(1000*s.out.carried/(s.size*w.spec.Flow))/1000)
-		s.out.carried = 0
+		w.stats.Nodes[i].Load = append(w.stats.Nodes[i].Load, math.Round(1000*s.out.totalBytes/(s.size*w.spec.Flow))/1000)
+		s.out.totalBytes = 0
 	}
-	w.after(second, w.sample)
+	w.after(second, w.sampleLoads)
 }
 
-// Result is what came of a day.
+// Result is the outcome of a day.
 type Result struct {
 	Stats
 	Classes    []string
 	P50, P99   []Micros   // of served requests, from their first try
 	Times      [][]Micros // by class, at the Quantiles
 	Violations []Violation
-	Digest     uint64 // of all answers; alike days have like ones
+	Digest     uint64 // of all answers; equal histories have equal digests
 	Service    float64
-	WorstTen   float64 // worst 10 s
+	WorstTen   float64 // of any 10 s
 	WorstClass float64
-	G          float64 // as the operators score a day, but for what the model does not have
+	G          float64 // the operators' score of a day, without the terms that the model lacks
 }
 
-// Quantiles are those that a result has of the times of each class, in percent.
+// Quantiles are the percentiles that a result holds of each class's latencies.
 var Quantiles = []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 75, 80, 85, 90, 92, 94, 96, 97, 98, 99, 99.5, 99.9, 100}
 
 // Weights of G, from the operators' page.
 const (
-	wholeWeight, tenWeight, classWeight = 0.6, 0.2, 0.2
-	originPrice, fillPrice, wastePrice  = 0.25, 0.02, 0.22
-	tenSeconds                          = 10
+	serviceWeight, worstTenWeight, worstClassWeight = 0.6, 0.2, 0.2
+	originPrice, fillPrice, wastePrice              = 0.25, 0.02, 0.22
+	tenSeconds                                      = 10
 )
 
 func (w *World) result() *Result {
 	r := &Result{Stats: w.stats, Violations: w.violations, Digest: w.digest.Sum64(), WorstTen: 1, WorstClass: 1}
 	for i, c := range w.spec.Classes {
 		r.Classes = append(r.Classes, c.Name)
-		r.P50 = append(r.P50, w.times[i].ValueAtQuantile(50))
-		r.P99 = append(r.P99, w.times[i].ValueAtQuantile(99))
+		r.P50 = append(r.P50, w.latencies[i].ValueAtQuantile(50))
+		r.P99 = append(r.P99, w.latencies[i].ValueAtQuantile(99))
 		var times []Micros
 		for _, q := range Quantiles {
-			times = append(times, w.times[i].ValueAtQuantile(q))
+			times = append(times, w.latencies[i].ValueAtQuantile(q))
 		}
 		r.Times = append(r.Times, times)
 		if r.Asked[i] > 50 {
@@ -123,16 +123,16 @@
 		if i >= tenSeconds {
 			asked, earned = asked-r.Seconds[i-tenSeconds].Asked, earned-r.Seconds[i-tenSeconds].Earned
 		}
-		if i >= tenSeconds-1 && asked > 0 && i < len(r.Seconds)-int(drained/second) {
+		if i >= tenSeconds-1 && asked > 0 && i < len(r.Seconds)-int(drainTimeout/second) {
 			r.WorstTen = min(r.WorstTen, earned/asked)
 		}
 	}
 	bytes := math.Max(1, r.SentBytes)
-	r.G = wholeWeight*r.Service + tenWeight*r.WorstTen + classWeight*r.WorstClass - originPrice*r.OriginBytes/bytes - fillPrice*r.FillBytes/bytes
+	r.G = serviceWeight*r.Service + worstTenWeight*r.WorstTen + worstClassWeight*r.WorstClass - originPrice*r.OriginBytes/bytes - fillPrice*r.FillBytes/bytes
 	return r
 }
 
-// Requests counts what clients asked for, without their further tries.
+// Requests is the number of requests without retries.
 func (r *Result) Requests() (n int) {
 	for _, x := range r.Asked {
 		n += x
@@ -140,10 +140,12 @@
 	return n
 }
 
-// Hits is the share of served answers that a server had.
-func (r *Result) Hits() float64 { return float64(r.Notes[warm]) / math.Max(1, float64(r.Words["ok"])) }
+// Hits is the fraction of served replies that came from a server's cache.
+func (r *Result) Hits() float64 {
+	return float64(r.Notes[noteWarm]) / math.Max(1, float64(r.Words["ok"]))
+}
 
-// String tells of a day in a few lines.
+// String summarizes a day in a few lines.
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "G %.3f  service %.3f  worst 10 s %.3f  worst class %.3f  %d requests, %d tries, %d attempts\n", r.G, r.Service, r.WorstTen,
--- a/lab/world/server.go
+++ b/lab/world/server.go
@@ -6,146 +6,147 @@
 	"slices"
 )
 
-// The notes of answers, as PROTOCOL has them.
+// The notes of replies, from the protocol (PROTOCOL).
 const (
-	warm     = "warm"
-	filled   = "fill"
-	deep     = "deep_fill"
-	joined   = "piggy"
-	refused  = "bounced"
-	broken   = "dropped"
-	lacking  = "lacking"
-	noPlace  = "jammed"
-	backfire = "backfire"
+	noteWarm         = "warm"
+	noteFilled       = "fill"
+	noteDeepFill     = "deep_fill"
+	noteJoined       = "piggy"
+	noteRefused      = "bounced"
+	noteBroken       = "dropped"
+	noteLacking      = "lacking"
+	noteNoSlot       = "jammed"
+	noteSourceFailed = "backfire"
 )
 
-// slotsEach is the requests that a cache works on, per transfer that its link
-// carries; what comes beyond is turned away.
-const slotsEach = 6
+// slotsPerTransfer is the number of concurrent requests of a cache, per transfer that
+// its link carries; further ones are refused.
+const slotsPerTransfer = 6
 
-// server is a cache node, a district cache or the head office store.
+// server is a cache node, a district cache (parent) or the head office store (origin).
 type server struct {
-	w      *World
-	name   string
-	addr   string
-	kind   int
-	zone   int
-	size   float64 // transfers at full pace
-	up     bool
-	silent bool // the machine is cut off: nothing comes in or out, unheard
-	state  State
-	born   Micros // of the process; 0: before the day
-	out    *link
-	keep   *store
-	wires  map[*wire]bool
-	work   int // requests here
-	fills  int
-	under  map[item]*fill // under way
-	cold   window
-	asked  overload // the store's
+	w           *World
+	name        string
+	addr        string
+	kind        int
+	zone        int
+	size        float64 // transfers at full rate that its link carries
+	up          bool
+	unreachable bool // the machine is cut off: traffic is dropped silently in both directions
+	state       State
+	startedAt   Micros // start of the process; 0: before the day
+	out         *link
+	cache       *cache
+	conns       map[*connection]bool
+	active      int // requests in progress
+	fills       int
+	pending     map[item]*fill // fills in progress
+	coldLoad    loadWindow
+	overload    overload // of the store
 }
 
-// fill is one fetch, and those that wait for it.
+// fill is one fetch of a copy, and the jobs that wait for it.
 type fill struct {
-	lead    *job
-	waiters []*job
-	parts   int // transfers that are not through
-	moves   []*transfer
-	came    Micros // of its first byte; 0: not yet
-	note    string
-	born    Micros
-	over    bool
+	lead        *job
+	waiters     []*job
+	pending     int // transfers that have not completed
+	transfers   []*transfer
+	firstByteAt Micros // 0: no byte yet
+	note        string
+	createdAt   Micros
+	done        bool
 }
 
 // job is a request at a server.
 type job struct {
-	w                       *World
-	wire                    *wire
-	server                  *server
-	source                  *server
-	id                      string
-	class                   int
-	item                    item
-	object                  *object
-	bytes                   float64
-	rank                    uint8
-	age                     Micros // the oldest copy that will do; 0: any
-	until                   Micros
-	came                    Micros
-	ride, haveOnly, through bool
-
-	sends *transfer // the answer
-	fill  *fill
-	ran   bool
-	over  bool
+	w                                 *World
+	conn                              *connection
+	server                            *server
+	source                            *server
+	id                                string
+	class                             int
+	item                              item
+	object                            *object
+	bytes                             float64
+	rank                              uint8
+	maxAge                            Micros // maximum age of a copy; 0: any
+	deadline                          Micros
+	arrivedAt                         Micros
+	joinFill, cachedOnly, passThrough bool
+
+	sending  *transfer // transfer of the reply
+	fill     *fill
+	executed bool
+	done     bool
 }
 
-// share is the part of its capacity that a server has by now.
-func (s *server) share() float64 {
+// capacityShare is the fraction of its capacity that a server has now, while it warms
+// up.
+func (s *server) capacityShare() float64 {
 	from, span := s.w.spec.BoxColdFrom, s.w.spec.BoxWarmUp
 	if s.kind == parentKind {
 		from, span = s.w.spec.ParentColdFrom, s.w.spec.ParentWarmUp
 	}
-	age := s.w.loop.Now() - s.born
-	if s.born == 0 || s.kind == originKind || age >= span {
+	age := s.w.loop.Now() - s.startedAt
+	if s.startedAt == 0 || s.kind == originKind || age >= span {
 		return 1
 	}
 	return from + (1-from)*float64(max(0, age))/float64(span)
 }
 
-// take begins with a request.
-func (s *server) take(j *job) {
+// handle starts a request.
+func (s *server) handle(j *job) {
 	w, now := s.w, s.w.loop.Now()
-	s.work++
-	if s.press(j.wire.front, w.spec.Classes[j.class].SendTime) {
-		return // it fell over
+	s.active++
+	if s.addColdLoad(j.conn.front, w.spec.Classes[j.class].SendTime) {
+		return // the server crashed
 	}
 	spec := &w.spec.Classes[j.class]
 	switch {
-	case now >= j.until:
-		j.say("stale", "", 0, 0)
+	case now >= j.deadline:
+		j.reply("stale", "", 0, 0)
 	case s.kind == originKind:
 		s.serveAtOrigin(j)
 	case spec.Write:
 		if j.source == nil || j.source.kind != originKind {
-			j.say("nothing", lacking, 0, 0)
+			j.reply("nothing", noteLacking, 0, 0)
 			return
 		}
 		j.fetch()
-	case float64(s.work) > slotsEach*s.size:
-		j.say("refused", "", 0, 0)
+	case float64(s.active) > slotsPerTransfer*s.size:
+		j.reply("refused", "", 0, 0)
 	default:
-		if k := s.fresh(j); k != nil {
-			j.send(warm, k.born, 0)
+		if entry := s.usableCopy(j); entry != nil {
+			j.send(noteWarm, entry.createdAt, 0)
 		} else if j.source == nil {
-			j.say("nothing", "", 0, 0)
+			j.reply("nothing", "", 0, 0)
 		} else {
 			j.fetch()
 		}
 	}
-	if !j.over {
-		w.loop.At(j.until, func() {
-			if !j.over {
+	if !j.done {
+		w.loop.At(j.deadline, func() {
+			if !j.done {
 				j.giveUp()
 			}
 		})
 	}
 }
 
-// fresh gives a copy that will do.
-func (s *server) fresh(j *job) *kept {
-	k := s.keep.by[j.item]
-	if k == nil || j.age > 0 && s.w.loop.Now()-k.born > j.age {
+// usableCopy returns a cached copy that is not too old.
+func (s *server) usableCopy(j *job) *cacheEntry {
+	entry := s.cache.entries[j.item]
+	if entry == nil || j.maxAge > 0 && s.w.loop.Now()-entry.createdAt > j.maxAge {
 		return nil
 	}
 	rank := j.rank
 	if s != j.server {
 		rank = 0
 	}
-	return s.keep.get(j.item, rank)
+	return s.cache.get(j.item, rank)
 }
 
-// serveAtOrigin runs a write, or gives out a copy of this moment.
+// serveAtOrigin runs a write, or returns a new copy.
 func (s *server) serveAtOrigin(j *job) {
 	if !s.w.spec.Classes[j.class].Write {
 		j.source = s
@@ -153,33 +154,33 @@
 		return
 	}
 	if !s.admitAtOrigin() {
-		j.say("refused", "", 0, 0)
+		j.reply("refused", "", 0, 0)
 		return
 	}
 	s.w.after(s.originWait(), func() {
-		if j.over || !s.up {
+		if j.done || !s.up {
 			return
 		}
-		j.ran = true
-		s.w.ran(j)
-		j.send(warm, s.w.loop.Now(), 0)
+		j.executed = true
+		s.w.recordExecution(j)
+		j.send(noteWarm, s.w.loop.Now(), 0)
 	})
 }
 
-// send sends the answer to the client, then says so.
-func (j *job) send(note string, born, waited Micros) {
-	if j.over || j.sends != nil {
+// send transfers the body to the client, then replies.
+func (j *job) send(note string, createdAt, waited Micros) {
+	if j.done || j.sending != nil {
 		return
 	}
-	j.sends = j.server.out.start(j.bytes, func() { j.say("ok", note, born, waited) })
+	j.sending = j.server.out.start(j.bytes, func() { j.reply("ok", note, createdAt, waited) })
 }
 
-// say ends a request with an answer.
-func (j *job) say(word, note string, born, waited Micros) {
-	if j.over {
+// reply sends the reply and ends the request.
+func (j *job) reply(result, note string, createdAt, waited Micros) {
+	if j.done {
 		return
 	}
-	j.end()
+	j.finish()
 	fields, body := "", ""
 	add := func(text string) {
 		if fields != "" {
@@ -187,13 +188,13 @@
 		}
 		fields += text
 	}
-	if word == "ok" {
-		add(fmt.Sprintf("sum=%x,t0=%d", born/milli, born/milli))
-		body = content(j.item, born)
+	if result == "ok" {
+		add(fmt.Sprintf("sum=%x,t0=%d", createdAt/milli, createdAt/milli))
+		body = content(j.item, createdAt)
 		if j.w.Mutation == WrongBody && j.w.faults.IntN(50) == 0 {
-			body = content(item{j.item.object, j.item.part + 1}, born)
+			body = content(item{j.item.object, j.item.part + 1}, createdAt)
 		}
-		body = j.w.stretchBody(body)
+		body = j.w.repeatBody(body)
 	}
 	if note != "" {
 		add("why=" + note)
@@ -204,181 +205,182 @@
 	if fields == "" {
 		fields = "-"
 	}
-	j.w.answered(j, word, note, born)
-	j.wire.reply(fmt.Appendf(nil, "%s %s %s %d\r\n%s\r\n", j.id, word, fields, len(body), body), func() {
-		if a := j.w.asks[j.id]; a != nil && (word == "nothing" || word == "refused" || word == "stale") {
-			a.proven++
+	j.w.recordReply(j, result, note, createdAt)
+	j.conn.sendReply(fmt.Appendf(nil, "%s %s %s %d\r\n%s\r\n", j.id, result, fields, len(body), body), func() {
+		if t := j.w.tries[j.id]; t != nil && (result == "nothing" || result == "refused" || result == "stale") {
+			t.provenNotRun++
 		}
 	})
 }
 
-// content is what a part's copy from a moment holds.
-func content(x item, born Micros) string {
-	return fmt.Sprintf("%s/%d@%d", name(x.object), x.part, born/milli)
+// content is the body of a part's copy created at a given time.
+func content(x item, createdAt Micros) string {
+	return fmt.Sprintf("%s/%d@%d", objectName(x.object), x.part, createdAt/milli)
 }
 
-func (j *job) end() {
-	j.over = true
-	j.server.work--
-	j.sends.stop()
-	delete(j.wire.open, j.id)
+func (j *job) finish() {
+	j.done = true
+	j.server.active--
+	j.sending.stop()
+	delete(j.conn.jobs, j.id)
 }
 
-// giveUp ends a request without an answer. Its fill goes on while others wait for
+// giveUp ends a request without a reply. Its fill continues while other jobs wait for
 // it.
 func (j *job) giveUp() {
-	if j.over {
+	if j.done {
 		return
 	}
-	j.end()
-	if f := j.fill; f != nil && !f.over {
+	j.finish()
+	if f := j.fill; f != nil && !f.done {
 		f.waiters = slices.DeleteFunc(f.waiters, func(o *job) bool { return o == j })
 		if len(f.waiters) == 0 {
-			f.fail(broken)
+			f.fail(noteBroken)
 		}
 	}
 }
 
-// fetch fills a miss, or joins a fill that is under way.
+// fetch fills a miss, or joins a fill in progress.
 func (j *job) fetch() {
 	s, src := j.server, j.source
-	if f := s.under[j.item]; f != nil && j.ride {
+	if f := s.pending[j.item]; f != nil && j.joinFill {
 		j.fill, f.waiters = f, append(f.waiters, j)
 		return
 	}
 	if s.kind == boxKind && float64(s.fills) >= float64(s.w.spec.FillsPerTransfer)*s.size {
-		j.say("nothing", noPlace, 0, 0)
+		j.reply("nothing", noteNoSlot, 0, 0)
 		return
 	}
-	f := &fill{lead: j, waiters: []*job{j}, note: filled}
+	f := &fill{lead: j, waiters: []*job{j}, note: noteFilled}
 	j.fill = f
 	s.fills++
-	if s.under[j.item] == nil {
-		s.under[j.item] = f
+	if s.pending[j.item] == nil {
+		s.pending[j.item] = f
 	}
 	started := s.w.loop.Now()
 	s.w.loop.At(started+s.w.spec.FillTimeout, func() {
-		if f.came == 0 {
-			f.fail(broken)
+		if f.firstByteAt == 0 {
+			f.fail(noteBroken)
 		}
 	})
-	way := s.w.way(s.zone, src)
+	delay := s.w.delay(s.zone, src)
 	if src == s {
-		way = 0
+		delay = 0
 	}
-	s.w.after(way, func() {
-		if f.over || src.silent {
+	s.w.after(delay, func() {
+		if f.done || src.unreachable {
 			return
 		}
 		if !src.up {
-			s.w.after(way, func() { f.fail(broken) })
+			s.w.after(delay, func() { f.fail(noteBroken) })
 			return
 		}
 		src.supply(f, j)
 	})
 }
 
-// supply gives a source's copy to a fill.
+// supply provides a source's copy to a fill.
 func (s *server) supply(f *fill, j *job) {
 	if s.kind == originKind {
-		s.supplyFromOrigin(f, j, filled)
+		s.supplyFromOrigin(f, j, noteFilled)
 		return
 	}
-	if s != j.server && s.press(j.wire.front, s.w.spec.Classes[j.class].SendTime) {
-		f.fail(broken)
+	if s != j.server && s.addColdLoad(j.conn.front, s.w.spec.Classes[j.class].SendTime) {
+		f.fail(noteBroken)
 		return
 	}
-	if k := s.fresh(j); k != nil {
-		f.begin(k.born, s.out, s.inlet(j))
+	if entry := s.usableCopy(j); entry != nil {
+		f.startTransfers(entry.createdAt, s.out, s.inboundLink(j))
 		return
 	}
 	origin := s.w.origin
 	switch {
-	case s.kind != parentKind || j.haveOnly || j.w.spec.Classes[j.class].Write && s.kind != parentKind:
-		f.fail(lacking)
-	default: // a district cache fetches what it lacks, for each fill apart
-		s.w.after(s.w.way(s.zone, origin), func() {
-			if f.over {
+	case s.kind != parentKind || j.cachedOnly || j.w.spec.Classes[j.class].Write && s.kind != parentKind:
+		f.fail(noteLacking)
+	default: // a parent fetches from the origin separately for each fill
+		s.w.after(s.w.delay(s.zone, origin), func() {
+			if f.done {
 				return
 			}
 			if !origin.up || !s.up {
-				f.fail(backfire)
+				f.fail(noteSourceFailed)
 				return
 			}
-			origin.supplyFromOrigin(f, j, deep)
-			if !f.over && !j.through {
-				f.parent(s, j)
+			origin.supplyFromOrigin(f, j, noteDeepFill)
+			if !f.done && !j.passThrough {
+				f.keepAtParent(s, j)
 			}
 		})
 	}
 }
 
-// parent has a district cache keep what goes through it.
-func (f *fill) parent(s *server, j *job) {
-	f.parts++
-	f.moves = append(f.moves, s.out.start(j.bytes, func() {
-		if s.up && f.born > 0 {
-			s.keep.put(j.item, 1, j.bytes, f.born, j.object.group)
+// keepAtParent has a parent cache a copy that passes through it.
+func (f *fill) keepAtParent(s *server, j *job) {
+	f.pending++
+	f.transfers = append(f.transfers, s.out.start(j.bytes, func() {
+		if s.up && f.createdAt > 0 {
+			s.cache.put(j.item, 1, j.bytes, f.createdAt, j.object.group)
 		}
-		f.through()
+		f.transferDone()
 	}))
 }
 
-// supplyFromOrigin gives out a copy of this moment, or turns the call away.
+// supplyFromOrigin provides a new copy, or turns the call away.
 func (s *server) supplyFromOrigin(f *fill, j *job, note string) {
 	if !s.admitAtOrigin() {
-		f.fail(map[string]string{filled: refused, deep: backfire}[note])
+		f.fail(map[string]string{noteFilled: noteRefused, noteDeepFill: noteSourceFailed}[note])
 		return
 	}
 	f.note = note
-	f.parts++ // until it has begun
+	f.pending++ // until the transfers have started
 	s.w.after(s.originWait(), func() {
-		if f.over {
+		if f.done {
 			return
 		}
 		if !s.up {
-			f.fail(backfire)
+			f.fail(noteSourceFailed)
 			return
 		}
 		if s.w.spec.Classes[j.class].Write {
-			j.ran = true
-			s.w.ran(j)
+			j.executed = true
+			s.w.recordExecution(j)
 		}
 		s.w.stats.OriginBytes += j.bytes
-		f.begin(s.w.loop.Now(), s.out, s.inlet(j))
-		f.through()
+		f.startTransfers(s.w.loop.Now(), s.out, s.inboundLink(j))
+		f.transferDone()
 	})
 }
 
-// inlet is the link in of the branch that a fill comes to from outside.
-func (s *server) inlet(j *job) *link {
+// inboundLink is the branch's link that a fill from another zone crosses; nil within a
+// zone.
+func (s *server) inboundLink(j *job) *link {
 	if j.server.zone == s.zone {
 		return nil
 	}
-	return j.w.inlets[j.server.zone]
+	return j.w.branchLinks[j.server.zone]
 }
 
-// begin moves a fill's bytes, at the pace of the slowest of the links that it
-// crosses. Those that wait are sent what comes meanwhile.
-func (f *fill) begin(born Micros, links ...*link) {
+// startTransfers transfers a fill's bytes over every link that it crosses; the slowest
+// determines when it is complete. Waiting jobs get their replies after that.
+func (f *fill) startTransfers(createdAt Micros, links ...*link) {
 	j := f.lead
-	f.born, f.came = born, j.w.loop.Now()
+	f.createdAt, f.firstByteAt = createdAt, j.w.loop.Now()
 	for _, l := range links {
 		if l != nil {
-			f.parts++
-			f.moves = append(f.moves, l.start(j.bytes, f.through))
+			f.pending++
+			f.transfers = append(f.transfers, l.start(j.bytes, f.transferDone))
 			j.w.stats.FillBytes += j.bytes
 		}
 	}
-	if len(f.moves) == 0 {
-		f.parts++
-		j.w.after(0, f.through)
+	if len(f.transfers) == 0 {
+		f.pending++
+		j.w.after(0, f.transferDone)
 	}
 }
 
-// through counts one transfer that is done; with the last the fill is.
-func (f *fill) through() {
-	if f.parts--; f.parts > 0 || f.over {
+// transferDone counts a completed transfer; the fill is complete with the last one.
+func (f *fill) transferDone() {
+	if f.pending--; f.pending > 0 || f.done {
 		return
 	}
 	f.finish()
@@ -388,117 +390,118 @@
 	}
 	s.w.stats.Fills++
 	if !s.w.spec.Classes[j.class].Write && s.kind == boxKind && j.rank > 0 || s.kind == parentKind {
-		s.keep.put(j.item, max(1, j.rank), j.bytes, f.born, j.object.group)
+		s.cache.put(j.item, max(1, j.rank), j.bytes, f.createdAt, j.object.group)
 	}
 	for _, x := range f.waiters {
 		note := f.note
 		if x != j {
-			note = joined
+			note = noteJoined
 		}
-		x.send(note, f.born, f.came-x.came)
+		x.send(note, f.createdAt, f.firstByteAt-x.arrivedAt)
 	}
 }
 
-// fail ends a fill and all that wait for it.
+// fail ends a fill and all jobs that wait for it.
 func (f *fill) fail(note string) {
-	if f.over {
+	if f.done {
 		return
 	}
 	f.finish()
 	now := f.lead.w.loop.Now()
 	for _, x := range slices.Clone(f.waiters) {
-		if x.ran {
-			x.say("error", note, 0, now-x.came) // it ran, and what came of it is lost
+		if x.executed {
+			x.reply("error", note, 0, now-x.arrivedAt) // it ran, and its outcome is lost
 		} else {
-			x.say("nothing", note, 0, now-x.came)
+			x.reply("nothing", note, 0, now-x.arrivedAt)
 		}
 	}
 }
 
 func (f *fill) finish() {
-	f.over = true
+	f.done = true
 	s := f.lead.server
 	s.fills--
-	if s.under[f.lead.item] == f {
-		delete(s.under, f.lead.item)
+	if s.pending[f.lead.item] == f {
+		delete(s.pending, f.lead.item)
 	}
-	for _, m := range f.moves {
+	for _, m := range f.transfers {
 		m.stop()
 	}
 }
 
-// window is the work that has come to a cold server in the last FallTime.
-type window struct {
-	parts []press
-	sum   Micros
+// loadWindow is the work sent to a cold server during the last FallTime.
+type loadWindow struct {
+	entries []loadEntry
+	sum     Micros
 }
 
-type press struct {
-	at, work Micros
-	told     bool // by a front that knew of its start
+type loadEntry struct {
+	at, work   Micros
+	startKnown bool // sent by a front that was notified of the server's start
 }
 
-// press counts work that comes to a server, and tells whether it fell over by it.
-func (s *server) press(f *Front, work Micros) bool {
+// addColdLoad counts work sent to a server, and reports whether the server crashed
+// under it.
+func (s *server) addColdLoad(f *Front, work Micros) bool {
 	w, now := s.w, s.w.loop.Now()
-	share := s.share()
+	share := s.capacityShare()
 	if share >= 1 || s.kind == originKind {
-		s.cold = window{}
+		s.coldLoad = loadWindow{}
 		return false
 	}
-	c := &s.cold
-	for len(c.parts) > 0 && c.parts[0].at <= now-w.spec.FallTime {
-		c.sum -= c.parts[0].work
-		c.parts = c.parts[1:]
+	c := &s.coldLoad
+	for len(c.entries) > 0 && c.entries[0].at <= now-w.spec.FallTime {
+		c.sum -= c.entries[0].work
+		c.entries = c.entries[1:]
 	}
-	c.parts = append(c.parts, press{now, work, f.knows(s)})
+	c.entries = append(c.entries, loadEntry{now, work, f.knowsStart(s)})
 	c.sum += work
-	// A little slack for chance, as the rule has it: one request more than fits.
+	// One request more than fits is allowed, as in the rule, to absorb random variation.
 	if float64(c.sum-work) <= w.spec.FallMultiple*share*s.size*float64(w.spec.FallTime) {
 		return false
 	}
-	var told Micros
-	for _, p := range c.parts {
-		if p.told {
-			told += p.work
+	var knownWork Micros
+	for _, p := range c.entries {
+		if p.startKnown {
+			knownWork += p.work
 		}
 	}
 	w.stats.Falls++
-	if 3*told >= 2*c.sum {
-		w.broken(NoColdOverload, f, fmt.Sprintf("%s fell over %d ms after its start, at %.0f%% of its capacity", s.name, (now-s.born)/milli, 100*share))
+	if 3*knownWork >= 2*c.sum {
+		w.reportViolation(NoColdOverload, f, fmt.Sprintf("%s crashed %d ms after its start, at %.0f%% of its capacity", s.name, (now-s.startedAt)/milli, 100*share))
 	}
-	s.die()
+	s.crash()
 	return true
 }
 
-// overload is how long the store has been asked for far too much.
+// overload is how long the store has been overloaded.
 type overload struct {
-	since Micros // 0: it is not
-	stops int
+	since   Micros // 0: not overloaded
+	crashes int
 }
 
-// stopMost is how often a day the store stops, and for how long.
+// How often the store crashes in a day at most, and for how long.
 const (
-	stopMost = 2
-	stopTime = 5 * second
+	maxOriginCrashes  = 2
+	originRestartTime = 5 * second
 )
 
-// admitAtOrigin turns calls away above a share of what the store can do; asked for
-// far more, for long, it stops.
+// admitAtOrigin turns calls away above a fraction of the store's capacity. The store
+// crashes under a much higher load that lasts.
 func (s *server) admitAtOrigin() bool {
 	w, load, now := s.w, s.out.load(), s.w.loop.Now()
 	switch {
 	case load < w.spec.OriginFallMultiple:
-		s.asked.since = 0
-	case s.asked.since == 0:
-		s.asked.since = now
-	case now-s.asked.since > 3*second && s.asked.stops < stopMost:
-		s.asked.stops++
-		s.die()
-		w.after(stopTime, func() { s.start(0) })
+		s.overload.since = 0
+	case s.overload.since == 0:
+		s.overload.since = now
+	case now-s.overload.since > 3*second && s.overload.crashes < maxOriginCrashes:
+		s.overload.crashes++
+		s.crash()
+		w.after(originRestartTime, func() { s.start(0) })
 		return false
 	}
-	if load > w.spec.OriginDenyLoad*w.originSlow {
+	if load > w.spec.OriginDenyLoad*w.originSlowdown {
 		w.stats.Denied++
 		w.second(now).Denied++
 		return false
@@ -509,40 +512,40 @@
 }
 
 func (s *server) originWait() Micros {
-	return Micros(float64(between(s.w.rand, s.w.spec.OriginLatency)) * s.w.originSlow)
+	return Micros(float64(between(s.w.rand, s.w.spec.OriginLatency)) * s.w.originSlowdown)
 }
 
-// die ends a server's process: its connections are reset, and what it held is gone.
-func (s *server) die() {
+// crash ends a server's process: its connections are reset and its cache is lost.
+func (s *server) crash() {
 	if !s.up {
 		return
 	}
 	s.up = false
-	for _, c := range s.w.wiresOf(s) {
+	for _, c := range s.w.connsToServer(s) {
 		c.reset()
 	}
-	s.keep.clear()
-	s.cold = window{}
-	s.w.doorsOf(s)
+	s.cache.clear()
+	s.coldLoad = loadWindow{}
+	s.w.updateListeners(s)
 }
 
-// start starts a server's process anew, cold and empty.
-func (s *server) start(born Micros) {
-	s.up, s.silent, s.born = true, false, born
-	s.keep.clear()
-	s.under, s.fills, s.cold = map[item]*fill{}, 0, window{}
-	s.w.doorsOf(s)
+// start restarts a server's process, cold and empty.
+func (s *server) start(startedAt Micros) {
+	s.up, s.unreachable, s.startedAt = true, false, startedAt
+	s.cache.clear()
+	s.pending, s.fills, s.coldLoad = map[item]*fill{}, 0, loadWindow{}
+	s.w.updateListeners(s)
 }
 
-// vanish cuts a machine off: nobody hears of it.
-func (s *server) vanish() {
-	s.silent = true
-	for _, c := range s.w.wiresOf(s) {
-		c.drop()
+// disconnect cuts a machine off silently: its connections are not reset.
+func (s *server) disconnect() {
+	s.unreachable = true
+	for _, c := range s.w.connsToServer(s) {
+		c.closeAtServer()
 	}
 	s.up = false
-	s.keep.clear()
-	s.w.doorsOf(s)
+	s.cache.clear()
+	s.w.updateListeners(s)
 }
 
 func between(r *rand.Rand, x [2]Micros) Micros {
--- a/lab/world/document.go
+++ b/lab/world/settings.go
@@ -2,9 +2,9 @@
 
 import "cherryramp/rules"
 
-// document is the settings of a branch's fronts in the platform's form (WIRE, the
-// first message).
-func (s *Spec) document(zone int) map[string]any {
+// configSettings returns the settings of a zone's fronts in the platform's
+// configuration format (WIRE, the first message).
+func (s *Spec) configSettings(zone int) map[string]any {
 	x := s.settings(zone)
 	type list = []any
 	type object = map[string]any
@@ -23,7 +23,7 @@
 		grades = append(grades, grade)
 	}
 	return object{
-		"balancers": x.Gateways, "zone": x.Zone, "zones": s.zones(), "machine-types": kinds, "weights": "nominal", "discovery": "pushed",
+		"balancers": x.Gateways, "zone": x.Zone, "zones": s.zones(), "machine-types": serverKinds, "weights": "nominal", "discovery": "pushed",
 		"tick-us": x.Tick, "grades": grades,
 		"extra": object{"zone-balancers": x.ZoneGates, "hub-by-zone": x.ZoneHub, "upper-kind": x.ParentKind, "store-kind": x.OriginKind,
 			"flow-kb-per-s": x.Flow, "direct": x.Direct, "shares-fills": x.Joins, "lateral": "any", "note-level": "all",
@@ -32,8 +32,8 @@
 			"root-fall-us": x.OriginFallTime, "price-of-link": x.Prices.Link, "class-write": writes, "in-parts": parts,
 			"max-age-us": fresh, "usable-after-us": grace, "old-copy-worth": old},
 		"limits": object{"cancel": x.Cancel, "second-copies": x.Hedges, "retry-after": x.RetryAfter, "max-attempts": x.MaxAttempts,
-			"most-held": x.MaxHeld, "max-retry-after-us": x.MaxAway, "connect-timeout-us": x.ConnectTime, "streams-per-conn": streams,
-			"conn-idle-us": connIdle},
+			"most-held": x.MaxHeld, "max-retry-after-us": x.MaxAway, "connect-timeout-us": x.ConnectTime, "streams-per-conn": streamsPerConn,
+			"conn-idle-us": connIdleTimeout},
 		"rules": object{"drain-grace-us": x.DrainGrace, "fall-multiple": x.FallMultiple, "fall-us": x.FallTime, "cold-from": x.ColdFrom,
 			"warm-up-us": x.WarmUp, "grace-to-answer-us": x.AnswerGrace},
 		"penalties": object{"late-fail": x.Prices.LateFail, "origin": x.Prices.Origin, "waste": x.Prices.Waste, "cross-zone": x.Prices.CrossZone},
--- a/lab/world/spec.go
+++ b/lab/world/spec.go
@@ -8,7 +8,7 @@
 	"cherryramp/rules"
 )
 
-// Micros is a moment or a span in microseconds.
+// Micros is a point in time or a duration in microseconds.
 type Micros = int64
 
 const (
@@ -16,29 +16,29 @@
 	second Micros = 1_000_000
 )
 
-// Class is a class of requests, and how clients ask for it.
+// Class is a class of requests and how clients issue them.
 type Class struct {
 	Name         string
-	Share        float64 // of the requests
-	Write        bool    // runs at the origin, must never run twice, is not kept
-	KeyWindow    Micros  // of a write: in which the store drops a repeat of the same key; 0: there are no keys
-	SendTime     Micros  // mean time to send one at a client's pace
-	Sigma        float64 // of the logarithm of sizes
-	Objects      int     // that are asked for again and again
+	Share        float64 // fraction of all requests
+	Write        bool    // runs at the origin, must not run twice, is not cached
+	KeyWindow    Micros  // of a write: period in which the store drops a repeat of the same key; 0: no keys
+	SendTime     Micros  // mean time to send one response at a client's rate
+	Sigma        float64 // standard deviation of the logarithm of sizes
+	Objects      int     // number of objects that are requested repeatedly
 	Zipf         float64 // exponent of their popularity
-	OneTimeShare float64 // share of requests for what is wanted only once
-	LocalShare   float64 // share of the rest for what is wanted at one branch only
+	OneTimeShare float64 // fraction of requests for objects that are requested only once
+	LocalShare   float64 // fraction of the other requests for objects of one branch
 	DriftPeriod  Micros  // after which the next object becomes the most popular; 0: never
-	Parts        [2]int  // of an object, least and most
+	Parts        [2]int  // of an object, minimum and maximum
 	PartGap      [2]Micros
-	Aim          Micros
-	AimStretch   float64 // the aim grows by so many sending times
-	GiveUp       Micros
-	Worth        float64
-	LateWorth    float64
-	Fresh        Micros
-	Grace        Micros
-	OldWorth     float64
+	Aim          Micros  // answers after it are late
+	AimStretch   float64 // how many send times are added to the aim
+	GiveUp       Micros  // maximum time that a client waits for an answer
+	Worth        float64 // of an answer in time
+	LateWorth    float64 // factor for a late answer
+	Fresh        Micros  // maximum age of a fresh copy; 0: until it is purged
+	Grace        Micros  // in which an older copy may still be used
+	OldWorth     float64 // factor for an answer that is not fresh
 }
 
 // Branch is a location with cache nodes and fronts.
@@ -49,63 +49,63 @@
 	Fronts int
 }
 
-// Repeats says how clients come back.
+// RetryPolicy says how clients retry.
 type RetryPolicy struct {
-	MaxRetries      int       // times
-	Wait            [2]Micros // before they do; 0 and 0: at once
-	HonorRetryAfter bool      // they wait as long as a refusal tells
+	MaxRetries      int       // per request
+	Wait            [2]Micros // minimum and maximum delay; 0 and 0: at once
+	HonorRetryAfter bool      // wait at least as long as a refusal asks for
 }
 
-// Spec describes a world. Default gives one; what is changed is checked by New.
+// Spec describes a world. Default returns a complete one; New validates it.
 type Spec struct {
 	Seed     uint64
 	Hubs     []string
 	Branches []Branch
-	Parents  int // spread over the hubs
+	Parents  int // distributed over the hubs
 	Classes  []Class
 	Retries  RetryPolicy
-	Rate     float64 // requests a second in all, where no curve is given
+	Rate     float64 // total requests per second where the plan has no curve
 
-	Flow             float64    // bytes a second of one transfer to a client
-	MaxFillPace      float64    // times that, at which a fill comes at most
-	BoxLink          [2]float64 // transfers at full pace that a cache's link carries
-	BoxCacheSeconds  float64    // seconds of its own sending that a cache keeps
-	FillsPerTransfer int        // fills that a cache runs, per unit of its link
-	FillTimeout      Micros     // after which one is given up if nothing has come
+	Flow             float64    // bytes per second of one transfer to a client
+	MaxFillPace      float64    // maximum rate of a fill, as a multiple of Flow
+	BoxLink          [2]float64 // minimum and maximum of transfers at full rate that a cache node's link carries
+	BoxCacheSeconds  float64    // size of a cache node's cache, in seconds of its own sending rate
+	FillsPerTransfer int        // concurrent fills of a cache node, per transfer that its link carries
+	FillTimeout      Micros     // after which a fill is abandoned if no byte has arrived
 
-	BranchLink         float64 // a branch's link in, over what its caches would draw at full load
-	ParentLink         float64 // a district cache's, over the fills of its branches at full load
-	ParentCacheSeconds float64 // seconds of its sending that it keeps
-	MissShare          float64 // of requests that count as fills for the sizes of these links
+	BranchLink         float64 // a branch's inbound link, as a multiple of what its cache nodes fetch at full load
+	ParentLink         float64 // a parent's link, as a multiple of the fills of its branches at full load
+	ParentCacheSeconds float64 // size of a parent's cache, in seconds of its sending rate
+	MissShare          float64 // fraction of requests that are fills, for the sizes of these links
 
-	OriginLatency      [2]Micros // until its first byte
-	OriginLink         float64   // over what well-used district caches ask
-	OriginDenyLoad     float64   // share of its capacity from which it turns calls away
-	OriginFallMultiple float64   // times its capacity at which it stops, when that lasts FallTime
+	OriginLatency      [2]Micros // until the first byte
+	OriginLink         float64   // as a multiple of what parents at a good hit rate request
+	OriginDenyLoad     float64   // load, as a fraction of capacity, above which it turns calls away
+	OriginFallMultiple float64   // load, as a multiple of capacity, at which it crashes when the load lasts
 
-	RegionDelay, HubDelay [2]Micros // one way, in a hub's region and for each further hub
+	RegionDelay, HubDelay [2]Micros // one way, within a hub's region and for each further hub
 
-	BoxColdFrom    float64 // share of its capacity that a cache starts with
+	BoxColdFrom    float64 // fraction of its capacity that a cache node starts with
 	BoxWarmUp      Micros
 	ParentColdFrom float64
 	ParentWarmUp   Micros
-	FallMultiple   float64 // what it can do that pushes a cold one over
+	FallMultiple   float64 // multiple of a cold server's capacity that crashes it
 	FallTime       Micros
 
-	MemberDelay [2]Micros // how late the register tells
+	MemberDelay [2]Micros // delay of the register's announcements
 	PurgeDelay  [2]Micros
-	PurgeSettle Micros // by when caches have dropped old copies by themselves
+	PurgeSettle Micros // within which caches apply a purge by themselves
 	PurgeGrace  Micros
 	DrainGrace  Micros
-	AnswerGrace Micros // past a client's deadline in which an answer must have come
-	Slack       Micros // by which limits of time grow, as on sockets
+	AnswerGrace Micros // past a client's deadline in which an answer is still in time
+	Slack       Micros // added to time limits, as on sockets
 	MaxAway     Micros
 	MaxHeld     int // calls that a front may hold
 
-	SendSizes bool // clients tell how large a part is
+	SendSizes bool // clients announce the size of a part
 }
 
-// Default is a site as the operators have it.
+// Default is a site like the operators' own.
 func Default() Spec {
 	return Spec{
 		Seed: 1,
@@ -135,8 +135,9 @@
 	}
 }
 
-// Campus is another deployment: campuses round one hub that show recorded lectures, whose
-// copies are good until they are purged, and save where a student stopped under a key.
+// Campus is another deployment: campuses around one hub that show recorded lectures,
+// whose copies are valid until they are purged, and that save a student's position
+// under an idempotency key.
 func Campus() Spec {
 	s := Default()
 	s.Hubs = []string{"central"}
@@ -156,11 +157,11 @@
 	return s
 }
 
-// Sites are the deployments that a day may be played for, by name.
+// Sites are the deployments that a scenario can be played for, by name.
 var Sites = map[string]func() Spec{"branches": Default, "campus": Campus}
 
-// Fleet gives a spec so many cache nodes and fronts in branches of four, with
-// district caches and a rate in proportion; for measurements of scale.
+// Resize sets the number of cache nodes and fronts, in branches of four nodes, with
+// parents and a rate in proportion. It is meant for measurements of scale.
 func (s *Spec) Resize(nodes, fronts int) {
 	count := max(1, nodes/4)
 	s.Rate *= float64(nodes) / 12
@@ -172,7 +173,7 @@
 			s.Branches[i].Fronts++
 		}
 	}
-	for i := range s.Branches { // clients of a branch without a front have nowhere to go
+	for i := range s.Branches { // clients of a branch without a front could not connect
 		if s.Branches[i].Fronts == 0 {
 			s.Branches[i].Boxes = 0
 		}
@@ -187,8 +188,8 @@
 	}
 }
 
-// check names the first thing that no world can be made of.
-func (s *Spec) check() error {
+// validate returns an error for the first setting that a world cannot be built from.
+func (s *Spec) validate() error {
 	if len(s.Hubs) == 0 || len(s.Branches) == 0 || len(s.Classes) == 0 {
 		return errors.New("a world needs hubs, branches and classes")
 	}
@@ -196,11 +197,11 @@
 	for _, b := range s.Branches {
 		switch {
 		case !slices.Contains(s.Hubs, b.Hub):
-			return fmt.Errorf("branch %q: hub %q is not known", b.Name, b.Hub)
+			return fmt.Errorf("branch %q: unknown hub %q", b.Name, b.Hub)
 		case names[b.Name]:
-			return fmt.Errorf("branch %q is there twice", b.Name)
+			return fmt.Errorf("duplicate branch %q", b.Name)
 		case b.Boxes < 1 || b.Fronts < 1:
-			return fmt.Errorf("branch %q: %d boxes and %d fronts, one of each is needed", b.Name, b.Boxes, b.Fronts)
+			return fmt.Errorf("branch %q: %d boxes and %d fronts, at least one of each is needed", b.Name, b.Boxes, b.Fronts)
 		}
 		names[b.Name] = true
 	}
@@ -208,9 +209,9 @@
 	for _, c := range s.Classes {
 		switch {
 		case c.Share < 0 || c.SendTime <= 0 || c.GiveUp <= 0 || c.Worth < 0:
-			return fmt.Errorf("class %q: share, send, give up and worth must not be negative", c.Name)
+			return fmt.Errorf("class %q: share and worth must not be negative, send time and give up must be above 0", c.Name)
 		case !c.Write && c.KeyWindow > 0:
-			return fmt.Errorf("class %q: a window, and it writes nothing", c.Name)
+			return fmt.Errorf("class %q: a key window, but no writes", c.Name)
 		case !c.Write && (c.Objects < 1 || c.Parts[0] < 1 || c.Parts[1] < c.Parts[0]):
 			return fmt.Errorf("class %q: %d objects of %v parts", c.Name, c.Objects, c.Parts)
 		}
@@ -219,22 +220,22 @@
 	for name, x := range map[string]float64{"flow": s.Flow, "rate": s.Rate + 1, "sum of the classes' shares": sum, "fall times": s.FallMultiple,
 		"parents": float64(s.Parents), "held": float64(s.MaxHeld), "fill pace": s.MaxFillPace} {
 		if !(x > 0 && x < 1e12) {
-			return fmt.Errorf("%s: %v is not above 0", name, x)
+			return fmt.Errorf("%s: %v is out of range", name, x)
 		}
 	}
 	return nil
 }
 
-// The kinds of servers, as the settings name them.
+// The kinds of servers, as indexes into serverKinds.
 const (
 	boxKind = iota
 	parentKind
 	originKind
 )
 
-var kinds = []string{"box", "parent", "origin"}
+var serverKinds = []string{"box", "parent", "origin"}
 
-// zones are the hubs and then the branches.
+// zones returns the hubs followed by the branches.
 func (s *Spec) zones() []string {
 	out := slices.Clone(s.Hubs)
 	for _, b := range s.Branches {
@@ -243,14 +244,14 @@
 	return out
 }
 
-// What fronts are told of connections to servers.
+// Settings of the fronts' connections to servers.
 const (
-	connectTime = 400 * milli
-	streams     = 32
-	connIdle    = 12 * second
+	connectTime     = 400 * milli
+	streamsPerConn  = 32
+	connIdleTimeout = 12 * second
 )
 
-// settings are what a front of a branch is told.
+// settings returns the settings of a front in a zone.
 func (s *Spec) settings(zone int) rules.Settings {
 	out := rules.Settings{Zone: zone, ParentKind: parentKind, OriginKind: originKind, Flow: s.Flow / 1000, Weights: rules.WeightsNominal,
 		Direct: true, Joins: true, Siblings: rules.SiblingsAny, Notes: rules.NotesAll, Cancel: true, Hedges: true, RetryAfter: true,
--- a/lab/world/sockets_run_test.go
+++ b/lab/world/subprocess_run_test.go
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// built is the program, built once for all tests.
-var built string
+// frontBinary is the path of the program, built once for all tests.
+var frontBinary string
 
 func buildFront() (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "world"); err != nil {
 		return "", err
 	}
-	built = filepath.Join(dir, "cherryramp")
-	if out, err := exec.Command("go", "build", "-o", built, "cherryramp/cmd/cherryramp").CombinedOutput(); err != nil {
+	frontBinary = filepath.Join(dir, "cherryramp")
+	if out, err := exec.Command("go", "build", "-o", frontBinary, "cherryramp/cmd/cherryramp").CombinedOutput(); err != nil {
 		return dir, fmt.Errorf("%w: %s", err, out)
 	}
 	return dir, nil
 }
 
-// small is a site for tests on sockets. Its slack is what a busy machine may hold
-// things up by; what is looked for takes longer.
-func small() Spec {
+// smallSite is a site for tests on sockets. Its slack covers delays on a busy machine;
+// the violations that the tests look for last longer.
+func smallSite() Spec {
 	s := Default()
 	s.Branches, s.Rate, s.Slack = s.Branches[:2], 40, 1500*milli
 	return s
 }
 
-func playOnSockets(t *testing.T, spec Spec, m Mutation, p Plan, ephemeral bool) *Result {
+func playDayOnSockets(t *testing.T, spec Spec, m Mutation, p Plan, ephemeral bool) *Result {
 	t.Helper()
 	var log strings.Builder
-	w, err := NewOnSockets(spec, SocketOptions{Front: built, Log: &log, Ephemeral: ephemeral})
+	w, err := NewOnSockets(spec, SocketOptions{Front: frontBinary, Log: &log, Ephemeral: ephemeral})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,9 +51,9 @@
 	return r
 }
 
-// Built fronts keep every promise through each kind of loss, and serve; both bodies
-// have the same clients.
-func TestPromisesHoldOnSockets(t *testing.T) {
+// Built fronts violate no property under each kind of loss and keep serving; days in
+// virtual time and on sockets have the same clients.
+func TestPropertiesHoldOnSockets(t *testing.T) {
 	t.Parallel()
 	plan := Plan{WarmUp: 2 * second, Duration: 13 * second, Faults: []Fault{
 		{Kind: LoseServer, At: second, Duration: 3 * second, Target: "edge-1.box-1"},
@@ -66,11 +66,11 @@
 		{Kind: RegisterUnreachable, At: 9 * second, Duration: second},
 		{Kind: PurgeHot, At: 10 * second, Amount: 20},
 		{Kind: CorruptAnswers, At: 11 * second, Duration: 2 * second, Amount: 0.05}}}
-	other := play(t, small(), NoMutation, plan)
+	other := playDay(t, smallSite(), NoMutation, plan)
 	for _, ephemeral := range []bool{false, true} {
 		t.Run(fmt.Sprint("ephemeral nodes ", ephemeral), func(t *testing.T) {
 			t.Parallel()
-			r := playOnSockets(t, small(), NoMutation, plan, ephemeral)
+			r := playDayOnSockets(t, smallSite(), NoMutation, plan, ephemeral)
 			for _, v := range r.Violations {
 				t.Error(v)
 			}
@@ -81,8 +81,8 @@
 	}
 }
 
-// The checkers see on sockets what they see in virtual time.
-func TestMutationsAreSeenOnSockets(t *testing.T) {
+// The checkers detect mutations on sockets as in virtual time.
+func TestMutationsAreDetectedOnSockets(t *testing.T) {
 	t.Parallel()
 	for m, plan := range map[Mutation]Plan{
 		IgnoreDrains: {Duration: 9 * second, Faults: []Fault{{Kind: DrainServer, At: second, Duration: 5 * second, Target: "edge-1.box-1"},
@@ -93,63 +93,63 @@
 	} {
 		t.Run(string(m), func(t *testing.T) {
 			t.Parallel()
-			spec := small()
-			if m == IgnorePurges { // old copies stay for long, and are asked for again at many caches
+			spec := smallSite()
+			if m == IgnorePurges { // purged copies remain for long and are requested at many caches
 				spec.PurgeSettle, spec.Slack, spec.Rate, spec.Classes = 20*second, 200*milli, 120, slices.Clone(spec.Classes)
 				spec.Classes[0].Objects = 10
 			}
-			if r := playOnSockets(t, spec, m, plan, m == IgnoreDrains); r.Broken[Mutations[m]] == 0 {
-				t.Errorf("not seen; broken: %v", r.Broken)
+			if r := playDayOnSockets(t, spec, m, plan, m == IgnoreDrains); r.Broken[Mutations[m]] == 0 {
+				t.Errorf("not detected; violations: %v", r.Broken)
 			}
 		})
 	}
 }
 
-// An address refuses, answers, or says nothing, as its server is; the same again
-// after each other state.
-func TestDoors(t *testing.T) {
-	w, err := NewOnSockets(small(), SocketOptions{Front: built})
+// A listener refuses, accepts or ignores connections as its state says, after each
+// other state.
+func TestListenerStates(t *testing.T) {
+	w, err := NewOnSockets(smallSite(), SocketOptions{Front: frontBinary})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDoor(w.fronts[0], w.servers[0])
-	defer func() { _ = d.apply(doorShut) }()
-	for i, state := range []doorState{doorOpen, doorMute, doorOpen, doorShut, doorMute, doorShut, doorOpen, doorMute} {
-		if err := d.apply(state); err != nil {
+	l := newListener(w.fronts[0], w.servers[0])
+	defer func() { _ = l.apply(listenerRefusing) }()
+	for i, state := range []listenerState{listenerAccepting, listenerSilent, listenerAccepting, listenerRefusing, listenerSilent, listenerRefusing, listenerAccepting, listenerSilent} {
+		if err := l.apply(state); err != nil {
 			t.Fatal(i, err)
 		}
-		c, err := net.DialTimeout("tcp", d.address, 200*time.Millisecond)
-		is := doorOpen
+		c, err := net.DialTimeout("tcp", l.address, 200*time.Millisecond)
+		is := listenerAccepting
 		var late net.Error
 		switch {
 		case errors.As(err, &late) && late.Timeout():
-			is = doorMute
+			is = listenerSilent
 		case err != nil:
-			is = doorShut
+			is = listenerRefusing
 		default:
 			_ = c.Close()
 		}
 		if is != state {
-			t.Errorf("step %d: it is in state %d, %d wanted: %v", i, is, state, err)
+			t.Errorf("step %d: state %d, want %d: %v", i, is, state, err)
 		}
 	}
 }
 
-// What can't be on sockets is refused.
-func TestSocketsAreChecked(t *testing.T) {
+// Specs that cannot run on sockets, and a missing program, are rejected.
+func TestInvalidSocketSetupsAreRejected(t *testing.T) {
 	for _, change := range []func(s *Spec){func(s *Spec) { s.MaxHeld = 5000 }, func(s *Spec) { s.Branches[0].Fronts = 300 }, func(s *Spec) { s.Flow = 0 }} {
 		s := Default()
 		s.Branches = append([]Branch(nil), s.Branches...)
 		change(&s)
-		if _, err := NewOnSockets(s, SocketOptions{Front: built}); err == nil {
-			t.Error("it is taken")
+		if _, err := NewOnSockets(s, SocketOptions{Front: frontBinary}); err == nil {
+			t.Error("an invalid spec is accepted")
 		}
 	}
-	w, err := NewOnSockets(small(), SocketOptions{Front: filepath.Join(t.TempDir(), "none")})
+	w, err := NewOnSockets(smallSite(), SocketOptions{Front: filepath.Join(t.TempDir(), "none")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := w.Run(Plan{Duration: second}); err == nil {
-		t.Error("there is no such program")
+		t.Error("a missing program is accepted")
 	}
 }
