--- a/lab/fleet/operations_test.go
+++ b/lab/fleet/operations_test.go
@@ -105,7 +105,7 @@
 	t.Parallel() // runs after the virtual-time tests, which replace the process's random source
 	h := testFleet{startFleet(t, Options{Fronts: 5, Zones: 3, Seed: 2, UseProxies: true}), t}
 	clients := NewClients(h.Processes, 30)
-	most := h.trackMaxOut()
+	maxOut := h.trackMaxOut()
 	for _, x := range []struct {
 		name string
 		play func(h testFleet)
@@ -129,7 +129,7 @@
 			break
 		}
 	}
-	if n := most(); n > 1 {
+	if n := maxOut(); n > 1 {
 		t.Errorf("%d fronts were out at once", n)
 	}
 	if lost := clients.Stop(); lost != "" {
