--- a/cmd/ramplab/idle.go
+++ b/cmd/ramplab/idle.go
@@ -17,30 +17,31 @@
 	"cherryramp/lab/site"
 )
 
-// eachWorker is the connections that one worker's process holds, within the 20,000
-// descriptors that a process may.
-const eachWorker = 17_500
+// connectionsPerWorker is the number of connections that one worker process holds. A
+// process may have 20,000 descriptors.
+const connectionsPerWorker = 17_500
 
 type workerCommand struct{}
 
-// Run carries out another ramplab's orders.
+// Run carries out the commands that another ramplab sends on standard input.
 func (workerCommand) Run() error { return idle.Serve(os.Stdin, os.Stdout) }
 
-// fronts are several fronts on one core, each before stand-ins of its own.
-type fronts struct {
-	Fronts    int           `default:"1" help:"Fronts, all on one core."`
-	Core      int           `default:"-1" help:"That core; by default any one for each front."`
-	MemoryMB  int           `default:"192" help:"Each front's limit."`
-	Rate      int           `default:"200" help:"Requests a second in all."`
-	For       time.Duration `default:"10s" help:"How long the fronts are watched idle, and then under requests."`
-	JSON      string        `help:"A file for the figures."`
-	Admission string        `default:"" enum:",aimd,gradient" help:"The fronts' clients.admission: aimd, gradient or nothing."`
+// frontGroup is a group of fronts, each with simulated servers of its own.
+type frontGroup struct {
+	Fronts    int           `default:"1" help:"Number of fronts."`
+	Core      int           `default:"-1" help:"The core that all fronts share; by default each front uses any one core."`
+	MemoryMB  int           `default:"192" help:"Memory limit of each front in MB."`
+	Rate      int           `default:"200" help:"Requests per second to all fronts together."`
+	For       time.Duration `default:"10s" help:"Length of each measurement."`
+	JSON      string        `help:"File to which the results are written as JSON."`
+	Admission string        `default:"" enum:",aimd,gradient" help:"The fronts' setting clients.admission: aimd, gradient or empty."`
 	sites     []*site.Site
 }
 
-// start starts the fronts, each with room for so many connections.
-func (f *fronts) start(front string, connections int, clients string) error {
-	if err := errors.Join(positive("memory-mb", f.MemoryMB), positive("rate", f.Rate), positive("for", int(f.For))); err != nil {
+// start starts the fronts, each with enough descriptors for the given number of
+// connections.
+func (f *frontGroup) start(front string, connections int, clients string) error {
+	if err := errors.Join(requirePositive("memory-mb", f.MemoryMB), requirePositive("rate", f.Rate), requirePositive("for", int(f.For))); err != nil {
 		return err
 	}
 	for range f.Fronts {
@@ -60,24 +61,25 @@
 	return nil
 }
 
-func (f *fronts) stop() (err error) {
+func (f *frontGroup) stop() (err error) {
 	for _, s := range f.sites {
 		err = errors.Join(err, s.Stop())
 	}
 	return err
 }
 
-// resident is what all fronts hold, in KB, and spent the time on cores.
-func (f *fronts) resident() (kb int) {
+// residentKB returns the resident memory of all fronts together.
+func (f *frontGroup) residentKB() (kb int) {
 	for _, s := range f.sites {
 		kb += process.ResidentKB(s.Pid())
 	}
 	return kb
 }
 
-func (f *fronts) spent() (sum time.Duration, err error) {
+// cpuTime returns the CPU time of all fronts together.
+func (f *frontGroup) cpuTime() (sum time.Duration, err error) {
 	for _, s := range f.sites {
-		t, err := cpu(s.Pid())
+		t, err := processCPUTime(s.Pid())
 		if err != nil {
 			return 0, err
 		}
@@ -86,19 +88,20 @@
 	return sum, nil
 }
 
-// times are quantiles in ms.
-type times struct {
+// latencyFigures are the results of one measurement: percentiles in milliseconds, answers
+// by status, lost requests and CPU use.
+type latencyFigures struct {
 	P50, P99, P999, Max float64
 	Count               map[int]int
 	Lost                int
-	CPU                 float64 // of a core
+	CPU                 float64 // in cores
 }
 
-// load sends the rate to all fronts alike.
-func (f *fronts) load(run int) (*times, error) {
+// measure sends requests for the duration For, with the rate split evenly over the fronts.
+func (f *frontGroup) measure(run int) (*latencyFigures, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	t := &times{Count: map[int]int{}}
-	before, err := f.spent()
+	figures := &latencyFigures{Count: map[int]int{}}
+	before, err := f.cpuTime()
 	if err != nil {
 		return nil, err
 	}
@@ -108,17 +111,17 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, e := flood.Run(flood.Load{Address: s.Listen, GoodRate: f.Rate / f.Fronts, For: f.For, Connections: 32, Patience: 5 * time.Second,
-				Good: func(n int) string { return idle.Text("guide-video", "9f3a", run, n*f.Fronts+i, 2*time.Second) }})
+			result, e := flood.Run(flood.Options{Address: s.Listen, GoodRate: f.Rate / f.Fronts, Duration: f.For, Connections: 32, Timeout: 5 * time.Second,
+				Good: func(n int) string { return idle.RequestText("guide-video", "9f3a", run, n*f.Fronts+i, 2*time.Second) }})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e != nil {
 				return
 			}
-			all.Merge(r.Good.Times)
-			t.Lost += r.Good.Lost
-			for status, n := range r.Good.Count {
-				t.Count[status] += n
+			all.Merge(result.Good.Times)
+			figures.Lost += result.Good.Failed
+			for status, n := range result.Good.Count {
+				figures.Count[status] += n
 			}
 		}()
 	}
@@ -126,41 +129,42 @@
 	if err != nil {
 		return nil, err
 	}
-	after, err := f.spent()
+	after, err := f.cpuTime()
 	ms := func(q float64) float64 { return float64(all.ValueAtQuantile(q)) / 1000 }
-	t.P50, t.P99, t.P999, t.Max, t.CPU = ms(50), ms(99), ms(99.9), ms(100), (after-before).Seconds()/f.For.Seconds()
-	return t, err
+	figures.P50, figures.P99, figures.P999, figures.Max, figures.CPU = ms(50), ms(99), ms(99.9), ms(100), (after-before).Seconds()/f.For.Seconds()
+	return figures, err
 }
 
-// report prints a row, and keeps all rows for the file.
-func (t *times) report(name string) {
-	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, t.P50, t.P99, t.P999, t.Max,
-		t.Count, t.Lost, 100*t.CPU)
+// print prints the figures as one row.
+func (figures *latencyFigures) print(name string) {
+	fmt.Printf("%-24s p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms; %v, lost %d; CPU %.1f%% of a core\n", name, figures.P50, figures.P99, figures.P999, figures.Max,
+		figures.Count, figures.Lost, 100*figures.CPU)
 }
 
 type idleCommand struct {
 	frontPath
-	fronts
-	Connections int           `default:"17000" help:"Idle connections in all; one front may hold 17,000."`
-	Within      time.Duration `default:"100ms" help:"The span in which all wake; 0: they don't."`
-	Patience    time.Duration `default:"2s" help:"How long a client waits for one answer."`
-	Settle      time.Duration `default:"3s" help:"From the last connection until the fronts are watched."`
+	frontGroup
+	Connections int           `default:"17000" help:"Number of idle connections over all fronts; one front may hold 17,000."`
+	Within      time.Duration `default:"100ms" help:"Time within which all idle connections send a request; 0: they send none."`
+	Patience    time.Duration `default:"2s" help:"How long a client waits for an answer."`
+	Settle      time.Duration `default:"3s" help:"Pause between the last connection and the measurement."`
 }
 
-// idleFigures is what the file gets.
+// idleFigures is written to the file that --json names.
 type idleFigures struct {
 	Connections, Fronts    int
-	None, Beside           *times
+	None, Beside           *latencyFigures
 	EmptyKB, HeldKB        int
-	EachBytes, KernelBytes float64 // a connection; the kernel's for both ends
-	IdleCPU                float64 // of a core
-	Woken                  *idle.Tally
+	EachBytes, KernelBytes float64 // per connection; KernelBytes covers both ends
+	IdleCPU                float64 // in cores
+	Woken                  *idle.Stats
 	WokenKB                int
 }
 
-// Run measures fronts without idle connections, then with them, then wakes them.
+// Run measures the fronts without idle connections and with them, then sends a request on
+// every idle connection.
 func (c *idleCommand) Run() (err error) {
-	if err := errors.Join(positive("fronts", c.Fronts), positive("connections", c.Connections)); err != nil {
+	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("connections", c.Connections)); err != nil {
 		return err
 	}
 	front, err := c.path()
@@ -172,85 +176,85 @@
 	}
 	defer func() { err = errors.Join(err, c.stop()) }()
 	out := idleFigures{Connections: c.Connections, Fronts: c.Fronts}
-	if out.None, err = c.load(3); err != nil {
+	if out.None, err = c.measure(3); err != nil {
 		return err
 	}
-	out.None.report("requests, none idle")
-	out.EmptyKB = c.resident()
-	kernel := kernelKB()
-	herds, err := c.open()
+	out.None.print("requests, none idle")
+	out.EmptyKB = c.residentKB()
+	kernel := kernelSocketKB()
+	workers, err := c.open()
 	defer func() {
-		for _, h := range herds {
-			err = errors.Join(err, h.Stop())
+		for _, worker := range workers {
+			err = errors.Join(err, worker.Stop())
 		}
 	}()
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.Settle)
-	before, err := c.spent()
+	before, err := c.cpuTime()
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.For)
-	after, err := c.spent()
+	after, err := c.cpuTime()
 	if err != nil {
 		return err
 	}
-	out.HeldKB = c.resident()
-	each := 1024 / float64(c.Connections)
-	out.EachBytes, out.KernelBytes = float64(out.HeldKB-out.EmptyKB)*each, float64(kernelKB()-kernel)*each
+	out.HeldKB = c.residentKB()
+	perConnection := 1024 / float64(c.Connections)
+	out.EachBytes, out.KernelBytes = float64(out.HeldKB-out.EmptyKB)*perConnection, float64(kernelSocketKB()-kernel)*perConnection
 	out.IdleCPU = (after - before).Seconds() / c.For.Seconds()
 	fmt.Printf("%-24s resident %d KB, %d without: %.0f bytes each; the kernel's for both ends %.0f; CPU %.2f%% of a core\n",
 		fmt.Sprintf("%d idle, %d fronts", c.Connections, c.Fronts), out.HeldKB, out.EmptyKB, out.EachBytes, out.KernelBytes, 100*out.IdleCPU)
-	if out.Beside, err = c.load(4); err != nil {
+	if out.Beside, err = c.measure(4); err != nil {
 		return err
 	}
-	out.Beside.report("requests beside them")
+	out.Beside.print("requests beside them")
 	if c.Within > 0 {
-		if out.Woken, err = c.wake(herds); err != nil {
+		if out.Woken, err = c.wake(workers); err != nil {
 			return err
 		}
-		out.WokenKB = c.resident()
+		out.WokenKB = c.residentKB()
 		fmt.Printf("%-24s resident %d KB\n", "", out.WokenKB)
 	}
 	return writeJSON(c.JSON, out)
 }
 
-// open has workers hold the connections, spread over the fronts.
-func (c *idleCommand) open() (herds []*idle.Worker, err error) {
+// open starts workers that hold the connections, spread over the fronts.
+func (c *idleCommand) open() (workers []*idle.Worker, err error) {
 	for first := 0; first < c.Connections; {
-		s := c.sites[len(herds)%len(c.sites)]
-		n := min(eachWorker, c.Connections-first)
+		target := c.sites[len(workers)%len(c.sites)]
+		n := min(connectionsPerWorker, c.Connections-first)
 		if c.Fronts > 1 {
 			n = min((c.Connections+c.Fronts-1)/c.Fronts, n)
 		}
-		h, err := idle.NewWorker("idle-worker")
+		worker, err := idle.NewWorker("idle-worker")
 		if err != nil {
-			return herds, err
+			return workers, err
 		}
-		herds = append(herds, h)
-		if _, err := h.Do(idle.Order{Do: "open", Address: s.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
+		workers = append(workers, worker)
+		if _, err := worker.Do(idle.Command{Action: "open", Address: target.Listen, Class: "page-asset", Object: "9f3a", First: first, Count: n,
 			Patience: 10 * time.Second}); err != nil {
-			return herds, err
+			return workers, err
 		}
 		first += n
 	}
-	return herds, nil
+	return workers, nil
 }
 
-// wake has all ask within the span.
-func (c *idleCommand) wake(herds []*idle.Worker) (*idle.Tally, error) {
+// wake sends a request on every idle connection within the time c.Within.
+func (c *idleCommand) wake(workers []*idle.Worker) (*idle.Stats, error) {
 	start := time.Now().Add(2 * time.Second)
-	sum := &idle.Tally{}
+	sum := &idle.Stats{}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var err error
-	for i, h := range herds {
+	for i, worker := range workers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out, e := h.Do(idle.Order{Do: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
+			out, e := worker.Do(idle.Command{Action: "wake", Class: "page-asset", Object: "9f3a", First: i << 20, Start: start, Within: c.Within, Patience: c.Patience})
 			mu.Lock()
 			defer mu.Unlock()
 			if err = errors.Join(err, e); e == nil {
@@ -262,32 +266,32 @@
 	if err != nil {
 		return nil, err
 	}
-	fmt.Printf("%-24s %s\n", fmt.Sprintf("all wake within %v", c.Within), sum.Report(start))
+	fmt.Printf("%-24s %s\n", fmt.Sprintf("all wake within %v", c.Within), sum.Summary(start))
 	return sum, nil
 }
 
 type slowCommand struct {
 	frontPath
-	fronts
-	Clients  int    `default:"5000" help:"Slow clients, all of a few prefixes."`
-	Pace     int    `default:"1000" help:"Bytes a second that each reads or sends."`
-	Senders  bool   `help:"They send requests slowly; by default they read answers slowly."`
-	Spread   bool   `help:"Every one comes from a prefix of its own."`
-	Settings string `default:"\"idle_ms\":600000,\"least_bytes_s\":4000" help:"The fronts' clients section, without its braces."`
+	frontGroup
+	Clients  int    `default:"5000" help:"Number of slow clients, all from a few address prefixes."`
+	Pace     int    `default:"1000" help:"Bytes per second that each client reads or sends."`
+	Senders  bool   `help:"The clients send requests slowly; by default they read answers slowly."`
+	Spread   bool   `help:"Each client comes from an address prefix of its own."`
+	Settings string `default:"\"idle_ms\":600000,\"least_bytes_s\":4000" help:"The clients section of the fronts' operator file, without its braces."`
 }
 
-// slowFigures is what the file gets.
+// slowFigures is written to the file that --json names.
 type slowFigures struct {
 	Clients, Pace   int
 	Senders         bool
-	None, Beside    *times
-	Slow            *idle.Slow
+	None, Beside    *latencyFigures
+	Slow            *idle.SlowStats
 	EmptyKB, MostKB int
 }
 
-// Run measures requests with and without slow clients beside them.
+// Run measures requests without slow clients and with them.
 func (c *slowCommand) Run() (err error) {
-	if err := errors.Join(positive("fronts", c.Fronts), positive("clients", c.Clients), positive("pace", c.Pace)); err != nil {
+	if err := errors.Join(requirePositive("fronts", c.Fronts), requirePositive("clients", c.Clients), requirePositive("pace", c.Pace)); err != nil {
 		return err
 	}
 	front, err := c.path()
@@ -299,54 +303,54 @@
 	}
 	defer func() { err = errors.Join(err, c.stop()) }()
 	out := slowFigures{Clients: c.Clients, Pace: c.Pace, Senders: c.Senders}
-	if out.None, err = c.load(3); err != nil {
+	if out.None, err = c.measure(3); err != nil {
 		return err
 	}
-	out.None.report("requests alone")
-	out.EmptyKB = c.resident()
-	order := idle.Order{Do: "drip", Class: "guide-video", Object: site.Large, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
+	out.None.print("requests alone")
+	out.EmptyKB = c.residentKB()
+	command := idle.Command{Action: "drip", Class: "guide-video", Object: site.LargeObject, Address: c.sites[0].Listen, Count: c.Clients, Patience: 4 * time.Second,
 		Pace: c.Pace, Read: !c.Senders, For: c.For}
 	if c.Spread {
-		order.Stride = 256
+		command.Stride = 256
 	}
-	w, err := idle.NewWorker("idle-worker")
+	worker, err := idle.NewWorker("idle-worker")
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, w.Stop()) }()
+	defer func() { err = errors.Join(err, worker.Stop()) }()
 	done := make(chan error, 1)
 	go func() {
-		o, err := w.Do(order)
-		out.Slow = o.Slow
+		reply, err := worker.Do(command)
+		out.Slow = reply.Slow
 		done <- err
 	}()
-	most, over := 0, make(chan struct{})
+	peakKB, sampled := 0, make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(sampled)
 		for range int(c.For / (100 * time.Millisecond)) {
-			most = max(most, c.resident())
+			peakKB = max(peakKB, c.residentKB())
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
-	if out.Beside, err = c.load(4); err != nil {
+	if out.Beside, err = c.measure(4); err != nil {
 		return err
 	}
-	out.Beside.report("requests beside them")
-	<-over
+	out.Beside.print("requests beside them")
+	<-sampled
 	if err := <-done; err != nil {
 		return err
 	}
-	out.MostKB = most
+	out.MostKB = peakKB
 	fmt.Printf("%d slow clients at %d bytes/s: %d whole, %d ended by the front after %v to %v, %d left; resident %d KB at most, %d before\n",
-		c.Clients, c.Pace, out.Slow.Whole, out.Slow.Ended, out.Slow.Fastest.Round(time.Millisecond), out.Slow.Slowest.Round(time.Millisecond),
-		out.Slow.Left, out.MostKB, out.EmptyKB)
+		c.Clients, c.Pace, out.Slow.Completed, out.Slow.Ended, out.Slow.Fastest.Round(time.Millisecond), out.Slow.Slowest.Round(time.Millisecond),
+		out.Slow.Unfinished, out.MostKB, out.EmptyKB)
 	return writeJSON(c.JSON, out)
 }
 
-// positive tells of a flag that is not above 0.
-func positive(flag string, n int) error {
+// requirePositive returns an error if the value of a flag is below 1.
+func requirePositive(flag string, n int) error {
 	if n < 1 {
-		return fmt.Errorf("--%s: %d is not above 0", flag, n)
+		return fmt.Errorf("--%s: %d must be above 0", flag, n)
 	}
 	return nil
 }
@@ -362,19 +366,19 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// kernelKB is what the kernel holds for TCP's buffers (proc(5), sockstat: pages),
-// and for its sockets, as its slab caches tell where they may be read; 0: not known.
-func kernelKB() (kb int) {
+// kernelSocketKB returns the kernel memory of TCP buffers (proc(5), sockstat: in pages) and
+// of sockets, the latter only where the slab caches are readable; 0: unknown.
+func kernelSocketKB() (kb int) {
 	text, err := os.ReadFile("/proc/net/sockstat")
 	if err != nil {
 		return 0
 	}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if rest, ok := strings.CutPrefix(line, "TCP:"); ok {
-			words := strings.Fields(rest)
-			for i := 0; i+1 < len(words); i += 2 {
+			fields := strings.Fields(rest)
+			for i := 0; i+1 < len(fields); i += 2 {
 				var n int
-				if _, err := fmt.Sscan(words[i+1], &n); err == nil && words[i] == "mem" {
+				if _, err := fmt.Sscan(fields[i+1], &n); err == nil && fields[i] == "mem" {
 					kb = n * os.Getpagesize() / 1024
 				}
 			}
@@ -383,7 +387,7 @@
 	return kb + slabKB()
 }
 
-// slabKB is what the slab caches of TCP sockets hold (slabinfo(5)).
+// slabKB returns the size of the slab caches of TCP sockets (slabinfo(5)); 0: unknown.
 func slabKB() (kb int) {
 	text, err := os.ReadFile("/proc/slabinfo")
 	if err != nil {
--- a/internal/decide/grants/cdni.go
+++ b/internal/decide/grants/cdni.go
@@ -15,85 +15,87 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// cdni is CDNI URI Signing (RFC 9246): a signed JWT in the query, as a path
-// parameter, or in a cookie, which may have its holder handed the next one.
+// cdni is CDNI URI Signing (RFC 9246): a signed JWT in the query, in a path
+// parameter or in a cookie. A token may ask for its renewal: the response then
+// sets a cookie with the next token.
 //
-// The key is chosen by kid among the profile's ring, and its own algorithm must
-// be the one that the token names; the token's alg chooses nothing. A container
-// of URIs, cdniuc, must be there. An expression must fit the whole URI, and is
-// matched by an engine whose time is linear in the URI. cdniip and sub are
-// encrypted to a key of the ring (RFC 7516, direct).
+// The key is selected from the profile's ring by kid. The token's alg must equal
+// the key's algorithm and never selects one. The URI container, cdniuc, is
+// required. A regular expression must match the whole URI; the engine takes time
+// linear in the length of the URI. cdniip and sub are encrypted with a secret of
+// the ring (RFC 7516, direct).
 type cdni struct{}
 
-// PackageName is the usual name of the field that carries the token.
+// DefaultCDNITokenName is the usual name of the query parameter, path parameter or
+// cookie that carries the token.
 const DefaultCDNITokenName = "URISigningPackage"
 
 var cdniAlgorithms = []jose.SignatureAlgorithm{jose.HS256, jose.RS256, jose.ES256, jose.EdDSA}
 
-func (cdni) names(p *Profile) names {
-	n := names{telling: 1}
-	n.fields[inQuery], n.fields[inCookie] = []string{p.Query}, []string{p.Cookie}
+func (cdni) fieldNames(p *Profile) fieldNames {
+	n := fieldNames{identifying: 1}
+	n.byCarrier[inQuery], n.byCarrier[inCookie] = []string{p.Query}, []string{p.Cookie}
 	if p.Query != "" {
-		n.fields[inPath] = []string{";" + p.Query}
+		n.byCarrier[inPath] = []string{";" + p.Query}
 	}
 	return n
 }
 
-func (cdni) named() bool { return true }
+func (cdni) carriesKeyName() bool { return true }
 
-func (cdni) kin(f format) bool { _, ok := f.(cdni); return ok }
+func (cdni) sameFormat(f format) bool { _, ok := f.(cdni); return ok }
 
-// The token names its URIs itself.
-func (cdni) bound(*credential) bool { return false }
+// signsURL returns false: the token names its URIs itself.
+func (cdni) signsURL(*credential) bool { return false }
 
-// claims are those that RFC 9246 registers, beside RFC 7519's.
+// claims are the registered claims of RFC 9246 and RFC 7519.
 type claims struct {
-	Issuer    string   `json:"iss,omitempty"`
-	Subject   string   `json:"sub,omitempty"`
-	Audience  audience `json:"aud,omitempty"`
-	Expires   *number  `json:"exp,omitempty"`
-	NotBefore *number  `json:"nbf,omitempty"`
-	Issued    *number  `json:"iat,omitempty"`
-	ID        string   `json:"jti,omitempty"`
-	Version   *int     `json:"cdniv,omitempty"`
-	Critical  string   `json:"cdnicrit,omitempty"`
-	ClientIP  string   `json:"cdniip,omitempty"`
-	Container string   `json:"cdniuc,omitempty"`
-	Renew     *int64   `json:"cdniets,omitempty"`
-	Transport *int     `json:"cdnistt,omitempty"`
-	Depth     *int     `json:"cdnistd,omitempty"`
+	Issuer       string       `json:"iss,omitempty"`
+	Subject      string       `json:"sub,omitempty"`
+	Audience     audience     `json:"aud,omitempty"`
+	Expires      *numericDate `json:"exp,omitempty"`
+	NotBefore    *numericDate `json:"nbf,omitempty"`
+	Issued       *numericDate `json:"iat,omitempty"`
+	ID           string       `json:"jti,omitempty"`
+	Version      *int         `json:"cdniv,omitempty"`
+	Critical     string       `json:"cdnicrit,omitempty"`
+	ClientIP     string       `json:"cdniip,omitempty"`
+	Container    string       `json:"cdniuc,omitempty"`
+	RenewSeconds *int64       `json:"cdniets,omitempty"`
+	Transport    *int         `json:"cdnistt,omitempty"`
+	Depth        *int         `json:"cdnistd,omitempty"`
 }
 
-var cdniKnown = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniip",
+var cdniClaimNames = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniip",
 	"cdniuc", "cdniets", "cdnistt", "cdnistd"}
 
-// number is a NumericDate (RFC 7519, section 2), read to whole seconds.
-type number int64
+// numericDate is a NumericDate (RFC 7519, section 2), truncated to seconds.
+type numericDate int64
 
-// UnmarshalJSON is part of json.Unmarshaler.
-func (n *number) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON implements json.Unmarshaler.
+func (n *numericDate) UnmarshalJSON(text []byte) error {
 	var f float64
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
 	}
-	if f <= 0 || f >= mostSeconds {
+	if f <= 0 || f >= unixSecondsLimit {
 		return errors.New("time is out of range")
 	}
-	*n = number(f)
+	*n = numericDate(f)
 	return nil
 }
 
-func (n *number) micros() Micros {
+func (n *numericDate) micros() Micros {
 	if n == nil {
 		return 0
 	}
 	return Micros(*n) * 1_000_000
 }
 
-// audience is one name or a list of them (RFC 7519, section 4.1.3).
+// audience is one name or a list of names (RFC 7519, section 4.1.3).
 type audience []string
 
-// UnmarshalJSON is part of json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler.
 func (a *audience) UnmarshalJSON(text []byte) error {
 	var one string
 	if json.Unmarshal(text, &one) == nil {
@@ -103,7 +105,7 @@
 	return json.Unmarshal(text, (*[]string)(a))
 }
 
-// MarshalJSON is part of json.Marshaler.
+// MarshalJSON implements json.Marshaler.
 func (a audience) MarshalJSON() ([]byte, error) {
 	if len(a) == 1 {
 		return json.Marshal(a[0])
@@ -111,30 +113,30 @@
 	return json.Marshal([]string(a))
 }
 
-// The transports of a renewed token (RFC 9246, section 6.5).
+// Values of cdnistt, the transport of a renewed token (RFC 9246, section 6.5).
 const (
-	noTransport = iota
-	byCookie
-	byQuery
+	transportNone = iota
+	transportCookie
+	transportQuery
 )
 
-func (cdni) read(c *credential) (*token, Refusal) {
-	text := c.values[0]
-	if text == "" || len(text) > mostToken {
+func (cdni) parse(cred *credential) (*token, Refusal) {
+	text := cred.values[0]
+	if text == "" || len(text) > maxTokenBytes {
 		return nil, MalformedSignature
 	}
 	jws, err := jose.ParseSignedCompact(text, cdniAlgorithms)
-	var wrong *jose.ErrUnexpectedSignatureAlgorithm
-	if errors.As(err, &wrong) && wrong.Got != "" {
+	var algorithmErr *jose.ErrUnexpectedSignatureAlgorithm
+	if errors.As(err, &algorithmErr) && algorithmErr.Got != "" {
 		return nil, WrongAlgorithm
 	}
 	if err != nil || len(jws.Signatures) != 1 {
 		return nil, MalformedSignature
 	}
-	head := jws.Signatures[0].Protected
+	header := jws.Signatures[0].Protected
 	t := &token{}
-	for _, p := range c.profiles {
-		if t.key = p.Ring.Find(head.KeyID); t.key == nil && head.KeyID == "" && len(p.Ring.Keys) == 1 {
+	for _, p := range cred.profiles {
+		if t.key = p.Ring.Find(header.KeyID); t.key == nil && header.KeyID == "" && len(p.Ring.Keys) == 1 {
 			t.key = p.Ring.Keys[0]
 		}
 		if t.key != nil {
@@ -145,24 +147,24 @@
 	switch {
 	case t.key == nil:
 		return nil, UnknownKey
-	case t.key.Alg != head.Algorithm:
+	case t.key.Alg != header.Algorithm:
 		return nil, WrongAlgorithm
 	}
-	var m claims
+	var claimSet claims
 	payload := jws.UnsafePayloadWithoutVerification()
-	if json.Unmarshal(payload, &m) != nil {
+	if json.Unmarshal(payload, &claimSet) != nil {
 		return nil, MalformedSignature
 	}
-	if refusal := t.claim(&m, payload); refusal != "" {
+	if refusal := t.applyClaims(&claimSet, payload); refusal != "" {
 		return nil, refusal
 	}
 	dot := strings.LastIndexByte(text, '.')
 	if _, err := base64.RawURLEncoding.Strict().DecodeString(text[dot+1:]); err != nil {
-		return nil, MalformedSignature // the library takes signatures with loose last bits
+		return nil, MalformedSignature // go-jose accepts base64 with nonzero trailing bits
 	}
 	t.signed = text[:dot]
 	if t.key.Kind.Costly() {
-		t.proof = PendingSignature{token: t, public: t.key.Public, jws: jws}
+		t.pendingSignature = PendingSignature{token: t, publicKey: t.key.Public, jws: jws}
 		return t, ""
 	}
 	t.verify = func() *keyring.Key {
@@ -174,76 +176,78 @@
 	return t, ""
 }
 
-// claim takes over what a token says.
-func (t *token) claim(m *claims, payload []byte) Refusal {
+// applyClaims checks the claims that don't depend on the request, and copies the
+// others to the token.
+func (t *token) applyClaims(claimSet *claims, payload []byte) Refusal {
 	p := t.profile
-	if m.Version != nil && *m.Version != 1 {
+	if claimSet.Version != nil && *claimSet.Version != 1 {
 		return UnknownCriticalClaim
 	}
-	var all map[string]json.RawMessage
-	if json.Unmarshal(payload, &all) != nil {
+	var rawClaims map[string]json.RawMessage
+	if json.Unmarshal(payload, &rawClaims) != nil {
 		return MalformedSignature
 	}
-	for name := range all { // names are compared as they stand; the decoder is laxer
-		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniKnown, lower) {
+	for name := range rawClaims { // claim names are case-sensitive, the JSON decoder is not
+		if lower := strings.ToLower(name); lower != name && slices.Contains(cdniClaimNames, lower) {
 			return MalformedSignature
 		}
 	}
-	if m.Critical != "" {
-		for name := range strings.SplitSeq(m.Critical, ",") {
-			if !slices.Contains(cdniKnown, name) || all[name] == nil {
+	if claimSet.Critical != "" {
+		for name := range strings.SplitSeq(claimSet.Critical, ",") {
+			if !slices.Contains(cdniClaimNames, name) || rawClaims[name] == nil {
 				return UnknownCriticalClaim
 			}
 		}
 	}
-	if len(p.Issuers) > 0 && !slices.Contains(p.Issuers, m.Issuer) {
+	if len(p.Issuers) > 0 && !slices.Contains(p.Issuers, claimSet.Issuer) {
 		return UntrustedIssuer
 	}
-	if len(m.Audience) > 0 && !slices.Contains(m.Audience, p.Audience) {
+	if len(claimSet.Audience) > 0 && !slices.Contains(claimSet.Audience, p.Audience) {
 		return WrongAudience
 	}
-	if m.Expires == nil && !p.AllowNoExpiry {
+	if claimSet.Expires == nil && !p.AllowNoExpiry {
 		return MalformedSignature
 	}
-	t.expires, t.begins, t.id = m.Expires.micros(), m.NotBefore.micros(), m.ID
+	t.expires, t.notBefore, t.id = claimSet.Expires.micros(), claimSet.NotBefore.micros(), claimSet.ID
 	var refusal Refusal
-	if t.scope, refusal = container(m.Container); refusal != "" {
+	if t.scope, refusal = parseContainer(claimSet.Container); refusal != "" {
 		return refusal
 	}
-	if m.ClientIP != "" {
-		text, ok := t.decrypt(m.ClientIP)
+	if claimSet.ClientIP != "" {
+		text, ok := t.decrypt(claimSet.ClientIP)
 		if ok {
-			t.nets, ok = readNets([]string{text})
+			t.networks, ok = parseNetworks([]string{text})
 		}
 		if !ok {
 			return WrongAddress
 		}
 	}
-	if m.Subject != "" {
+	if claimSet.Subject != "" {
 		var ok bool
-		if t.subject, ok = t.decrypt(m.Subject); !ok {
+		if t.subject, ok = t.decrypt(claimSet.Subject); !ok {
 			return MalformedSignature
 		}
 	}
-	transport := noTransport
-	if m.Transport != nil {
-		transport = *m.Transport
+	transport := transportNone
+	if claimSet.Transport != nil {
+		transport = *claimSet.Transport
 	}
 	switch {
-	case transport < noTransport || transport > byQuery || m.Depth != nil && *m.Depth < 0:
+	case transport < transportNone || transport > transportQuery || claimSet.Depth != nil && *claimSet.Depth < 0:
 		return MalformedSignature
-	case transport != noTransport && (m.Renew == nil || *m.Renew <= 0 || *m.Renew > mostRenewal):
+	case transport != transportNone && (claimSet.RenewSeconds == nil || *claimSet.RenewSeconds <= 0 || *claimSet.RenewSeconds > maxRenewalSeconds):
 		return MalformedSignature
-	case transport == byCookie:
-		t.renew = &renewal{claims: *m}
+	case transport == transportCookie:
+		t.renew = &renewal{claims: *claimSet}
 	}
 	return ""
 }
 
-// mostRenewal is the longest life of a renewed token that is taken, in seconds.
-const mostRenewal = 7 * 24 * 3600
+// maxRenewalSeconds is the longest accepted lifetime of a renewed token.
+const maxRenewalSeconds = 7 * 24 * 3600
 
-// decrypt opens a JWE under the ring's secrets (RFC 9246, sections 2.1.2 and 2.1.10).
+// decrypt decrypts a JWE with the ring's secrets (RFC 9246, sections 2.1.2 and
+// 2.1.10).
 func (t *token) decrypt(text string) (string, bool) {
 	jwe, err := jose.ParseEncryptedCompact(text, []jose.KeyAlgorithm{jose.DIRECT},
 		[]jose.ContentEncryption{jose.A256GCM})
@@ -260,14 +264,14 @@
 	return "", false
 }
 
-// container reads cdniuc.
-func container(text string) (scope, Refusal) {
+// parseContainer parses the URI container, cdniuc.
+func parseContainer(text string) (scope, Refusal) {
 	kind, value, ok := strings.Cut(text, ":")
-	if !ok || value == "" || len(value) > mostPattern {
+	if !ok || value == "" || len(value) > maxPatternBytes {
 		return scope{}, MalformedSignature
 	}
 	switch kind {
-	case "hash": // RFC 6920, section 5: the algorithm and the digest
+	case "hash": // RFC 6920, section 5: algorithm and digest
 		name, sum, _ := strings.Cut(value, ";")
 		hash, err := base64.RawURLEncoding.Strict().DecodeString(sum)
 		if name != "sha-256" || err != nil || len(hash) != sha256.Size {
@@ -275,35 +279,37 @@
 		}
 		return scope{kind: urlHash, hash: hash}, ""
 	case "regex":
-		// The size of a compiled expression grows with its counts; the package
-		// bounds them at 1000 and their product as well.
-		x, err := regexp.CompilePOSIX("^(" + value + ")$")
+		// The size of a compiled expression grows with its repetition counts; package
+		// regexp limits each to 1000, and their product as well.
+		expression, err := regexp.CompilePOSIX("^(" + value + ")$")
 		if err != nil {
 			return scope{}, MalformedSignature
 		}
-		return scope{kind: urlRegex, regex: x}, ""
+		return scope{kind: urlRegex, regex: expression}, ""
 	}
 	return scope{}, MalformedSignature
 }
 
-func hashes(want, url []byte) bool {
+func matchesHash(want, url []byte) bool {
 	sum := sha256.Sum256(url)
-	return equal(sum[:], want)
+	return constantTimeEqual(sum[:], want)
 }
 
-// renewal is what the next token is made from.
+// renewal holds the claims for the next token of a chain.
 type renewal struct{ claims claims }
 
-// Cookie is a token to be handed out: the answer sets it for what lies under a path.
+// Cookie is a renewed token, which the response sets as a cookie for the paths
+// below Path.
 type Cookie struct {
 	Name, Value, Path string
 	Expires           Micros
 }
 
-// Renew makes the next token of a chain (RFC 9246, section 3), for answers to a
-// granted request; nil where the grant has none. It is signed by the ring's
-// signing key, whichever signed the one before, so a chain outlives a rotation.
-// A grant whose ring can't sign gives nil too, and its chain ends.
+// Renew returns the next token of a chain (RFC 9246, section 3), for the response
+// to a granted request, or nil if the grant is not to be renewed. It is signed by
+// the ring's signing key, whichever key signed the last one, so that a chain
+// survives a key rotation. If the ring has no signing key, Renew returns nil and
+// the chain ends.
 func (g *Grant) Renew(now Micros) (*Cookie, error) {
 	if g.token == nil || g.token.renew == nil {
 		return nil, nil
@@ -312,27 +318,28 @@
 	if k == nil {
 		return nil, nil
 	}
-	m := g.token.renew.claims
-	expires := now/1_000_000 + *m.Renew
-	n := number(expires)
-	m.Expires, m.NotBefore, m.Issued = &n, nil, nil
-	if m.ID != "" { // a new token is used anew
+	claimSet := g.token.renew.claims
+	expires := now/1_000_000 + *claimSet.RenewSeconds
+	exp := numericDate(expires)
+	claimSet.Expires, claimSet.NotBefore, claimSet.Issued = &exp, nil, nil
+	if claimSet.ID != "" { // the uses of the new token are counted separately
 		sum := sha256.Sum256([]byte(g.token.signed))
-		m.ID = base64.RawURLEncoding.EncodeToString(sum[:12])
+		claimSet.ID = base64.RawURLEncoding.EncodeToString(sum[:12])
 	}
-	text, err := signJWT(k, &m)
+	text, err := signJWT(k, &claimSet)
 	if err != nil {
 		return nil, err
 	}
 	depth := 0
-	if m.Depth != nil {
-		depth = *m.Depth
+	if claimSet.Depth != nil {
+		depth = *claimSet.Depth
 	}
 	return &Cookie{Name: g.Profile.Cookie, Value: text, Path: firstSegments(g.Path, depth),
 		Expires: expires * 1_000_000}, nil
 }
 
-// firstSegments is the path of the first so many segments, all but the last at most.
+// firstSegments returns the first n segments of a path with the slash after them,
+// but never the last segment.
 func firstSegments(path string, n int) string {
 	at := 0
 	for range n {
@@ -345,7 +352,7 @@
 	return path[:at+1]
 }
 
-func signJWT(k *keyring.Key, m *claims) (string, error) {
+func signJWT(k *keyring.Key, claimSet *claims) (string, error) {
 	var key any = k.Bytes
 	if k.Kind.Costly() {
 		key = k.Signer
@@ -355,7 +362,7 @@
 	if err != nil {
 		return "", err
 	}
-	payload, err := json.Marshal(m)
+	payload, err := json.Marshal(claimSet)
 	if err != nil {
 		return "", err
 	}
@@ -378,8 +385,8 @@
 	return jwe.CompactSerialize()
 }
 
-// sameNet tells whether a text is an address or a prefix.
-func sameNet(text string) bool {
+// isAddressOrPrefix reports whether text is an IP address or prefix.
+func isAddressOrPrefix(text string) bool {
 	_, err := netip.ParsePrefix(text)
 	_, err2 := netip.ParseAddr(text)
 	return err == nil || err2 == nil
--- a/internal/decide/grants/grants.go
+++ b/internal/decide/grants/grants.go
@@ -1,21 +1,21 @@
-// Package grants decides whether a signed link or token lets a request in. A
-// request's target, header and peer address come in, with the moment at which
-// its last byte came; a verdict goes out: granted, with scope, subject, expiry
-// and key, or one named refusal.
+// Package grants authorizes requests by signed links and tokens. The input is a
+// request's target, header and peer address with the time at which its last byte
+// was received; the output is a verdict: a grant with scope, subject, expiry and
+// key, or one named refusal.
 //
-// It knows the formats of several content networks, a file each, and tells them
-// apart by the names under which their fields are carried. A request holds one
-// grant; two are refused, even where both are good.
+// It supports the formats of several content networks, one file each, and tells
+// them apart by the names of their fields. A request may carry one grant; two are
+// refused, even if both are valid.
 //
-// Nothing here does I/O or asks a clock. What costs tens of microseconds, an
-// RSA, ECDSA or Ed25519 signature, is not checked here but handed out as a
-// Proof, which may be checked on any goroutine; all the rest belongs to one
-// owner, as the event loop.
+// The package does no I/O and reads no clock. RSA, ECDSA and Ed25519 signatures,
+// which take tens of microseconds to verify, are returned as a PendingSignature,
+// which may be verified on any goroutine; everything else belongs to a single
+// goroutine, such as the event loop.
 //
-// The order of judgement is by cost. Of a keyed digest the signature comes
-// first, and what it claims is judged once it is known to be genuine. Of a
-// costly signature what it claims comes first, so that the flood of links that
-// could let nothing in costs no signature.
+// The cheaper check runs first. A keyed digest is verified before the claims of
+// its token are checked. The claims of a token with a costly signature are
+// checked before the signature, so that a flood of links that would be refused
+// anyway costs no signature verification.
 package grants
 
 import (
@@ -28,25 +28,26 @@
 	"cherryramp/internal/httpwire"
 )
 
-// Micros is a moment or a span in microseconds of the Unix clock.
+// Micros is a Unix time or a duration in microseconds.
 type Micros = int64
 
-// Bounds of what a request may bring.
+// Limits on the parts of a request.
 const (
-	mostTarget  = 8 << 10 // bytes of a target
-	mostField   = 6 << 10 // bytes of a field of a signature
-	mostToken   = 4 << 10 // bytes of a token
-	mostPattern = 1 << 10 // bytes of a pattern of paths
-	mostDigits  = 12      // of a Unix time in seconds
+	maxTargetBytes  = 8 << 10 // of a request target
+	maxFieldBytes   = 6 << 10 // of one signing field
+	maxTokenBytes   = 4 << 10 // of a token
+	maxPatternBytes = 1 << 10 // of a pattern, prefix or expression for URLs
+	maxTimeDigits   = 12      // of a decimal Unix time in seconds
 )
 
-// Refusal is a reason for which a request is not let in. It holds no secret and
-// nothing that the client sent. The empty one is none.
+// Refusal is the reason why a request is refused. It contains no secret and
+// nothing that the client sent. The empty string means no refusal.
 type Refusal string
 
+// Error implements error.
 func (r Refusal) Error() string { return string(r) }
 
-// The refusals.
+// The reasons for refusal.
 const (
 	MissingSignature     Refusal = "no signature"
 	MultipleSignatures   Refusal = "more than one signature"
@@ -68,34 +69,34 @@
 	UnusableTarget       Refusal = "target can't be used"
 )
 
-// Request is what a client sent.
+// Request is a client's request.
 type Request struct {
-	Target     string // as it stands in the request line
+	Target     string // as in the request line
 	Header     httpwire.Header
 	Peer       netip.Addr
-	ReceivedAt Micros // when its last byte was here
+	ReceivedAt Micros // when the last byte was received
 }
 
-// Grant is what a good signature lets in.
+// Grant describes a request that a valid signature authorizes.
 type Grant struct {
-	Path, Query string // the target without signing fields
+	Path, Query string // of the target, without signing fields
 	Profile     *Profile
 	Key         *keyring.Key
-	Subject     string // whom the issuer named; empty: nobody
-	ID          string // of the one token, for those that are used once
-	Expires     Micros // without skew
+	Subject     string // named by the issuer; empty: none
+	ID          string // of the token, to limit its uses; empty: none
+	Expires     Micros // without clock skew; 0: never
 	token       *token
 }
 
-// Verdict is the answer to a request. Exactly one of Refusal and Proof is set
-// where nothing is granted.
+// Verdict is the decision on a request. If the request is not granted, exactly
+// one of Refusal and Pending is set.
 type Verdict struct {
 	Grant
 	Refusal Refusal
-	Pending *PendingSignature // to be checked first; then Settle gives the verdict
+	Pending *PendingSignature // to be verified and passed to Resolve, before Authorize is called again
 }
 
-// carrier is where in a request a grant stands.
+// carrier is the part of a request that carries a grant.
 type carrier uint8
 
 const (
@@ -103,138 +104,141 @@
 	inCookie
 	inHeader
 	inPath
-	carriers
+	carrierCount
 )
 
-// Set judges requests by a set of profiles. It belongs to one goroutine.
+// ProfileSet authorizes requests by a set of profiles and caches the verdicts. It
+// must be used by one goroutine only.
 type ProfileSet struct {
-	families []*family
-	names    [carriers]map[string][]ref // of fields; of headers in lower case
-	begin    [carriers][256]bool        // first bytes of the names
-	branch   string
-	memory   memory
-	found    [carriers][]found // by family; used anew by each request
-	touched  []*found          // those that hold something
-	key, url []byte            // used anew by each request
-	one      credential        // used anew by each request
+	families         []*family
+	fieldRefs        [carrierCount]map[string][]fieldRef // by field name; header names in lower case
+	firstBytes       [carrierCount][256]bool             // first bytes of the field names
+	branch           string
+	cache            verdictCache
+	fieldValues      [carrierCount][]fieldValues // by family; reused by each request
+	populated        []*fieldValues              // those in fieldValues with a field
+	cacheKey, urlBuf []byte                      // reused by each request
+	credential       credential                  // reused by each request
 }
 
-// ref says which field of which family a name is.
-type ref struct{ family, field int }
-
-// found is the fields of one family in one carrier of a request.
-type found struct {
-	values [maxFields]string
-	order  [maxFields]uint8 // fields in the order in which they came
-	have   uint16           // bits of fields
-	count  int
-	first  int // offset of the first field in the query
-	last   int // and of what follows the last
-	twice  bool
-	family *family
-	at     carrier
+// fieldRef refers to a field of a family by indices.
+type fieldRef struct{ family, field int }
+
+// fieldValues holds the fields of one family in one carrier of a request.
+type fieldValues struct {
+	values    [maxFields]string
+	order     [maxFields]uint8 // field indices in order of appearance
+	present   uint16           // bit set of field indices
+	count     int
+	start     int // offset of the first field in the query or path
+	end       int // offset after the last field
+	duplicate bool
+	family    *family
+	carrier   carrier
 }
 
 const maxFields = 8
 
-// family is the profiles of one format that are carried under the same names.
+// family is a group of profiles of one format with the same field names.
 type family struct {
-	format   format
-	index    int
-	profiles []*Profile
-	names    names
+	format     format
+	index      int
+	profiles   []*Profile
+	fieldNames fieldNames
 }
 
-// names are where a format's fields stand.
-type names struct {
-	fields  [carriers][]string
-	telling uint16         // bits of the fields that tell the format from others
-	alone   [carriers]bool // any one field tells it, and there may be only one
+// fieldNames lists the names of a format's fields.
+type fieldNames struct {
+	byCarrier   [carrierCount][]string
+	identifying uint16             // bit set of the fields that distinguish the format from others
+	single      [carrierCount]bool // carriers where any one field identifies the format, and only one may occur
 }
 
-// credential is the one grant that a request holds, as text.
+// credential is the one grant that a request carries, unparsed.
 type credential struct {
 	*family
-	*found
+	*fieldValues
 	carrier carrier
 	path    string // without signing fields
 	query   string // without signing fields
 	target  string
 	peer    netip.Addr
-	scratch *[]byte // for the whole URL
+	urlBuf  *[]byte // reused by url
 }
 
-// url is the whole URL without signing fields, as the issuer names it. It holds
-// until the next one is asked for.
-func (c *credential) url(base string) []byte {
-	b := append(append((*c.scratch)[:0], base...), c.path...)
-	if c.query != "" {
-		b = append(append(b, '?'), c.query...)
+// url returns the whole URL without signing fields, beginning with base. The
+// result is valid until the next call.
+func (cred *credential) url(base string) []byte {
+	b := append(append((*cred.urlBuf)[:0], base...), cred.path...)
+	if cred.query != "" {
+		b = append(append(b, '?'), cred.query...)
 	}
-	*c.scratch = b
+	*cred.urlBuf = b
 	return b
 }
 
-// format reads one format of grants.
+// format parses one format of grants.
 type format interface {
-	// names tells under which names a profile's fields are carried.
-	names(p *Profile) names
-	// named tells whether a grant names its key.
-	named() bool
-	// kin tells whether grants of another format are read by this one too.
-	kin(format) bool
-	// bound tells whether the signature covers the URL itself, so that what was
-	// learnt of it holds for that URL only.
-	bound(c *credential) bool
-	// read turns a credential into a token whose signature is not checked yet.
-	read(c *credential) (*token, Refusal)
+	// fieldNames returns the names of a profile's fields.
+	fieldNames(p *Profile) fieldNames
+	// carriesKeyName reports whether a grant names its key.
+	carriesKeyName() bool
+	// sameFormat reports whether this format also parses grants of another one.
+	sameFormat(format) bool
+	// signsURL reports whether the signature covers the URL itself, so that its
+	// cached verdict is valid for that URL only.
+	signsURL(c *credential) bool
+	// parse returns a credential's token, with the signature not verified yet.
+	parse(c *credential) (*token, Refusal)
 }
 
-// Config is what a set is made of.
+// Config configures a ProfileSet.
 type Config struct {
 	Profiles          []*Profile
-	Branch            string // own name, which a grant's data must give
-	MaxCachedVerdicts int    // verdicts held at most, half of them for forged ones
+	Branch            string // own name, which a token's data must match if its profile requires it
+	MaxCachedVerdicts int    // half for genuine signatures, a quarter each for forged and pending ones
 }
 
-// New makes a set; it names the profile that can't be used.
+// New returns a set of the profiles. The error names the first profile that can't
+// be used.
 func New(cfg Config) (*ProfileSet, error) {
-	s := &ProfileSet{branch: cfg.Branch}
-	s.memory.init(cfg.MaxCachedVerdicts)
-	for c := range s.names {
-		s.names[c] = map[string][]ref{}
+	set := &ProfileSet{branch: cfg.Branch}
+	set.cache.init(cfg.MaxCachedVerdicts)
+	for c := range set.fieldRefs {
+		set.fieldRefs[c] = map[string][]fieldRef{}
 	}
 	for _, p := range cfg.Profiles {
 		if err := p.Check(); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
-		if err := s.add(p); err != nil {
+		if err := set.addProfile(p); err != nil {
 			return nil, fmt.Errorf("grants: %s: %w", p.Name, err)
 		}
 	}
-	for c := range s.found {
-		s.found[c] = make([]found, len(s.families))
-		for i, f := range s.families {
-			s.found[c][i].family, s.found[c][i].at = f, carrier(c)
+	for c := range set.fieldValues {
+		set.fieldValues[c] = make([]fieldValues, len(set.families))
+		for i, f := range set.families {
+			set.fieldValues[c][i].family, set.fieldValues[c][i].carrier = f, carrier(c)
 		}
 	}
-	return s, nil
+	return set, nil
 }
 
-// add puts a profile to those that are carried alike, or into a family of its own.
-func (s *ProfileSet) add(p *Profile) error {
-	n := p.format.names(p)
-	for _, f := range s.families {
-		if f.format.kin(p.format) && sameNames(f.names, n) {
+// addProfile adds a profile to the family with the same format and field names,
+// or to a new one.
+func (set *ProfileSet) addProfile(p *Profile) error {
+	names := p.format.fieldNames(p)
+	for _, f := range set.families {
+		if f.format.sameFormat(p.format) && equalFieldNames(f.fieldNames, names) {
 			if p.Format == Timed {
-				return fmt.Errorf("query, cookie, header: profile %q is carried alike, and nothing else tells them apart",
+				return fmt.Errorf("query, cookie, header: profile %q uses the same field names, and nothing else tells them apart",
 					f.profiles[0].Name)
 			}
 			for _, k := range p.Ring.Keys {
-				for _, o := range f.profiles {
-					if p.format.named() && o.Ring.Find(k.Name) != nil {
-						return fmt.Errorf("ring: key %q is in profile %q too, whose links are carried alike: which is meant?",
-							k.Name, o.Name)
+				for _, other := range f.profiles {
+					if p.format.carriesKeyName() && other.Ring.Find(k.Name) != nil {
+						return fmt.Errorf("ring: key %q is also in profile %q, which uses the same field names, so its links are ambiguous",
+							k.Name, other.Name)
 					}
 				}
 			}
@@ -242,9 +246,9 @@
 			return nil
 		}
 	}
-	f := &family{format: p.format, index: len(s.families), profiles: []*Profile{p}, names: n}
-	s.families = append(s.families, f)
-	for c, list := range n.fields {
+	f := &family{format: p.format, index: len(set.families), profiles: []*Profile{p}, fieldNames: names}
+	set.families = append(set.families, f)
+	for c, list := range names.byCarrier {
 		for i, name := range list {
 			if name == "" {
 				continue
@@ -252,93 +256,96 @@
 			if carrier(c) == inHeader {
 				name = strings.ToLower(name)
 			}
-			s.begin[c][name[0]|caseless(carrier(c))] = true
-			s.names[c][name] = append(s.names[c][name], ref{f.index, i})
+			set.firstBytes[c][name[0]|caseBit(carrier(c))] = true
+			set.fieldRefs[c][name] = append(set.fieldRefs[c][name], fieldRef{f.index, i})
 		}
 	}
 	return nil
 }
 
-// caseless is the bit that tells small letters apart, where case does not count.
-func caseless(c carrier) byte {
+// caseBit returns the ASCII bit that maps a letter to lower case, for carriers
+// with case-insensitive names, and 0 for others.
+func caseBit(c carrier) byte {
 	if c == inHeader {
 		return 0x20
 	}
 	return 0
 }
 
-func sameNames(a, b names) bool {
-	for c := range a.fields {
-		if strings.Join(a.fields[c], "\x00") != strings.Join(b.fields[c], "\x00") {
+func equalFieldNames(a, b fieldNames) bool {
+	for c := range a.byCarrier {
+		if strings.Join(a.byCarrier[c], "\x00") != strings.Join(b.byCarrier[c], "\x00") {
 			return false
 		}
 	}
 	return true
 }
 
-// Judge gives the verdict on a request, or a Proof that must be checked first.
-func (s *ProfileSet) Authorize(r *Request) Verdict {
-	c := &s.one
-	*c = credential{scratch: &s.url, peer: r.Peer}
-	if refusal := s.locate(r, c); refusal != "" {
+// Authorize returns the verdict on a request. If a costly signature must be
+// verified first, it sets Verdict.Pending.
+func (set *ProfileSet) Authorize(req *Request) Verdict {
+	cred := &set.credential
+	*cred = credential{urlBuf: &set.urlBuf, peer: req.Peer}
+	if refusal := set.locate(req, cred); refusal != "" {
 		return Verdict{Refusal: refusal}
 	}
-	s.key = c.appendKey(s.key[:0])
-	if t := s.memory.find(s.key, r.ReceivedAt); t != nil {
-		return s.judge(t, c, r)
+	set.cacheKey = cred.appendKey(set.cacheKey[:0])
+	if t := set.cache.get(set.cacheKey, req.ReceivedAt); t != nil {
+		return set.verdict(t, cred, req)
 	}
-	t, refusal := c.format.read(c)
+	t, refusal := cred.format.parse(cred)
 	if refusal != "" {
 		return Verdict{Refusal: refusal}
 	}
 	if !t.costly() {
-		if t.settle(t.check()) {
-			s.memory.grant(s.key, t)
+		if t.resolve(t.verifyMAC()) {
+			set.cache.addGenuine(set.cacheKey, t)
 		}
-		return s.judge(t, c, r)
+		return set.verdict(t, cred, req)
 	}
-	// What it claims is cheaper to judge than its signature.
-	if v := s.judge(t, c, r); v.Refusal != "" {
+	// Checking the claims is cheaper than verifying the signature.
+	if v := set.verdict(t, cred, req); v.Refusal != "" {
 		return v
 	}
 	t.state = pending
-	s.memory.wait(s.key, t)
-	return s.judge(t, c, r)
+	set.cache.addPending(set.cacheKey, t)
+	return set.verdict(t, cred, req)
 }
 
-// Settle takes what a Proof's check gave.
-func (s *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
-	p.token.settle(genuine)
-	s.memory.settle(p.token, now)
+// Resolve records the result of p.Verify.
+func (set *ProfileSet) Resolve(p *PendingSignature, genuine bool, now Micros) {
+	p.token.resolve(genuine)
+	set.cache.resolve(p.token, now)
 }
 
-// Forget drops a Proof that nobody will check; whoever comes with the same
-// credential later gets a new one.
-func (s *ProfileSet) Discard(p *PendingSignature) {
+// Discard drops a pending signature that won't be verified. A later request with
+// the same credential gets a new one.
+func (set *ProfileSet) Discard(p *PendingSignature) {
 	if p.token.state == pending {
-		s.memory.drop(p.token)
+		set.cache.discard(p.token)
 	}
 }
 
-// judge holds a token's claims against a request. The token's signature is
-// good, or not yet known, or known to be forged.
-func (s *ProfileSet) judge(t *token, c *credential, r *Request) Verdict {
-	v := Verdict{Grant: Grant{Path: c.path, Query: c.query, Profile: t.profile, Key: t.key,
+// verdict checks a token's claims against a request. The token's signature is
+// genuine, forged or not verified yet.
+func (set *ProfileSet) verdict(t *token, cred *credential, req *Request) Verdict {
+	v := Verdict{Grant: Grant{Path: cred.path, Query: cred.query, Profile: t.profile, Key: t.key,
 		Subject: t.subject, ID: t.id, Expires: t.expires, token: t}}
-	v.Refusal = s.refusal(t, c, r)
+	v.Refusal = set.checkToken(t, cred, req)
 	if v.Refusal == "" && t.state == pending {
-		v.Pending = &t.proof
+		v.Pending = &t.pendingSignature
 	}
 	return v
 }
 
-func (s *ProfileSet) refusal(t *token, c *credential, r *Request) Refusal {
+// checkToken returns the reason to refuse the token for a request, if any.
+func (set *ProfileSet) checkToken(t *token, cred *credential, req *Request) Refusal {
 	if t.state == forged {
 		return SignatureMismatch
 	}
 	skew := t.profile.Skew
 	if t.key != nil {
-		switch t.key.ValidityAt(r.ReceivedAt) {
+		switch t.key.ValidityAt(req.ReceivedAt) {
 		case keyring.NotYetValid:
 			return KeyNotYetValid
 		case keyring.Retired:
@@ -351,51 +358,52 @@
 		}
 	}
 	switch {
-	case t.expires > 0 && r.ReceivedAt > t.expires+skew:
+	case t.expires > 0 && req.ReceivedAt > t.expires+skew:
 		return Expired
-	case t.begins > 0 && r.ReceivedAt < t.begins-skew:
+	case t.notBefore > 0 && req.ReceivedAt < t.notBefore-skew:
 		return NotYetValid
-	case !t.covers(c):
+	case !t.coversURL(cred):
 		return PathNotCovered
-	case !t.takes(r.Peer):
+	case !t.allowsAddress(req.Peer):
 		return WrongAddress
-	case t.profile.RequireBranch && t.data != s.branch && !(t.data == "" && t.profile.AllowMissingBranch):
+	case t.profile.RequireBranch && t.data != set.branch && !(t.data == "" && t.profile.AllowMissingBranch):
 		return WrongBranch
 	}
 	return ""
 }
 
-// appendKey writes what a verdict on a signature depends on.
-func (c *credential) appendKey(b []byte) []byte {
-	b = append(b, byte(c.index), byte(c.carrier), byte(c.count))
-	if c.count > 1 { // a format may care for the order in which they stand
-		for _, i := range c.order[:c.count] {
+// appendKey appends the cache key: everything that the verdict on the signature
+// depends on.
+func (cred *credential) appendKey(b []byte) []byte {
+	b = append(b, byte(cred.index), byte(cred.carrier), byte(cred.count))
+	if cred.count > 1 { // the order of the fields matters to some formats
+		for _, i := range cred.order[:cred.count] {
 			b = append(b, i)
 		}
 	}
-	for i := range c.values {
-		if c.have&(1<<i) != 0 {
+	for i := range cred.values {
+		if cred.present&(1<<i) != 0 {
 			b = append(b, byte(i))
-			b = append(b, c.values[i]...)
+			b = append(b, cred.values[i]...)
 			b = append(b, 0)
 		}
 	}
-	if t, ok := c.format.(*timed); ok && t.peer {
-		b = c.peer.AppendTo(b)
+	if t, ok := cred.format.(*timed); ok && t.bindsPeer {
+		b = cred.peer.AppendTo(b)
 	}
-	if c.carrier != inCookie && c.carrier != inHeader && (c.count > 1 || c.carrier == inPath) {
-		return append(b, c.target...) // and for where they stand
+	if cred.carrier != inCookie && cred.carrier != inHeader && (cred.count > 1 || cred.carrier == inPath) {
+		return append(b, cred.target...) // the position of the fields matters too
 	}
-	if c.format.bound(c) {
-		b = append(b, c.path...)
+	if cred.format.signsURL(cred) {
+		b = append(b, cred.path...)
 		b = append(b, '?')
-		b = append(b, c.query...)
+		b = append(b, cred.query...)
 	}
 	return b
 }
 
-// Digest names the token in tables that count its uses: by what was signed, and
-// not by the signature, which others could word anew.
+// Digest identifies the token in tables that count its uses. It covers the ID or
+// the signed text, not the signature, which others could encode differently.
 func (g *Grant) Digest() (d [16]byte) {
 	h := sha256.New()
 	h.Write([]byte(g.Profile.Name))
@@ -409,8 +417,8 @@
 	return d
 }
 
-// Ends is the moment from which the grant can let nothing in, skew and all; the
-// end of time where it never runs out.
+// ExpiresWithSkew returns the time from which the grant is refused as expired,
+// with the allowed clock skew included, or the maximum if it never expires.
 func (g *Grant) ExpiresWithSkew() Micros {
 	if g.Expires == 0 {
 		return 1<<63 - 1
@@ -422,9 +430,9 @@
 	return g.Expires + skew + 1
 }
 
-// Renews tells whether the grant is one of a chain of tokens, and whether the
-// next one costs a signature that takes long.
-func (g *Grant) Renewable() (costly, renews bool) {
+// Renewable reports whether the grant's token is to be renewed, and whether signing
+// the next one is costly.
+func (g *Grant) Renewable() (costly, renewable bool) {
 	if g.token == nil || g.token.renew == nil {
 		return false, false
 	}
--- a/internal/decide/grants/timed.go
+++ b/internal/decide/grants/timed.go
@@ -13,33 +13,34 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// Description tells how a network makes its timed digests. Message and Token
-// are templates: text with fields in braces.
+// TimedFormat describes how a network computes digests of URLs with an expiry.
+// Message, the text to be digested, and Token are templates: text with fields in
+// braces.
 //
-//	{expires}  moment in seconds, in Base: the last one, or with Life the first
+//	{expires}  Unix time in seconds: the expiry, or with Lifetime the time of issue
 //	{path}     the path without signing fields
-//	{dir}      the path up to and with its last slash; the link then covers all below it
+//	{dir}      the path through its last slash; the link then covers all paths below it
 //	{url}      scheme, host and path
 //	{ip}       the client's address
-//	{id}       whom the link is for
-//	{nonce}    any word
+//	{id}       the user of the link
+//	{nonce}    any text
 //	{key}      the key's name
-//	{secret}   the secret itself, of plain digests
-//	{mac}      the digest, of Token
+//	{secret}   the secret; only in Message, for plain digests
+//	{mac}      the digest; only in Token
 //
-// Token is what the one field carries, as "{expires}_{mac}"; where Separate
-// names a query parameter, the moment stands there instead.
+// Token is the format of the token's field, for example "{expires}_{mac}". If
+// TimeParam names a query parameter, that carries {expires} instead.
 type TimedFormat struct {
 	Message   string
 	Token     string
-	TimeParam string // of the moment; empty: in Token
+	TimeParam string // query parameter for {expires}; empty: it is in Token
 	Digest    string // hmac-sha256, hmac-sha1, hmac-md5; plain: sha256, sha1, md5
 	Encoding  string // hex, base64, base64url, base64url-nopad
-	TimeBase  int    // of the moment, 10 or 16
-	Lifetime  Micros // of a link whose moment is when it was issued; 0: it is when it ends
+	TimeBase  int    // base of {expires}: 10 (default) or 16
+	Lifetime  Micros // from the time of issue; 0: {expires} is the expiry
 }
 
-// Encodings names the encodings.
+// Encodings lists the encodings of a digest.
 var Encodings = []string{"hex", "base64", "base64url", "base64url-nopad"}
 
 var (
@@ -47,72 +48,76 @@
 	tokenFields   = []string{"expires", "ip", "id", "nonce", "key", "mac"}
 )
 
-// piece is a run of plain text or a field of a template.
-type piece struct {
+// templatePart is either literal text or a field of a template.
+type templatePart struct {
 	text  string
 	field string
 }
 
-// timed is a compiled description.
+// timed is a compiled TimedFormat.
 type timed struct {
 	TimedFormat
-	message, token []piece
-	keyed          bool // HMAC; else a plain digest with the secret in the message
-	peer           bool // the address is the client's, and not in the token
+	message, token []templatePart
+	useHMAC        bool // otherwise a plain digest with the secret in the message
+	bindsPeer      bool // {ip} is the address of the connection, not taken from the token
 	digest         string
 }
 
-func template(key, text string, fields []string) ([]piece, error) {
-	var out []piece
+// parseTemplate splits a template into its parts. key is the setting's name, for
+// errors.
+func parseTemplate(key, text string, fields []string) ([]templatePart, error) {
+	var parts []templatePart
 	for rest := text; rest != ""; {
 		plain, after, ok := strings.Cut(rest, "{")
 		if plain != "" {
-			out = append(out, piece{text: plain})
+			parts = append(parts, templatePart{text: plain})
 		}
 		if !ok {
 			break
 		}
 		name, more, ok := strings.Cut(after, "}")
 		if !ok || !slices.Contains(fields, name) {
-			return nil, fmt.Errorf("%s: field {%s} is none of %v", key, name, fields)
+			return nil, fmt.Errorf("%s: field {%s} is not one of %v", key, name, fields)
 		}
-		out = append(out, piece{field: name})
+		parts = append(parts, templatePart{field: name})
 		rest = more
 	}
-	return out, nil
+	return parts, nil
 }
 
+// compile checks the description and parses its templates. An error begins with the
+// setting's key.
 func (d TimedFormat) compile() (*timed, error) {
 	t := &timed{TimedFormat: d}
 	var err error
-	if t.message, err = template("message", d.Message, messageFields); err != nil {
+	if t.message, err = parseTemplate("message", d.Message, messageFields); err != nil {
 		return nil, err
 	}
-	if t.token, err = template("token", d.Token, tokenFields); err != nil {
+	if t.token, err = parseTemplate("token", d.Token, tokenFields); err != nil {
 		return nil, err
 	}
-	for i, p := range t.token {
-		if i > 0 && p.field != "" && t.token[i-1].field != "" {
-			return nil, fmt.Errorf("token: nothing parts {%s} from {%s}", t.token[i-1].field, p.field)
+	for i, part := range t.token {
+		if i > 0 && part.field != "" && t.token[i-1].field != "" {
+			return nil, fmt.Errorf("token: no text separates {%s} from {%s}", t.token[i-1].field, part.field)
 		}
 	}
-	t.digest, t.keyed = strings.CutPrefix(d.Digest, "hmac-")
+	t.digest, t.useHMAC = strings.CutPrefix(d.Digest, "hmac-")
 	if digests[t.digest] == nil {
-		return nil, fmt.Errorf("digest: %q is none of %v, each also with hmac- before it", d.Digest, Digests)
+		return nil, fmt.Errorf("digest: %q is not one of %v, with or without the prefix hmac-", d.Digest, Digests)
 	}
 	if !slices.Contains(Encodings, d.Encoding) {
-		return nil, fmt.Errorf("encoding: %q is none of %v", d.Encoding, Encodings)
+		return nil, fmt.Errorf("encoding: %q is not one of %v", d.Encoding, Encodings)
 	}
 	if t.TimeBase == 0 {
 		t.TimeBase = 10
 	}
 	inMessage := func(name string) bool {
-		return slices.ContainsFunc(t.message, func(p piece) bool { return p.field == name })
+		return slices.ContainsFunc(t.message, func(part templatePart) bool { return part.field == name })
 	}
 	inToken := func(name string) int {
 		n := 0
-		for _, p := range t.token {
-			if p.field == name {
+		for _, part := range t.token {
+			if part.field == name {
 				n++
 			}
 		}
@@ -122,102 +127,103 @@
 	case t.TimeBase != 10 && t.TimeBase != 16:
 		return nil, fmt.Errorf("base: %d is not 10 or 16", t.TimeBase)
 	case inToken("mac") != 1:
-		return nil, errors.New("token: {mac} must stand there once")
+		return nil, errors.New("token: {mac} must occur exactly once")
 	case inToken("expires")+map[bool]int{true: 1}[d.TimeParam != ""] != 1:
-		return nil, errors.New("token: {expires} must stand there once, or separate name its parameter")
+		return nil, errors.New("token: {expires} must occur exactly once, or separate must name its query parameter instead")
 	case !inMessage("expires"):
-		return nil, errors.New("message: {expires} is missing, so a link could be made to last")
+		return nil, errors.New("message: {expires} is missing, so the expiry would not be signed")
 	case !inMessage("path") && !inMessage("dir") && !inMessage("url"):
-		return nil, errors.New("message: {path}, {dir} or {url} is missing, so a link would let in everything")
-	case t.keyed == inMessage("secret"):
-		return nil, errors.New("message: {secret} belongs to plain digests, and must stand there with them")
+		return nil, errors.New("message: {path}, {dir} or {url} is missing, so a link would cover every path")
+	case t.useHMAC == inMessage("secret"):
+		return nil, errors.New("message: {secret} is required for plain digests and not allowed for HMAC")
 	}
-	t.peer = inMessage("ip") && inToken("ip") == 0
-	for _, p := range t.token {
-		if p.field != "" && p.field != "mac" && !inMessage(p.field) && p.field != "key" {
-			return nil, fmt.Errorf("token: {%s} is not in message, so anyone could alter it", p.field)
+	t.bindsPeer = inMessage("ip") && inToken("ip") == 0
+	for _, part := range t.token {
+		if part.field != "" && part.field != "mac" && !inMessage(part.field) && part.field != "key" {
+			return nil, fmt.Errorf("token: {%s} is not in message, so it would not be signed", part.field)
 		}
 	}
 	return t, nil
 }
 
-func (t *timed) names(p *Profile) names {
-	n := names{telling: 1}
-	n.fields[inQuery] = []string{p.Query}
+func (t *timed) fieldNames(p *Profile) fieldNames {
+	n := fieldNames{identifying: 1}
+	n.byCarrier[inQuery] = []string{p.Query}
 	if t.TimeParam != "" {
-		n.fields[inQuery] = append(n.fields[inQuery], t.TimeParam)
+		n.byCarrier[inQuery] = append(n.byCarrier[inQuery], t.TimeParam)
 	}
-	n.fields[inCookie], n.fields[inHeader] = []string{p.Cookie}, []string{p.Header}
+	n.byCarrier[inCookie], n.byCarrier[inHeader] = []string{p.Cookie}, []string{p.Header}
 	return n
 }
 
-func (*timed) named() bool { return false }
+func (*timed) carriesKeyName() bool { return false }
 
-func (*timed) kin(f format) bool { _, ok := f.(*timed); return ok }
+func (*timed) sameFormat(f format) bool { _, ok := f.(*timed); return ok }
 
-func (t *timed) bound(*credential) bool { return true }
+func (t *timed) signsURL(*credential) bool { return true }
 
-func (*timed) read(c *credential) (*token, Refusal) {
-	text := c.values[0]
-	if text == "" || len(text) > mostToken {
+func (*timed) parse(cred *credential) (*token, Refusal) {
+	text := cred.values[0]
+	if text == "" || len(text) > maxTokenBytes {
 		return nil, MalformedSignature
 	}
-	x := &token{}
-	for _, p := range c.profiles {
-		// Described alike as far as names go; the first whose form fits is it.
-		f := p.format.(*timed)
-		values, ok := f.split(text)
+	t := &token{}
+	for _, p := range cred.profiles {
+		// The profiles have the same field names; the first one whose template matches
+		// applies.
+		compiled := p.format.(*timed)
+		values, ok := compiled.parseToken(text)
 		if !ok {
 			continue
 		}
-		if f.TimeParam != "" {
-			values["expires"] = c.values[1]
+		if compiled.TimeParam != "" {
+			values["expires"] = cred.values[1]
 		}
-		moment, err := strconv.ParseInt(values["expires"], f.TimeBase, 64)
-		mac, ok := decodeMAC(f.Encoding, values["mac"])
-		if err != nil || moment <= 0 || moment >= mostSeconds || !ok || len(mac) != digests[f.digest]().Size() {
+		timestamp, err := strconv.ParseInt(values["expires"], compiled.TimeBase, 64)
+		mac, ok := decodeMAC(compiled.Encoding, values["mac"])
+		if err != nil || timestamp <= 0 || timestamp >= unixSecondsLimit || !ok || len(mac) != digests[compiled.digest]().Size() {
 			continue
 		}
-		x.profile = p
-		if x.subject, err = url.QueryUnescape(values["id"]); err != nil {
+		t.profile = p
+		if t.subject, err = url.QueryUnescape(values["id"]); err != nil {
 			continue
 		}
-		if x.expires = moment * 1_000_000; f.Lifetime > 0 {
-			x.begins, x.expires = x.expires, x.expires+f.Lifetime
+		if t.expires = timestamp * 1_000_000; compiled.Lifetime > 0 {
+			t.notBefore, t.expires = t.expires, t.expires+compiled.Lifetime
 		}
-		if ip := values["ip"]; ip != "" && !f.peer {
-			if x.nets, ok = readNets([]string{ip}); !ok {
+		if ip := values["ip"]; ip != "" && !compiled.bindsPeer {
+			if t.networks, ok = parseNetworks([]string{ip}); !ok {
 				continue
 			}
 		}
-		if f.peer {
-			values["ip"] = c.peer.Unmap().String()
+		if compiled.bindsPeer {
+			values["ip"] = cred.peer.Unmap().String()
 		}
-		path := c.path
-		x.signed = path + "\x00" + string(mac)
-		x.verify = func() (found *keyring.Key) {
+		path := cred.path
+		t.signed = path + "\x00" + string(mac)
+		t.verify = func() (found *keyring.Key) {
 			for _, k := range p.Ring.Keys {
 				if name := values["key"]; name != "" && name != k.Name {
 					continue
 				}
-				if equal(f.sum(p, k, values, path), mac) {
+				if constantTimeEqual(compiled.computeDigest(p, k, values, path), mac) {
 					found = k
 				}
 			}
 			return found
 		}
-		return x, ""
+		return t, ""
 	}
 	return nil, MalformedSignature
 }
 
-// split takes a token apart by its template.
-func (t *timed) split(text string) (map[string]string, bool) {
+// parseToken returns the values of a token's fields by its template.
+func (t *timed) parseToken(text string) (map[string]string, bool) {
 	values := map[string]string{}
-	for i, p := range t.token {
-		if p.text != "" {
+	for i, part := range t.token {
+		if part.text != "" {
 			var ok bool
-			if text, ok = strings.CutPrefix(text, p.text); !ok {
+			if text, ok = strings.CutPrefix(text, part.text); !ok {
 				return nil, false
 			}
 			continue
@@ -231,18 +237,18 @@
 		if end == 0 {
 			return nil, false
 		}
-		values[p.field], text = text[:end], text[end:]
+		values[part.field], text = text[:end], text[end:]
 	}
 	return values, text == ""
 }
 
-// sum is the digest that a key gives.
-func (t *timed) sum(p *Profile, k *keyring.Key, values map[string]string, path string) []byte {
+// computeDigest returns the digest of the message under a key.
+func (t *timed) computeDigest(p *Profile, k *keyring.Key, values map[string]string, path string) []byte {
 	texts := make([]string, 0, 16)
-	for _, x := range t.message {
-		switch x.field {
+	for _, part := range t.message {
+		switch part.field {
 		case "":
-			texts = append(texts, x.text)
+			texts = append(texts, part.text)
 		case "path":
 			texts = append(texts, path)
 		case "dir":
@@ -254,10 +260,10 @@
 		case "secret":
 			texts = append(texts, string(k.Bytes))
 		default:
-			texts = append(texts, values[x.field])
+			texts = append(texts, values[part.field])
 		}
 	}
-	if t.keyed {
+	if t.useHMAC {
 		return p.mac(k, texts...)
 	}
 	h := digests[t.digest]()
@@ -267,6 +273,7 @@
 	return h.Sum(nil)
 }
 
+// encodeMAC encodes a digest. Standard base64 is also percent-encoded.
 func encodeMAC(encoding string, mac []byte) string {
 	switch encoding {
 	case "hex":
@@ -279,6 +286,7 @@
 	return base64.RawURLEncoding.EncodeToString(mac)
 }
 
+// decodeMAC reverses encodeMAC.
 func decodeMAC(encoding, text string) ([]byte, bool) {
 	var mac []byte
 	var err error
--- a/internal/decide/grants/token.go
+++ b/internal/decide/grants/token.go
@@ -15,59 +15,63 @@
 	"cherryramp/internal/decide/keyring"
 )
 
-// state is what is known of a token's signature.
-type state uint8
+// signatureState is the state of a token's signature.
+type signatureState uint8
 
 const (
-	unknown state = iota
-	pending       // a Proof of it is out
+	unverified signatureState = iota
+	pending                   // a PendingSignature was handed out
 	genuine
 	forged
 )
 
-// token is what a credential says, and what is known of its signature.
+// token is a parsed credential with the state of its signature.
 type token struct {
-	profile *Profile
-	key     *keyring.Key // nil until a nameless key was found
-	state   state
-	begins  Micros // 0: always
-	expires Micros // 0: never
-	subject string
-	id      string
-	data    string
-	signed  string   // what the signature covers, as far as it tells this token from others
-	mac     [64]byte // of keyed digests
-	scope   scope
-	nets    []netip.Prefix // empty: any
-	renew   *renewal
-	proof   PendingSignature
-	verify  func() *keyring.Key // of keyed digests: the key under which it is genuine
-	entry   *entry              // in the memory of verdicts
+	profile          *Profile
+	key              *keyring.Key // nil until verified, if the token doesn't name its key
+	state            signatureState
+	notBefore        Micros // 0: always
+	expires          Micros // 0: never
+	subject          string
+	id               string
+	data             string
+	signed           string   // the part of the signed text that identifies the token
+	mac              [64]byte // of EdgeAuth
+	scope            scope
+	networks         []netip.Prefix // empty: any
+	renew            *renewal
+	pendingSignature PendingSignature
+	verify           func() *keyring.Key // of keyed digests: returns the matching key or nil
+	entry            *entry              // in the verdict cache
 }
 
+// costly reports whether the signature is to be verified as a PendingSignature. It
+// is valid only before verifyMAC.
 func (t *token) costly() bool { return t.verify == nil }
 
-func (t *token) check() bool {
+// verifyMAC verifies a keyed digest and sets the token's key.
+func (t *token) verifyMAC() bool {
 	t.key = t.verify()
 	t.verify = nil
 	return t.key != nil
 }
 
-func (t *token) settle(good bool) bool {
+// resolve records whether the signature is genuine, and returns that.
+func (t *token) resolve(good bool) bool {
 	if t.state = forged; good {
 		t.state = genuine
 	}
-	t.proof = PendingSignature{token: t} // what it was checked with is of no more use
+	t.pendingSignature = PendingSignature{token: t} // frees the inputs of the verification
 	return good
 }
 
-// takes tells whether an address may use the token.
-func (t *token) takes(peer netip.Addr) bool {
-	if len(t.nets) == 0 {
+// allowsAddress reports whether a client address may use the token.
+func (t *token) allowsAddress(peer netip.Addr) bool {
+	if len(t.networks) == 0 {
 		return true
 	}
 	peer = peer.Unmap().WithZone("")
-	for _, n := range t.nets {
+	for _, n := range t.networks {
 		if n.Contains(peer) {
 			return true
 		}
@@ -75,8 +79,8 @@
 	return false
 }
 
-// scope is the URLs that a token lets in. The zero one holds for the URL that
-// the signature itself covers.
+// scope is the set of URLs that a token covers. The zero value is the URL that the
+// signature itself covers.
 type scope struct {
 	kind    scopeKind
 	pattern string
@@ -87,59 +91,60 @@
 type scopeKind uint8
 
 const (
-	signedURL   scopeKind = iota
-	anyPath               // the format covers no path
-	pathLists             // patterns parted by '!', of paths
-	urlPrefix             // plain text that the URL without its query begins with
-	urlPattern            // one pattern of the whole URL
-	urlRegex              // an expression that the whole URL fits
-	urlHash               // the digest of the whole URL
-	exactPath             // the path itself
-	nothingElse           // covers nothing
+	signedURL    scopeKind = iota
+	anyPath                // the format covers no path
+	pathPatterns           // path patterns, separated by '!'
+	urlPrefix              // prefix of the URL without its query
+	urlPattern             // one pattern for the whole URL
+	urlRegex               // regular expression for the whole URL
+	urlHash                // SHA-256 digest of the whole URL
+	exactPath              // the path itself
+	noURL                  // covers nothing
 )
 
-func (t *token) covers(c *credential) bool {
+// coversURL reports whether the request's URL is in the token's scope.
+func (t *token) coversURL(cred *credential) bool {
 	switch t.scope.kind {
 	case signedURL, anyPath:
 		return true
-	case pathLists:
-		return covers(t.scope.pattern, c.path)
+	case pathPatterns:
+		return matchesAny(t.scope.pattern, cred.path)
 	case urlPrefix:
-		url := c.url(t.profile.BaseURL)
-		return strings.HasPrefix(string(url[:len(t.profile.BaseURL)+len(c.path)]), t.scope.pattern)
+		url := cred.url(t.profile.BaseURL)
+		return strings.HasPrefix(string(url[:len(t.profile.BaseURL)+len(cred.path)]), t.scope.pattern)
 	case urlPattern:
-		return matches(t.scope.pattern, c.url(t.profile.BaseURL))
+		return matchesPattern(t.scope.pattern, cred.url(t.profile.BaseURL))
 	case urlRegex:
-		return t.scope.regex.Match(c.url(t.profile.BaseURL))
+		return t.scope.regex.Match(cred.url(t.profile.BaseURL))
 	case urlHash:
-		return hashes(t.scope.hash, c.url(t.profile.BaseURL))
+		return matchesHash(t.scope.hash, cred.url(t.profile.BaseURL))
 	case exactPath:
-		return t.scope.pattern == c.path
+		return t.scope.pattern == cred.path
 	}
 	return false
 }
 
-// Proof is a signature whose check takes long. It is plain data and shared with
-// nobody, so that Check may run on any goroutine, beside its set.
+// PendingSignature is a signature that is costly to verify. Verify may run on any
+// goroutine, concurrently with the ProfileSet, since nothing else uses its data.
 type PendingSignature struct {
 	token     *token
-	public    crypto.PublicKey
+	publicKey crypto.PublicKey
 	hash      crypto.Hash
-	message   []byte // of Ed25519; else its digest under hash
+	message   []byte // for Ed25519 the message, otherwise its digest by hash
 	signature []byte
 	jws       *jose.JSONWebSignature
 }
 
-// Tenant is whose link it claims to be.
+// Tenant returns the owner of the link, by the profile of the claimed key.
 func (p *PendingSignature) Tenant() string { return p.token.profile.Tenant }
 
-// Check tells whether the signature is genuine.
+// Verify reports whether the signature is genuine.
 func (p *PendingSignature) Verify() bool {
 	if p.jws != nil {
-		_, err := p.jws.Verify(p.public)
+		_, err := p.jws.Verify(p.publicKey)
 		return err == nil
 	}
-	switch key := p.public.(type) {
+	switch key := p.publicKey.(type) {
 	case *rsa.PublicKey:
 		return rsa.VerifyPKCS1v15(key, p.hash, p.message, p.signature) == nil
 	case *ecdsa.PublicKey:
@@ -150,9 +155,9 @@
 	return false
 }
 
-// seconds reads a Unix time of digits alone.
-func seconds(s string) (Micros, bool) {
-	if s == "" || len(s) > mostDigits {
+// parseSeconds parses a Unix time in seconds, which must be all digits.
+func parseSeconds(s string) (Micros, bool) {
+	if s == "" || len(s) > maxTimeDigits {
 		return 0, false
 	}
 	for i := range len(s) {
@@ -164,43 +169,44 @@
 	return n * 1_000_000, err == nil && n > 0
 }
 
-// covers tells whether one of the patterns, parted by '!', fits a path; '*'
-// stands for any run of signs and '?' for one.
-func covers(patterns, path string) bool {
+// matchesAny reports whether a path matches one of the patterns, which are
+// separated by '!'.
+func matchesAny(patterns, path string) bool {
 	for more := true; more; {
 		var pattern string
-		if pattern, patterns, more = strings.Cut(patterns, "!"); matches(pattern, path) {
+		if pattern, patterns, more = strings.Cut(patterns, "!"); matchesPattern(pattern, path) {
 			return true
 		}
 	}
 	return false
 }
 
-// matches goes back only to the last '*', so it takes no more than the product
-// of the two lengths.
-func matches[T string | []byte](pattern string, s T) bool {
-	p, i, star, from := 0, 0, -1, 0
-	for i < len(s) {
+// matchesPattern reports whether s matches a pattern, in which '*' matches any
+// sequence of bytes and '?' any one byte. It backtracks to the last '*' only, so
+// its time is bounded by the product of the two lengths.
+func matchesPattern[T string | []byte](pattern string, s T) bool {
+	patternPos, pos, star, restart := 0, 0, -1, 0
+	for pos < len(s) {
 		switch {
-		case p < len(pattern) && pattern[p] == '*':
-			star, from = p, i
-			p++
-		case p < len(pattern) && (pattern[p] == '?' || pattern[p] == s[i]):
-			p++
-			i++
+		case patternPos < len(pattern) && pattern[patternPos] == '*':
+			star, restart = patternPos, pos
+			patternPos++
+		case patternPos < len(pattern) && (pattern[patternPos] == '?' || pattern[patternPos] == s[pos]):
+			patternPos++
+			pos++
 		case star >= 0:
-			from++
-			p, i = star+1, from
+			restart++
+			patternPos, pos = star+1, restart
 		default:
 			return false
 		}
 	}
-	return strings.Trim(pattern[p:], "*") == ""
+	return strings.Trim(pattern[patternPos:], "*") == ""
 }
 
-// nets reads addresses and prefixes (RFC 4632, RFC 4291).
-func readNets(list []string) ([]netip.Prefix, bool) {
-	var nets []netip.Prefix
+// parseNetworks parses addresses and prefixes (RFC 4632, RFC 4291).
+func parseNetworks(list []string) ([]netip.Prefix, bool) {
+	var networks []netip.Prefix
 	for _, text := range list {
 		n, err := netip.ParsePrefix(text)
 		if err != nil {
@@ -211,9 +217,9 @@
 			n = netip.PrefixFrom(a, a.BitLen())
 		}
 		if n.Addr().Is4In6() {
-			return nil, false // it could never hold an address as it is compared
+			return nil, false // can't match, since client addresses are unmapped
 		}
-		nets = append(nets, n.Masked())
+		networks = append(networks, n.Masked())
 	}
-	return nets, true
+	return networks, true
 }
--- a/lab/conformance/world.go
+++ b/lab/conformance/fixture.go
@@ -1,13 +1,12 @@
-// Package conformance is the project's own suite of the signed front: what each
-// format of link has to say and what becomes of it, good, stale, altered, cut,
-// doubled, misplaced or forged, and what clients use of HTTP beside it.
+// Package conformance is the test suite of the signed front. It covers every link
+// format with valid, expired, altered, cut, doubled, misplaced and forged links, and
+// the other HTTP features that clients use.
 //
-// A case is the bytes of one request and what must come of it. The same cases
-// run against the pure verdict, against the started program and, by address,
-// against any server that the world's operator's file has been given to. The
-// links are made here, by the formats' published recipes and another library of
-// JWTs than the one that the front verifies with; nothing of internal/decide
-// signs them.
+// A case is the bytes of one request and the expected response. The same cases run
+// against the verdict function, against the started program and, by address, against
+// any server that was given the fixture's operator file. The links are signed here, by
+// the published description of each format and with a different JWT library than the
+// one that the front verifies with; nothing of internal/decide signs them.
 package conformance
 
 import (
@@ -24,43 +23,44 @@
 	"time"
 )
 
-// The world's own facts.
+// Constants of the fixture.
 const (
-	Base   = "https://files.example"
-	Branch = "edge-1"
-	Path   = "/files/guide-video/17/9f3a"
-	Target = Path + "?seg=3"
-	// Tag and Size are of the object that Target names, which the stand-ins
-	// behind the front must hold.
-	Tag  = "t1"
-	Size = 14_000
+	BaseURL = "https://files.example"
+	Branch  = "edge-1"
+	Path    = "/files/guide-video/17/9f3a"
+	Target  = Path + "?seg=3"
+	// ObjectTag and ObjectSize describe the object that Target names. The simulated
+	// servers behind the front must hold it.
+	ObjectTag  = "t1"
+	ObjectSize = 14_000
 
-	secret   = "0123456789abcdef0123456789abcdef"
-	otherOne = "fedcba9876543210fedcba9876543210"
+	secret      = "0123456789abcdef0123456789abcdef"
+	otherSecret = "fedcba9876543210fedcba9876543210"
 )
 
-// World is the keys and the moment that cases are made for.
-type World struct {
-	Now time.Time
-	rsa *rsa.PrivateKey
-	ec  *ecdsa.PrivateKey
-	ed  ed25519.PrivateKey
-	bad struct { // of the same kinds, and known to nobody
+// Fixture holds the keys and the time that cases are made for.
+type Fixture struct {
+	Now      time.Time
+	rsa      *rsa.PrivateKey
+	ec       *ecdsa.PrivateKey
+	ed       ed25519.PrivateKey
+	unlisted struct { // keys of the same kinds that are not in the operator file
 		rsa *rsa.PrivateKey
 		ec  *ecdsa.PrivateKey
 		ed  ed25519.PrivateKey
 	}
 }
 
-// New makes a world with keys of its own, whose links begin and end round a moment.
-func New(now time.Time) (*World, error) {
-	w := &World{Now: now}
+// New returns a fixture with newly generated keys. The validity of its links is relative
+// to now.
+func New(now time.Time) (*Fixture, error) {
+	fixture := &Fixture{Now: now}
 	var err error
 	for _, x := range []struct {
 		rsa **rsa.PrivateKey
 		ec  **ecdsa.PrivateKey
 		ed  *ed25519.PrivateKey
-	}{{&w.rsa, &w.ec, &w.ed}, {&w.bad.rsa, &w.bad.ec, &w.bad.ed}} {
+	}{{&fixture.rsa, &fixture.ec, &fixture.ed}, {&fixture.unlisted.rsa, &fixture.unlisted.ec, &fixture.unlisted.ed}} {
 		if *x.rsa, err = rsa.GenerateKey(rand.Reader, 2048); err == nil {
 			*x.ec, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 		}
@@ -71,13 +71,13 @@
 			return nil, fmt.Errorf("conformance: %w", err)
 		}
 	}
-	return w, nil
+	return fixture, nil
 }
 
-// Keys is the world's private keys, for Load.
-func (w *World) Keys() ([]byte, error) {
+// Keys returns the fixture's private keys as PEM, for LoadKeys.
+func (fixture *Fixture) Keys() ([]byte, error) {
 	var out []byte
-	for _, k := range []any{w.rsa, w.ec, w.ed} {
+	for _, k := range []any{fixture.rsa, fixture.ec, fixture.ed} {
 		der, err := x509.MarshalPKCS8PrivateKey(k)
 		if err != nil {
 			return nil, fmt.Errorf("conformance: %w", err)
@@ -87,8 +87,9 @@
 	return out, nil
 }
 
-// Load takes the keys of another world, whose operator's file a server was given.
-func (w *World) Load(keys []byte) error {
+// LoadKeys replaces the keys by those of another fixture, whose operator file a server
+// was given. It needs exactly three keys.
+func (fixture *Fixture) LoadKeys(keys []byte) error {
 	n := 0
 	for block, rest := pem.Decode(keys); block != nil; block, rest = pem.Decode(rest) {
 		key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
@@ -98,33 +99,34 @@
 		n++
 		switch k := key.(type) {
 		case *rsa.PrivateKey:
-			w.rsa = k
+			fixture.rsa = k
 		case *ecdsa.PrivateKey:
-			w.ec = k
+			fixture.ec = k
 		case ed25519.PrivateKey:
-			w.ed = k
+			fixture.ed = k
 		}
 	}
 	if n != 3 {
-		return fmt.Errorf("conformance: keys: %d of them, 3 wanted", n)
+		return fmt.Errorf("conformance: got %d keys, want 3", n)
 	}
 	return nil
 }
 
-func public(k crypto.Signer) string {
+func publicPEM(k crypto.Signer) string {
 	der, err := x509.MarshalPKIXPublicKey(k.Public())
 	if err != nil {
-		panic(err) // the keys are ours
+		panic(err) // the keys were generated by this package
 	}
 	return string(pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}))
 }
 
 type object = map[string]any
 
-// Operator is the operator's file of the world, for a front at an address.
-func (w *World) Operator(listen string) []byte {
-	at := func(d time.Duration) string { return w.Now.Add(d).UTC().Format(time.RFC3339) }
-	// Each ring has a key in every state, named after it.
+// OperatorFile returns the operator file that fits the fixture, for a front that listens
+// on the given address.
+func (fixture *Fixture) OperatorFile(listen string) []byte {
+	at := func(d time.Duration) string { return fixture.Now.Add(d).UTC().Format(time.RFC3339) }
+	// Each ring has a key in every state, named after that state.
 	states := func(prefix string, key object) []object {
 		var out []object
 		for _, s := range []object{{"name": "active"}, {"name": "next", "state": "next"},
@@ -152,23 +154,23 @@
 		}
 		return object{"name": name, "keys": keys}
 	}
-	rs, es, ed := object{"pem": public(w.rsa)}, object{"pem": public(w.ec)}, object{"pem": public(w.ed)}
+	rs, es, ed := object{"pem": publicPEM(fixture.rsa)}, object{"pem": publicPEM(fixture.ec)}, object{"pem": publicPEM(fixture.ed)}
 	file := object{"signed": object{
 		"listen": listen, "branch": Branch, "skew_ms": 10000,
 		"rings": []object{ring("macs", hmacs), ring("rs", states("rs-", rs), states("es-", es)), ring("ed", states("m-", ed)),
 			ring("jwt", states("hs-", object{"secret": secret}), states("rs-", rs), states("es-", es), states("ed-", ed)),
-			// Of nameless tokens, each key has a secret of its own.
-			ring("edge", []object{{"name": "a", "secret": secret}, {"name": "b", "secret": otherOne},
+			// The tokens of this ring name no key, so each key has a secret of its own.
+			ring("edge", []object{{"name": "a", "secret": secret}, {"name": "b", "secret": otherSecret},
 				{"name": "retired", "state": "retiring", "until": at(-time.Hour), "secret": "retired" + secret},
 				{"name": "revoked", "state": "revoked", "secret": "revoked" + secret}})},
 		"profiles": []object{
 			{"name": "edge", "tenant": "padma", "format": "edgeauth", "ring": "edge", "query": "hdnts", "cookie": "hdnts",
 				"header": "X-Edge-Token", "bound": true},
 			{"name": "salted", "tenant": "padma", "format": "edgeauth", "ring": "edge", "query": "salted", "salt": "pinch", "digest": "sha1"},
-			{"name": "cloud", "tenant": "padma", "format": "cloudcdn", "ring": "macs", "base": Base},
-			{"name": "media", "tenant": "padma", "format": "mediacdn", "ring": "ed", "base": Base},
-			{"name": "front", "tenant": "padma", "format": "cloudfront", "ring": "rs", "base": Base},
-			{"name": "cdni", "tenant": "padma", "format": "cdni", "ring": "jwt", "base": Base, "issuers": []string{"uCDN"}, "audience": "dCDN"},
+			{"name": "cloud", "tenant": "padma", "format": "cloudcdn", "ring": "macs", "base": BaseURL},
+			{"name": "media", "tenant": "padma", "format": "mediacdn", "ring": "ed", "base": BaseURL},
+			{"name": "front", "tenant": "padma", "format": "cloudfront", "ring": "rs", "base": BaseURL},
+			{"name": "cdni", "tenant": "padma", "format": "cdni", "ring": "jwt", "base": BaseURL, "issuers": []string{"uCDN"}, "audience": "dCDN"},
 			{"name": "verify", "tenant": "guest", "format": "timed", "ring": "edge", "query": "verify", "describe": object{
 				"message": "{path}{expires}", "token": "{expires}-{mac}", "digest": "hmac-sha256", "encoding": "base64"}},
 			{"name": "secure", "tenant": "padma", "format": "timed", "ring": "edge", "query": "md5", "describe": object{
@@ -183,25 +185,25 @@
 	}}
 	text, err := json.MarshalIndent(file, "", "  ")
 	if err != nil {
-		panic(err) // maps and strings alone
+		panic(err) // the file consists of maps, lists, strings, numbers and booleans
 	}
 	return text
 }
 
-// Case is one request and what must come of it.
+// Case is one request and the expected response.
 type Case struct {
-	Name   string
-	Method string
-	Target string
-	Header []string // fields, as "Name: value"
-	Status int
-	Reason string            // of a refusal: its body's line; where more than one will do, parted by |
-	Size   int               // of the body; -1: any
-	Fields map[string]string // that the answer must have; an empty value: that it must not
-	Pure   bool              // the verdict on the grant alone decides it
+	Name       string
+	Method     string
+	Target     string
+	Header     []string // header fields, as "Name: value"
+	Status     int
+	Reason     string            // the line in the body of a refusal; alternatives are separated by |
+	Size       int               // of the body in bytes; -1: any
+	WantHeader map[string]string // fields of the response, '*' matches any text; an empty value: the field must be absent
+	GrantOnly  bool              // the outcome depends on the verdict on the grant alone
 }
 
-// Bytes is the request as it is sent.
+// Bytes returns the request as it is sent.
 func (c *Case) Bytes() string {
 	text := c.Method + " " + c.Target + " HTTP/1.1\r\nHost: files.example\r\n"
 	for _, f := range c.Header {
