--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario is the laboratory's language for days that go wrong: the site,
-// its clients' load, and troubles in time that may overlap.
+// Package scenario reads and writes the lab's scenario language. A scenario describes a
+// site, its clients' load, and timed faults that may overlap.
 //
 //	name "a branch comes back cold while the store is slow"
 //	site { branch "edge-1" at "north-hub" 4 boxes 1 fronts  branch "edge-2" at "delta-hub" 3 boxes 1 fronts  parents 2 }
@@ -9,7 +9,7 @@
 //	from 20s origin slower 3x for 10s
 //	expect G above 0.5
 //
-// What a scenario does not say is as world.Default has it. Errors name file, line
+// Settings that a scenario leaves out are those of world.Default. Errors name file, line
 // and column.
 package scenario
 
@@ -26,7 +26,7 @@
 	"cherryramp/lab/world"
 )
 
-// Scenario is a day that is ready to be played.
+// Scenario is a parsed or generated scenario that can be played.
 type Scenario struct {
 	Name         string
 	Spec         world.Spec
@@ -34,39 +34,39 @@
 	Expectations []Expectation
 }
 
-// Expect is a bound on what comes of a day.
+// Expectation is a bound on one metric of a scenario's result.
 type Expectation struct {
 	Metric string // G, service, hits, falls, origin
-	Above  bool   // or below
+	Above  bool   // the metric must be above Bound, otherwise not above it
 	Bound  float64
 }
 
-// Met tells whether a day keeps to it, and what it was.
-func (e Expectation) Check(r *world.Result) (is float64, ok bool) {
+// Check returns the metric's value in a result and whether it meets the expectation.
+func (e Expectation) Check(result *world.Result) (value float64, ok bool) {
 	switch e.Metric {
 	case "G":
-		is = r.G
+		value = result.G
 	case "service":
-		is = r.Service
+		value = result.Service
 	case "hits":
-		is = r.Hits()
+		value = result.Hits()
 	case "falls":
-		is = float64(r.Falls)
+		value = float64(result.Falls)
 	case "origin":
-		is = r.OriginBytes / max(1, r.SentBytes)
+		value = result.OriginBytes / max(1, result.SentBytes)
 	}
-	return is, is > e.Bound == e.Above
+	return value, value > e.Bound == e.Above
 }
 
 func (e Expectation) String() string {
-	way := "below"
+	direction := "below"
 	if e.Above {
-		way = "above"
+		direction = "above"
 	}
-	return fmt.Sprintf("%s %s %g", e.Metric, way, e.Bound)
+	return fmt.Sprintf("%s %s %g", e.Metric, direction, e.Bound)
 }
 
-// The grammar.
+// The grammar; its leaves are the tokens of the lexer below.
 
 type file struct {
 	Statements []*statement `parser:"@@*"`
@@ -76,14 +76,14 @@
 	Pos     lexer.Position
 	Name    *string      `parser:"  'name' @String"`
 	Seed    *uint64      `parser:"| 'seed' @Number"`
-	Warm    *span        `parser:"| 'warm' @Span"`
-	Run     *span        `parser:"| 'run' @Span"`
+	WarmUp  *duration    `parser:"| 'warm' @Span"`
+	Run     *duration    `parser:"| 'run' @Span"`
 	Site    *siteBlock   `parser:"| 'site' '{' @@ '}'"`
 	Class   *classBlock  `parser:"| 'class' @@"`
 	Clients *clientsLine `parser:"| 'clients' @@"`
 	Load    []*loadPoint `parser:"| 'load' @@ (',' @@)*"`
-	Trouble *trouble     `parser:"| ('at'|'from') @@"`
-	Expect  *expect      `parser:"| 'expect' @@"`
+	Fault   *faultLine   `parser:"| ('at'|'from') @@"`
+	Expect  *expectLine  `parser:"| 'expect' @@"`
 }
 
 type siteBlock struct {
@@ -96,7 +96,7 @@
 	Branch  *branchLine `parser:"| 'branch' @@"`
 	Parents *int        `parser:"| 'parents' @Number"`
 	Fleet   *fleetLine  `parser:"| 'fleet' @@"`
-	Held    *int        `parser:"| 'held' @Number"`
+	MaxHeld *int        `parser:"| 'held' @Number"`
 }
 
 type branchLine struct {
@@ -117,104 +117,104 @@
 }
 
 type classItem struct {
-	Share   *share `parser:"  'share' @Percent"`
-	Worth   *num   `parser:"| 'worth' @Number"`
-	GiveUp  *span  `parser:"| 'give' 'up' @Span"`
-	Aim     *span  `parser:"| 'aim' @Span"`
-	Send    *span  `parser:"| 'send' @Span"`
-	Objects *int   `parser:"| 'objects' @Number"`
-	Zipf    *num   `parser:"| 'zipf' @Number"`
-	Once    *share `parser:"| 'once' @Percent"`
-	Local   *share `parser:"| 'local' @Percent"`
-	Fresh   *span  `parser:"| 'fresh' @Span"`
-	Drift   *span  `parser:"| 'drift' @Span"`
+	Share        *share    `parser:"  'share' @Percent"`
+	Worth        *decimal  `parser:"| 'worth' @Number"`
+	GiveUp       *duration `parser:"| 'give' 'up' @Span"`
+	Aim          *duration `parser:"| 'aim' @Span"`
+	SendTime     *duration `parser:"| 'send' @Span"`
+	Objects      *int      `parser:"| 'objects' @Number"`
+	Zipf         *decimal  `parser:"| 'zipf' @Number"`
+	OneTimeShare *share    `parser:"| 'once' @Percent"`
+	LocalShare   *share    `parser:"| 'local' @Percent"`
+	Fresh        *duration `parser:"| 'fresh' @Span"`
+	DriftPeriod  *duration `parser:"| 'drift' @Span"`
 }
 
 type clientsLine struct {
-	Most  int   `parser:"'retry' @Number 'times'"`
-	Once  bool  `parser:"( @('at' 'once')"`
-	Least *span `parser:"| 'after' @Span"`
-	Last  *span `parser:"  ('to' @Span)? )"`
-	Obey  bool  `parser:"@'obeying'?"`
+	MaxRetries      int       `parser:"'retry' @Number 'times'"`
+	AtOnce          bool      `parser:"( @('at' 'once')"`
+	MinWait         *duration `parser:"| 'after' @Span"`
+	MaxWait         *duration `parser:"  ('to' @Span)? )"`
+	HonorRetryAfter bool      `parser:"@'obeying'?"`
 }
 
 type loadPoint struct {
 	Pos  lexer.Position
-	At   *span `parser:"('from' @Span)?"`
-	Rate rate  `parser:"@Rate"`
-	Ramp bool  `parser:"@'rising'?"`
+	At   *duration `parser:"('from' @Span)?"`
+	Rate rate      `parser:"@Rate"`
+	Ramp bool      `parser:"@'rising'?"`
 }
 
-type trouble struct {
-	Pos       lexer.Position
-	At        span    `parser:"@Span"`
-	LoseB     *string `parser:"( 'lose' ( 'branch' @String"`
-	LoseP     *string `parser:"         | 'parents' @String"`
-	LoseS     *string `parser:"         | 'server' @String"`
-	LoseA     *share  `parser:"         | @Percent 'of' 'answers' )"`
-	Slower    *times  `parser:"| 'origin' ( 'slower' @Times"`
-	Stops     bool    `parser:"           | @'stops' )"`
-	PurgeG    *share  `parser:"| 'purge' ( @Percent 'of' 'groups'"`
-	PurgeHot  *int    `parser:"          | @Number 'hot' 'objects' )"`
-	Scan      *share  `parser:"| 'scan' @Percent"`
-	Surge     *times  `parser:"| 'surge' @Times"`
-	Storm     bool    `parser:"| @'storm'"`
-	Cut       *string `parser:"| 'cut' 'branch' @String"`
-	FreezeA   *string `parser:"| 'freeze' ( 'answers' 'of' @String"`
-	FreezeB   *string `parser:"           | 'branch' @String )"`
-	Restart   *string `parser:"| 'restart' 'front' @String"`
-	Reload    *string `parser:"| 'reload' 'front' @String"`
-	Reset     bool    `parser:"| @('reset' 'connections')"`
-	Spoil     *share  `parser:"| 'spoil' @Percent"`
-	Deaf      bool    `parser:"| 'register' ( @'unreachable'"`
-	Late      *span   `parser:"             | 'late' @Span )"`
-	Kill      *string `parser:"| 'kill' 'front' @String"`
-	Drain     *string `parser:"| 'drain' @String"`
-	Flap      *string `parser:"| 'flap' @String"`
-	FlapTimes *int    `parser:"  @Number 'times' )"`
-	For       *span   `parser:"('for' @Span)?"`
-	Silent    bool    `parser:"@'silently'?"`
+type faultLine struct {
+	Pos                 lexer.Position
+	At                  duration  `parser:"@Span"`
+	LoseBranch          *string   `parser:"( 'lose' ( 'branch' @String"`
+	LoseParents         *string   `parser:"         | 'parents' @String"`
+	LoseServer          *string   `parser:"         | 'server' @String"`
+	LoseAnswers         *share    `parser:"         | @Percent 'of' 'answers' )"`
+	Slower              *factor   `parser:"| 'origin' ( 'slower' @Times"`
+	Stops               bool      `parser:"           | @'stops' )"`
+	PurgeGroups         *share    `parser:"| 'purge' ( @Percent 'of' 'groups'"`
+	PurgeHot            *int      `parser:"          | @Number 'hot' 'objects' )"`
+	Scan                *share    `parser:"| 'scan' @Percent"`
+	Surge               *factor   `parser:"| 'surge' @Times"`
+	Storm               bool      `parser:"| @'storm'"`
+	Cut                 *string   `parser:"| 'cut' 'branch' @String"`
+	FreezeAnswers       *string   `parser:"| 'freeze' ( 'answers' 'of' @String"`
+	FreezeBranch        *string   `parser:"           | 'branch' @String )"`
+	Restart             *string   `parser:"| 'restart' 'front' @String"`
+	Reload              *string   `parser:"| 'reload' 'front' @String"`
+	Reset               bool      `parser:"| @('reset' 'connections')"`
+	Spoil               *share    `parser:"| 'spoil' @Percent"`
+	RegisterUnreachable bool      `parser:"| 'register' ( @'unreachable'"`
+	RegisterLate        *duration `parser:"             | 'late' @Span )"`
+	Kill                *string   `parser:"| 'kill' 'front' @String"`
+	Drain               *string   `parser:"| 'drain' @String"`
+	Flap                *string   `parser:"| 'flap' @String"`
+	FlapTimes           *int      `parser:"  @Number 'times' )"`
+	Duration            *duration `parser:"('for' @Span)?"`
+	Silent              bool      `parser:"@'silently'?"`
 }
 
-type expect struct {
-	Pos   lexer.Position
-	What  string `parser:"@('G'|'service'|'hits'|'falls'|'origin')"`
-	Above bool   `parser:"( @'above' | 'below' )"`
-	Bound num    `parser:"@Number"`
+type expectLine struct {
+	Pos    lexer.Position
+	Metric string  `parser:"@('G'|'service'|'hits'|'falls'|'origin')"`
+	Above  bool    `parser:"( @'above' | 'below' )"`
+	Bound  decimal `parser:"@Number"`
 }
 
 // Values with a unit.
 
 type (
-	span  int64   // us
-	share float64 // of 1
-	times float64
-	rate  float64 // a second
-	num   float64
+	duration int64   // microseconds
+	share    float64 // 0 to 1, written in percent
+	factor   float64
+	rate     float64 // requests per second
+	decimal  float64
 )
 
-// Capture is part of participle.Capture, as those below.
-func (s *span) Capture(v []string) error {
+// Capture implements participle.Capture.
+func (s *duration) Capture(v []string) error {
 	d, err := time.ParseDuration(v[0])
-	*s = span(d.Microseconds())
+	*s = duration(d.Microseconds())
 	return err
 }
 
-// Capture is part of participle.Capture.
-func (s *share) Capture(v []string) error { return unit((*float64)(s), v[0], "%", 0.01) }
+// Capture implements participle.Capture.
+func (s *share) Capture(v []string) error { return parseWithUnit((*float64)(s), v[0], "%", 0.01) }
 
-// Capture is part of participle.Capture.
-func (x *times) Capture(v []string) error { return unit((*float64)(x), v[0], "x", 1) }
+// Capture implements participle.Capture.
+func (x *factor) Capture(v []string) error { return parseWithUnit((*float64)(x), v[0], "x", 1) }
 
-// Capture is part of participle.Capture.
-func (r *rate) Capture(v []string) error { return unit((*float64)(r), v[0], "/s", 1) }
+// Capture implements participle.Capture.
+func (r *rate) Capture(v []string) error { return parseWithUnit((*float64)(r), v[0], "/s", 1) }
 
-// Capture is part of participle.Capture.
-func (n *num) Capture(v []string) error { return unit((*float64)(n), v[0], "", 1) }
+// Capture implements participle.Capture.
+func (n *decimal) Capture(v []string) error { return parseWithUnit((*float64)(n), v[0], "", 1) }
 
-func unit(to *float64, text, suffix string, by float64) error {
-	x, err := strconv.ParseFloat(strings.TrimSuffix(text, suffix), 64)
-	*to = x * by
+func parseWithUnit(out *float64, text, suffix string, scale float64) error {
+	value, err := strconv.ParseFloat(strings.TrimSuffix(text, suffix), 64)
+	*out = value * scale
 	return err
 }
 
@@ -233,10 +233,11 @@
 	})),
 	participle.Elide("Comment", "Space"), participle.Unquote("String"), participle.UseLookahead(3))
 
-// Parse reads a scenario; file stands in errors.
+// Parse reads a scenario for the deployment of world.Default. Errors name the source as
+// name.
 func Parse(name, text string) (*Scenario, error) { return ParseFor(world.Default(), name, text) }
 
-// ParseFor is Parse for another deployment than the default one.
+// ParseFor is Parse for the deployment that spec describes.
 func ParseFor(spec world.Spec, name, text string) (*Scenario, error) {
 	f, err := grammar.ParseString(name, text)
 	if err != nil {
@@ -244,9 +245,9 @@
 	}
 	s := &Scenario{Name: name, Spec: spec, Plan: world.Plan{WarmUp: 30 * 1_000_000, Duration: 60 * 1_000_000}}
 	s.Spec.Classes = slices.Clone(s.Spec.Classes)
-	var where []lexer.Position
+	var positions []lexer.Position
 	for _, x := range f.Statements {
-		if err := s.apply(x, &where); err != nil {
+		if err := s.apply(x, &positions); err != nil {
 			return nil, fmt.Errorf("scenario: %s: %w", x.Pos, err)
 		}
 	}
@@ -256,70 +257,70 @@
 	}
 	for i := range s.Plan.Faults {
 		if err := w.CheckFault(&s.Plan.Faults[i]); err != nil {
-			return nil, fmt.Errorf("scenario: %s: %w", where[i], err)
+			return nil, fmt.Errorf("scenario: %s: %w", positions[i], err)
 		}
 		if s.Plan.Faults[i].At > s.Plan.Duration {
-			return nil, fmt.Errorf("scenario: %s: it begins after the day, which has %gs", where[i], float64(s.Plan.Duration)/1e6)
+			return nil, fmt.Errorf("scenario: %s: it begins after the day, which has %gs", positions[i], float64(s.Plan.Duration)/1e6)
 		}
 	}
 	return s, nil
 }
 
-func (s *Scenario) apply(x *statement, where *[]lexer.Position) error {
+func (s *Scenario) apply(parsed *statement, positions *[]lexer.Position) error {
 	switch {
-	case x.Name != nil:
-		s.Name = *x.Name
-	case x.Seed != nil:
-		s.Spec.Seed = *x.Seed
-	case x.Warm != nil:
-		s.Plan.WarmUp = int64(*x.Warm)
-	case x.Run != nil:
-		s.Plan.Duration = int64(*x.Run)
-	case x.Site != nil:
-		return s.site(x.Site)
-	case x.Class != nil:
-		return s.class(x.Class)
-	case x.Clients != nil:
-		c := x.Clients
-		s.Spec.Retries = world.RetryPolicy{MaxRetries: c.Most, HonorRetryAfter: c.Obey}
-		if c.Least != nil {
-			s.Spec.Retries.Wait = [2]world.Micros{int64(*c.Least), int64(*c.Least)}
+	case parsed.Name != nil:
+		s.Name = *parsed.Name
+	case parsed.Seed != nil:
+		s.Spec.Seed = *parsed.Seed
+	case parsed.WarmUp != nil:
+		s.Plan.WarmUp = int64(*parsed.WarmUp)
+	case parsed.Run != nil:
+		s.Plan.Duration = int64(*parsed.Run)
+	case parsed.Site != nil:
+		return s.applySite(parsed.Site)
+	case parsed.Class != nil:
+		return s.applyClass(parsed.Class)
+	case parsed.Clients != nil:
+		clients := parsed.Clients
+		s.Spec.Retries = world.RetryPolicy{MaxRetries: clients.MaxRetries, HonorRetryAfter: clients.HonorRetryAfter}
+		if clients.MinWait != nil {
+			s.Spec.Retries.Wait = [2]world.Micros{int64(*clients.MinWait), int64(*clients.MinWait)}
 		}
-		if c.Last != nil {
-			s.Spec.Retries.Wait[1] = int64(*c.Last)
+		if clients.MaxWait != nil {
+			s.Spec.Retries.Wait[1] = int64(*clients.MaxWait)
 		}
-	case x.Load != nil:
-		return s.load(x.Load)
-	case x.Expect != nil:
-		s.Expectations = append(s.Expectations, Expectation{Metric: x.Expect.What, Above: x.Expect.Above, Bound: float64(x.Expect.Bound)})
-	case x.Trouble != nil:
-		t, err := x.Trouble.make()
+	case parsed.Load != nil:
+		return s.applyLoad(parsed.Load)
+	case parsed.Expect != nil:
+		s.Expectations = append(s.Expectations, Expectation{Metric: parsed.Expect.Metric, Above: parsed.Expect.Above, Bound: float64(parsed.Expect.Bound)})
+	case parsed.Fault != nil:
+		fault, err := parsed.Fault.fault()
 		if err != nil {
 			return err
 		}
-		s.Plan.Faults = append(s.Plan.Faults, t)
-		*where = append(*where, x.Pos)
+		s.Plan.Faults = append(s.Plan.Faults, fault)
+		*positions = append(*positions, parsed.Pos)
 	}
 	return nil
 }
 
-func (s *Scenario) site(b *siteBlock) error {
+func (s *Scenario) applySite(block *siteBlock) error {
 	var branches []world.Branch
-	for _, x := range b.Items {
+	for _, item := range block.Items {
 		switch {
-		case x.Hubs != nil:
-			s.Spec.Hubs = x.Hubs
-		case x.Branch != nil:
-			branches = append(branches, world.Branch{Name: x.Branch.Name, Hub: x.Branch.Hub, Boxes: x.Branch.Boxes, Fronts: x.Branch.Fronts})
-		case x.Parents != nil:
-			s.Spec.Parents = *x.Parents
-		case x.Held != nil:
-			s.Spec.MaxHeld = *x.Held
-		case x.Fleet != nil:
-			if x.Fleet.Nodes < 1 || x.Fleet.Fronts < 1 || x.Fleet.Nodes > 100_000 {
-				return fmt.Errorf("a fleet of %d nodes and %d fronts", x.Fleet.Nodes, x.Fleet.Fronts)
+		case item.Hubs != nil:
+			s.Spec.Hubs = item.Hubs
+		case item.Branch != nil:
+			branches = append(branches, world.Branch{Name: item.Branch.Name, Hub: item.Branch.Hub, Boxes: item.Branch.Boxes, Fronts: item.Branch.Fronts})
+		case item.Parents != nil:
+			s.Spec.Parents = *item.Parents
+		case item.MaxHeld != nil:
+			s.Spec.MaxHeld = *item.MaxHeld
+		case item.Fleet != nil:
+			if item.Fleet.Nodes < 1 || item.Fleet.Fronts < 1 || item.Fleet.Nodes > 100_000 {
+				return fmt.Errorf("a fleet of %d nodes and %d fronts", item.Fleet.Nodes, item.Fleet.Fronts)
 			}
-			s.Spec.Resize(x.Fleet.Nodes, x.Fleet.Fronts)
+			s.Spec.Resize(item.Fleet.Nodes, item.Fleet.Fronts)
 		}
 	}
 	if branches != nil {
@@ -328,142 +329,143 @@
 	return nil
 }
 
-func (s *Scenario) class(b *classBlock) error {
-	i := slices.IndexFunc(s.Spec.Classes, func(c world.Class) bool { return c.Name == b.Name })
+func (s *Scenario) applyClass(block *classBlock) error {
+	i := slices.IndexFunc(s.Spec.Classes, func(class world.Class) bool { return class.Name == block.Name })
 	if i < 0 {
-		return fmt.Errorf("no class is called %q", b.Name)
+		return fmt.Errorf("no class is called %q", block.Name)
 	}
-	c := &s.Spec.Classes[i]
-	for _, x := range b.Items {
-		for _, y := range []struct {
-			from *span
+	class := &s.Spec.Classes[i]
+	for _, item := range block.Items {
+		for _, setting := range []struct {
+			from *duration
 			to   *world.Micros
-		}{{x.GiveUp, &c.GiveUp}, {x.Aim, &c.Aim}, {x.Send, &c.SendTime}, {x.Fresh, &c.Fresh}, {x.Drift, &c.DriftPeriod}} {
-			if y.from != nil {
-				*y.to = int64(*y.from)
+		}{{item.GiveUp, &class.GiveUp}, {item.Aim, &class.Aim}, {item.SendTime, &class.SendTime}, {item.Fresh, &class.Fresh}, {item.DriftPeriod, &class.DriftPeriod}} {
+			if setting.from != nil {
+				*setting.to = int64(*setting.from)
 			}
 		}
-		for _, y := range []struct {
+		for _, setting := range []struct {
 			from *share
 			to   *float64
-		}{{x.Share, &c.Share}, {x.Once, &c.OneTimeShare}, {x.Local, &c.LocalShare}, {(*share)(x.Worth), &c.Worth}, {(*share)(x.Zipf), &c.Zipf}} {
-			if y.from != nil {
-				*y.to = float64(*y.from)
+		}{{item.Share, &class.Share}, {item.OneTimeShare, &class.OneTimeShare}, {item.LocalShare, &class.LocalShare}, {(*share)(item.Worth), &class.Worth}, {(*share)(item.Zipf), &class.Zipf}} {
+			if setting.from != nil {
+				*setting.to = float64(*setting.from)
 			}
 		}
-		if x.Objects != nil {
-			c.Objects = *x.Objects
+		if item.Objects != nil {
+			class.Objects = *item.Objects
 		}
 	}
 	return nil
 }
 
-func (s *Scenario) load(list []*loadPoint) (err error) {
-	if s.Plan.Curve, err = curve(list); err == nil {
+func (s *Scenario) applyLoad(list []*loadPoint) (err error) {
+	if s.Plan.Curve, err = loadCurve(list); err == nil {
 		s.Spec.Rate = s.Plan.Curve[0].Rate
 	}
 	return err
 }
 
-func curve(list []*loadPoint) (points []world.RatePoint, err error) {
-	for i, x := range list {
-		p := world.RatePoint{Rate: float64(x.Rate), Ramp: x.Ramp}
-		if x.At != nil {
-			p.At = int64(*x.At)
+func loadCurve(list []*loadPoint) (points []world.RatePoint, err error) {
+	for i, parsed := range list {
+		point := world.RatePoint{Rate: float64(parsed.Rate), Ramp: parsed.Ramp}
+		if parsed.At != nil {
+			point.At = int64(*parsed.At)
 		}
-		if i > 0 && p.At <= points[i-1].At {
-			return nil, fmt.Errorf("%s: the load's moments must follow each other", x.Pos)
+		if i > 0 && point.At <= points[i-1].At {
+			return nil, fmt.Errorf("%s: the times of the load must increase", parsed.Pos)
 		}
-		points = append(points, p)
+		points = append(points, point)
 	}
 	return points, nil
 }
 
-// ParseLoad reads a load's curve alone, in the words that follow "load".
+// ParseLoad reads a load curve alone, in the syntax that follows "load" in a scenario.
 func ParseLoad(text string) ([]world.RatePoint, error) {
 	f, err := grammar.ParseString("load", "load "+text)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	if len(f.Statements) != 1 {
-		return nil, fmt.Errorf("scenario: %s: more than a load", f.Statements[1].Pos)
+		return nil, fmt.Errorf("scenario: %s: only a load is allowed here", f.Statements[1].Pos)
 	}
-	points, err := curve(f.Statements[0].Load)
+	points, err := loadCurve(f.Statements[0].Load)
 	if err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	return points, nil
 }
 
-// make turns what was read into a trouble.
-func (t *trouble) make() (world.Fault, error) {
-	out := world.Fault{At: int64(t.At), Silent: t.Silent}
-	if t.For != nil {
-		out.Duration = int64(*t.For)
+// fault converts the parsed line. It fails where a duration is missing or not allowed,
+// or where the fault cannot be silent.
+func (line *faultLine) fault() (world.Fault, error) {
+	fault := world.Fault{At: int64(line.At), Silent: line.Silent}
+	if line.Duration != nil {
+		fault.Duration = int64(*line.Duration)
 	}
-	named := func(kind world.FaultKind, target *string) { out.Kind, out.Target = kind, *target }
-	by := func(kind world.FaultKind, x float64) { out.Kind, out.Amount = kind, x }
-	momentary := false
+	setTarget := func(kind world.FaultKind, target *string) { fault.Kind, fault.Target = kind, *target }
+	setAmount := func(kind world.FaultKind, amount float64) { fault.Kind, fault.Amount = kind, amount }
+	instant := false
 	switch {
-	case t.LoseB != nil:
-		named(world.LoseBranch, t.LoseB)
-	case t.LoseP != nil:
-		named(world.LoseParents, t.LoseP)
-	case t.LoseS != nil:
-		named(world.LoseServer, t.LoseS)
-	case t.LoseA != nil:
-		by(world.LoseAnswers, float64(*t.LoseA))
-	case t.Slower != nil:
-		by(world.OriginSlow, float64(*t.Slower))
-	case t.Stops:
-		out.Kind = world.OriginStops
-	case t.PurgeG != nil:
-		by(world.PurgeGroups, float64(*t.PurgeG))
-		momentary = true
-	case t.PurgeHot != nil:
-		by(world.PurgeHot, float64(*t.PurgeHot))
-		momentary = true
-	case t.Scan != nil:
-		by(world.Scan, float64(*t.Scan))
-	case t.Surge != nil:
-		by(world.Surge, float64(*t.Surge))
-	case t.Storm:
-		out.Kind = world.RetryStorm
-	case t.Cut != nil:
-		named(world.CutBranch, t.Cut)
-	case t.FreezeA != nil:
-		named(world.FreezeAnswers, t.FreezeA)
-	case t.FreezeB != nil:
-		named(world.FreezeBranch, t.FreezeB)
-	case t.Restart != nil:
-		named(world.RestartFront, t.Restart)
-	case t.Reload != nil:
-		named(world.ReloadFront, t.Reload)
-		momentary = true
-	case t.Reset:
-		out.Kind = world.ResetConnections
-		momentary = true
-	case t.Spoil != nil:
-		by(world.CorruptAnswers, float64(*t.Spoil))
-	case t.Deaf:
-		out.Kind = world.RegisterUnreachable
-	case t.Late != nil:
-		by(world.RegisterLate, float64(*t.Late)/1e6)
-	case t.Kill != nil:
-		named(world.KillFront, t.Kill)
-	case t.Drain != nil:
-		named(world.DrainServer, t.Drain)
-	case t.Flap != nil:
-		named(world.FlapServer, t.Flap)
-		out.Amount = float64(*t.FlapTimes)
+	case line.LoseBranch != nil:
+		setTarget(world.LoseBranch, line.LoseBranch)
+	case line.LoseParents != nil:
+		setTarget(world.LoseParents, line.LoseParents)
+	case line.LoseServer != nil:
+		setTarget(world.LoseServer, line.LoseServer)
+	case line.LoseAnswers != nil:
+		setAmount(world.LoseAnswers, float64(*line.LoseAnswers))
+	case line.Slower != nil:
+		setAmount(world.OriginSlow, float64(*line.Slower))
+	case line.Stops:
+		fault.Kind = world.OriginStops
+	case line.PurgeGroups != nil:
+		setAmount(world.PurgeGroups, float64(*line.PurgeGroups))
+		instant = true
+	case line.PurgeHot != nil:
+		setAmount(world.PurgeHot, float64(*line.PurgeHot))
+		instant = true
+	case line.Scan != nil:
+		setAmount(world.Scan, float64(*line.Scan))
+	case line.Surge != nil:
+		setAmount(world.Surge, float64(*line.Surge))
+	case line.Storm:
+		fault.Kind = world.RetryStorm
+	case line.Cut != nil:
+		setTarget(world.CutBranch, line.Cut)
+	case line.FreezeAnswers != nil:
+		setTarget(world.FreezeAnswers, line.FreezeAnswers)
+	case line.FreezeBranch != nil:
+		setTarget(world.FreezeBranch, line.FreezeBranch)
+	case line.Restart != nil:
+		setTarget(world.RestartFront, line.Restart)
+	case line.Reload != nil:
+		setTarget(world.ReloadFront, line.Reload)
+		instant = true
+	case line.Reset:
+		fault.Kind = world.ResetConnections
+		instant = true
+	case line.Spoil != nil:
+		setAmount(world.CorruptAnswers, float64(*line.Spoil))
+	case line.RegisterUnreachable:
+		fault.Kind = world.RegisterUnreachable
+	case line.RegisterLate != nil:
+		setAmount(world.RegisterLate, float64(*line.RegisterLate)/1e6)
+	case line.Kill != nil:
+		setTarget(world.KillFront, line.Kill)
+	case line.Drain != nil:
+		setTarget(world.DrainServer, line.Drain)
+	case line.Flap != nil:
+		setTarget(world.FlapServer, line.Flap)
+		fault.Amount = float64(*line.FlapTimes)
 	}
 	switch {
-	case momentary && t.For != nil:
-		return out, fmt.Errorf("%s is over at once, and has no length", out.Kind)
-	case !momentary && t.For == nil:
-		return out, fmt.Errorf("%s: for how long?", out.Kind)
-	case t.Silent && out.Kind != world.LoseBranch && out.Kind != world.LoseParents && out.Kind != world.LoseServer:
-		return out, fmt.Errorf("%s can't happen silently", out.Kind)
+	case instant && line.Duration != nil:
+		return fault, fmt.Errorf("%s is over at once, and has no length", fault.Kind)
+	case !instant && line.Duration == nil:
+		return fault, fmt.Errorf("%s: for how long?", fault.Kind)
+	case line.Silent && fault.Kind != world.LoseBranch && fault.Kind != world.LoseParents && fault.Kind != world.LoseServer:
+		return fault, fmt.Errorf("%s can't happen silently", fault.Kind)
 	}
-	return out, nil
+	return fault, nil
 }
