--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -49,7 +49,7 @@
 // Reload sets the classes that later requests may name.
 func (f *Front) Reload(classes []Class) { f.classes = classes }
 
-// Take answers a health check or an invalid request, and turns any other request into a call.
+// HandleRequest answers a health check or an invalid request, and turns any other request into a call.
 func (f *Front) HandleRequest(r *httpwire.Request, x *session.Exchange) (*gateway.Call, *httpwire.Response) {
 	if r.Target == healthPath && r.Method == "GET" {
 		if ok, reason := f.ready(); !ok {
@@ -129,7 +129,7 @@
 	return -1
 }
 
-// Reply returns the response for the final answer to a call.
+// BuildResponse returns the response for the final answer to a call.
 func (f *Front) BuildResponse(_ *session.Exchange, a gateway.Answer) *httpwire.Response {
 	r := &httpwire.Response{Status: 502}
 	if a.Tag != "" {
@@ -148,11 +148,11 @@
 	return r
 }
 
-// Full returns the response for a refusal, with the time after which to come back.
+// OverloadResponse returns the response for a refusal, with the time after which to come back.
 func (f *Front) OverloadResponse(away loop.Micros) *httpwire.Response {
 	return &httpwire.Response{Status: 503,
 		Header: httpwire.Header{{Name: "Srv-Wait-Ms", Value: strconv.FormatInt((away+999)/1000, 10)}}}
 }
 
-// Left does nothing: the front keeps no state of a request.
+// ClientGone does nothing: the front keeps no state of a request.
 func (f *Front) ClientGone(*session.Exchange) {}
--- a/internal/program/policy.go
+++ b/internal/program/policy.go
@@ -33,7 +33,7 @@
 func monotonic() int64 { return 1 + time.Since(processStart).Microseconds() }
 
 // fleetPolicy applies the fleet's quota leases, purges and verdicts on this front. It
-// implements gateway.FleetPolicy and signed.Shared, and is used on the loop only.
+// implements gateway.FleetPolicy and signed.SharedLimits, and is used on the loop only.
 type fleetPolicy struct {
 	program   *program
 	limiter   *quotalease.Limiter
@@ -87,7 +87,7 @@
 // limitKinds maps kinds of claims to kinds of limits.
 var limitKinds = map[ratelimit.Kind]string{ratelimit.Tenant: "tenant", ratelimit.Key: "key", ratelimit.Subject: "subject"}
 
-// Take implements signed.Shared.
+// Take implements signed.SharedLimits.
 func (policy *fleetPolicy) Take(claims []ratelimit.Claim) (taken []*quotalease.Bucket, retryAfter gateway.Micros, refusal string) {
 	if !policy.hasLimits {
 		return nil, 0, ""
--- a/internal/program/verdicts.go
+++ b/internal/program/verdicts.go
@@ -94,14 +94,14 @@
 	return base
 }
 
-// Forged implements signed.Shared.
+// Forged implements signed.SharedLimits.
 func (policy *fleetPolicy) Forged(p netip.Prefix) {
 	if policy.observer != nil {
 		policy.observer.RecordForged(p.String(), monotonic())
 	}
 }
 
-// Suspect implements signed.Shared.
+// Suspect implements signed.SharedLimits.
 func (policy *fleetPolicy) Suspect(p netip.Prefix) bool {
 	now := monotonic()
 	for _, h := range policy.otherVerdicts {
